--- /dev/null
+++ b/tests/stored.py
@@ -0,0 +1,164 @@
+"""Stored data: what the files under `tests/data/stored/` were written from, and what they must be read to.
+
+Stored keys and bytes never change; names in the code do. The section "adapter" maps the one to the other, and
+is the only part that a rename in the code touches. `tools/stored_data.py` writes the files by the functions
+behind it; the tests compare with them.
+"""
+
+import json
+import struct
+import zlib
+from pathlib import Path
+
+from pinspread.core.journal import Journal, JournalFull, JournalUnreadable  # noqa: F401  used by tests
+from pinspread.core.transactions import Final, Rules, State, Transaction
+from pinspread.interface import Effect, Group, TrafficClass
+
+DATA = Path(__file__).parent / "data" / "stored"
+
+# --- adapter: stored names (left) and those of the code (right) -----------------------------------
+
+TRANSACTION = {
+    "id": "id",
+    "cls": "cls",
+    "tenant": "tenant",
+    "dest": "dest",
+    "key": "key",
+    "idempotency": "idempotency",
+    "until_unix_us": "until_unix_us",
+    "front": "front",
+    "reply": "reply",
+}
+PROGRESS = {  # told by records of other kinds than TAKEN
+    "attempts": "branches",
+    "may_have_run_unix_us": "may_run_us",
+    "out_since_unix_us": "live_us",
+    "zone": "zone",
+}
+CLASS = {
+    "aim_ns": "aim_ns",
+    "deadline_ns": "deadline_ns",
+    "effect": "effect",
+    "group": "group",
+    "window_ns": "window_ns",
+    "late_share": "late_share",
+    "worth": "worth",
+    "in_order": "in_order",
+}
+
+
+def rules(told):
+    """The code's object for `{"cls": {...}, "max_attempts": n}`, or None."""
+    if told is None:
+        return None
+    fields = {CLASS[name]: value for name, value in told["cls"].items()}
+    fields[CLASS["effect"]] = Effect(told["cls"]["effect"])
+    fields[CLASS["group"]] = Group(told["cls"]["group"])
+    return Rules(TrafficClass(**fields), told["max_attempts"])
+
+
+def told_rules(found):
+    """The reverse."""
+    if found is None:
+        return None
+    fields = {name: getattr(found.cls, at) for name, at in CLASS.items()}
+    fields |= {"effect": fields["effect"].value, "group": fields["group"].value}
+    return {"cls": fields, "max_attempts": found.max_attempts}
+
+
+def transaction(number, told, body="", of=None, **progress):
+    """The code's object for what a TAKEN record holds, its body and what is known of its attempts."""
+    fields = {TRANSACTION[name]: value for name, value in told.items()}
+    fields |= {PROGRESS[name]: value for name, value in progress.items()}
+    return Transaction(number, body=body.encode("latin-1"), rules=rules(of), **fields)
+
+
+def told_transaction(t):
+    """The reverse, as the expected content has it."""
+    found = {"number": t.number, "body": t.body.decode("latin-1"), "rules": told_rules(t.rules)}
+    found["told"] = {name: getattr(t, at) for name, at in TRANSACTION.items()}
+    found |= {name: getattr(t, at) for name, at in PROGRESS.items()}
+    return found | {"final": [int(t.final.state), t.final.after_ms] if t.final else None}
+
+
+class Steps:
+    """The journal's operations, by names that stay; what was taken is named by its number."""
+
+    def __init__(self, folder, limit_bytes=1 << 20):
+        self.journal = Journal(str(folder), limit_bytes)
+        self.known = {t.number: t for t in self.journal.open()}
+
+    def taken(self, number, told, body, of):
+        self.known[number] = transaction(number, told, body, of)
+        self.journal.taken(self.known[number])
+
+    def adopted(self, number, told, body, of, progress, final):
+        self.known[number] = t = transaction(number, told, body, of, **progress)
+        t.final = Final(State(final[0]), final[1]) if final else None
+        self.journal.adopted(t)
+
+    def attempt_started(self, number, attempt, unix_us, zone):
+        self.known[number].zone = zone
+        self.journal.branch_started(self.known[number], attempt, unix_us)
+
+    def attempt_ended(self, number, attempt, may_have_run):
+        self.journal.branch_ended(self.known[number], attempt, may_have_run)
+
+    def final(self, number, state, after_ms):
+        self.journal.final(self.known[number], Final(State(state), after_ms))
+
+    def ended(self, number):
+        self.journal.ended(self.known[number])
+
+    def banned(self, id_, out):
+        self.journal.banned(id_, out)
+
+    def close(self):
+        self.journal.close()
+
+
+def content(folder):
+    """What a journal is read to, in neutral words; nothing is written."""
+    journal = Journal(str(folder), 1 << 20)
+    journal.read()
+    return {
+        "open": [told_transaction(t) for t in journal.live.values()],
+        "over": list(journal.past),
+        "bans": list(journal.bans),
+    }
+
+
+# --- the journal ------------------------------------------------------------------------------------
+
+JOURNAL_FILES = ("appended", "rewritten", "continued", "torn", "without-rules")
+
+
+def _write(folder, steps):
+    found = Steps(folder)
+    for name, *words in steps:
+        getattr(found, name)(*words)
+    found.close()
+    return (Path(folder) / "journal").read_bytes()
+
+
+def journals(folder):
+    """Bytes of each of `JOURNAL_FILES`, as the present code writes them in an empty folder."""
+    told = json.loads((DATA / "journal.json").read_bytes())
+    found = {"appended": _write(folder, told["appended"]), "rewritten": _write(folder, [])}
+    found["continued"] = _write(folder, told["continued"])
+    found["torn"] = found["continued"][: -told["torn_by"]]
+    (Path(folder) / "journal").unlink()
+    return found | {"without-rules": _write(folder, told["without-rules"])}
+
+
+def kinds(data):
+    """The kinds of a journal's records, in order; read by the layout alone."""
+    found, at = [], 0
+    while at + 8 <= len(data):
+        size, checksum = struct.unpack_from("<II", data, at)
+        payload = data[at + 8 : at + 8 + size]
+        if len(payload) < size or zlib.crc32(payload) != checksum:
+            break
+        found.append(payload[0])
+        at += 8 + size
+    return found
