--- /dev/null
+++ b/tests/stored_courier.py
@@ -0,0 +1,456 @@
+"""A courier's folder and log as a process leaves them when it is killed, and its other kept files and wires.
+
+As `stored.py`: the section "adapter" names the code's parts. `leave_behind` runs the program itself.
+"""
+
+import json
+import os
+import re
+import socket
+import struct
+import subprocess
+import sys
+import zlib
+from contextlib import contextmanager
+from pathlib import Path
+from types import SimpleNamespace
+
+import anyio
+import orjson
+from standins import Client, HttpStandIn, configuration, host, own_address, standing, until
+
+from pinspread.cluster.copying import Copies
+from pinspread.cluster.leases import Leases
+from pinspread.cluster.member import Membership, Plan
+from pinspread.cluster.swim import Tuning
+from pinspread.config import settings
+from pinspread.core.transactions import Outcome
+from pinspread.fleet import losses, trace
+from pinspread.interface import ListState, Verdict
+from pinspread.net import admin, discovery, sockets, succession
+
+DATA = Path(__file__).parent / "data" / "stored"
+
+# --- adapter ----------------------------------------------------------------------------------------
+
+GOOD_FILE, LEFT_FILE = settings.GOOD, discovery.LEFT
+
+
+def keep_settings(state, raw):
+    """Keep the settings of a file, as a start does."""
+    told = settings.read(orjson.loads(raw), {})
+    told.state, told.raw = str(state), raw
+    settings.keep_good(told)
+
+
+def kept_settings(state):
+    """What a start finds where its file is broken: the bytes, and some of what they say."""
+    told = settings.at_start({"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)})
+    return told.raw, {"name": told.name, "seed": told.seed, "disk_bytes": told.disk_bytes}
+
+
+def left(state):
+    """The endpoints that a list has told to leave, kept over restarts."""
+    return discovery._Left(SimpleNamespace(state=str(state), disk_bytes=3_000_000))
+
+
+LEFT_STATES = {"gone": ListState.GONE, "draining": ListState.DRAINING, "ready": ListState.READY}
+
+
+def door(companions):
+    """The operators' door over these answers."""
+
+    class Operable:
+        def ready(self):
+            return True
+
+        async def disable(self, id_):
+            return id_ != "s-9"
+
+        enable = disable
+
+    names = {"members": Membership.name, "leases": Leases.name, "copies": Copies.name}
+    views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
+    return admin.Door(Operable(), companions=views)
+
+
+def members_view():
+    """A member's own view, as the door shows it, but for the time."""
+    plan = Plan("a", "127.0.0.1:7001", "127.0.0.1:7001", (), b"fleet-a", Tuning())
+    found = Membership(plan, seed=1).view()
+    for one in found["members"]:
+        one["since_us"] = 0
+    return found
+
+
+def summary():
+    """What `pinspread config check` says of `SETTINGS`."""
+    return list(settings.summary(settings.read(orjson.loads(SETTINGS), {})))
+
+
+def recorded_trace(logs, path):
+    """A trace of these logs, written to a file."""
+    found = trace.record(logs, TRACE_KEY)
+    trace.write(found, str(path))
+    return found
+
+
+read_trace = trace.read
+
+
+def losses_text(folder):
+    return losses.text(losses.Losses(folder), (1, 2))
+
+
+PACKETS = {
+    name: getattr(succession, name)
+    for name in (
+        "HELLO", "NO", "LEAVE", "STATE", "LEG", "IDLE", "SOCKET", "YOURS", "TAKEN", "ENDED", "HEED", "PROBED",
+        "BAN", "BANNED",
+    )
+}  # fmt: skip
+
+
+def outcome(verdict, **told):
+    """How an attempt ended: its words as the packet between processes has them."""
+    return Outcome(Verdict[verdict], **told)
+
+
+def told_outcome(packet):
+    found = succession._outcome(packet)
+    names = ("wait_us", "over", "note", "idle_us", "opened", "left", "limit")
+    return {"verdict": int(found.verdict)} | {name: getattr(found, name) for name in names}
+
+
+def connected():
+    """Both ends of a connection on loopback."""
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        a = socket.create_connection(server.getsockname())
+        return a, server.accept()[0]
+
+
+async def give(link_socket):
+    """What an old process hands over, but for the state's own bytes."""
+    a, b = connected()
+    kept = sockets.Kept(sockets.Connection(a), True, True, 2, b"unread", b"unsent")
+    idle = ("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
+    lock = os.open(os.devnull, os.O_RDONLY)
+    listening = socket.socket()
+    given = {"blob": b"state", "legs": [kept], "idle": [idle], "sockets": {"resp": listening}, "lock": lock}
+    link = succession.Link(link_socket)
+    await succession.Succession(SimpleNamespace(), "")._give(link, given)
+    heir = succession.Heir(link)
+    heir.ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
+    heir.heed("s-1", 1500)
+    heir.probed("s-2", outcome("OK", opened=True))
+    async with anyio.create_task_group() as tasks:
+        tasks.start_soon(heir.run)
+        try:
+            with anyio.fail_after(0.2):
+                await heir.ban("s-3", True)
+        except TimeoutError:
+            pass
+        tasks.cancel_scope.cancel()
+    os.close(lock)
+    for one in (a, b, listening):
+        one.close()
+
+
+async def take(link_socket, count):
+    """The same read by the code of a new process."""
+    link, found = succession.Link(link_socket), succession.Inheritance()
+    for _ in range(count):
+        kind, data, fd = await link.receive()
+        if kind in (PACKETS["LEG"], PACKETS["IDLE"], PACKETS["SOCKET"]):
+            succession._gather(found, kind, data, fd)
+        elif fd is not None:
+            os.close(fd)
+    told = {"idle": [list(i[:3]) for i in found.idle], "sockets": list(found.sockets)}
+    told["legs"] = [[k.spoke, k.asked, k.errors, k.unread.decode(), k.unsent.decode()] for k in found.legs]
+    found.close()
+    return told
+
+
+# --- kept files -------------------------------------------------------------------------------------
+
+LEFT_TOLD = [{"s-1": "draining", "s-2": "gone", "s-ü": "gone"}, {"s-1": "ready", "s-3": "draining"}]
+
+
+def write_left(folder):
+    """The bytes of the kept list after `LEFT_TOLD`."""
+    found = left(folder)
+    for one in LEFT_TOLD:
+        found.told({id_: LEFT_STATES[state] for id_, state in one.items()})
+    return (Path(folder) / LEFT_FILE).read_bytes()
+
+
+TRACE_KEY = b"0123456789abcdef"
+SETTINGS = orjson.dumps(configuration("state"))
+
+
+def unpacked_trace(path):
+    """A trace file's payload, by its layout alone."""
+    data = Path(path).read_bytes()
+    assert data[:10] == b"PINTRACE\x00\x01" and len(data) == 50 + int.from_bytes(data[10:18], "big")
+    return zlib.decompress(data[50:])
+
+
+def logs():
+    """The recorded logs, as (name, lines)."""
+    found = sorted((DATA / "logs").glob("*.log"))
+    return [(p.name, p.read_bytes().splitlines()) for p in found]
+
+
+# --- the door ---------------------------------------------------------------------------------------
+
+CALLS = [
+    "GET /-/ready",
+    "PUT /-/ready",
+    "GET /-/members",
+    "GET /-/leases",
+    "GET /-/copies",
+    "POST /-/copies",
+    "PUT /-/endpoints/s-1/disable",
+    "PUT /-/endpoints/s%2F1/enable",
+    "PUT /-/endpoints/s-9/enable",
+    "GET /-/endpoints/s-1/enable",
+    "GET /-/nothing",
+]
+
+
+async def calls(companions):
+    """What the door answers to each of `CALLS`."""
+    found = {}
+    for call in CALLS:
+        said = bytearray()
+
+        async def read(call=call):
+            return f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
+
+        async def write(data, said=said):
+            said.extend(data)
+
+        async def part():
+            pass
+
+        connection = SimpleNamespace(read=read, write=write, part=part, close=lambda: None)
+        await door(companions).serve(connection, None)
+        found[call] = said.decode()
+    return found
+
+
+# --- packets between processes ----------------------------------------------------------------------
+
+
+async def packets():
+    """The packets of a hand-over, as they lie on the socket."""
+    ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    await give(ours)
+    theirs.setblocking(False)
+    found = []
+    while True:
+        try:
+            data, fds, _, _ = socket.recv_fds(theirs, 40_000, 4)
+        except BlockingIOError:
+            break
+        if not data:
+            break
+        for fd in fds:
+            os.close(fd)
+        found.append([data[0], data[1], data[2:].decode("latin-1"), len(fds)])
+    ours.close()
+    theirs.close()
+    return found
+
+
+async def handed_over():
+    """What the new process makes of them."""
+    ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    await give(ours)
+    found = await take(theirs, 5)
+    ours.close()
+    theirs.close()
+    return found
+
+
+# --- a courier's folder -----------------------------------------------------------------------------
+
+
+@contextmanager
+def process(folder, hosts, platform, log):
+    """The program on the folder's `state`; ends as if killed."""
+    folder = Path(folder)
+    told = configuration(folder / "state") | {"listen": own_address(), "discovery": platform}
+    told["known"]["hosts"] = hosts
+    (folder / "config.json").write_bytes(orjson.dumps(told))
+    (folder / "state").mkdir(exist_ok=True)
+    door_ = own_address()
+    more = {
+        "RELAY_CONFIG": str(folder / "config.json"),
+        "RELAY_STATE": str(folder / "state"),
+        "RELAY_ADMIN_ADDR": door_,
+    }
+    with open(log, "wb") as out:
+        running = subprocess.Popen([sys.executable, "-m", "pinspread"], env=os.environ | more, stdout=out)
+        running.listen, running.door = told["listen"], door_
+        try:
+            yield running
+        finally:
+            running.kill()
+            running.wait()
+
+
+async def listening(running):
+    """Wait until it answers at its door."""
+    with anyio.fail_after(10):
+        while True:
+            try:
+                if (await ask(running.door, "GET /-/ready")).startswith("HTTP/1.1 200"):
+                    return
+            except OSError:
+                pass
+            await anyio.sleep(0.02)
+
+
+async def ask(address, call):
+    """One call at the door."""
+    host_, port = address.split(":")
+    async with await anyio.connect_tcp(host_, int(port)) as stream:
+        await stream.send(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        return (await stream.receive()).decode()
+
+
+class Platform(HttpStandIn):
+    """Discovery that tells of one list, and an ear for ends that may be deaf."""
+
+    def __init__(self, news, hears):
+        super().__init__()
+        self.news, self.hears = news, hears
+
+    def reply(self, request, connection, first):
+        if request[2].startswith("/api/targets"):
+            line = orjson.dumps(self.news) + b"\n" if self.news else b"\n"
+            body = b"%x\r\n%s\r\n" % (len(line), line)
+            return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body
+        return (204, [], b"") if self.hears else None
+
+    def ends(self):
+        """Ids and states of the ends that it was told of."""
+        lines = [orjson.loads(x) for r in self.requests if r[2] == "/v2/finals" for x in r[4].splitlines()]
+        return {(x["id"], x["state"]) for x in lines}
+
+
+# Endpoints and their destinations: s-2 is banned, s-3 is gone, s-4 cannot be reached, s-5 has a wait told.
+HOSTS = {"s-1": 1, "s-2": 1, "s-3": 1, "s-4": 2, "s-5": 3}
+MESSAGES = {  # id -> class, key, destination
+    "unreached": ("payment", "0", 2),
+    "unreached-keyed": ("booking-change", "7", 2),
+    "returned": ("status-update", "0", 2),
+    "refused": ("payment", "0", 3),
+    "out-payment": ("payment", "0", 1),
+    "out-keyed": ("booking-change", "8", 1),
+    "behind-keyed": ("booking-change", "8", 1),
+    "out-repeatable": ("status-update", "0", 1),
+    "answered": ("status-update", "0", 1),
+    "failed": ("payment", "0", 1),
+}
+
+
+def partner(calls_, plan):
+    """An endpoint that takes down which ids came, and answers by the id as `plan` says."""
+
+    def answer(request):
+        id_ = request[3].get("request-id")
+        if id_ is None:
+            return 200, [], b""
+        calls_.append(id_)
+        return plan(id_)
+
+    return HttpStandIn(answer)
+
+
+def hosts_at(places, other):
+    """The file's list: all ready, those without a place at another."""
+    return [host(id_, places.get(id_, other), dest) for id_, dest in HOSTS.items()]
+
+
+async def leave_behind(folder):
+    """Run the program and kill it with all kinds of messages open; its log is at `log`."""
+    had, elsewhere = [], []
+
+    def for_ms(id_):
+        return 300 if id_ == "returned" else 20_000
+
+    def plan(id_):
+        if id_.startswith("out-"):
+            return anyio.sleep_forever()
+        if id_ == "refused":
+            return 429, [("Retry-After", "2")], b""
+        return (500 if id_ == "failed" else 200), [], b""
+
+    gone = host("s-3", "127.0.0.1:3", 1, "gone")
+    platform = Platform({"seq": 2, "whole": False, "hosts": [gone]}, False)
+    async with standing(partner(had, plan)) as at, standing(partner(elsewhere, plan)) as other:
+        async with standing(platform) as platform_at:
+            hosts = hosts_at({"s-1": at, "s-4": "127.0.0.1:1", "s-5": at}, other)
+            with process(folder, hosts, platform_at, Path(folder) / "log") as running:
+                await listening(running)
+                state = Path(folder) / "state"
+                await until(lambda: (state / "list.left").exists())
+                assert "200" in await ask(running.door, "PUT /-/endpoints/s-2/disable")
+                client = Client(running.listen)
+                for n in range(8):  # calls that go well, for the log
+                    assert await client.enqueue("status-update", f"well-{n}", for_ms=20_000) == "+OK\r\n"
+                for id_, (cls, key, dest) in MESSAGES.items():
+                    await until(lambda: len(had) >= 8)
+                    assert await client.enqueue(cls, id_, key, for_ms(id_), dest) == "+OK\r\n"
+                want = {"out-payment", "out-keyed", "out-repeatable", "answered", "failed", "refused"}
+                await until(lambda: want <= set(had))
+                await until(lambda: b'"RETURNED"' in (Path(folder) / "log").read_bytes())
+    return had, elsewhere
+
+
+# --- a journal's times, by its layout alone ---------------------------------------------------------
+
+
+def payloads(data):
+    at = 0
+    while at < len(data):
+        (size,) = struct.unpack_from("<I", data, at)
+        yield data[at + 8 : at + 8 + size]
+        at += 8 + size
+
+
+def times(data):
+    """When the first attempt was written, Unix microseconds."""
+    return min(struct.unpack_from("<Q", p, 10)[0] for p in payloads(data) if p[0] == 2)
+
+
+def shifted(data, by_us):
+    """The same journal written later: deadlines and the times of attempts."""
+    out = b""
+    for p in payloads(data):
+        if p[0] == 1:
+            size = struct.unpack_from("<H", p, 9)[0]
+            text = re.sub(
+                rb'"until_unix_us":(\d+)',
+                lambda m: b'"until_unix_us":%d' % (int(m[1]) + by_us),
+                p[11 : 11 + size],
+            )
+            p = p[:9] + struct.pack("<H", len(text)) + text + p[11 + size :]
+        elif p[0] == 2:
+            p = p[:10] + struct.pack("<Q", struct.unpack_from("<Q", p, 10)[0] + by_us) + p[18:]
+        out += struct.pack("<II", len(p), zlib.crc32(p)) + p
+    return out
+
+
+def open_ids(data):
+    """Ids that TAKEN records name and no ENDED ends."""
+    found = {}
+    for p in payloads(data):
+        (number,) = struct.unpack_from("<Q", p, 1)
+        if p[0] == 1:
+            found[number] = json.loads(p[11 : 11 + struct.unpack_from("<H", p, 9)[0]])["id"]
+        elif p[0] == 5:
+            found.pop(number, None)
+    return set(found.values())
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -7,6 +7,7 @@
 import pytest
 import stored
 import stored_cluster as cluster
+import stored_courier as courier
 
 
 def recorded(name):
@@ -64,3 +65,44 @@
 
 def test_voters_say_and_understand_byte_for_byte_what_they_did(tmp_path: Path):
     assert as_json(anyio.run(cluster.voter_exchange, tmp_path / "x")) == recorded("voters")
+
+
+# --- the operators' door ----------------------------------------------------------------------------
+
+
+def test_the_door_answers_as_before():
+    before = recorded("door")
+    views = {name: before["views"][name] for name in ("members", "leases", "copies")}
+    assert courier.members_view() == views["members"]
+    found = anyio.run(courier.calls, views)
+    for call, answer in before["calls"].items():
+        if (
+            call.startswith("GET /-/") and call.rpartition("/")[2] in views
+        ):  # its keys were sorted in the file
+            head, body = answer.split("\r\n\r\n")
+            mine, my_body = found.pop(call).split("\r\n\r\n")
+            assert (mine, json.loads(my_body)) == (head, json.loads(body))
+        else:
+            assert found.pop(call) == answer, call
+    assert not found
+
+
+def test_the_check_of_settings_says_what_it_said():
+    assert courier.summary() == recorded("door")["summary"]
+
+
+# --- packets between two processes ------------------------------------------------------------------
+
+
+def test_packets_of_a_hand_over_are_sent_byte_for_byte_as_before():
+    before = recorded("packets")
+    assert before["kinds"] == courier.PACKETS
+    assert anyio.run(courier.packets) == before["packets"]
+
+
+def test_packets_of_a_hand_over_are_read_as_before():
+    before = recorded("packets")
+    assert anyio.run(courier.handed_over) == before["handed_over"]
+    reports = [json.loads(data) for kind, _, data, _ in before["packets"] if kind in (9, 11)]
+    for report in reports:
+        assert courier.told_outcome(dict(report[-1])) == report[-1]
--- a/tools/stored_data.py
+++ b/tools/stored_data.py
@@ -15,6 +15,7 @@
 import anyio  # noqa: E402
 import stored  # noqa: E402
 import stored_cluster as cluster  # noqa: E402
+import stored_courier as courier  # noqa: E402
 
 
 def put(path: Path, data: bytes):
@@ -82,7 +83,40 @@
         put_json(stored.DATA / "voters.expected.json", expected)
 
 
-WRITERS = {f.__name__: f for f in (journal, members, leases, copies, voters)}
+PROBED = b'{"at_us":%d,"event":"probe","hop":"s-1","verdict":"OK","note":""}\n'  # as the courier logs one
+
+
+def folder():
+    """A folder and log as a killed process leaves them; other kept files; what readers make of logs."""
+    with tempfile.TemporaryDirectory() as work:
+        work = Path(work)
+        had, elsewhere = anyio.run(courier.leave_behind, work)
+        for name in ("journal", "list.left"):
+            put(stored.DATA / "state" / name, (work / "state" / name).read_bytes())
+        log = (work / "log").read_bytes()
+        put(stored.DATA / "logs" / "n0.log", log)
+        put(stored.DATA / "logs" / "n1.log", PROBED % json.loads(log.splitlines()[-1])["at_us"])
+        put_json(stored.DATA / "state.expected.json", {"had": had, "elsewhere": elsewhere})
+        (work / "kept").mkdir()
+        put(stored.DATA / "kept" / "list.left", courier.write_left(work / "kept"))
+        courier.keep_settings(work / "kept", courier.SETTINGS)
+        put(stored.DATA / "kept" / "configuration.good", (work / "kept" / "configuration.good").read_bytes())
+        put_json(stored.DATA / "trace.expected.json", courier.recorded_trace(courier.logs(), work / "trace"))
+        put(stored.DATA / "trace", (work / "trace").read_bytes())
+        put(stored.DATA / "losses.expected.txt", courier.losses_text(stored.DATA / "logs").encode())
+
+
+def door():
+    """The operators' door, `config check`, and packets between two processes."""
+    views = {"members": courier.members_view(), "leases": {"tasks": []}, "copies": {"keeps": ["\u00fc"]}}
+    found = {"views": views, "calls": anyio.run(courier.calls, views), "summary": courier.summary()}
+    put_json(stored.DATA / "wire" / "door.json", found)
+    found = {"kinds": courier.PACKETS, "packets": anyio.run(courier.packets)}
+    found["handed_over"] = anyio.run(courier.handed_over)
+    put_json(stored.DATA / "wire" / "packets.json", found)
+
+
+WRITERS = {f.__name__: f for f in (journal, members, leases, copies, voters, folder, door)}
 
 if __name__ == "__main__":
     for name in sys.argv[1:]:
