--- /dev/null
+++ b/tests/test_wire_bytes.py
@@ -0,0 +1,108 @@
+"""What goes over wires, byte for byte as the version before the code was renamed said it."""
+
+import json
+from pathlib import Path
+
+import anyio
+import pytest
+import stored
+import stored_cluster as cluster
+import stored_courier as courier
+
+
+def recorded(name):
+    return json.loads((stored.DATA / "wire" / f"{name}.json").read_bytes())
+
+
+def as_json(value):
+    return json.loads(json.dumps(value))
+
+
+# --- members ----------------------------------------------------------------------------------------
+
+
+def test_members_say_what_they_said_byte_for_byte():
+    found, before = as_json(cluster.members()), recorded("members")
+    assert found["datagrams"] == before["datagrams"] and found["count"] == before["count"]
+    assert {d["message"]["t"] for d in before["datagrams"]} == {"ping", "ack", "nack", "ask", "sync"}
+
+
+def test_members_show_what_they_showed():
+    found, before = as_json(cluster.members()), recorded("members")
+    assert found["views"] == before["views"] and found["events"] == before["events"]
+
+
+@pytest.mark.parametrize("at", range(len(recorded("members")["datagrams"])))
+def test_a_members_datagram_is_read_to_what_was_said(at):
+    one = recorded("members")["datagrams"][at]
+    assert cluster.unpack_member(bytes.fromhex(one["bytes"]), cluster.KEY) == one["message"]
+
+
+# --- leases -----------------------------------------------------------------------------------------
+
+
+def test_leases_are_asked_for_and_given_byte_for_byte_as_before():
+    """The exchange plays on what it reads: a field that is misread changes what is said next."""
+    found, before = as_json(anyio.run(cluster.lease_exchange)), recorded("leases")
+    assert found["datagrams"] == before["datagrams"]
+    assert found["views"] == before["views"]
+
+
+# --- copies -----------------------------------------------------------------------------------------
+
+
+def test_copies_are_sent_and_asked_for_byte_for_byte_as_before(tmp_path):
+    found, before = anyio.run(cluster.copy_exchange, tmp_path, stored.copied()), recorded("copies")
+    assert [cluster.words_of(f) for f in found["frames"]] == [cluster.words_of(f) for f in before["frames"]]
+    assert found["frames"] == before["frames"]
+    assert as_json(found["views"]) == before["views"] and as_json(found["fetched"]) == before["fetched"]
+    kinds = {cluster.words_of(f)["t"] for f in before["frames"]}
+    assert kinds == {"send", "have", "data", "ack", "fetch", "copy", "read", "done", "no", "spare"}
+
+
+# --- voters -----------------------------------------------------------------------------------------
+
+
+def test_voters_say_and_understand_byte_for_byte_what_they_did(tmp_path: Path):
+    assert as_json(anyio.run(cluster.voter_exchange, tmp_path / "x")) == recorded("voters")
+
+
+# --- the operators' door ----------------------------------------------------------------------------
+
+
+def test_the_door_answers_as_before():
+    before = recorded("door")
+    views = {name: before["views"][name] for name in ("members", "leases", "copies")}
+    assert courier.members_view() == views["members"]
+    found = anyio.run(courier.calls, views)
+    for call, answer in before["calls"].items():
+        if (
+            call.startswith("GET /-/") and call.rpartition("/")[2] in views
+        ):  # its keys were sorted in the file
+            head, body = answer.split("\r\n\r\n")
+            mine, my_body = found.pop(call).split("\r\n\r\n")
+            assert (mine, json.loads(my_body)) == (head, json.loads(body))
+        else:
+            assert found.pop(call) == answer, call
+    assert not found
+
+
+def test_the_check_of_settings_says_what_it_said():
+    assert courier.summary() == recorded("door")["summary"]
+
+
+# --- packets between two processes ------------------------------------------------------------------
+
+
+def test_packets_of_a_hand_over_are_sent_byte_for_byte_as_before():
+    before = recorded("packets")
+    assert before["kinds"] == courier.PACKETS
+    assert anyio.run(courier.packets) == before["packets"]
+
+
+def test_packets_of_a_hand_over_are_read_as_before():
+    before = recorded("packets")
+    assert anyio.run(courier.handed_over) == before["handed_over"]
+    reports = [json.loads(data) for kind, _, data, _ in before["packets"] if kind in (9, 11)]
+    for report in reports:
+        assert courier.told_outcome(dict(report[-1])) == report[-1]
--- /dev/null
+++ b/tools/stored_data.py
@@ -0,0 +1,122 @@
+"""Write the stored data that tests compare with: `python tools/stored_data.py NAME...`, from the root.
+
+It was run before names in the code changed, and what it wrote is the record of those versions' bytes. Run it
+for a form that is new; a file that is there already is left alone, for the tests hold the code to it. Names:
+as in `WRITERS`. Inputs and the adapter to the code's names stand in `tests/stored.py`.
+"""
+
+import json
+import sys
+import tempfile
+from pathlib import Path
+
+sys.path[:0] = [str(Path(__file__).parents[1]), str(Path(__file__).parents[1] / "tests")]
+
+import anyio  # noqa: E402
+import stored  # noqa: E402
+import stored_cluster as cluster  # noqa: E402
+import stored_courier as courier  # noqa: E402
+
+
+def put(path: Path, data: bytes):
+    """Write a file that is not there yet."""
+    if path.exists():
+        print(f"{path}: is there already, left as it is")
+        return
+    path.parent.mkdir(parents=True, exist_ok=True)
+    path.write_bytes(data)
+    print(f"{path}: {len(data)} bytes")
+
+
+def put_json(path: Path, value):
+    """The same for a value."""
+    put(path, json.dumps(value, indent=1, ensure_ascii=False, sort_keys=True).encode() + b"\n")
+
+
+def journal():
+    """The courier's journal, and what each file is read to."""
+    with tempfile.TemporaryDirectory() as folder:
+        expected = {}
+        for name, data in stored.journals(folder).items():
+            put(stored.DATA / "journal" / name, data)
+            (Path(folder) / "journal").write_bytes(data)
+            expected[name] = stored.content(folder)
+        put_json(stored.DATA / "journal.expected.json", expected)
+
+
+def members():
+    """Membership's datagrams, the door's table."""
+    put_json(stored.DATA / "wire" / "members.json", cluster.members())
+
+
+def leases():
+    """The datagrams of leases, the door's view."""
+    put_json(stored.DATA / "wire" / "leases.json", anyio.run(cluster.lease_exchange))
+
+
+def copies():
+    """The frames of copies, the door's view, and a keeper's files with what each is read to."""
+    with tempfile.TemporaryDirectory() as folder:
+        found = anyio.run(cluster.copy_exchange, folder, stored.copied())
+        for name, data in found.pop("files").items():
+            put(stored.DATA / "copies" / name, data)
+        put(stored.DATA / "copies.generation", found.pop("generation_file").encode())
+        put_json(stored.DATA / "wire" / "copies.json", found)
+        told = {owner: cluster.told_copy(Path(folder) / "b" / "copies", owner) for owner in ("a", "c")}
+        put_json(stored.DATA / "copies.expected.json", told)
+
+
+def voters():
+    """Voters' frames, their log, and the dump of their table."""
+    with tempfile.TemporaryDirectory() as folder:
+        folder = Path(folder)
+        put_json(stored.DATA / "wire" / "voters.json", anyio.run(cluster.voter_exchange, folder / "x"))
+        expected = {}
+        for name, data in cluster.log_file(folder / "log").items():
+            put(stored.DATA / "voters" / name, data)
+            (folder / "log").write_bytes(data)
+            expected[name] = cluster.told_log(folder / "log")
+        data, expected["rows"] = anyio.run(cluster.agreed_log, folder / "v")
+        put(stored.DATA / "voters" / "agreed", data)
+        put(stored.DATA / "voters" / "dump", anyio.run(cluster.dump, folder / "w", folder / "dump"))
+        expected["dump"] = anyio.run(cluster.undumped, folder / "u", folder / "dump")
+        put_json(stored.DATA / "voters.expected.json", expected)
+
+
+PROBED = b'{"at_us":%d,"event":"probe","hop":"s-1","verdict":"OK","note":""}\n'  # as the courier logs one
+
+
+def folder():
+    """A folder and log as a killed process leaves them; other kept files; what readers make of logs."""
+    with tempfile.TemporaryDirectory() as work:
+        work = Path(work)
+        anyio.run(courier.leave_behind, work)
+        for name in ("journal", "list.left"):
+            put(stored.DATA / "state" / name, (work / "state" / name).read_bytes())
+        log = (work / "log").read_bytes()
+        put(stored.DATA / "logs" / "n0.log", log)
+        put(stored.DATA / "logs" / "n1.log", PROBED % json.loads(log.splitlines()[-1])["at_us"])
+        (work / "kept").mkdir()
+        put(stored.DATA / "kept" / "list.left", courier.write_left(work / "kept"))
+        courier.keep_settings(work / "kept", courier.SETTINGS)
+        put(stored.DATA / "kept" / "configuration.good", (work / "kept" / "configuration.good").read_bytes())
+        put_json(stored.DATA / "trace.expected.json", courier.recorded_trace(courier.logs(), work / "trace"))
+        put(stored.DATA / "trace", (work / "trace").read_bytes())
+        put(stored.DATA / "losses.expected.txt", courier.losses_text(stored.DATA / "logs").encode())
+
+
+def door():
+    """The operators' door, `config check`, and packets between two processes."""
+    views = {"members": courier.members_view(), "leases": {"tasks": []}, "copies": {"keeps": ["\u00fc"]}}
+    found = {"views": views, "calls": anyio.run(courier.calls, views), "summary": courier.summary()}
+    put_json(stored.DATA / "wire" / "door.json", found)
+    found = {"kinds": courier.PACKETS, "packets": anyio.run(courier.packets)}
+    found["handed_over"] = anyio.run(courier.handed_over)
+    put_json(stored.DATA / "wire" / "packets.json", found)
+
+
+WRITERS = {f.__name__: f for f in (journal, members, leases, copies, voters, folder, door)}
+
+if __name__ == "__main__":
+    for name in sys.argv[1:]:
+        WRITERS[name]()
