--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -16,8 +16,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from pinspread.cluster import show
-from pinspread.fleet.loopback import cast, judge, traffic
+from pinspread.admin import status_client as show
+from pinspread.testbed import history_checker as judge
+from pinspread.testbed import processes as cast
+from pinspread.testbed import traffic
 
 LEASES = {"lease_s": 2.0, "renew_s": 0.6, "retry_s": 0.2, "drift_s": 0.1, "margin_s": 0.1, "election_s": 0.3}
 SCENE = {
--- a/benchmarks/copies_chaos.py
+++ b/benchmarks/copies_chaos.py
@@ -15,7 +15,8 @@
 from collections import Counter
 from pathlib import Path
 
-from pinspread.fleet.loopback import cast, judge
+from pinspread.testbed import history_checker as judge
+from pinspread.testbed import processes as cast
 
 LEASES = {"lease_s": 2.0, "renew_s": 0.6, "retry_s": 0.2, "drift_s": 0.1, "margin_s": 0.1, "election_s": 0.3}
 LIFE_S = 25.0
--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -11,10 +11,11 @@
 
 import numpy as np
 
-from pinspread.fleet import day, simulate
-from pinspread.fleet.compare import interval, judge
-from pinspread.fleet.streams import whole
-from pinspread.fleet.world import World
+from pinspread.simulation import scenario as day
+from pinspread.simulation import simulate
+from pinspread.simulation.compare import interval, judge
+from pinspread.simulation.model import World
+from pinspread.simulation.random_streams import whole
 
 WORLD = {
     "length_s": 15,
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -19,8 +19,8 @@
 import anyio
 import orjson
 
-from pinspread.fleet.loopback.parties import Client, HttpStandIn, configuration, host, listener, standing
-from pinspread.net import sockets
+from pinspread.sockets import connections as sockets
+from pinspread.testbed.stand_ins import Client, HttpStandIn, configuration, host, listener, standing
 
 
 class Processes:
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -8,7 +8,7 @@
 import numpy as np
 import simpy
 
-from pinspread.fleet.engine import Engine
+from pinspread.simulation.engine import Engine
 
 EVENTS, CHAINS = 1_000_000, 300
 
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -13,9 +13,10 @@
 import numpy as np
 from replays import SCENARIOS, place_of, world
 
-from pinspread.fleet import day, trace
-from pinspread.fleet.fit import IN_A_ROW
-from pinspread.fleet.simulate import STATE_OF
+from pinspread.simulation import scenario as day
+from pinspread.simulation import trace
+from pinspread.simulation.fit import IN_A_ROW
+from pinspread.simulation.simulate import STATE_OF
 
 KEY = b"a key that hides nothing"
 
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -15,8 +15,11 @@
 from collections import Counter
 from pathlib import Path
 
-from pinspread.cluster import modelcheck, show
-from pinspread.fleet.loopback import cast, judge, judge_leases
+from pinspread.admin import status_client as show
+from pinspread.leases import model_checker as modelcheck
+from pinspread.testbed import history_checker as judge
+from pinspread.testbed import lease_checker as judge_leases
+from pinspread.testbed import processes as cast
 
 LEASES = {
     "voters": 3,
--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from pinspread.fleet.crowd import FULL, OK, clump, lowered
+from pinspread.simulation.load import FULL, OK, clump, lowered
 
 
 def main(days):
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -12,7 +12,8 @@
 import time
 from pathlib import Path
 
-from pinspread.fleet.loopback import cast, judge
+from pinspread.testbed import history_checker as judge
+from pinspread.testbed import processes as cast
 
 N = 16
 TUNING = {"period_s": 0.5, "timeout_s": 0.2}
--- a/benchmarks/members_model.py
+++ b/benchmarks/members_model.py
@@ -12,7 +12,7 @@
 import time
 from collections import ChainMap
 
-from pinspread.cluster import swim
+from pinspread.membership import swim
 
 MS = 1000
 WARM_US = 6_000_000
--- a/benchmarks/record_decisions.py
+++ b/benchmarks/record_decisions.py
@@ -23,14 +23,34 @@
 
 import test_recorded_decisions as recorded  # noqa: E402
 
-from pinspread import decide  # noqa: E402
-from pinspread import interface as api  # noqa: E402
-from pinspread.fleet import day, simulate  # noqa: E402
-from pinspread.fleet.streams import whole  # noqa: E402
-from pinspread.fleet.world import World  # noqa: E402
+from pinspread.policy import delivery_policy as decide  # noqa: E402
+from pinspread.policy.actions import CheckHealth, Fail, Reject, Send, SetTimer, Subscribe  # noqa: E402
+from pinspread.policy.events import (  # noqa: E402
+    AttemptCompleted,
+    ClientCancelled,
+    EndpointEntry,
+    EndpointsChanged,
+    EndpointState,
+    HealthCheckCompleted,
+    MessageAccepted,
+    Outcome,
+    SettingsChanged,
+    TimerFired,
+    UpdateScope,
+)
+from pinspread.policy.settings import (  # noqa: E402
+    DeduplicationScope,
+    DestinationKind,
+    Idempotency,
+    Settings,
+    TrafficClass,
+)
+from pinspread.simulation import scenario as day  # noqa: E402
+from pinspread.simulation import simulate  # noqa: E402
+from pinspread.simulation.model import World  # noqa: E402
+from pinspread.simulation.random_streams import whole  # noqa: E402
 
 MS, SECOND = 1_000_000, 1_000_000_000
-Verdict = api.Verdict
 
 
 class Recorder:
@@ -38,7 +58,7 @@
 
     def __init__(self, name, settings, seed, most_turns):
         self.name, self.most_turns = name, most_turns
-        self.sender = decide.Sender(settings, seed)
+        self.sender = decide.DeliveryPolicy(settings, seed)
         self.lines = [recorded.text([seed, recorded.SETTINGS.write(settings)])]
         self.now = self.actions = 0
         self.digest = ""
@@ -84,16 +104,16 @@
 
     def handle(self, now_ns, events):
         for event in events:
-            if type(event) is api.MessageTaken and self.first and self.start:
+            if type(event) is MessageAccepted and self.first and self.start:
                 event.owed = True
                 event.max_attempts = event.attempts + 4
-            if type(event) is api.AttemptEnded and self.fleet.tells_limits:
+            if type(event) is AttemptCompleted and self.fleet.tells_limits:
                 event.limit_per_s = float(self.fleet.endpoints[event.endpoint].partner.spec.per_s)
-                full = event.verdict is Verdict.FULL
-                event.allowance_left = 0.0 if full else round(self.chance.random(), 3)
+                full = event.outcome is Outcome.OVERLOADED
+                event.limit_remaining = 0.0 if full else round(self.chance.random(), 3)
         self.first = False
         actions = self.recorder.handle(now_ns, events)
-        if any(type(action) is api.Subscribe for action in actions):
+        if any(type(action) is Subscribe for action in actions):
             self.fleet.engine.after(80 * MS, self.answer, self.fleet.couriers[self.courier].life)
         return actions
 
@@ -102,9 +122,9 @@
         if courier.life != life or not courier.up:
             return
         if self.chance.random() < 0.4:
-            courier.learn(api.ListScope.FAILED, [])
+            courier.update_endpoints(UpdateScope.FAILED, [])
         else:
-            courier.learn(api.ListScope.FULL, list(self.fleet.entries.values()))
+            courier.update_endpoints(UpdateScope.FULL, list(self.fleet.entries.values()))
 
 
 class RecordedFleet(simulate.Fleet):
@@ -187,23 +207,32 @@
 
 
 CLASSES = [
-    api.TrafficClass(4 * SECOND, 20 * SECOND, late_share=0.3),
-    api.TrafficClass(3 * SECOND, 20 * SECOND, api.Effect.BY_KEY, api.Group.ALL, 10 * SECOND, 0.5, 2.0, True),
-    api.TrafficClass(2 * SECOND, 12 * SECOND, api.Effect.ONCE, late_share=0.1, worth=5.0),
-    api.TrafficClass(2 * SECOND, 9 * SECOND, in_order=True),
-    api.TrafficClass(4 * SECOND, 15 * SECOND, api.Effect.BY_KEY, api.Group.ZONE, 6 * SECOND, 0.3, 1.5),
-    api.TrafficClass(SECOND, 3 * SECOND, api.Effect.BY_KEY, api.Group.CELL, 2 * SECOND, 0.0, 0.5),
-    api.TrafficClass(SECOND, 6 * SECOND, api.Effect.ONCE, late_share=0.2, in_order=True),
+    TrafficClass(4 * SECOND, 20 * SECOND, late_value_share=0.3),
+    TrafficClass(
+        3 * SECOND, 20 * SECOND, Idempotency.WITH_KEY, DeduplicationScope.ALL, 10 * SECOND, 0.5, 2.0, True
+    ),
+    TrafficClass(2 * SECOND, 12 * SECOND, Idempotency.NOT_IDEMPOTENT, late_value_share=0.1, worth=5.0),
+    TrafficClass(2 * SECOND, 9 * SECOND, in_order=True),
+    TrafficClass(
+        4 * SECOND, 15 * SECOND, Idempotency.WITH_KEY, DeduplicationScope.ZONE, 6 * SECOND, 0.3, 1.5
+    ),
+    TrafficClass(SECOND, 3 * SECOND, Idempotency.WITH_KEY, DeduplicationScope.CELL, 2 * SECOND, 0.0, 0.5),
+    TrafficClass(SECOND, 6 * SECOND, Idempotency.NOT_IDEMPOTENT, late_value_share=0.2, in_order=True),
 ]
-KINDS = [api.Kind(), api.Kind(bundle_max=3), api.Kind(routes_apart=True), api.Kind(True, 2)]
-FIRST = api.Settings(
-    CLASSES, KINDS, calls_out=8, most_held=40, max_attempts=6, may_tell_wait=True, max_come_back_ns=2 * SECOND,
-    keepalive_ns=4 * SECOND, cold_from=0.25, cold_ns=6 * SECOND, tip_multiple=2.0, order_pause_ns=300 * MS,
-    may_probe=True, handshake_price=0.02, weights_known=True, weights_exact=True,
+KINDS = [
+    DestinationKind(),
+    DestinationKind(max_bundle_size=3),
+    DestinationKind(limits_per_endpoint=True),
+    DestinationKind(True, 2),
+]
+FIRST = Settings(
+    CLASSES, KINDS, max_concurrent_calls=8, max_held_messages=40, max_attempts=6, retry_after_allowed=True, max_retry_after_ns=2 * SECOND,
+    keepalive_ns=4 * SECOND, slow_start_fraction=0.25, slow_start_ns=6 * SECOND, overload_multiple=2.0, ordering_pause_ns=300 * MS,
+    health_checks_allowed=True, handshake_price=0.02, weights_known=True, weights_exact=True,
 )  # fmt: skip
 SECOND_SHAPE = replace(
-    FIRST, list_on_request=True, must_ask_in_ns=5 * SECOND, halves=True, crossing_price=0.05, may_cancel=True,
-    zone=1, zone_fees=[0.0, 0.4], weights_exact=False, cold_ns=13 * SECOND,
+    FIRST, polled_discovery=True, max_poll_interval_ns=5 * SECOND, value_halves=True, cross_zone_price=0.05, cancellation_allowed=True,
+    zone=1, zone_fees=[0.0, 0.4], weights_exact=False, slow_start_ns=13 * SECOND,
 )  # fmt: skip
 MODES = (
     "refusing",
@@ -249,7 +278,7 @@
 
     def add(self, n, destination, kind):
         weight = round(self.chance.uniform(3, 30), 2)
-        entry = api.ListEntry(self.id(n), destination, n % 2, kind, api.ListState.READY, weight)
+        entry = EndpointEntry(self.id(n), destination, n % 2, kind, EndpointState.READY, weight)
         self.entries[entry.endpoint] = entry
         return entry
 
@@ -262,18 +291,21 @@
 
     def plan(self, owed):
         chance, now = self.chance, self.now
-        self.at(now, api.ListChanged(api.ListScope.CACHED, list(self.entries.values())))
+        self.at(now, EndpointsChanged(UpdateScope.CACHED, list(self.entries.values())))
         for _ in range(owed):
             message = self.message()
             message.owed = chance.random() < 0.8
             message.attempts = chance.choice((0, 0, 1, 2, 6))
             message.max_attempts = chance.choice((0, 3, 9))
             if message.attempts and chance.random() < 0.6:
-                message.may_run_ns = now - int(chance.uniform(0.1, 8) * SECOND)
-                message.may_run_zone = chance.randrange(2)
+                message.may_have_run_ns = now - int(chance.uniform(0.1, 8) * SECOND)
+                message.may_have_run_zone = chance.randrange(2)
             if chance.random() < 0.3:
                 message.rule = replace(
-                    self.settings.classes[message.cls], aim_ns=SECOND, worth=3.0, window_ns=4 * SECOND
+                    self.settings.classes[message.cls],
+                    latency_objective_ns=SECOND,
+                    worth=3.0,
+                    deduplication_window_ns=4 * SECOND,
                 )
             self.tries[message.request] = message.attempts
             self.at(now, message)
@@ -282,7 +314,7 @@
         self.after(self.list_s, self.relist)
         self.after(5.0, self.go_away)
         for seconds, settings in self.changes:
-            self.after(seconds, api.SettingsChanged(settings))
+            self.after(seconds, SettingsChanged(settings))
 
     def message(self):
         chance = self.chance
@@ -293,7 +325,7 @@
         key = chance.randrange(1, self.keys) if classes[cls].in_order and chance.random() < 0.9 else 0
         key = destination * 1000 + key if key else 0
         late = chance.choice((1.0, 1.0, 0.5, 0.1))
-        message = api.MessageTaken(
+        message = MessageAccepted(
             self.serial,
             cls,
             destination,
@@ -325,15 +357,15 @@
         entry = self.entries[chance.choice(list(self.entries))]
         what = chance.choice(("drain", "ready", "replace", "cold", "again", "weight", "unknown"))
         news = []
-        if what == "drain" and sum(e.state is api.ListState.READY for e in self.entries.values()) > 6:
-            news = [replace(entry, state=api.ListState.DRAINING)]
+        if what == "drain" and sum(e.state is EndpointState.READY for e in self.entries.values()) > 6:
+            news = [replace(entry, state=EndpointState.DRAINING)]
         elif what == "ready":
-            news = [replace(e, state=api.ListState.READY) for e in self.entries.values()]
+            news = [replace(e, state=EndpointState.READY) for e in self.entries.values()]
         elif what == "replace":
             self.last_id += 1
             news = [self.add(self.last_id, entry.destination, entry.kind)]
             del self.entries[entry.endpoint]
-            news.append(replace(entry, state=api.ListState.GONE))
+            news.append(replace(entry, state=EndpointState.REMOVED))
             if chance.random() < 0.5:
                 news.reverse()
         elif what == "cold":
@@ -341,25 +373,25 @@
         elif what == "weight":
             news = [replace(entry, weight=round(entry.weight * chance.uniform(0.5, 2), 2))]
         elif what == "unknown":
-            news = [replace(entry, endpoint=self.id(900 + chance.randrange(9)), state=api.ListState.GONE)]
+            news = [replace(entry, endpoint=self.id(900 + chance.randrange(9)), state=EndpointState.REMOVED)]
         for one in news:
             if one.endpoint in self.entries:
                 self.entries[one.endpoint] = replace(one, cold=False)
         if what == "again":
-            scope = chance.choice((api.ListScope.FULL, api.ListScope.CACHED))
-            return [api.ListChanged(scope, list(self.entries.values()))]
-        if self.settings.list_on_request or not news:
+            scope = chance.choice((UpdateScope.FULL, UpdateScope.CACHED))
+            return [EndpointsChanged(scope, list(self.entries.values()))]
+        if self.settings.polled_discovery or not news:
             return []  # whoever asks hears of it
-        return [api.ListChanged(api.ListScope.DELTA, news)]
+        return [EndpointsChanged(UpdateScope.DELTA, news)]
 
     def go_away(self):
         """A client withdraws a message, or one that is over already."""
         self.after(self.chance.uniform(0.1, 1.0), self.go_away)
         if not self.live:
-            return [api.ClientGone(self.serial)]
+            return [ClientCancelled(self.serial)]
         request = self.chance.choice(list(self.live))
         del self.live[request]
-        return [api.ClientGone(request)]
+        return [ClientCancelled(request)]
 
     def play(self):
         """Until the turns are full; the recorder."""
@@ -380,19 +412,19 @@
         chance, bundles = self.chance, {}
         for action in actions:
             kind = type(action)
-            if kind is api.SetTimer:
+            if kind is SetTimer:
                 late = chance.choice((0, 0, MS // 2))
-                self.at(self.now + action.delay_ns + late, api.TimerDue(action.tag))
-            elif kind is api.Send:
+                self.at(self.now + action.delay_ns + late, TimerFired(action.tag))
+            elif kind is Send:
                 bundles.setdefault(action.endpoint, []).append(action)
-            elif kind is api.Refuse or kind is api.Fail:
+            elif kind is Reject or kind is Fail:
                 self.live.pop(action.request, None)
-            elif kind is api.Probe:
+            elif kind is CheckHealth:
                 self.probe(action.endpoint)
-            elif kind is api.Subscribe:
-                scope = chance.choice((api.ListScope.FAILED, api.ListScope.DELTA, api.ListScope.FULL))
-                entries = [] if scope is api.ListScope.FAILED else list(self.entries.values())
-                self.after(chance.uniform(0.01, 0.2), api.ListChanged(scope, entries))
+            elif kind is Subscribe:
+                scope = chance.choice((UpdateScope.FAILED, UpdateScope.DELTA, UpdateScope.FULL))
+                entries = [] if scope is UpdateScope.FAILED else list(self.entries.values())
+                self.after(chance.uniform(0.01, 0.2), EndpointsChanged(scope, entries))
         for endpoint, sends in bundles.items():
             self.send(endpoint, sends)
 
@@ -418,37 +450,45 @@
                 if mode == "jammed":
                     recent.append(self.now)
                 told = chance.choice((0, 0, 400 * MS)) if mode == "limited" else 0
-                return Verdict.FULL, 8 * MS, told, left, limit if chance.random() < 0.9 else 0.0, False, False
+                return (
+                    Outcome.OVERLOADED,
+                    8 * MS,
+                    told,
+                    left,
+                    limit if chance.random() < 0.9 else 0.0,
+                    False,
+                    False,
+                )
             recent.append(self.now)
             if not self.tells_limit and chance.random() < 0.5:
                 left = limit = 0.0
         lone = chance.random()
         if lone < 0.004:
-            return Verdict.CANCELLED, 5 * MS, 0, left, limit, opened, False
+            return Outcome.CANCELLED, 5 * MS, 0, left, limit, opened, False
         if lone < 0.01:
-            return Verdict.MOOT, MS, 0, left, limit, False, lone < 0.006
+            return Outcome.NOT_SENT, MS, 0, left, limit, False, lone < 0.006
         if mode == "barred" and chance.random() < 0.6:
-            return Verdict.MOOT, MS, 0, left, limit, False, True
+            return Outcome.NOT_SENT, MS, 0, left, limit, False, True
         if destination == 0 or mode == "refusing":
-            return Verdict.CONNECT_FAILED, 12 * MS, 0, left, limit, opened, False
+            return Outcome.CONNECT_FAILED, 12 * MS, 0, left, limit, opened, False
         loss = 0.25 if mode == "lossy" else self.loss
         if mode == "silent" or (loss and chance.random() < loss):
-            return Verdict.TIMEOUT, timeout_ns, 0, left, limit, opened, False
+            return Outcome.TIMEOUT, timeout_ns, 0, left, limit, opened, False
         if mode == "errors" and chance.random() < 0.9:
-            return Verdict.ERROR, took, 0, left, limit, opened, False
+            return Outcome.ERROR, took, 0, left, limit, opened, False
         if mode == "resets" and chance.random() < 0.7:
-            return Verdict.RESET, took // 2, 0, left, limit, False, False
+            return Outcome.RESET, took // 2, 0, left, limit, False, False
         if mode == "shut":
             told = chance.choice((0, 0, 3 * SECOND, 1500 * MS))
-            return Verdict.FULL, 9 * MS, told, left, limit, False, False
+            return Outcome.OVERLOADED, 9 * MS, told, left, limit, False, False
         if mode == "full" and (opened or chance.random() < 0.5):
-            verdict = Verdict.FULL if self.tells_limit or opened else Verdict.CONNECT_FAILED
+            verdict = Outcome.OVERLOADED if self.tells_limit or opened else Outcome.CONNECT_FAILED
             return verdict, 6 * MS, 0, left, limit, self.tells_opened, False
         if mode == "slow":
             took *= 12
         if took >= timeout_ns:
-            return Verdict.TIMEOUT, timeout_ns, 0, left, limit, opened, False
-        return Verdict.OK, took, 0, left, limit, opened, False
+            return Outcome.TIMEOUT, timeout_ns, 0, left, limit, opened, False
+        return Outcome.OK, took, 0, left, limit, opened, False
 
     def send(self, endpoint, sends):
         timeout = min(send.timeout_ns for send in sends)
@@ -459,7 +499,7 @@
             self.at(
                 self.now + took,
                 lambda send=send, attempt=attempt, told=told: [
-                    api.AttemptEnded(
+                    AttemptCompleted(
                         send.request, attempt, endpoint, verdict, took, self.over(send.request, verdict), told, left,
                         limit, opened, unsent,
                     )
@@ -470,19 +510,19 @@
 
     def over(self, request, verdict):
         """Whether a message has ended with this outcome; it counts as ended from then on."""
-        if verdict is Verdict.OK:
+        if verdict is Outcome.OK:
             self.live.pop(request, None)
         return request not in self.live
 
     def probe(self, endpoint):
         verdict, took, told, *_ = self.outcome(endpoint, 1500 * MS)
-        if verdict is Verdict.ERROR and self.chance.random() < self.probe_share:
-            verdict = Verdict.OK  # answered where calls fail
-        elif verdict is Verdict.ERROR and self.chance.random() < 0.5:
-            verdict, told = Verdict.FULL, self.chance.choice((0, 700 * MS, 3 * SECOND))
+        if verdict is Outcome.ERROR and self.chance.random() < self.probe_share:
+            verdict = Outcome.OK  # answered where calls fail
+        elif verdict is Outcome.ERROR and self.chance.random() < 0.5:
+            verdict, told = Outcome.OVERLOADED, self.chance.choice((0, 700 * MS, 3 * SECOND))
         elif self.chance.random() < 0.06:
-            verdict, took, told = Verdict.MOOT, MS, 0
-        self.after(took / SECOND, api.ProbeEnded(endpoint, verdict, took, told))
+            verdict, took, told = Outcome.NOT_SENT, MS, 0
+        self.after(took / SECOND, HealthCheckCompleted(endpoint, verdict, took, told))
 
 
 def sites():
@@ -492,11 +532,19 @@
             settings = replace(base, senders=senders)
             tells = senders in (4, 250)
             yield Site(f"{shape}-{senders}", settings, senders, 900, tells_limit=tells)
-    dark = replace(FIRST, weights_known=False, senders=40, may_probe=False, may_tell_wait=False)
+    dark = replace(
+        FIRST, weights_known=False, senders=40, health_checks_allowed=False, retry_after_allowed=False
+    )
     yield Site("no-weights", dark, 21, 800)
     yield Site("limits", replace(FIRST, senders=12), 22, 800, ("limited", "jammed", "shut"), tells_limit=True)
     yield Site(
-        "limits-few", replace(FIRST, calls_out=20), 23, 800, ("limited", "jammed"), 40.0, tells_limit=True
+        "limits-few",
+        replace(FIRST, max_concurrent_calls=20),
+        23,
+        800,
+        ("limited", "jammed"),
+        40.0,
+        tells_limit=True,
     )
     yield Site(
         "limits-many",
@@ -513,31 +561,51 @@
     )
     yield Site("lossy", FIRST, 27, 800, ("lossy", "silent", "slow"), 40.0, trouble_s=8.0)
     yield Site(
-        "errors", replace(FIRST, calls_out=16), 28, 800, ("errors", "resets"), trouble_s=6.0, probe_share=0.9
+        "errors",
+        replace(FIRST, max_concurrent_calls=16),
+        28,
+        800,
+        ("errors", "resets"),
+        trouble_s=6.0,
+        probe_share=0.9,
     )
     yield Site(
-        "overload", replace(SECOND_SHAPE, most_held=12, calls_out=3), 29, 800, ("slow", "silent"), 60.0
+        "overload",
+        replace(SECOND_SHAPE, max_held_messages=12, max_concurrent_calls=3),
+        29,
+        800,
+        ("slow", "silent"),
+        60.0,
     )
     yield Site("restart", FIRST, 31, 700, owed=30)
-    yield Site("restart-full", replace(FIRST, most_held=10), 34, 500, owed=40)
+    yield Site("restart-full", replace(FIRST, max_held_messages=10), 34, 500, owed=40)
     yield Site("restart-second", replace(SECOND_SHAPE, senders=80), 32, 700, owed=38)
     yield Site("named", replace(SECOND_SHAPE, senders=5), 33, 700, named=True)
-    yield Site("churn", replace(FIRST, cold_ns=SECOND), 34, 800, list_s=0.15, trouble_s=2.0)
+    yield Site("churn", replace(FIRST, slow_start_ns=SECOND), 34, 800, list_s=0.15, trouble_s=2.0)
     yield Site("churn-many", replace(FIRST, senders=40), 35, 800, ("refusing", "silent", "shut"), list_s=0.2)
     yield Site("quiet", replace(FIRST, senders=200), 36, 600, rate=1.5, calm_s=8.0, trouble_s=20.0)
-    yield Site("barred", replace(FIRST, may_probe=True), 37, 600, ("barred", "errors"), trouble_s=6.0)
-    yield Site("plain", api.Settings(CLASSES[:], [api.Kind()], 4, 30, 3), 38, 600)
+    yield Site(
+        "barred", replace(FIRST, health_checks_allowed=True), 37, 600, ("barred", "errors"), trouble_s=6.0
+    )
+    yield Site("plain", Settings(CLASSES[:], [DestinationKind()], 4, 30, 3), 38, 600)
     changes = (
-        (4, replace(FIRST, senders=40, calls_out=4)),
-        (9, replace(SECOND_SHAPE, senders=2, most_held=15)),
-        (14, replace(FIRST, classes=[replace(one, worth=1.0) for one in CLASSES], cold_ns=0, keepalive_ns=0)),
+        (4, replace(FIRST, senders=40, max_concurrent_calls=4)),
+        (9, replace(SECOND_SHAPE, senders=2, max_held_messages=15)),
+        (
+            14,
+            replace(
+                FIRST, classes=[replace(one, worth=1.0) for one in CLASSES], slow_start_ns=0, keepalive_ns=0
+            ),
+        ),
         (19, replace(FIRST, senders=250, weights_known=False, max_attempts=2)),
     )
     yield Site("changes", FIRST, 39, 900, changes=changes)
-    wide = replace(FIRST, classes=[CLASSES[3], CLASSES[1]], kinds=[api.Kind(bundle_max=16)], calls_out=16,
-                   most_held=500, cold_ns=SECOND, senders=2)  # fmt: skip
+    wide = replace(FIRST, classes=[CLASSES[3], CLASSES[1]], kinds=[DestinationKind(max_bundle_size=16)], max_concurrent_calls=16,
+                   max_held_messages=500, slow_start_ns=SECOND, senders=2)  # fmt: skip
     yield Site("many-keys", wide, 41, 1200, ("slow",), 300.0, loss=0.3, kinds=(0,), keys=900)
-    bundling = replace(FIRST, kinds=[api.Kind(bundle_max=6)], cold_ns=SECOND, most_held=120)
+    bundling = replace(
+        FIRST, kinds=[DestinationKind(max_bundle_size=6)], slow_start_ns=SECOND, max_held_messages=120
+    )
     yield Site("bundles-limited", bundling, 47, 900, ("limited", "jammed", "shut"), 60.0, trouble_s=9.0)
     routes = replace(FIRST, senders=5, zone_fees=[0.1, 0.0], weights_exact=False)
     yield Site(
@@ -545,14 +613,27 @@
     )
     yield Site("routes-troubled", replace(routes, senders=1), 43, 800, kinds=(2, 3))
     yield Site(
-        "bundles", replace(FIRST, calls_out=4), 44, 900, ("errors", "refusing", "silent"), 50.0, kinds=(1, 3)
+        "bundles",
+        replace(FIRST, max_concurrent_calls=4),
+        44,
+        900,
+        ("errors", "refusing", "silent"),
+        50.0,
+        kinds=(1, 3),
+    )
+    yield Site(
+        "few-places",
+        replace(FIRST, max_held_messages=4, max_concurrent_calls=20),
+        45,
+        600,
+        ("slow", "silent"),
+        40.0,
     )
-    yield Site("few-places", replace(FIRST, most_held=4, calls_out=20), 45, 600, ("slow", "silent"), 40.0)
-    unsafe = replace(FIRST, senders=3, classes=[CLASSES[2], CLASSES[6]], cold_ns=2 * SECOND)
+    unsafe = replace(FIRST, senders=3, classes=[CLASSES[2], CLASSES[6]], slow_start_ns=2 * SECOND)
     yield Site(
         "probes", unsafe, 46, 800, ("errors", "barred", "errors"), 20.0, trouble_s=9.0, probe_share=0.3
     )
-    untold = replace(FIRST, senders=8, calls_out=20)
+    untold = replace(FIRST, senders=8, max_concurrent_calls=20)
     yield Site(
         "tables-cleared", untold, 50, 1200, ("full",), 40.0, 6.0, kinds=(0,), skew=3.0, tells_opened=False
     )
--- a/benchmarks/replays.py
+++ b/benchmarks/replays.py
@@ -15,9 +15,10 @@
 import numpy as np
 import orjson
 
-from pinspread.fleet import day, simulate
-from pinspread.fleet.streams import stream
-from pinspread.fleet.world import World
+from pinspread.simulation import scenario as day
+from pinspread.simulation import simulate
+from pinspread.simulation.model import World
+from pinspread.simulation.random_streams import stream
 
 # On loopback the day begins when all couriers are ready.
 BASE = {"length_s": 20.0, "network": {"silent_accepts": True}, "couriers": {"start_spread_s": 0.0}}
@@ -86,7 +87,7 @@
     SCENARIOS[:] = [(name, tables, seed + chosen.shift) for name, tables, seed in SCENARIOS]
     folder = Path(chosen.folder)
     if chosen.one:
-        from pinspread.fleet.loopback import stage
+        from pinspread.testbed import platform as stage
 
         scenario = next(s for s in SCENARIOS if s[0] == chosen.one)
         found = stage.play(world(scenario), day.draw(world(scenario), scenario[2]), folder)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -14,8 +14,9 @@
 import sys
 import time
 
-from pinspread.fleet import day, simulate
-from pinspread.fleet.world import World
+from pinspread.simulation import scenario as day
+from pinspread.simulation import simulate
+from pinspread.simulation.model import World
 
 SIZES = {  # couriers, endpoints, simulated seconds
     "3x25": (3, 25, 55.0),
--- a/benchmarks/untried.py
+++ b/benchmarks/untried.py
@@ -8,7 +8,7 @@
 import sys
 from collections import Counter, defaultdict
 
-from pinspread.fleet.losses import events
+from pinspread.simulation.losses import events
 
 
 def account(folder):
--- a/pinspread/__init__.py
+++ b/pinspread/__init__.py
@@ -1,6 +1,6 @@
 """pinspread: the decisions of a sender that delivers calls to many outside destinations."""
 
-from pinspread.decide import Sender
-from pinspread.interface import Settings
+from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.policy.settings import Settings
 
-__all__ = ["Sender", "Settings"]
+__all__ = ["DeliveryPolicy", "Settings"]
--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -9,7 +9,7 @@
 import anyio
 
 from pinspread.config import settings
-from pinspread.core.journal import JournalFull, JournalUnreadable
+from pinspread.errors import JournalFormatError, JournalFullError
 
 VERSION = "0.1.0"
 
@@ -67,7 +67,7 @@
         elif getattr(chosen, "app", None):
             serve_application(chosen.app)
         else:
-            from pinspread.net import platform
+            from pinspread import service as platform
 
             # Until it can be heeded: noted, for it may come after the file has been read.
             early = []
@@ -77,7 +77,11 @@
     except settings.SettingsError as error:
         print(error, file=sys.stderr)
         return 2
-    except (JournalFull, JournalUnreadable, OSError) as error:  # no folder to write to, an address in use
+    except (
+        JournalFullError,
+        JournalFormatError,
+        OSError,
+    ) as error:  # no folder to write to, an address in use
         print(f"pinspread: {error}", file=sys.stderr)
         return 1
     return 0
@@ -86,7 +90,7 @@
 def tool(arguments):
     """The tools on a command line of their own; what they need is loaded only here."""
     try:
-        from pinspread.fleet import cli
+        from pinspread.simulation import cli
     except ModuleNotFoundError as error:
         print(f"pinspread: {arguments[0]} needs the extra 'fleet': {error.name} is missing", file=sys.stderr)
         return 2
@@ -104,7 +108,7 @@
 
     import orjson
 
-    from pinspread.cluster import show
+    from pinspread.admin import status_client as show
 
     try:
         view = show.fetch(chosen.address, chosen.command)
@@ -166,8 +170,8 @@
 
 def serve_application(path):
     """Serve off the platform."""
+    from pinspread import service as platform
     from pinspread.config import application, dnssd
-    from pinspread.net import platform
 
     early = []
     signal.signal(signal.SIGHUP, lambda *_: early.append(True))
@@ -185,17 +189,17 @@
 
     companions = []
     if file.members:  # Danger: serving loads membership only where a file turns it on
-        from pinspread.cluster.member import Membership
+        from pinspread.membership.service import Membership
 
         companions.append(Membership(file.members.plan(), records(file)))
     if file.leases:
-        from pinspread.cluster.leases import Leases
+        from pinspread.leases.service import Leases
 
         companions.append(Leases(file.leases.plan(file.journal.folder), companions[0]))
     if file.copies:
-        from pinspread.cluster.copying import Copies
+        from pinspread.replication.service import ReplicationService
 
-        companions.append(Copies(file.copies.plan(file.journal.folder), *companions[:2]))
+        companions.append(ReplicationService(file.copies.plan(file.journal.folder), *companions[:2]))
     told = application.told(file)
     serve = partial(platform.serve, early=early)
     anyio.run(serve, told, amqp, again, discover, file.brokers.login(), companions)
--- /dev/null
+++ b/pinspread/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' HTTP server, and the client that prints what it serves."""
--- a/pinspread/net/admin.py
+++ b/pinspread/admin/server.py
@@ -6,11 +6,10 @@
 import h11
 import orjson
 
-from pinspread.core.courier import Busy
-from pinspread.core.journal import JournalFull
 from pinspread.core.log import log
-from pinspread.core.ports import Operable
-from pinspread.net.sockets import accept_forever
+from pinspread.core.ports import EndpointAdmin
+from pinspread.errors import JournalFullError, RejectedError
+from pinspread.sockets.connections import accept_forever
 
 CALL_S = 5.0  # how long a caller may take to say its call
 MOST_HEAD = 8 * 1024
@@ -20,10 +19,10 @@
 READY, ENDPOINTS = "/-/ready", "/-/endpoints/"
 
 
-class Door:
+class AdminServer:
     """The listener and its callers."""
 
-    def __init__(self, operable: Operable, sockets=1024, companions=()):
+    def __init__(self, operable: EndpointAdmin, sockets=1024, companions=()):
         self.operable = operable
         self.companions = {f"/-/{c.name}": c for c in companions}
         self.most = max(LEAST_CALLS, min(MOST_CALLS, sockets // 24))
@@ -74,7 +73,7 @@
                 status, text = 408, "the call did not come whole, or was not done, in time: say it again"
             except (h11.RemoteProtocolError, UnicodeDecodeError) as error:
                 status, text = 400, f"the call cannot be read: {error}"
-            except (Busy, JournalFull) as error:
+            except (RejectedError, JournalFullError) as error:
                 status, text = 503, f"not done: {error}; try again in a second"
             if status >= 400:
                 log("admin_refused", status=status, why=text)
--- a/pinspread/amqp/broker.py
+++ b/pinspread/amqp/broker.py
@@ -9,9 +9,9 @@
 
 from pinspread.amqp import frames
 from pinspread.core.log import log
-from pinspread.core.transactions import Branch, NextHop, Outcome
-from pinspread.interface import Verdict
-from pinspread.net.sockets import dial
+from pinspread.core.messages import Attempt, AttemptResult, Endpoint
+from pinspread.policy.events import Outcome
+from pinspread.sockets.connections import dial
 
 HEARTBEAT_S = 10
 BLOCKED_WAIT_US = 1_000_000  # a broker that blocks publishers tells no time: look again after this
@@ -30,47 +30,47 @@
         self.links = {}  # next hop id -> Link
         self.dialling = {}  # next hop id -> Lock
 
-    async def send(self, branch: Branch) -> Outcome:
+    async def send(self, attempt: Attempt) -> AttemptResult:
         """Publish once and wait for the confirm."""
         waiter = _Waiter()
         try:
-            with anyio.move_on_after(self._seconds_to(branch.ends_us())):
-                link = await self._link(branch.next_hop)
+            with anyio.move_on_after(self._seconds_to(attempt.ends_us())):
+                link = await self._link(attempt.endpoint)
                 await link.unblocked.wait()
-                return await link.publish(branch, waiter)
+                return await link.publish(attempt, waiter)
             if waiter.outcome or waiter.returned:  # told just before the time was up, and proven
-                return waiter.outcome or Outcome(Verdict.FULL, note="returned as unroutable")
+                return waiter.outcome or AttemptResult(Outcome.OVERLOADED, note="returned as unroutable")
             if waiter.written:
-                return Outcome(Verdict.TIMEOUT)
-            link = self.links.get(branch.next_hop.id)
+                return AttemptResult(Outcome.TIMEOUT)
+            link = self.links.get(attempt.endpoint.id)
             if not waiter.tried and link is not None and not link.lost:
-                return Outcome(Verdict.FULL, BLOCKED_WAIT_US, note="the broker blocks publishers")
-            return Outcome(Verdict.CONNECT_FAILED, note="not written in time")
+                return AttemptResult(Outcome.OVERLOADED, BLOCKED_WAIT_US, note="the broker blocks publishers")
+            return AttemptResult(Outcome.CONNECT_FAILED, note="not written in time")
         except (OSError, TimeoutError, frames.AmqpError) as error:
-            verdict = Verdict.RESET if waiter.written else Verdict.CONNECT_FAILED
-            return Outcome(verdict, note=str(error))
+            verdict = Outcome.RESET if waiter.written else Outcome.CONNECT_FAILED
+            return AttemptResult(verdict, note=str(error))
 
-    async def probe(self, hop: NextHop, clear) -> Outcome:
+    async def probe(self, endpoint: Endpoint, clear) -> AttemptResult:
         """Whether its connection is up and not blocked."""
         why = clear()
         if why:
-            return Outcome(Verdict.MOOT, note=why)
+            return AttemptResult(Outcome.NOT_SENT, note=why)
         try:
-            link = await self._link(hop)
+            link = await self._link(endpoint)
         except (OSError, TimeoutError, frames.AmqpError) as error:
-            return Outcome(Verdict.CONNECT_FAILED, note=str(error))
-        return Outcome(Verdict.OK if link.unblocked.is_set() else Verdict.FULL)
+            return AttemptResult(Outcome.CONNECT_FAILED, note=str(error))
+        return AttemptResult(Outcome.OK if link.unblocked.is_set() else Outcome.OVERLOADED)
 
-    def disconnect(self, hop: NextHop):
+    def disconnect(self, endpoint: Endpoint):
         """Close its connection if nothing is out on it."""
-        link = self.links.get(hop.id)
+        link = self.links.get(endpoint.id)
         if link is not None and not link.waiters:
             link.drop("not needed any more")
 
-    def forget(self, hop: NextHop):
+    def forget(self, endpoint: Endpoint):
         """It is gone: its connection ends with the last publish that is out on it."""
-        link = self.links.pop(hop.id, None)
-        self.dialling.pop(hop.id, None)
+        link = self.links.pop(endpoint.id, None)
+        self.dialling.pop(endpoint.id, None)
         if link is not None:
             link.gone = True
             link.end_if_unused()
@@ -78,23 +78,23 @@
     def _seconds_to(self, at_us):
         return max(0, at_us - self.clock.now()) / 1_000_000
 
-    async def _link(self, hop):
+    async def _link(self, endpoint):
         """The connection to a broker, opened if there is none."""
-        async with self.dialling.setdefault(hop.id, anyio.Lock()):
-            link = self.links.get(hop.id)
-            if link is not None and link.address == hop.address and not link.lost:
+        async with self.dialling.setdefault(endpoint.id, anyio.Lock()):
+            link = self.links.get(endpoint.id)
+            if link is not None and link.address == endpoint.address and not link.lost:
                 return link
             if link is not None:
                 link.drop("its address has changed")
             with anyio.fail_after(self.dial_us / 1_000_000):
-                connection = await dial(hop.address)
+                connection = await dial(endpoint.address)
                 try:
-                    link = Link(hop, connection, self.clock)
+                    link = Link(endpoint, connection, self.clock)
                     await link.greet(self.login, self.heartbeat_s)
                 except BaseException:
                     connection.close()
                     raise
-            self.links[hop.id] = link
+            self.links[endpoint.id] = link
             self.tasks.start_soon(link.run)
             return link
 
@@ -114,17 +114,17 @@
 
     def end(self, verdict, note=""):
         if self.outcome is None:
-            self.outcome = Outcome(verdict, note=note)
+            self.outcome = AttemptResult(verdict, note=note)
             self.done.set()
 
 
 class Link:
     """One connection to a broker, with one channel in confirm mode."""
 
-    def __init__(self, hop, connection, clock):
-        self.address = hop.address
-        self.route = hop.route
-        self.hop = hop.id
+    def __init__(self, endpoint, connection, clock):
+        self.address = endpoint.address
+        self.route = endpoint.route
+        self.endpoint = endpoint.id
         self.clock = clock
         self.wire = frames.Wire(connection, clock)
         self.waiters = {}  # delivery tag -> _Waiter
@@ -154,9 +154,9 @@
         await wire.send(commands.Confirm.Select(), 1)
         await wire.method("Confirm.SelectOk")
 
-    async def publish(self, branch, waiter) -> Outcome:
+    async def publish(self, attempt, waiter) -> AttemptResult:
         """Write one publish and wait for its end; whatever cuts the write short ends the connection."""
-        transaction = branch.transaction
+        message = attempt.message
         async with self.wire.lock:
             if self.lost:
                 raise ConnectionError(self.lost)
@@ -164,15 +164,15 @@
                 self.drop("closed by the broker")
                 raise ConnectionError(self.lost)
             if not self.unblocked.is_set():
-                return Outcome(Verdict.FULL, BLOCKED_WAIT_US, note="the broker blocks publishers")
-            why = branch.clear()
+                return AttemptResult(Outcome.OVERLOADED, BLOCKED_WAIT_US, note="the broker blocks publishers")
+            why = attempt.clear()
             if why:
-                return Outcome(Verdict.MOOT, note=why)
+                return AttemptResult(Outcome.NOT_SENT, note=why)
             self.published += 1
-            waiter.tried, waiter.id = True, (transaction.id, branch.number)
+            waiter.tried, waiter.id = True, (message.id, attempt.number)
             self.waiters[self.published] = waiter
             connection = self.wire.connection
-            data = self._publish(branch)
+            data = self._publish(attempt)
             connection.left = len(data)
             try:
                 await connection.write(data)
@@ -185,12 +185,12 @@
         await waiter.done.wait()
         return waiter.outcome
 
-    def _publish(self, branch):
-        t = branch.transaction
-        left_us = t.until_unix_us - self.clock.unix(self.clock.now())
-        headers = {"class": t.cls, "tenant": t.tenant, "attempt": branch.number}
-        if t.idempotency:
-            headers["idempotency-key"] = t.idempotency
+    def _publish(self, attempt):
+        t = attempt.message
+        left_us = t.deadline_unix_us - self.clock.unix(self.clock.now())
+        headers = {"class": t.cls, "tenant": t.tenant, "attempt": attempt.number}
+        if t.idempotency_key:
+            headers["idempotency-key"] = t.idempotency_key
         if t.key:
             headers["key"] = f"{t.key:016x}"
         properties = commands.Basic.Properties(
@@ -241,7 +241,7 @@
 
     async def _on_connection(self, found):
         if isinstance(found, commands.Connection.Blocked):
-            log("broker_blocked", hop=self.hop, reason=found.reason)
+            log("broker_blocked", hop=self.endpoint, reason=found.reason)
             if self.unblocked.is_set():
                 self.unblocked = anyio.Event()
         elif isinstance(found, commands.Connection.Unblocked):
@@ -270,11 +270,11 @@
             if waiter is None:
                 continue
             if waiter.returned:
-                waiter.end(Verdict.FULL, "returned as unroutable")
+                waiter.end(Outcome.OVERLOADED, "returned as unroutable")
             elif isinstance(method, commands.Basic.Ack):
-                waiter.end(Verdict.OK)
+                waiter.end(Outcome.OK)
             else:
-                waiter.end(Verdict.ERROR, "nack")
+                waiter.end(Outcome.ERROR, "nack")
         self.end_if_unused()
 
     def end_if_unused(self):
@@ -286,10 +286,10 @@
         """The connection is over: what was written in full may have run, the rest never did."""
         if not self.lost:
             self.lost = why
-            log("broker_lost", hop=self.hop, why=why, out=len(self.waiters))
+            log("broker_lost", hop=self.endpoint, why=why, out=len(self.waiters))
             anyio.notify_closing(self.wire.connection.sock)
             self.wire.connection.close()
         for waiter in self.waiters.values():
-            waiter.end(Verdict.RESET if waiter.written else Verdict.CONNECT_FAILED, why)
+            waiter.end(Outcome.RESET if waiter.written else Outcome.CONNECT_FAILED, why)
         self.waiters.clear()
         self.unblocked.set()
--- a/pinspread/amqp/front.py
+++ b/pinspread/amqp/front.py
@@ -18,11 +18,11 @@
 
 from pinspread.amqp import frames
 from pinspread.amqp.frames import AmqpError
-from pinspread.core.courier import Busy
 from pinspread.core.log import log
-from pinspread.core.transactions import Final, Transaction
-from pinspread.net import resp
-from pinspread.net.sockets import Room, accept_forever
+from pinspread.core.messages import FinalResult, Message
+from pinspread.errors import RejectedError
+from pinspread.resp import parser as resp
+from pinspread.sockets.connections import ConnectionLimiter, accept_forever
 
 NAME = "amqp"
 CHANNEL_MAX = 64
@@ -48,11 +48,11 @@
     """Connections of publishers and consumers, and the queues of ends."""
 
     tells_delivery = True
-    over_when_heard = False  # a key goes on once the end is in the journal: consumers may be away for long
+    ordered_by_notice = False  # a key goes on once the end is in the journal: consumers may be away for long
 
-    def __init__(self, courier, heartbeat_s=HEARTBEAT_S, room=None):
-        self.courier = courier
-        self.room = room or Room(courier.clock)
+    def __init__(self, engine, heartbeat_s=HEARTBEAT_S, room=None):
+        self.engine = engine
+        self.room = room or ConnectionLimiter(engine.clock)
         self.heartbeat_s = heartbeat_s
         # Danger: clients name queues of their own; one that holds and serves nothing goes by itself.
         self.queues = WeakValueDictionary()
@@ -88,10 +88,10 @@
             queue = self.queues[name] = EndQueue(name)
         return queue
 
-    async def notify(self, transaction: Transaction, final: Final):
+    async def notify(self, message: Message, final: FinalResult):
         """Queue the end; returns when a consumer has acknowledged it."""
-        end = End(transaction.id, final)
-        queue = self.queue(transaction.reply["to"])
+        end = End(message.id, final)
+        queue = self.queue(message.reply["to"])
         queue.put(end)
         await end.heard.wait()
 
@@ -109,8 +109,8 @@
         """Its properties and body."""
         state = self.final.state.name.lower()
         told = {"id": self.id, "state": state}
-        if self.final.after_ms:
-            told["after_ms"] = self.final.after_ms
+        if self.final.retry_after_ms:
+            told["after_ms"] = self.final.retry_after_ms
         properties = commands.Basic.Properties(
             content_type="application/json",
             delivery_mode=2,
@@ -225,9 +225,9 @@
     def __init__(self, front, connection, leg):
         self.front = front
         self.leg = leg
-        self.courier = front.courier
+        self.engine = front.engine
         self.connection = connection
-        self.wire = frames.Wire(connection, front.courier.clock)
+        self.wire = frames.Wire(connection, front.engine.clock)
         self.channels = {}
         self.heartbeat_s = front.heartbeat_s
         self.out = bytearray()
@@ -476,26 +476,26 @@
         channel.published += 1
         tag = channel.published
         try:
-            self.courier.take(self._transaction(properties, body, method))
-        except Busy as error:
+            self.engine.accept(self._transaction(properties, body, method))
+        except RejectedError as error:
             log("busy", front=NAME, why=str(error))
             headers = dict(properties.headers or {})
-            headers["after-ms"] = error.after_ms
+            headers["after-ms"] = error.retry_after_ms
             properties.headers = headers
             back = commands.Basic.Return(
-                frames.RESOURCE_ERROR, f"BUSY {error.after_ms}", "", method.routing_key
+                frames.RESOURCE_ERROR, f"BUSY {error.retry_after_ms}", "", method.routing_key
             )
             self.post_content(channel.number, back, properties, body)
             self.post(channel.number, commands.Basic.Nack(tag, False, False))
             return
-        if self.courier.copies is None:
+        if self.engine.copies is None:
             self.post(channel.number, commands.Basic.Ack(tag, False))
         else:
-            self.courier.tasks.start_soon(self._confirm, channel, tag)
+            self.engine.tasks.start_soon(self._confirm, channel, tag)
 
     async def _confirm(self, channel, tag):
         """Confirm once it is copied; what is not in time stays unconfirmed, and is published again."""
-        if await self.courier.promised() and self.channels.get(channel.number) is channel:
+        if await self.engine.wait_committed() and self.channels.get(channel.number) is channel:
             self.post(channel.number, commands.Basic.Ack(tag, False))
 
     def _transaction(self, properties, body, method):
@@ -503,7 +503,7 @@
         try:
             cls, tenant = str(headers.get("class") or ""), str(headers.get("tenant") or "")
             dest = resp.number(str(headers.get("dest", "")), "dest", resp.MOST_DEST)
-            unknown = self.courier.unknown(cls, tenant, dest)
+            unknown = self.engine.unknown(cls, tenant, dest)
             if unknown:
                 raise resp.CommandError(unknown)
             id_ = resp.name(str(properties.message_id or "").encode(), "message-id")
@@ -512,22 +512,22 @@
             idempotency = str(headers.get("idempotency-key") or "")
             if idempotency:
                 resp.name(idempotency.encode(), "idempotency-key")
-            deadline_ms = self.courier.settings.rules[cls].cls.deadline_ns // 1_000_000
+            deadline_ms = self.engine.settings.rules[cls].cls.deadline_ns // 1_000_000
             expiration = properties.expiration or str(deadline_ms)
             for_ms = resp.number(expiration, "expiration", resp.MOST_FOR_MS)
             key = key_number(str(headers.get("key") or "0"))
         except resp.CommandError as error:
             raise AmqpError(frames.PRECONDITION_FAILED, str(error), method) from None
-        clock = self.courier.clock
-        return Transaction(
+        clock = self.engine.clock
+        return Message(
             number=0,
             id=id_,
             cls=cls,
             tenant=tenant,
             dest=dest,
             key=key,
-            idempotency=idempotency,
-            until_unix_us=clock.unix(clock.now()) + for_ms * 1000,
+            idempotency_key=idempotency,
+            deadline_unix_us=clock.unix(clock.now()) + for_ms * 1000,
             body=body,
             front=NAME,
             reply={"to": properties.reply_to},
--- a/pinspread/config/application.py
+++ b/pinspread/config/application.py
@@ -10,7 +10,7 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, ValidationError
 
 from pinspread.config import settings
-from pinspread.net.sockets import split_address
+from pinspread.sockets.connections import split_address
 
 SECOND = 1_000_000_000
 
@@ -111,8 +111,9 @@
     clock_rate: Annotated[float, Field(ge=0.5, le=2)] = 1.0  # likewise
 
     def plan(self):
-        """What `pinspread.cluster.member` runs by."""
-        from pinspread.cluster import member, swim
+        """What `pinspread.membership.service` runs by."""
+        from pinspread.membership import service as member
+        from pinspread.membership import swim
 
         us = 1_000_000
         tuning = swim.Tuning(
@@ -171,8 +172,9 @@
     tasks: Annotated[list[LeaseTask], Field(alias="task", max_length=64)] = []
 
     def plan(self, folder):
-        """What `pinspread.cluster.leases` runs by; what lasts goes below `folder`."""
-        from pinspread.cluster import lease, leases
+        """What `pinspread.leases.service` runs by; what lasts goes below `folder`."""
+        from pinspread.leases import service as leases
+        from pinspread.leases import state_machine as lease
 
         us = 1_000_000
         figures = (self.lease_s, self.drift_s, self.margin_s, self.renew_s, self.retry_s)
@@ -204,8 +206,8 @@
     sync: bool = False
 
     def plan(self, folder):
-        """What `pinspread.cluster.copying` runs by; what lasts goes below `folder`."""
-        from pinspread.cluster import copying
+        """What `pinspread.replication.service` runs by; what lasts goes below `folder`."""
+        from pinspread.replication import service as copying
 
         us = 1_000_000
         return copying.Plan(
@@ -380,7 +382,7 @@
     return File.model_validate(tomllib.loads(text))
 
 
-def told(file: File, seed: int | None = None) -> settings.Told:
+def told(file: File, seed: int | None = None) -> settings.EffectiveSettings:
     """A courier's settings from its application's file, by way of the platform's form."""
     limits = file.limits
     lanes = [
--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -15,10 +15,10 @@
 import dns.zone
 
 from pinspread.core.log import log
-from pinspread.core.transactions import NextHop
-from pinspread.interface import ListScope, ListState
-from pinspread.net.resp import MOST_DEST
-from pinspread.net.sockets import split_address
+from pinspread.core.messages import Endpoint
+from pinspread.policy.events import EndpointState, UpdateScope
+from pinspread.resp.parser import MOST_DEST
+from pinspread.sockets.connections import split_address
 
 QUERY_S = 2.0
 ROUTE = ("exchange", "routing_key", "vhost")
@@ -98,7 +98,7 @@
     addresses = records.ask(service.target, "A")
     if not addresses:
         raise ValueError(f"no A record for {service.target}")
-    hop = NextHop(
+    endpoint = Endpoint(
         id=str(name),
         address=f"{addresses[0].address}:{service.port}",
         dest=int(dest),
@@ -107,14 +107,14 @@
         weight=rate,
         kind=kinds.get(pairs.get("kind", ""), 0),
     )
-    return hop, ListState.DRAINING if pairs.get("state") == "draining" else ListState.READY
+    return endpoint, EndpointState.DRAINING if pairs.get("state") == "draining" else EndpointState.READY
 
 
 class DnsSd:
     """Keeps the core's list of next hops as DNS-SD has it."""
 
-    def __init__(self, courier, records, services, refresh_s):
-        self.courier = courier
+    def __init__(self, engine, records, services, refresh_s):
+        self.engine = engine
         self.records = records
         self.services = services
         self.refresh_s = refresh_s
@@ -133,9 +133,9 @@
 
     def ask(self):
         """The module asks for the list's changes: they come with the next refresh."""
-        self.courier.learn(ListScope.DELTA, [])
+        self.engine.update_endpoints(UpdateScope.DELTA, [])
 
-    def settle(self, told):
+    def apply_settings(self, told):
         """The core has other settings: kinds are read by them at the next refresh."""
 
     def move(self, records):
@@ -147,12 +147,14 @@
         while True:
             try:
                 found = await anyio.to_thread.run_sync(
-                    browse, self.records, self.services, self.courier.settings.kinds, abandon_on_cancel=True
+                    browse, self.records, self.services, self.engine.settings.kinds, abandon_on_cancel=True
                 )
                 if found != self.last:
                     self.last = found
                     # The core marks hops as not usable in place, and the next comparison needs them as read.
-                    self.courier.learn(ListScope.FULL, [(replace(hop), state) for hop, state in found])
+                    self.engine.update_endpoints(
+                        UpdateScope.FULL, [(replace(endpoint), state) for endpoint, state in found]
+                    )
                     log("list", scope="FULL", hops=len(found))
             except (OSError, ValueError, dns.exception.DNSException) as error:
                 log("discovery_failed", error=str(error) or type(error).__name__)
--- a/pinspread/config/settings.py
+++ b/pinspread/config/settings.py
@@ -9,10 +9,10 @@
 
 import orjson
 
-from pinspread import interface as api
 from pinspread import wire
 from pinspread.core.log import log
-from pinspread.core.transactions import Rules
+from pinspread.core.messages import DeliveryRules
+from pinspread.policy.settings import Settings
 
 GOOD = "configuration.good"  # in the folder that lasts
 GOOD_SHARE = 0.015  # of the folder's room, for each of its file and the next one
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class EffectiveSettings:
     """A courier's configuration."""
 
     name: str
@@ -36,7 +36,7 @@
     sockets: int
     memory_bytes: int
     known: dict
-    module: api.Settings
+    module: Settings
     rules: dict  # name of a class -> the rules of what is taken on under it
     tenants: dict  # name -> place in the module's settings; so are kinds and zones
     kinds: dict
@@ -50,8 +50,8 @@
     raw: bytes = b""  # the file as it was read
 
     @property
-    def max_come_back_ms(self):
-        return self.module.max_come_back_ns // 1_000_000
+    def max_retry_after_ms(self):
+        return self.module.max_retry_after_ns // 1_000_000
 
 
 def flatten(value, path=""):
@@ -94,7 +94,7 @@
         raise SettingsError(f"{path}: {error}") from None
 
 
-def from_environment(env=os.environ, last: Told | None = None) -> Told:
+def from_environment(env=os.environ, last: EffectiveSettings | None = None) -> EffectiveSettings:
     """The configuration file, with the environment's word where both speak (but for discovery).
 
     With `last`, the settings in force, one that is short of a part of those is refused.
@@ -116,7 +116,7 @@
     return told
 
 
-def at_start(env=os.environ) -> Told:
+def at_start(env=os.environ) -> EffectiveSettings:
     """The configuration at a start: the file, or what was last good where that is broken."""
     try:
         return from_environment(env)
@@ -133,7 +133,7 @@
         return told
 
 
-def keep_good(told: Told):
+def keep_good(told: EffectiveSettings):
     """Keep what is in force, for a start that finds the file broken; without room only the log says so."""
     if not told.raw:
         return  # an application's file, which is no platform's
@@ -149,14 +149,14 @@
         log("configuration_not_kept", error=str(error))
 
 
-def read(told: dict, env) -> Told:
+def read(told: dict, env) -> EffectiveSettings:
     """The configuration from its JSON object."""
     try:
         settings = told["settings"]
         text = "\n".join(flatten(settings)).encode()
         module, fields = wire.read_settings(text)
         limits = settings["policyLimits"]
-        return Told(
+        return EffectiveSettings(
             name=env.get("RELAY_NAME") or told["name"],
             listen=env.get("RELAY_LISTEN") or told["listen"],
             # Danger: the file is replaced while the process runs, and its environment still has the old word.
@@ -185,25 +185,28 @@
         raise SettingsError(f"configuration: {error}") from None
 
 
-def summary(told: Told):
+def summary(told: EffectiveSettings):
     """What the courier will go by, a line each, for whoever checks a deployment before it is served."""
     s, ms = told.module, 1_000_000
     for name, rules in told.rules.items():
         c = rules.cls
-        window = f", repeats dropped for {c.window_ns // ms} ms" if c.window_ns else ""
+        window = (
+            f", repeats dropped for {c.deduplication_window_ns // ms} ms" if c.deduplication_window_ns else ""
+        )
         order = "in order for each key" if c.in_order else "in any order"
-        time = f"wanted in {c.aim_ns // ms} ms, given up at {c.deadline_ns // ms} ms"
+        time = f"wanted in {c.latency_objective_ns // ms} ms, given up at {c.deadline_ns // ms} ms"
         yield f"class {name}: {c.effect.value}{window}; {order}; {time}; {rules.max_attempts} attempts"
     for name, n in told.kinds.items():
         kind = s.kind(n)
-        routes = "each endpoint a route apart" if kind.routes_apart else "endpoints share one limit"
-        yield f"kind {name}: {kind.bundle_max} messages a call at most; {routes}"
-    yield f"zones: {', '.join(told.zones)}; a call to another costs {s.crossing_price:g} of a message"
-    yield f"slots: {s.calls_out} calls out, {s.most_held} messages held, {s.senders} couriers"
-    yield f"rules: nothing new {s.drain_grace_ns // ms} ms after a drain; cold for {s.cold_ns // ms} ms"
-    asked = f"asked, at least every {s.must_ask_in_ns // ms} ms" if s.list_on_request else "pushed"
+        routes = "each endpoint a route apart" if kind.limits_per_endpoint else "endpoints share one limit"
+        yield f"kind {name}: {kind.max_bundle_size} messages a call at most; {routes}"
+    yield f"zones: {', '.join(told.zones)}; a call to another costs {s.cross_zone_price:g} of a message"
+    slots = f"{s.max_concurrent_calls} calls out, {s.max_held_messages} messages held"
+    yield f"slots: {slots}, {s.senders} couriers"
+    yield f"rules: nothing new {s.drain_grace_ns // ms} ms after a drain; cold for {s.slow_start_ns // ms} ms"
+    asked = f"asked, at least every {s.max_poll_interval_ns // ms} ms" if s.polled_discovery else "pushed"
     yield f"list: {asked}; limits {'listed' if s.weights_known else 'not listed'}"
-    probes, reports = ("yes" if on else "no" for on in (s.may_probe, told.reports))
+    probes, reports = ("yes" if on else "no" for on in (s.health_checks_allowed, told.reports))
     yield f"probes: {probes}; reports of limits in answers: {reports}; door: {told.admin or 'off'}"
 
 
@@ -212,7 +215,7 @@
     for lane, cls in zip(lanes, module.classes, strict=True):
         if lane["name"] in found:
             raise ValueError(f"class {lane['name']!r} is named twice")
-        found[lane["name"]] = Rules(cls, module.max_attempts)
+        found[lane["name"]] = DeliveryRules(cls, module.max_attempts)
     return found
 
 
--- a/pinspread/core/bans.py
+++ b/pinspread/core/endpoint_blocklist.py
@@ -1,11 +1,11 @@
 """Endpoints that operators have taken out: which, and how the list reads under it. No I/O, no clock."""
 
-from pinspread.interface import ListState
+from pinspread.policy.events import EndpointState
 
 MOST_ID = 512  # characters of an id that may be taken out; the list's own are far shorter
 
 
-class Bans:
+class EndpointBlocklist:
     """The ids that are out; one call back undoes any number of calls out."""
 
     def __init__(self, ids=()):
@@ -25,7 +25,7 @@
         del self.ids[id_]
         return True
 
-    def seen(self, id_: str, listed: ListState) -> ListState:
+    def seen(self, id_: str, listed: EndpointState) -> EndpointState:
         """What the module is to hear of an endpoint that the list shows so."""
         # Danger: a list that names it as ready, late or anew, would have it called while it is restarted.
-        return ListState.DRAINING if listed is ListState.READY and id_ in self.ids else listed
+        return EndpointState.DRAINING if listed is EndpointState.READY and id_ in self.ids else listed
--- a/pinspread/core/owner.py
+++ b/pinspread/core/folder_lock.py
@@ -9,7 +9,7 @@
 BUSY = (errno.EAGAIN, errno.EACCES)
 
 
-class Owner:
+class FolderLock:
     """One process's hold on a folder; the open descriptor is the lock, and can be passed on."""
 
     def __init__(self, folder: str):
--- a/pinspread/core/handover.py
+++ b/pinspread/core/handover.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class Do(Enum):
+class HandoverStep(Enum):
     """What the side is to do now."""
 
     WAIT = "wait"
@@ -22,7 +22,7 @@
     GIVE_UP = "give up"  # end; the old process serves on
 
 
-class Giver:
+class HandoverSource:
     """The old process: it owns all until it hears *taken*, and is at rest from `give` until then."""
 
     def __init__(self, shape: str):
@@ -35,45 +35,45 @@
         """Whether it may act: take on, start calls, record."""
         return self.state in ("serving", "leaving")
 
-    def hello(self, shape: str) -> Do:
+    def hello(self, shape: str) -> HandoverStep:
         """A new process asks for all."""
         if self.state != "serving":
             self.why = f"busy: {self.state}"
-            return Do.DECLINE
+            return HandoverStep.DECLINE
         if shape != self.shape:
             self.why = "its state has another shape"
-            return Do.DECLINE
+            return HandoverStep.DECLINE
         self.state = "at rest"
-        return Do.GIVE
+        return HandoverStep.GIVE
 
-    def asked_to_leave(self) -> Do:
+    def asked_to_leave(self) -> HandoverStep:
         """A new process can't take over as things are, and wants the lock."""
         if self.state != "serving":
-            return Do.WAIT
+            return HandoverStep.WAIT
         self.state = "leaving"
-        return Do.LEAVE
+        return HandoverStep.LEAVE
 
-    def taken(self) -> Do:
+    def taken(self) -> HandoverStep:
         """The new process owns all."""
         if self.state != "at rest":
-            return Do.WAIT  # garbled: nothing was given
+            return HandoverStep.WAIT  # garbled: nothing was given
         self.state = "given"
-        return Do.FINISH
+        return HandoverStep.FINISH
 
-    def broke(self) -> Do:
+    def broke(self) -> HandoverStep:
         """The exchange ended, was declined or took too long."""
         if self.state == "at rest":
-            return Do.RETAKE
-        return Do.FINISH if self.state == "given" else Do.WAIT
+            return HandoverStep.RETAKE
+        return HandoverStep.FINISH if self.state == "given" else HandoverStep.WAIT
 
-    def retaken(self, own: bool) -> Do:
+    def retaken(self, own: bool) -> HandoverStep:
         """It has let the lock go and asked for it anew: who holds it instead owns all."""
         # Danger: a *taken* that was said and not heard would leave two owners; the lock has one.
         self.state = "serving" if own else "given"
-        return Do.RESUME if own else Do.FINISH
+        return HandoverStep.RESUME if own else HandoverStep.FINISH
 
 
-class Taker:
+class HandoverTarget:
     """The new process: it owns nothing until it has the lock and has said *taken*."""
 
     def __init__(self):
@@ -84,28 +84,28 @@
         """Whether it may act."""
         return self.state == "owner"
 
-    def declined(self, busy: bool) -> Do:
+    def declined(self, busy: bool) -> HandoverStep:
         """The old process says no; one that is busy may be asked again."""
         if busy:
-            return Do.WAIT
+            return HandoverStep.WAIT
         self.state = "waiting for the lock"
-        return Do.ASK_LEAVE
+        return HandoverStep.ASK_LEAVE
 
-    def collected(self, whole: bool) -> Do:
+    def collected(self, whole: bool) -> HandoverStep:
         """All was sent; `whole` says whether it could be read."""
         if not whole:
             self.state = "waiting for the lock"
-            return Do.ASK_LEAVE
+            return HandoverStep.ASK_LEAVE
         self.state = "taking"
-        return Do.TAKE
+        return HandoverStep.TAKE
 
-    def locked(self, readable: bool) -> Do:
+    def locked(self, readable: bool) -> HandoverStep:
         """It has the lock; `readable` says whether it can read the journal."""
         self.state = "owner" if readable else "given up"
-        return Do.SERVE if readable else Do.GIVE_UP
+        return HandoverStep.SERVE if readable else HandoverStep.GIVE_UP
 
-    def broke(self) -> Do:
+    def broke(self) -> HandoverStep:
         """The exchange ended before all had come: the old process is gone, or serves on."""
         if self.state in ("asking", "collecting", "taking", "owner"):
             self.state = "asking"  # its *taken* was not heard
-        return Do.WAIT
+        return HandoverStep.WAIT
--- a/pinspread/core/journal.py
+++ b/pinspread/core/journal.py
@@ -11,8 +11,9 @@
 
 import orjson
 
-from pinspread.core.transactions import Final, Rules, State, Transaction
-from pinspread.interface import Effect, Group, TrafficClass
+from pinspread.core.messages import DeliveryRules, FinalResult, FinalState, Message
+from pinspread.errors import JournalFormatError, JournalFullError
+from pinspread.policy.settings import DeduplicationScope, Idempotency, TrafficClass
 
 _HEAD = struct.Struct("<II")
 HEAD_BYTES = _HEAD.size
@@ -28,15 +29,29 @@
 # What a live transaction adds to its TAKEN record.
 SMALL = 3 * _HEAD.size + _SUMMARY.size + _FINAL.size + _ZONE.size
 MOST_RECORD = 1 << 20
-TOLD = ("id", "cls", "tenant", "dest", "key", "idempotency", "until_unix_us", "front", "reply")
-
-
-class JournalFull(Exception):
-    """There is no room for another transaction."""
-
-
-class JournalUnreadable(Exception):
-    """It was written by a version that this one does not understand."""
+# The stored keys of an accepted message, and the fields of `Message` that hold them.
+STORED_FIELDS = {
+    "id": "id",
+    "cls": "cls",
+    "tenant": "tenant",
+    "dest": "dest",
+    "key": "key",
+    "idempotency": "idempotency_key",
+    "until_unix_us": "deadline_unix_us",
+    "front": "front",
+    "reply": "reply",
+}
+# The same for a traffic class among the stored delivery rules.
+STORED_CLASS_FIELDS = {
+    "aim_ns": "latency_objective_ns",
+    "deadline_ns": "deadline_ns",
+    "effect": "effect",
+    "group": "group",
+    "window_ns": "deduplication_window_ns",
+    "late_share": "late_value_share",
+    "worth": "worth",
+    "in_order": "in_order",
+}
 
 
 class Journal:
@@ -53,14 +68,14 @@
     def _forget(self):
         self.size = 0
         self.live_bytes = 0
-        self.live: dict[int, Transaction] = {}
+        self.live: dict[int, Message] = {}
         self.sizes: dict[int, int] = {}
         self.past: dict[str, int] = {}  # ids that are over, oldest first, and the sizes of their records
         self.past_bytes = 0
         self.bans: dict[str, None] = {}  # endpoints that operators have taken out
-        self.rules: dict[Rules, int] = {}  # those that records name, and their numbers
-        self.latest: Rules | None = None
-        self.numbered: dict[int, Rules] = {}  # number -> rules, while the file is read
+        self.rules: dict[DeliveryRules, int] = {}  # those that records name, and their numbers
+        self.latest: DeliveryRules | None = None
+        self.numbered: dict[int, DeliveryRules] = {}  # number -> rules, while the file is read
 
     def resize(self, limit_bytes: int):
         """Another bound counts from now on; a file that is over it is rewritten at its next record."""
@@ -69,7 +84,7 @@
         self.most_live = self.most * 85 // 100
         self.most_past = self.most * 5 // 100  # the rest is for branches and ends, which are never refused
 
-    def open(self) -> list[Transaction]:
+    def open(self) -> list[Message]:
         """Recover what is owed, in the order taken, and start a fresh file with it."""
         self.read()
         self.begin()
@@ -94,58 +109,58 @@
 
     # --- records ----------------------------------------------------------------------------------
 
-    def taken(self, transaction: Transaction):
+    def taken(self, message: Message):
         """Before the caller is told that it was taken on."""
-        record = self._taken(transaction)
+        record = self._taken(message)
         need = len(record) + SMALL
         if self.live_bytes + need > self.most_live:
-            raise JournalFull("what is owed fills the journal")
+            raise JournalFullError("what is owed fills the journal")
         self._append(record)
-        self._hold(transaction, need)
+        self._hold(message, need)
 
-    def adopted(self, transaction: Transaction):
+    def adopted(self, message: Message):
         """What another courier took on and this one takes over, with what is known of its branches."""
-        t, record = transaction, self._taken(transaction)
+        t, record = message, self._taken(message)
         need = len(record) + SMALL
         if self.live_bytes + need > self.most_live:
-            raise JournalFull("what is owed fills the journal")
-        self._append(record + (_summary(t) if t.branches or t.may_run_us else b""))
+            raise JournalFullError("what is owed fills the journal")
+        self._append(record + (_summary(t) if t.attempts or t.may_have_run_unix_us else b""))
         self._hold(t, need)
         if t.final:
             self.final(t, t.final)
 
-    def drop(self, transactions):
+    def drop(self, messages):
         """Owe these no longer: another courier does. Their ids are over; the next rewrite has it so."""
-        for t in transactions:
+        for t in messages:
             self.live_bytes -= self.sizes.pop(t.number)
             del self.live[t.number]
             self._past_id(t.id)
 
-    def branch_started(self, transaction: Transaction, number: int, unix_us: int):
+    def attempt_started(self, message: Message, number: int, unix_us: int):
         """Before the last byte of its call is written."""
-        transaction.live_us = unix_us
-        transaction.branches = max(transaction.branches, number + 1)
-        if _by_zone(transaction):
-            self._append(_zone(transaction))
-        self._append(_record(_BRANCH.pack(BRANCH, transaction.number, number, unix_us)))
+        message.in_flight_since_unix_us = unix_us
+        message.attempts = max(message.attempts, number + 1)
+        if _by_zone(message):
+            self._append(_zone(message))
+        self._append(_record(_BRANCH.pack(BRANCH, message.number, number, unix_us)))
 
-    def branch_ended(self, transaction: Transaction, number: int, may_have_run: bool):
+    def attempt_ended(self, message: Message, number: int, may_have_run: bool):
         """When a branch that was written has an outcome that does not end its transaction."""
-        _end_branch(transaction, may_have_run)
-        self._append(_record(_BRANCH_END.pack(BRANCH_END, transaction.number, number, may_have_run)))
+        _end_branch(message, may_have_run)
+        self._append(_record(_BRANCH_END.pack(BRANCH_END, message.number, number, may_have_run)))
 
-    def final(self, transaction: Transaction, final: Final):
+    def final(self, message: Message, final: FinalResult):
         """When the final answer is decided and still has to be heard."""
-        transaction.final = final
-        self._append(_record(_FINAL.pack(FINAL, transaction.number, final.state, final.after_ms)))
+        message.final = final
+        self._append(_record(_FINAL.pack(FINAL, message.number, final.state, final.retry_after_ms)))
 
-    def ended(self, transaction: Transaction):
+    def ended(self, message: Message):
         """When nothing is owed any more."""
-        if self.live.pop(transaction.number, None) is None:
+        if self.live.pop(message.number, None) is None:
             return
-        self.live_bytes -= self.sizes.pop(transaction.number)
-        self._remember(transaction)
-        self._append(_record(_NUMBER.pack(ENDED, transaction.number)))
+        self.live_bytes -= self.sizes.pop(message.number)
+        self._remember(message)
+        self._append(_record(_NUMBER.pack(ENDED, message.number)))
 
     def banned(self, id_: str, out: bool):
         """Before an operator is told that an endpoint is out, or back."""
@@ -159,7 +174,7 @@
             self.bans.pop(id_, None)
 
     def _taken(self, t):
-        told = {name: getattr(t, name) for name in TOLD}
+        told = {key: getattr(t, field) for key, field in STORED_FIELDS.items()}
         if t.rules:
             told["rules"] = self._number(t.rules)
         text = orjson.dumps(told)
@@ -176,17 +191,17 @@
 
     # --- the file ---------------------------------------------------------------------------------
 
-    def _hold(self, transaction, need):
-        self.live[transaction.number] = transaction
-        self.sizes[transaction.number] = need
+    def _hold(self, message, need):
+        self.live[message.number] = message
+        self.sizes[message.number] = need
         self.live_bytes += need
 
-    def _remember(self, transaction):
+    def _remember(self, message):
         # Danger: a publisher that lost its connection before the confirm publishes the same id again, and
         # a payment that was over by then would go a second time, after a restart too. What was returned
         # may come again under its id: it must not be taken for such a repeat.
-        if transaction.final is None or transaction.final.state is not State.RETURNED:
-            self._past_id(transaction.id)
+        if message.final is None or message.final.state is not FinalState.RETURNED:
+            self._past_id(message.id)
 
     def _past_id(self, id_):
         self.past[id_] = size = len(_past(id_))
@@ -200,11 +215,11 @@
         try:
             written = os.write(self.fd, record)
         except OSError as error:
-            raise JournalFull(str(error)) from None
+            raise JournalFullError(str(error)) from None
         if written < len(record):
             # Danger: replay ends at a torn record, and all that was appended behind it would be lost.
             os.ftruncate(self.fd, self.size)
-            raise JournalFull("a record was cut short")
+            raise JournalFullError("a record was cut short")
         self.size += written
         if self.tap is not None:
             self.tap.appended(record)
@@ -222,10 +237,10 @@
         parts += [_rules(n, rules) for rules, n in self.rules.items()]
         for t in self.live.values():
             parts.append(self._taken(t))
-            if t.branches:
+            if t.attempts:
                 parts.append(_summary(t))
             if t.final:
-                parts.append(_record(_FINAL.pack(FINAL, t.number, t.final.state, t.final.after_ms)))
+                parts.append(_record(_FINAL.pack(FINAL, t.number, t.final.state, t.final.retry_after_ms)))
         data = b"".join(parts)
         fd = -1
         try:
@@ -236,7 +251,7 @@
             if fd >= 0:
                 os.close(fd)
             self.fresh.unlink(missing_ok=True)
-            raise JournalFull(str(error)) from None
+            raise JournalFullError(str(error)) from None
         os.rename(self.fresh, self.path)
         if self.fd >= 0:
             os.close(self.fd)
@@ -249,16 +264,16 @@
         kind = payload[0]
         if kind > ZONE:
             # Danger: passed over, what a newer version recorded would be done again, or never.
-            raise JournalUnreadable(
+            raise JournalFormatError(
                 f"{self.path}: a record of kind {kind} of a newer version: start that one"
             )
         if kind == TAKEN:
             _, number, size = _TAKEN.unpack_from(payload)
             at = _TAKEN.size
             told = orjson.loads(payload[at : at + size])
-            told["rules"] = self.numbered.get(told.get("rules", 0))
-            body = bytes(payload[at + size :])
-            self._hold(Transaction(number, body=body, **told), _HEAD.size + len(payload) + SMALL)
+            message = Message(number, body=bytes(payload[at + size :]), **_message_fields(told))
+            message.rules = self.numbered.get(told.get("rules", 0))
+            self._hold(message, _HEAD.size + len(payload) + SMALL)
             return
         _, number = _NUMBER.unpack_from(payload)
         if kind == PAST:
@@ -271,28 +286,33 @@
         if kind in (BAN, UNBAN):
             self._ban(str(payload[_NUMBER.size :], "utf-8"), kind == BAN)
             return
-        transaction = self.live.get(number)
-        if transaction is None:
+        message = self.live.get(number)
+        if message is None:
             return
         if kind == BRANCH:
             *_, n, unix_us = _BRANCH.unpack(payload)
             # Danger: one that was out at a kill has no end here; the next would hide that it may have run.
-            transaction.may_run_us = transaction.may_run_us or transaction.live_us
-            transaction.branches = max(transaction.branches, n + 1)
-            transaction.live_us = unix_us
+            message.may_have_run_unix_us = message.may_have_run_unix_us or message.in_flight_since_unix_us
+            message.attempts = max(message.attempts, n + 1)
+            message.in_flight_since_unix_us = unix_us
         elif kind == BRANCH_END:
-            _end_branch(transaction, _BRANCH_END.unpack(payload)[3])
+            _end_branch(message, _BRANCH_END.unpack(payload)[3])
         elif kind == FINAL:
-            *_, state, after_ms = _FINAL.unpack(payload)
-            transaction.final = Final(State(state), after_ms)
+            *_, state, retry_after_ms = _FINAL.unpack(payload)
+            message.final = FinalResult(FinalState(state), retry_after_ms)
         elif kind == SUMMARY:
-            *_, transaction.branches, transaction.may_run_us, transaction.live_us = _SUMMARY.unpack(payload)
+            (
+                *_,
+                message.attempts,
+                message.may_have_run_unix_us,
+                message.in_flight_since_unix_us,
+            ) = _SUMMARY.unpack(payload)
         elif kind == ZONE:
-            *_, transaction.zone = _ZONE.unpack(payload)
+            *_, message.zone = _ZONE.unpack(payload)
         elif kind == ENDED:
             del self.live[number]
             self.live_bytes -= self.sizes.pop(number)
-            self._remember(transaction)
+            self._remember(message)
 
 
 def records(data):
@@ -322,7 +342,9 @@
 
 
 def _summary(t):
-    told = _record(_SUMMARY.pack(SUMMARY, t.number, t.branches, t.may_run_us, t.live_us))
+    told = _record(
+        _SUMMARY.pack(SUMMARY, t.number, t.attempts, t.may_have_run_unix_us, t.in_flight_since_unix_us)
+    )
     return told + (_zone(t) if _by_zone(t) else b"")
 
 
@@ -331,22 +353,33 @@
 
 
 def _by_zone(t):
-    return t.rules is not None and t.rules.cls.effect is Effect.BY_KEY and t.rules.cls.group is Group.ZONE
+    return (
+        t.rules is not None
+        and t.rules.cls.effect is Idempotency.WITH_KEY
+        and t.rules.cls.group is DeduplicationScope.ZONE
+    )
 
 
 def _record(payload):
     return _HEAD.pack(len(payload), zlib.crc32(payload)) + payload
 
 
+def _message_fields(stored):
+    return {field: stored[key] for key, field in STORED_FIELDS.items() if key in stored}
+
+
 def _rules(number, rules):
-    return _record(_NUMBER.pack(RULES, number) + orjson.dumps(rules))
+    cls = {key: getattr(rules.cls, field) for key, field in STORED_CLASS_FIELDS.items()}
+    return _record(
+        _NUMBER.pack(RULES, number) + orjson.dumps({"cls": cls, "max_attempts": rules.max_attempts})
+    )
 
 
 def _read_rules(payload):
-    told = orjson.loads(payload)
-    cls = told["cls"]
-    cls |= {"effect": Effect(cls["effect"]), "group": Group(cls["group"])}
-    return Rules(TrafficClass(**cls), told["max_attempts"])
+    stored = orjson.loads(payload)
+    cls = {field: stored["cls"][key] for key, field in STORED_CLASS_FIELDS.items() if key in stored["cls"]}
+    cls |= {"effect": Idempotency(cls["effect"]), "group": DeduplicationScope(cls["group"])}
+    return DeliveryRules(TrafficClass(**cls), stored["max_attempts"])
 
 
 def _past(id_):
@@ -357,7 +390,7 @@
     return _record(_NUMBER.pack(kind, 0) + id_.encode())
 
 
-def _end_branch(transaction, may_have_run):
-    if may_have_run and not transaction.may_run_us:
-        transaction.may_run_us = transaction.live_us
-    transaction.live_us = 0
+def _end_branch(message, may_have_run):
+    if may_have_run and not message.may_have_run_unix_us:
+        message.may_have_run_unix_us = message.in_flight_since_unix_us
+    message.in_flight_since_unix_us = 0
--- a/pinspread/core/transactions.py
+++ b/pinspread/core/messages.py
@@ -3,10 +3,11 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from pinspread.interface import ListState, TrafficClass, Verdict
+from pinspread.policy.events import EndpointState, Outcome
+from pinspread.policy.settings import TrafficClass
 
 
-class State(IntEnum):
+class FinalState(IntEnum):
     """How a transaction ended."""
 
     DELIVERED = 0
@@ -15,15 +16,15 @@
 
 
 @dataclass(slots=True)
-class Final:
-    """A final answer; `after_ms` tells when to come back after RETURNED."""
+class FinalResult:
+    """A final answer; `retry_after_ms` tells when to come back after RETURNED."""
 
-    state: State
-    after_ms: int = 0
+    state: FinalState
+    retry_after_ms: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Rules:
+class DeliveryRules:
     """What a transaction was taken on under: its class as the settings had it then, and its attempts."""
 
     cls: TrafficClass
@@ -31,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Transaction:
+class Message:
     """One message that was taken on, until its final answer has been heard."""
 
     number: int  # the module's name for it: the order in which it was taken
@@ -40,21 +41,21 @@
     tenant: str
     dest: int
     key: int  # 0: none
-    idempotency: str
-    until_unix_us: int
+    idempotency_key: str
+    deadline_unix_us: int
     body: bytes = b""
     front: str = ""  # the front that took it, which also hears its end
     reply: dict = field(default_factory=dict)  # what that front needs for it
-    branches: int = 0  # started so far, over restarts
-    may_run_us: int = 0  # Unix time of the first branch that may have run; 0: none
-    live_us: int = 0  # Unix time at which the branch that is out was written; 0: none is
+    attempts: int = 0  # started so far, over restarts
+    may_have_run_unix_us: int = 0  # Unix time of the first branch that may have run; 0: none
+    in_flight_since_unix_us: int = 0  # Unix time at which the branch that is out was written; 0: none is
     zone: int = 0  # of its latest branch, and from the first on that may have run, of that one
-    final: Final | None = None
-    rules: Rules | None = None  # None: the journal of an older version does not say
+    final: FinalResult | None = None
+    rules: DeliveryRules | None = None  # None: the journal of an older version does not say
 
 
 @dataclass(slots=True)
-class NextHop:
+class Endpoint:
     """One endpoint of a partner, as discovery tells of it."""
 
     id: str
@@ -66,24 +67,24 @@
     weight: float = 1.0
     zone: int = 0
     kind: int = 0
-    listed: ListState = ListState.READY  # as the list has it; `usable` heeds bans too
+    listed: EndpointState = EndpointState.READY  # as the list has it; `usable` heeds bans too
 
-    def reached_as(self, other) -> bool:
+    def same_address_as(self, other) -> bool:
         """Whether the other is the same endpoint at the same place."""
         return (self.scheme, self.address, self.route) == (other.scheme, other.address, other.route)
 
-    def take_over(self, other):
+    def update_from(self, other):
         """Read as the other does, which the list has named since."""
         for name in self.__slots__:
             setattr(self, name, getattr(other, name))
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptResult:
     """How a branch or a probe ended; the verdicts are the module's."""
 
-    verdict: Verdict
-    wait_us: int = 0  # told with a busy answer
+    outcome: Outcome
+    retry_after_us: int = 0  # told with a busy answer
     over: bool = False  # the next hop says that nothing is owed any more
     note: str = ""
     idle_us: int = -1  # how long its connection had been idle; -1: it was new
@@ -92,21 +93,25 @@
     limit: float = 0.0  # the told limit in calls a second; 0: not told
 
 
-NEVER_RAN = (Verdict.FULL, Verdict.CONNECT_FAILED, Verdict.MOOT)  # what proves that a branch never ran
+NEVER_RAN = (
+    Outcome.OVERLOADED,
+    Outcome.CONNECT_FAILED,
+    Outcome.NOT_SENT,
+)  # what proves that a branch never ran
 
 
 @dataclass(slots=True)
-class Branch:
+class Attempt:
     """One attempt. The transport calls `clear` right before its first byte and obeys a reason not to."""
 
-    transaction: Transaction
+    message: Message
     number: int
-    next_hop: NextHop
+    endpoint: Endpoint
     started_us: int
     timeout_us: int
     clear: object = None  # () -> str: empty, or why nothing may be written any more
     recorded: bool = False  # it is in the journal as started before its transport was called
-    heed: object = None  # (wait_us): a wait was told, whatever else becomes of the branch
+    apply_retry_after: object = None  # (wait_us): a wait was told, whatever else becomes of the branch
 
     def ends_us(self):
         """When the courier stops waiting."""
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -2,25 +2,25 @@
 
 from typing import Protocol
 
-from pinspread.core.transactions import Branch, Final, NextHop, Outcome, Transaction
+from pinspread.core.messages import Attempt, AttemptResult, Endpoint, FinalResult, Message
 
 
 class Transport(Protocol):
     """Reaches next hops of one scheme."""
 
-    async def send(self, branch: Branch) -> Outcome:
+    async def send(self, attempt: Attempt) -> AttemptResult:
         """Run one branch, once; `branch.clear()` is asked right before the first byte is written."""
 
-    async def send_many(self, branches: list[Branch]) -> list[Outcome]:
+    async def send_many(self, attempts: list[Attempt]) -> list[AttemptResult]:
         """Run several branches to one next hop as one call; only for kinds whose settings allow it."""
 
-    async def probe(self, next_hop: NextHop, clear) -> Outcome:
+    async def probe(self, endpoint: Endpoint, clear) -> AttemptResult:
         """Ask a next hop how it is."""
 
-    def disconnect(self, next_hop: NextHop) -> None:
+    def disconnect(self, endpoint: Endpoint) -> None:
         """Close idle connections to it."""
 
-    def forget(self, next_hop: NextHop) -> None:
+    def forget(self, endpoint: Endpoint) -> None:
         """It is gone: keep nothing of it once nothing is out."""
 
 
@@ -41,7 +41,7 @@
     def ask(self) -> None:
         """The module wants the list's changes; one `learn` answers."""
 
-    def settle(self, told) -> None:
+    def apply_settings(self, told) -> None:
         """Other settings count from now on."""
 
     def move(self, where) -> None:
@@ -55,13 +55,13 @@
     """Takes transactions and tells their callers how they ended."""
 
     tells_delivery: bool  # whether DELIVERED is told too
-    over_when_heard: bool  # whether a key's next message waits until an end has been heard
+    ordered_by_notice: bool  # whether a key's next message waits until an end has been heard
 
-    async def notify(self, transaction: Transaction, final: Final) -> None:
+    async def notify(self, message: Message, final: FinalResult) -> None:
         """Tell the end; returns once it was heard, and retries until then."""
 
 
-class Operable(Protocol):
+class EndpointAdmin(Protocol):
     """What the operators' door may ask of the core."""
 
     def ready(self) -> bool:
@@ -74,23 +74,23 @@
         """Use it again; false if none is known by that id."""
 
 
-class Heir(Protocol):
+class Successor(Protocol):
     """The process that owns all once this one has handed over, as this one reaches it."""
 
-    def ended(self, number: int, branch: int, outcome: Outcome) -> None:
+    def ended(self, number: int, attempt: int, outcome: AttemptResult) -> None:
         """A branch that was out here has ended."""
 
-    def heed(self, id_: str, wait_us: int) -> None:
+    def apply_retry_after(self, id_: str, wait_us: int) -> None:
         """A next hop told to wait."""
 
-    def probed(self, id_: str, outcome: Outcome) -> None:
+    def probed(self, id_: str, outcome: AttemptResult) -> None:
         """A probe that was out here has ended."""
 
     async def ban(self, id_: str, out: bool) -> bool:
         """Pass on what an operator asks here; false if the id is unknown there."""
 
 
-class Copies(Protocol):
+class ReplicationService(Protocol):
     """Keeps what is owed on further couriers; the core asks it before it promises anything."""
 
     def barred(self) -> str:
@@ -100,12 +100,12 @@
         """Wait, within bounds, until all that the journal holds by now is copied; whether it is."""
 
 
-class Companion(Protocol):
+class BackgroundService(Protocol):
     """A part beside serving that a file turns on, as membership; the door shows `view()`."""
 
     name: str
 
-    def attach(self, courier) -> None:
+    def attach(self, engine) -> None:
         """The core is there."""
 
     async def before_recovery(self) -> None:
--- /dev/null
+++ b/pinspread/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The client of the platform's discovery service."""
--- a/pinspread/net/discovery.py
+++ b/pinspread/discovery/client.py
@@ -9,10 +9,10 @@
 import orjson
 
 from pinspread.core.log import log
-from pinspread.core.transactions import NextHop
-from pinspread.interface import ListScope, ListState
-from pinspread.net.http import Exchange
-from pinspread.net.sockets import dial, split_address
+from pinspread.core.messages import Endpoint
+from pinspread.http.transport import Exchange
+from pinspread.policy.events import EndpointState, UpdateScope
+from pinspread.sockets.connections import dial, split_address
 
 # What a silent watch misses counts as told 6 s after it fell silent. An empty line comes every 2 s, so this
 # leaves time for a second watch that is silent as well.
@@ -30,7 +30,8 @@
 MOST_LOGGED = 3  # watches in a row that fail, of which each is logged
 LEFT = "list.left"  # in the folder that lasts
 LEFT_SHARE = 0.002  # of the folder's room, for each of its file and the next one
-STATES = {"ready": ListState.READY, "draining": ListState.DRAINING, "gone": ListState.GONE}
+STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
+HEALTH_WORDS = {state: word for word, state in STATES.items()}  # as lists and the kept file have it
 SECOND_US = 1_000_000
 NO_MARKS = re.compile(rb'"(?:[^"\\]|\\.)*"')
 OPENS, CLOSES = re.compile(rb"[{[]"), re.compile(rb"[]}]")
@@ -103,8 +104,8 @@
         before = dict(self.health)
         for id_, state in states.items():
             self.health.pop(id_, None)
-            if state is not ListState.READY:
-                self.health[id_] = state.name.lower()
+            if state is not EndpointState.READY:
+                self.health[id_] = HEALTH_WORDS[state]
         if self.health == before:
             return
         while len(data := orjson.dumps(self.health)) > self.most:
@@ -133,9 +134,9 @@
 class Discovery:
     """Follows the list of endpoints and hands what changes to the core."""
 
-    def __init__(self, address, courier, told):
+    def __init__(self, address, engine, told):
         self.address = address
-        self.courier = courier
+        self.engine = engine
         self.told = told
         self.seq = 0
         self.anew = False  # the whole list is wanted, whatever is known
@@ -157,7 +158,7 @@
         self.left.read()
         known = self.told.known
         well = isinstance(known, dict) and isinstance(known.get("hosts"), list)
-        self._learn(self.left.over(known) if well else known, ListScope.CACHED)
+        self._learn(self.left.over(known) if well else known, UpdateScope.CACHED)
 
     def rest(self) -> dict:
         """What another process needs to follow on from here."""
@@ -171,9 +172,9 @@
 
     def ask(self):
         """The module asks for the list's changes: the watch brings them anyhow."""
-        self.courier.learn(ListScope.DELTA, [])
+        self.engine.update_endpoints(UpdateScope.DELTA, [])
 
-    def settle(self, told):
+    def apply_settings(self, told):
         """Other settings count from now on; where kinds or zones are others, the whole list is read anew."""
         old, self.told = self.told, told
         if (old.kinds, old.zones) != (told.kinds, told.zones):
@@ -208,12 +209,12 @@
 
     def _wait_us(self):
         """How long no further watch is wanted."""
-        now_us, watch = self.courier.clock.now(), self.current
+        now_us, watch = self.engine.clock.now(), self.current
         speaks = watch is not None and watch.address == self.address and not self.anew
         if speaks and now_us < watch.silent_us:
             return watch.silent_us - now_us
         if len(self.trying) >= (
-            len({self.address, self.before} - {""}) if self.told.module.list_on_request else MOST_TRYING
+            len({self.address, self.before} - {""}) if self.told.module.polled_discovery else MOST_TRYING
         ):
             return SECOND_US  # the end of one wakes
         return self.again_us - now_us
@@ -223,7 +224,7 @@
         # on. Both are had where watches are opened beside each other; the old one is followed until then.
         if self.current and not self.anew and not self.trying and not self.failed:
             log("watch_broke", address=self.current.address, error="silent")
-        self.again_us = self.courier.clock.now() + int(TRY_S * SECOND_US)
+        self.again_us = self.engine.clock.now() + int(TRY_S * SECOND_US)
         places = {self.address}
         if self.current is None and self.before:
             places.add(self.before)  # it broke before the new place was up: better than to hear of nothing
@@ -250,14 +251,14 @@
         if self.failed < MOST_LOGGED:
             log("watch_broke", address=watch.address, error=str(error) or type(error).__name__)
         self.first.set()
-        alone = not self.told.module.list_on_request  # an agent of its own, which is no burden to others
+        alone = not self.told.module.polled_discovery  # an agent of its own, which is no burden to others
         if alone and isinstance(error, TimeoutError):
             self.failed += 1
             return  # the next is open already
         # One that turns callers away is asked by turns; the first after one that broke comes soon.
         soon = alone and (watch.up or isinstance(error, ConnectionRefusedError))
         again = again_s(self.failed, 1 if soon else self.told.module.senders, self.random.random())
-        self.again_us = self.courier.clock.now() + int(again * SECOND_US)
+        self.again_us = self.engine.clock.now() + int(again * SECOND_US)
         self.failed += 1
 
     def _up(self, watch):
@@ -277,7 +278,7 @@
 
     async def _watch(self, watch):
         address = watch.address
-        asked = self.told.module.list_on_request
+        asked = self.told.module.polled_discovery
         connection = None
         try:
             with anyio.fail_after(ASKED_S if asked else HEAD_S):
@@ -312,12 +313,12 @@
     def _spoke(self, watch, next_s):
         # Danger: half a line, or one that trickles in, says no more than silence; only whole ones count.
         # Where all ask one service, watches that fall silent in one instant are opened anew by chance.
-        if self.told.module.list_on_request and self.told.module.senders > FEW:
+        if self.told.module.polled_discovery and self.told.module.senders > FEW:
             next_s += SPREAD_S * self.random.random()
-        watch.silent_us = self.courier.clock.now() + int(next_s * SECOND_US)
+        watch.silent_us = self.engine.clock.now() + int(next_s * SECOND_US)
 
     def _learn(self, news, scope=None, moved=False):
-        hops = []
+        endpoints = []
         if (
             not isinstance(news, dict)
             or not isinstance(news.get("hosts"), list)
@@ -326,23 +327,27 @@
             raise ValueError(f"not a list of endpoints: {str(news)[:100]}")
         for host in news["hosts"]:
             try:
-                hops.append((self._hop(host), STATES[host["health"]]))
+                endpoints.append((self._hop(host), STATES[host["health"]]))
             except (KeyError, TypeError, ValueError) as error:
                 log("malformed_host", host=host, error=repr(error))
-                hops += self._leaving(host)
+                endpoints += self._leaving(host)
         if not moved:
             self.seq = news["seq"]
-        scope = scope or (ListScope.FULL if news.get("whole") else ListScope.DELTA)
-        if scope is not ListScope.CACHED:
-            states = {hop.id: state for hop, state in hops}
-            gone = self.courier.next_hops.keys() - states.keys() if scope is ListScope.FULL else ()
-            self.left.told(dict.fromkeys(gone, ListState.GONE) | states)
-        self.courier.learn(scope, hops)
-        if hops or scope is not ListScope.DELTA:
-            changed = {hop.id: state.name for hop, state in hops} if scope is ListScope.DELTA else len(hops)
+        scope = scope or (UpdateScope.FULL if news.get("whole") else UpdateScope.DELTA)
+        if scope is not UpdateScope.CACHED:
+            states = {endpoint.id: state for endpoint, state in endpoints}
+            gone = self.engine.endpoints.keys() - states.keys() if scope is UpdateScope.FULL else ()
+            self.left.told(dict.fromkeys(gone, EndpointState.REMOVED) | states)
+        self.engine.update_endpoints(scope, endpoints)
+        if endpoints or scope is not UpdateScope.DELTA:
+            changed = (
+                {endpoint.id: state.name for endpoint, state in endpoints}
+                if scope is UpdateScope.DELTA
+                else len(endpoints)
+            )
             log("list", scope=scope.name, seq=self.seq, hops=changed)
 
-    def _hop(self, host) -> NextHop:
+    def _hop(self, host) -> Endpoint:
         """An entry as a next hop; KeyError, TypeError or ValueError if it is none."""
         # Danger: taken on as it comes, a part of another type ends the courier where it is first used.
         id_, address, weight = host["host"], host["dial"], float(host["share"])
@@ -352,13 +357,13 @@
         if not (math.isfinite(weight) and weight >= 0):
             raise ValueError(f"a share of {weight}")
         zone, kind = self.told.zones.get(host["site"], 0), self.told.kinds.get(host["class"], 0)
-        return NextHop(id_, address, host["block"], weight=weight, zone=zone, kind=kind)
+        return Endpoint(id_, address, host["block"], weight=weight, zone=zone, kind=kind)
 
     def _leaving(self, host):
         """What a malformed entry says all the same: that an endpoint which is known drains, or is gone."""
         # Danger: passed over, it would be called for as long as the courier runs.
         id_, health = (host.get("host"), host.get("health")) if isinstance(host, dict) else ("", "")
-        known = self.courier.next_hops.get(id_) if isinstance(id_, str) else None
+        known = self.engine.endpoints.get(id_) if isinstance(id_, str) else None
         if known is None or health not in ("draining", "gone"):
             return []
         return [(known, STATES[health])]
--- a/pinspread/net/succession.py
+++ b/pinspread/hot_restart/transfer.py
@@ -20,13 +20,14 @@
 import anyio.lowlevel
 import orjson
 
-from pinspread import decide, interface, state
-from pinspread.core.handover import Do, Giver, Taker
-from pinspread.core.journal import JournalUnreadable
+from pinspread.core.handover import HandoverSource, HandoverStep, HandoverTarget
 from pinspread.core.log import log
-from pinspread.core.transactions import NextHop, Outcome
-from pinspread.interface import Verdict
-from pinspread.net.sockets import Connection, Kept
+from pinspread.core.messages import AttemptResult, Endpoint
+from pinspread.errors import JournalFormatError
+from pinspread.policy import actions, events, settings, state
+from pinspread.policy import delivery_policy as decide
+from pinspread.policy.events import Outcome
+from pinspread.sockets.connections import Connection, IdleConnection
 
 NAME = "handover"  # of the socket, in the folder that lasts
 HELLO, NO, LEAVE, STATE, LEG, IDLE, SOCKET, YOURS, TAKEN, ENDED, HEED, PROBED, BAN, BANNED = range(14)
@@ -40,7 +41,7 @@
 GRACE_US = 200_000  # past a branch's time, for the report of its end
 
 
-class Garbled(ValueError):
+class HandoverFormatError(ValueError):
     """What came is no packet, or no state that can be read."""
 
 
@@ -80,12 +81,12 @@
                 for spare in fds:
                     os.close(spare)
                 if len(packet) < 2 or packet[1] > 1 or first not in (None, packet[0]):
-                    raise Garbled("not a packet of the exchange")
+                    raise HandoverFormatError("not a packet of the exchange")
                 first = packet[0]
                 whole += memoryview(packet)[2:]
                 if not packet[1]:
                     return first, bytes(whole), fd
-            raise Garbled("a message without an end")
+            raise HandoverFormatError("a message without an end")
         except BaseException:
             if fd is not None:
                 os.close(fd)
@@ -119,7 +120,9 @@
     return [c for c in vars(module).values() if isinstance(c, type) and c.__module__ == module.__name__]
 
 
-SENT = {c: c for c in [*_classes(state), *_classes(interface), decide.Sender, NextHop, deque, Random]}
+SENT = {cls: cls for module in (state, settings, events, actions) for cls in _classes(module)} | {
+    cls: cls for cls in (decide.DeliveryPolicy, Endpoint, deque, Random)
+}
 _BY_NAME = {(c.__module__, c.__name__): c for c in SENT}
 _BY_NAME["collections", "deque"] = deque
 
@@ -130,7 +133,7 @@
     def find_class(self, module, name):
         # Danger: whatever else is named would be called, with arguments of the sender's choice.
         if (module, name) not in _BY_NAME:
-            raise Garbled(f"{module}.{name} is no part of a courier's state")
+            raise HandoverFormatError(f"{module}.{name} is no part of a courier's state")
         return _BY_NAME[module, name]
 
 
@@ -147,20 +150,20 @@
     """The state that the process before has sent; Garbled if it is none."""
     try:
         found = _Reader(io.BytesIO(data)).load()
-        if not isinstance(found, dict) or type(found["sender"]) is not decide.Sender:
-            raise Garbled("no state")
+        if not isinstance(found, dict) or type(found["sender"]) is not decide.DeliveryPolicy:
+            raise HandoverFormatError("no state")
         return found
-    except Garbled:
+    except HandoverFormatError:
         raise
     except Exception as error:  # whatever the bytes make of a reader
-        raise Garbled(f"the state cannot be read: {error!r}") from None
+        raise HandoverFormatError(f"the state cannot be read: {error!r}") from None
 
 
 # --- the new process -----------------------------------------------------------------------------
 
 
 @dataclass
-class Inheritance:
+class TransferredState:
     """What a new process starts with; without a state it is alone, and recovers from the journal."""
 
     state: dict | None = None
@@ -199,12 +202,12 @@
         os.close(fd)
 
 
-async def inherit(folder, owner, journal, sender) -> Inheritance:
+async def inherit(folder, owner, journal, sender) -> TransferredState:
     """Take over from the process that owns the folder, or find that nobody does.
 
     This one owns it on return. Raises JournalUnreadable; the old process serves on then.
     """
-    taker = Taker()
+    taker = HandoverTarget()
     while not owner.take():
         if taker.state != "waiting for the lock":
             try:
@@ -216,12 +219,12 @@
             if found is not None:
                 return found
         await anyio.sleep(AGAIN_S)
-    return Inheritance()
+    return TransferredState()
 
 
 async def _collect(link, taker, owner, journal, own_shape):
     """One exchange; None if nothing came of it."""
-    found, lock, again_s = Inheritance(link=link), None, 0.0
+    found, lock, again_s = TransferredState(link=link), None, 0.0
     try:
         with anyio.fail_after(STEP_S):
             await link.send(HELLO, own_shape.encode())
@@ -238,15 +241,15 @@
                 lock = fd
                 break
             _gather(found, kind, data, fd)
-        if lock is not None and taker.collected(found.state is not None) is Do.TAKE:
+        if lock is not None and taker.collected(found.state is not None) is HandoverStep.TAKE:
             journal.read()
             taker.locked(True)
             owner.adopt(lock)
             lock = None
             await link.send(TAKEN)
-            taken, found = found, Inheritance()
+            taken, found = found, TransferredState()
             return taken
-    except JournalUnreadable as error:
+    except JournalFormatError as error:
         taker.locked(False)
         with suppress(OSError):
             await link.send(NO, orjson.dumps({"why": str(error), "busy": False}))
@@ -290,7 +293,7 @@
         head, _, rest = data.partition(b"\n")
         told = orjson.loads(head)
         size = told.pop("unread")
-        found.legs.append(Kept(_adopted(fd), unread=rest[:size], unsent=rest[size:], **told))
+        found.legs.append(IdleConnection(_adopted(fd), unread=rest[:size], unsent=rest[size:], **told))
     elif kind == IDLE and fd is not None:
         found.idle.append((*orjson.loads(data), _adopted(fd)))
     elif kind == SOCKET and fd is not None:
@@ -298,7 +301,7 @@
     else:
         if fd is not None:
             os.close(fd)
-        raise Garbled(f"message {kind} is out of place")
+        raise HandoverFormatError(f"message {kind} is out of place")
 
 
 def _adopted(fd):
@@ -311,57 +314,76 @@
         return connection
 
 
-async def follow(link, courier, clock):
+async def follow(link, engine, clock):
     """Hear how what the process before still has out ends, and pass on what its door is asked."""
-    left = list(courier.branches)
-    probes = list(courier.probes)
+    left = list(engine.attempts)
+    probes = list(engine.probes)
 
-    async def late(key, branch):
+    async def late(key, attempt):
         # Danger: a process that hangs would tell nothing, and a message would never have its answer.
-        await anyio.sleep(max(0, branch.ends_us() + GRACE_US - clock.now()) / 1e6)
-        courier.reported(*key, Outcome(Verdict.TIMEOUT, note="its process did not tell"))
+        await anyio.sleep(max(0, attempt.ends_us() + GRACE_US - clock.now()) / 1e6)
+        engine.reported(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
 
     async with anyio.create_task_group() as tasks:
         for key in left:
-            tasks.start_soon(late, key, courier.branches[key])
+            tasks.start_soon(late, key, engine.attempts[key])
         try:
             while True:
                 kind, data, fd = await link.receive()
                 if fd is not None:
                     os.close(fd)
-                await _report(link, courier, kind, orjson.loads(data))
+                await _report(link, engine, kind, orjson.loads(data))
         except (OSError, ValueError, KeyError, TypeError) as error:
             log("predecessor_gone", why=str(error) or type(error).__name__)
-            courier.bereft(left, probes)
+            engine.bereft(left, probes)
         tasks.cancel_scope.cancel()
     link.close()
 
 
-async def _report(link, courier, kind, told):
+async def _report(link, engine, kind, told):
     if kind == ENDED:
         number, n, outcome = told
-        courier.reported(number, n, _outcome(outcome))
+        engine.reported(number, n, _outcome(outcome))
     elif kind == HEED:
-        courier.reported_wait(*told)
+        engine.reported_wait(*told)
     elif kind == PROBED:
         id_, outcome = told
-        courier.reported_probe(id_, _outcome(outcome))
+        engine.reported_probe(id_, _outcome(outcome))
     elif kind == BAN:
         id_, out, n = told
-        known = await (courier.disable(id_) if out else courier.enable(id_))
+        known = await (engine.disable(id_) if out else engine.enable(id_))
         await link.send(BANNED, orjson.dumps([n, known]))
     else:
-        raise Garbled(f"message {kind} is out of place")
+        raise HandoverFormatError(f"message {kind} is out of place")
+
+
+# The keys of an attempt's result in a packet, and the fields of `AttemptResult` that hold them.
+RESULT_FIELDS = {
+    "verdict": "outcome",
+    "wait_us": "retry_after_us",
+    "over": "over",
+    "note": "note",
+    "idle_us": "idle_us",
+    "opened": "opened",
+    "left": "left",
+    "limit": "limit",
+}
+
+
+def _packed_result(result):
+    return {key: getattr(result, field) for key, field in RESULT_FIELDS.items()}
 
 
 def _outcome(told):
-    return Outcome(**told | {"verdict": Verdict(told["verdict"])})
+    found = AttemptResult(**{RESULT_FIELDS[key]: value for key, value in told.items()})
+    found.outcome = Outcome(found.outcome)
+    return found
 
 
 # --- the old process -----------------------------------------------------------------------------
 
 
-class Heir:
+class Successor:
     """The process after this one, for this one's core."""
 
     def __init__(self, link):
@@ -375,17 +397,17 @@
         self.queue.append((kind, orjson.dumps(told)))
         self.wake.set()
 
-    def ended(self, number, branch, outcome):
+    def ended(self, number, attempt, outcome):
         """A branch that was out here has ended."""
-        self._put(ENDED, number, branch, outcome)
+        self._put(ENDED, number, attempt, _packed_result(outcome))
 
-    def heed(self, id_, wait_us):
+    def apply_retry_after(self, id_, retry_after_us):
         """A next hop told to wait."""
-        self._put(HEED, id_, wait_us)
+        self._put(HEED, id_, retry_after_us)
 
     def probed(self, id_, outcome):
         """A probe that was out here has ended."""
-        self._put(PROBED, id_, outcome)
+        self._put(PROBED, id_, _packed_result(outcome))
 
     async def ban(self, id_, out):
         """Pass on what an operator asks here; TimeoutError without an answer in time."""
@@ -431,7 +453,7 @@
     def __init__(self, service, folder):
         self.service = service
         self.folder = folder
-        self.giver = Giver("")
+        self.giver = HandoverSource("")
 
     async def run(self):
         """Answer whoever asks, one after the other, until cancelled."""
@@ -462,24 +484,24 @@
             os.close(fd)
 
     async def _serve(self, link):
-        self.giver.shape = shape(self.service.courier.sender)
+        self.giver.shape = shape(self.service.engine.sender)
         try:
             with anyio.fail_after(STEP_S):
                 kind, data, _ = await link.receive()
-                do = self.giver.hello(data.decode()) if kind == HELLO else Do.DECLINE
-                if kind == HELLO and do is Do.DECLINE:
+                do = self.giver.hello(data.decode()) if kind == HELLO else HandoverStep.DECLINE
+                if kind == HELLO and do is HandoverStep.DECLINE:
                     busy = self.giver.state != "serving"
                     await link.send(NO, orjson.dumps({"why": self.giver.why, "busy": busy}))
-            if kind == LEAVE and self.giver.asked_to_leave() is Do.LEAVE:
+            if kind == LEAVE and self.giver.asked_to_leave() is HandoverStep.LEAVE:
                 log("asked_to_leave")
                 self.service.leave()
-            if do is not Do.GIVE:
+            if do is not HandoverStep.GIVE:
                 return
         except (OSError, ValueError, TimeoutError) as error:
             log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state)
             return
-        heir = Heir(link)
-        given = await self.service.rest(heir)
+        successor = Successor(link)
+        given = await self.service.rest(successor)
         try:
             with anyio.fail_after(2 * STEP_S):
                 await self._give(link, given)
@@ -490,15 +512,15 @@
         except (OSError, ValueError, TimeoutError, KeyError) as error:
             log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state)
             do = self.giver.broke()
-        if do is Do.RETAKE:
+        if do is HandoverStep.RETAKE:
             link.close()
             do = self.giver.retaken(await self._retaken())
-        if do is Do.RESUME:
+        if do is HandoverStep.RESUME:
             self.service.resume(given)
             return
         log("handed_over", legs=len(given["legs"]), out=len(given["state"]["out"]))
         self.service.given(given)
-        await heir.run()
+        await successor.run()
 
     async def _retaken(self):
         """Whether the lock is this process's again: the other lets it go at once if it does not own all."""
--- /dev/null
+++ b/pinspread/http/__init__.py
@@ -0,0 +1,1 @@
+"""The HTTP client side: connection pool, transport and message bundles."""
--- a/pinspread/net/bundle.py
+++ b/pinspread/http/bundle.py
@@ -4,31 +4,33 @@
 
 import orjson
 
-from pinspread.core.transactions import Outcome
-from pinspread.interface import Verdict
+from pinspread.core.messages import AttemptResult
+from pinspread.policy.events import Outcome
 
 TARGET = "/events/bundle"
 ENDS = {
-    "ok": lambda wait_us: Outcome(Verdict.OK),
-    "error": lambda wait_us: Outcome(Verdict.ERROR, wait_us, note="error"),
-    "later": lambda wait_us: Outcome(Verdict.FULL, wait_us),
-    "gone": lambda wait_us: Outcome(Verdict.MOOT, wait_us, over=True, note="over"),
-    "exhausted": lambda wait_us: Outcome(Verdict.MOOT, wait_us, note="all attempts used"),
+    "ok": lambda retry_after_us: AttemptResult(Outcome.OK),
+    "error": lambda retry_after_us: AttemptResult(Outcome.ERROR, retry_after_us, note="error"),
+    "later": lambda retry_after_us: AttemptResult(Outcome.OVERLOADED, retry_after_us),
+    "gone": lambda retry_after_us: AttemptResult(Outcome.NOT_SENT, retry_after_us, over=True, note="over"),
+    "exhausted": lambda retry_after_us: AttemptResult(
+        Outcome.NOT_SENT, retry_after_us, note="all attempts used"
+    ),
 }
 
 
-def body(transactions) -> bytes:
+def body(messages) -> bytes:
     """The JSON array of a call."""
     items = []
-    for t in transactions:
+    for t in messages:
         item = {"id": t.id, "body": b64encode(t.body).decode()}
-        if t.idempotency:
-            item["key"] = t.idempotency
+        if t.idempotency_key:
+            item["key"] = t.idempotency_key
         items.append(item)
     return orjson.dumps(items)
 
 
-def ends(answer: bytes, ids, wait_us: int) -> dict[str, Outcome]:
+def ends(answer: bytes, ids, retry_after_us: int) -> dict[str, AttemptResult]:
     """How each message fared by a whole answer with 200; one that it does not tell truly may have run."""
     try:
         found = orjson.loads(answer)
@@ -40,8 +42,10 @@
         if isinstance(id_, str):
             told[id_] = None if id_ in told else item.get("state")  # named twice, neither is to be believed
     # Danger: taken for proof that it never ran, a state that is missing or odd would send a payment twice.
-    odd = Outcome(Verdict.ERROR, wait_us, note="not told in the answer")
-    return {i: ENDS[s](wait_us) if isinstance(s := told.get(i), str) and s in ENDS else odd for i in ids}
+    odd = AttemptResult(Outcome.ERROR, retry_after_us, note="not told in the answer")
+    return {
+        i: ENDS[s](retry_after_us) if isinstance(s := told.get(i), str) and s in ENDS else odd for i in ids
+    }
 
 
 def report(text: str) -> dict[str, float]:
--- a/pinspread/net/http.py
+++ b/pinspread/http/transport.py
@@ -7,10 +7,10 @@
 import h11
 
 from pinspread.core.log import log
-from pinspread.core.transactions import Branch, NextHop, Outcome
-from pinspread.interface import Verdict
-from pinspread.net import bundle
-from pinspread.net.sockets import Connection, dial
+from pinspread.core.messages import Attempt, AttemptResult, Endpoint
+from pinspread.http import bundle
+from pinspread.policy.events import Outcome
+from pinspread.sockets.connections import Connection, dial
 
 IDLE_SHARE = (
     0.8  # of the time after which a next hop closes idle connections: written to later, a call is lost
@@ -23,7 +23,7 @@
 FIRST_LINE = re.compile(rb"HTTP/1\.[0-9] ([1-9][0-9]{2})(?: [^\r\n]*)?\r?")
 
 
-class SpoiltError(ValueError):
+class MalformedResponseError(ValueError):
     """What came is no answer that can be read, or goes on for ever."""
 
 
@@ -34,17 +34,17 @@
         end = seen.find(b"\n", at)
         if end < 0:
             if len(seen) - at > MOST_HEAD:
-                raise SpoiltError("a first line without an end")
+                raise MalformedResponseError("a first line without an end")
             return None
         found = FIRST_LINE.fullmatch(seen, at, end)
         if not found:
-            raise SpoiltError(f"not a first line: {bytes(seen[at : min(end, at + 40)])!r}")
+            raise MalformedResponseError(f"not a first line: {bytes(seen[at : min(end, at + 40)])!r}")
         if int(found[1]) >= 200:
             return int(found[1])
         end = seen.find(b"\r\n\r\n", at)
         if end < 0:
             if len(seen) - at > MOST_HEAD:
-                raise SpoiltError("a 1xx answer without an end")
+                raise MalformedResponseError("a 1xx answer without an end")
             return None
         at = end + 4
 
@@ -84,7 +84,7 @@
             # Danger: an answer that keeps coming would take the core and the memory of all others.
             self.left -= len(data)
             if self.left < 0:
-                raise SpoiltError("an answer without an end")
+                raise MalformedResponseError("an answer without an end")
         self.h11.receive_data(data)
         return data
 
@@ -93,7 +93,7 @@
             try:
                 event = self.h11.next_event()
             except h11.RemoteProtocolError as error:
-                raise SpoiltError(str(error)) from None
+                raise MalformedResponseError(str(error)) from None
             if event is not h11.NEED_DATA:
                 return event
             await self._read()
@@ -113,7 +113,7 @@
             if type(event) is h11.Response:
                 return event.status_code, {bytes(k).lower(): bytes(v) for k, v in event.headers}
             if type(event) is not h11.InformationalResponse:
-                raise SpoiltError(f"no response but {type(event).__name__}")
+                raise MalformedResponseError(f"no response but {type(event).__name__}")
 
     async def data(self):
         """The next piece of the body; None at its end."""
@@ -153,29 +153,29 @@
         """After how long next hops close idle connections."""
         self.most_idle_us = int(keepalive_us * IDLE_SHARE)
 
-    def take(self, hop: NextHop) -> Connection | None:
+    def take(self, endpoint: Endpoint) -> Connection | None:
         """An idle connection that is still good."""
-        kept = self.idle.get(hop.id, [])
+        kept = self.idle.get(endpoint.id, [])
         while kept:
             address, connection = kept.pop()
             fresh = self.clock.now() - connection.idle_us < self.most_idle_us
             # Danger: written to a connection that the other side has closed, a call counts as lost.
-            if fresh and address == hop.address and connection.quiet():
+            if fresh and address == endpoint.address and connection.quiet():
                 return connection
             connection.close()
         return None
 
-    def keep(self, hop: NextHop, connection: Connection):
+    def keep(self, endpoint: Endpoint, connection: Connection):
         """Put back a connection after a whole exchange."""
-        if not hop.usable:
+        if not endpoint.usable:
             connection.close()  # nothing more goes there
             return
         connection.idle_us = self.clock.now()
-        self.idle.setdefault(hop.id, []).append((hop.address, connection))
+        self.idle.setdefault(endpoint.id, []).append((endpoint.address, connection))
 
-    def disconnect(self, hop: NextHop):
+    def disconnect(self, endpoint: Endpoint):
         """Close the idle connections to a next hop."""
-        for _, connection in self.idle.pop(hop.id, []):
+        for _, connection in self.idle.pop(endpoint.id, []):
             connection.close()
 
     def part(self):
@@ -220,17 +220,17 @@
         self.dial_us = dial_us
         self.reports = reports  # whether answers tell of limits
 
-    async def send(self, branch: Branch) -> Outcome:
+    async def send(self, attempt: Attempt) -> AttemptResult:
         """Run one branch; what went wrong before its last byte was written proves that it never ran."""
         state = _Call()
-        return state.marked(await self._send(branch.ends_us(), state, self._call, branch))
+        return state.marked(await self._send(attempt.ends_us(), state, self._call, attempt))
 
-    async def send_many(self, branches: list[Branch]) -> list[Outcome]:
+    async def send_many(self, attempts: list[Attempt]) -> list[AttemptResult]:
         """Run several branches to one next hop as one call, which ends with the first of their times."""
         state, told = _Call(), {}
-        ends_us = min(branch.ends_us() for branch in branches)
-        rest = await self._send(ends_us, state, self._call_many, branches, ends_us, told)
-        return [state.marked(told.get(b.transaction.id) or rest) for b in branches]
+        ends_us = min(attempt.ends_us() for attempt in attempts)
+        rest = await self._send(ends_us, state, self._call_many, attempts, ends_us, told)
+        return [state.marked(told.get(b.message.id) or rest) for b in attempts]
 
     async def _send(self, ends_us, state, call, *arguments):
         try:
@@ -241,15 +241,17 @@
                 # for behind it; a delivery, or a call that never ran, would pass for one that may have run.
                 return state.proven
             if state.written:
-                return Outcome(Verdict.TIMEOUT, state.wait_us, note=state.heard(self.clock.now()))
-            return Outcome(Verdict.CONNECT_FAILED, note="not written in time")
+                return AttemptResult(
+                    Outcome.TIMEOUT, state.retry_after_us, note=state.heard(self.clock.now())
+                )
+            return AttemptResult(Outcome.CONNECT_FAILED, note="not written in time")
         except (OSError, ValueError) as error:
             if not state.written:
-                return Outcome(Verdict.CONNECT_FAILED, note=str(error))
+                return AttemptResult(Outcome.CONNECT_FAILED, note=str(error))
             # Danger: whatever its first line says but 200, an answer that is spoilt proves nothing. The call
             # may have run, and a payment that went again would take effect twice. A wait that it told binds.
-            verdict = Verdict.ERROR if isinstance(error, ValueError) else Verdict.RESET
-            return Outcome(verdict, state.wait_us, note=str(error)[:100])
+            verdict = Outcome.ERROR if isinstance(error, ValueError) else Outcome.RESET
+            return AttemptResult(verdict, state.retry_after_us, note=str(error)[:100])
         finally:
             if state.connection is not None:
                 state.connection.close()
@@ -257,71 +259,71 @@
     def _seconds_to(self, at_us):
         return max(0, at_us - self.clock.now()) / 1_000_000
 
-    async def _open(self, hop, state):
+    async def _open(self, endpoint, state):
         """A connection that is quiet, from the pool or new."""
-        state.connection = self.pool.take(hop)
+        state.connection = self.pool.take(endpoint)
         if state.connection is not None:
             state.idle_us = self.clock.now() - state.connection.idle_us
         if state.connection is None:
             with anyio.fail_after(self.dial_us / 1_000_000):
-                state.connection = await dial(hop.address)
+                state.connection = await dial(endpoint.address)
             state.opened = True
             if not state.connection.quiet():
                 raise OSError("closed by the next hop before the call")
 
-    async def _call(self, state, branch):
-        transaction, hop = branch.transaction, branch.next_hop
+    async def _call(self, state, attempt):
+        message, endpoint = attempt.message, attempt.endpoint
         try:
-            await self._open(hop, state)
+            await self._open(endpoint, state)
         except TimeoutError:
-            return Outcome(Verdict.CONNECT_FAILED, note="dial timed out")
-        why = branch.clear()
+            return AttemptResult(Outcome.CONNECT_FAILED, note="dial timed out")
+        why = attempt.clear()
         if why:
-            self.pool.keep(hop, state.connection)
+            self.pool.keep(endpoint, state.connection)
             state.connection = None
-            return Outcome(Verdict.MOOT, note=why)
-        headers = [("Request-Id", transaction.id)]
-        if transaction.idempotency:
-            headers.append(("Idempotency-Key", transaction.idempotency))
-        headers.append(("Request-Timeout", f"{self._seconds_to(branch.ends_us()):.3f}"))
+            return AttemptResult(Outcome.NOT_SENT, note=why)
+        headers = [("Request-Id", message.id)]
+        if message.idempotency_key:
+            headers.append(("Idempotency-Key", message.idempotency_key))
+        headers.append(("Request-Timeout", f"{self._seconds_to(attempt.ends_us()):.3f}"))
         exchange = state.exchange = Exchange(state.connection)
-        await exchange.request("POST", "/events", hop.address, headers, transaction.body)
+        await exchange.request("POST", "/events", endpoint.address, headers, message.body)
         state.written = True
         if await exchange.status() == 200:
-            state.proven = Outcome(Verdict.OK)
-            await self._rest(exchange, hop, state)
+            state.proven = AttemptResult(Outcome.OK)
+            await self._rest(exchange, endpoint, state)
             return state.proven
         status, answer = await self._response(exchange, state)
         outcome = _outcome(status, answer)
-        self._heed(branch, outcome.wait_us, state)
+        self._heed(attempt, outcome.retry_after_us, state)
         await exchange.finish()
         more = bytes(exchange.more)
         if more and not more.startswith(b"HTTP/1.1 %d" % status):
-            raise SpoiltError("its length does not fit")  # or noise, which cannot be told from it
+            raise MalformedResponseError("its length does not fit")  # or noise, which cannot be told from it
         state.proven = outcome
-        self._keep(exchange, hop, state)
-        if outcome.verdict is Verdict.MOOT and not outcome.over:
+        self._keep(exchange, endpoint, state)
+        if outcome.outcome is Outcome.NOT_SENT and not outcome.over:
             # Danger: a call that was given up holds its slot there until its end is seen; tried again at
             # once, one message would spend all its attempts on the slot of another.
             await anyio.sleep(SLOT_S)
         return outcome
 
-    async def _call_many(self, state, branches, ends_us, told):
+    async def _call_many(self, state, attempts, ends_us, told):
         """Several branches; `told` takes the outcomes of those that fare by themselves."""
-        hop = branches[0].next_hop
+        endpoint = attempts[0].endpoint
         try:
-            await self._open(hop, state)
+            await self._open(endpoint, state)
         except TimeoutError:
-            return Outcome(Verdict.CONNECT_FAILED, note="dial timed out")
+            return AttemptResult(Outcome.CONNECT_FAILED, note="dial timed out")
         written = []
-        for branch in branches:
-            why = branch.clear()
+        for attempt in attempts:
+            why = attempt.clear()
             if why:
-                told[branch.transaction.id] = Outcome(Verdict.MOOT, note=why)
+                told[attempt.message.id] = AttemptResult(Outcome.NOT_SENT, note=why)
             else:
-                written.append(branch)
+                written.append(attempt)
         if not written:
-            self.pool.keep(hop, state.connection)
+            self.pool.keep(endpoint, state.connection)
             state.connection = None
             return None
         headers = [
@@ -329,8 +331,8 @@
             ("Request-Timeout", f"{self._seconds_to(ends_us):.3f}"),
         ]
         exchange = state.exchange = Exchange(state.connection)
-        data = bundle.body([branch.transaction for branch in written])
-        await exchange.request("POST", bundle.TARGET, hop.address, headers, data)
+        data = bundle.body([attempt.message for attempt in written])
+        await exchange.request("POST", bundle.TARGET, endpoint.address, headers, data)
         state.written = True
         status, answer = await self._response(exchange, state)
         wait_us = retry_after_us(answer.get(b"retry-after", b""))
@@ -338,14 +340,14 @@
         pieces = []
         while (piece := await exchange.data()) is not None:
             pieces.append(piece)
-        self._keep(exchange, hop, state)
+        self._keep(exchange, endpoint, state)
         if status == 200:
-            ids = [branch.transaction.id for branch in written]
+            ids = [attempt.message.id for attempt in written]
             told |= bundle.ends(b"".join(pieces), ids, wait_us)
             return None
         if status in (400, 413):
             log("bundle_refused", status=status, size=len(written))
-            return Outcome(Verdict.FULL, wait_us, note=str(status))  # none has run
+            return AttemptResult(Outcome.OVERLOADED, wait_us, note=str(status))  # none has run
         return _outcome(status, answer)
 
     async def _response(self, exchange, state):
@@ -360,12 +362,12 @@
                 log("malformed_report", error=str(error))  # the answer counts all the same
         return status, answer
 
-    def _heed(self, branch, wait_us, state):
-        if wait_us:
-            state.wait_us = wait_us
-            branch.heed(wait_us)  # binds from now on, though the body may take its time
+    def _heed(self, attempt, retry_after_us, state):
+        if retry_after_us:
+            state.retry_after_us = retry_after_us
+            attempt.apply_retry_after(retry_after_us)  # binds from now on, though the body may take its time
 
-    async def _rest(self, exchange, hop, state):
+    async def _rest(self, exchange, endpoint, state):
         """Behind a first line with 200 nothing counts any more, but for the connection."""
         # Danger: a head or body that never ends would turn a delivery into a time-out, and a payment that
         # was made into a failed one.
@@ -375,43 +377,43 @@
                 await exchange.finish()
             except (OSError, ValueError):
                 return
-            self._keep(exchange, hop, state)
+            self._keep(exchange, endpoint, state)
 
-    def _keep(self, exchange, hop, state):
+    def _keep(self, exchange, endpoint, state):
         if exchange.reusable:
-            self.pool.keep(hop, state.connection)
+            self.pool.keep(endpoint, state.connection)
             state.connection = None
 
-    async def probe(self, hop: NextHop, clear) -> Outcome:
+    async def probe(self, endpoint: Endpoint, clear) -> AttemptResult:
         """`GET /-/healthy`."""
         state = _Call()
         try:
-            await self._open(hop, state)
+            await self._open(endpoint, state)
             why = clear()
             if why:
-                return Outcome(Verdict.MOOT, note=why)
+                return AttemptResult(Outcome.NOT_SENT, note=why)
             exchange = Exchange(state.connection)
-            await exchange.request("GET", "/-/healthy", hop.address)
+            await exchange.request("GET", "/-/healthy", endpoint.address)
             if await exchange.status() == 200:
-                await self._rest(exchange, hop, state)
-                return Outcome(Verdict.OK)
+                await self._rest(exchange, endpoint, state)
+                return AttemptResult(Outcome.OK)
             status, answer = await exchange.response()
             outcome = _outcome(status, answer)
             with anyio.move_on_after(REST_S):
                 await exchange.finish()
-                self._keep(exchange, hop, state)
+                self._keep(exchange, endpoint, state)
             return outcome
         except ValueError as error:
-            return Outcome(Verdict.ERROR, note=f"spoilt: {error}"[:100])
+            return AttemptResult(Outcome.ERROR, note=f"spoilt: {error}"[:100])
         except (OSError, TimeoutError) as error:
-            return Outcome(Verdict.CONNECT_FAILED, note=str(error))
+            return AttemptResult(Outcome.CONNECT_FAILED, note=str(error))
         finally:
             if state.connection is not None:
                 state.connection.close()
 
-    def disconnect(self, hop: NextHop):
+    def disconnect(self, endpoint: Endpoint):
         """Close idle connections to it."""
-        self.pool.disconnect(hop)
+        self.pool.disconnect(endpoint)
 
     forget = disconnect
 
@@ -425,7 +427,7 @@
         "limit",
         "opened",
         "proven",
-        "wait_us",
+        "retry_after_us",
         "written",
     )
 
@@ -435,7 +437,7 @@
         self.opened = False
         self.written = False  # its last byte
         self.proven = None  # the outcome, once the answer has shown it
-        self.wait_us = 0  # told in a head, whatever became of the rest
+        self.retry_after_us = 0  # told in a head, whatever became of the rest
         self.exchange = None
         self.left = self.limit = 0.0  # as the answer reports
 
@@ -452,23 +454,25 @@
         return f"{len(self.exchange.seen)} bytes, the last {(now_us - self.exchange.read_us) // 1000} ms ago"
 
 
-def _outcome(status, headers) -> Outcome:
+def _outcome(status, headers) -> AttemptResult:
     """What a status says of the call."""
     if status == 200:
-        return Outcome(Verdict.OK)
+        return AttemptResult(Outcome.OK)
     if status == 429:
-        return Outcome(Verdict.FULL, wait_us=retry_after_us(headers.get(b"retry-after", b"")))
+        return AttemptResult(
+            Outcome.OVERLOADED, retry_after_us=retry_after_us(headers.get(b"retry-after", b""))
+        )
     if status == 503 and headers.get(b"x-over-slots") == b"1":
-        return Outcome(Verdict.MOOT, note="all slots taken")
+        return AttemptResult(Outcome.NOT_SENT, note="all slots taken")
     if status == 503:
-        return Outcome(Verdict.FULL)
+        return AttemptResult(Outcome.OVERLOADED)
     if status == 504:
-        return Outcome(Verdict.MOOT, note="all attempts used")
+        return AttemptResult(Outcome.NOT_SENT, note="all attempts used")
     if status == 410:
-        return Outcome(Verdict.MOOT, over=True, note="over")
+        return AttemptResult(Outcome.NOT_SENT, over=True, note="over")
     if status != 500:
         log("odd_status", status=status)
-    return Outcome(Verdict.ERROR, note=str(status))
+    return AttemptResult(Outcome.ERROR, note=str(status))
 
 
 def retry_after_us(text: bytes) -> int:
--- a/pinspread/cluster/modelcheck.py
+++ b/pinspread/leases/model_checker.py
@@ -19,7 +19,7 @@
 import time
 from typing import NamedTuple
 
-from pinspread.cluster import lease
+from pinspread.leases import state_machine as lease
 
 TASK = "t"
 
--- a/pinspread/cluster/quorum.py
+++ b/pinspread/leases/raft.py
@@ -25,9 +25,11 @@
 from pysyncobj.node import Node
 from pysyncobj.transport import Transport
 
-from pinspread.cluster import lease, raftlog, wire
 from pinspread.core.log import log
-from pinspread.net.sockets import split_address
+from pinspread.leases import raft_log as raftlog
+from pinspread.leases import state_machine as lease
+from pinspread.membership import codec as wire
+from pinspread.sockets.connections import split_address
 
 MAGIC = b"PSQ"
 TICK_S = 0.02  # the library's turn, at least this often
@@ -164,7 +166,7 @@
             if dump.exists():
                 wire.whole(dump.read_bytes(), b"", MAGIC)
             return raftlog.RaftLog(self.folder / "log", sync)
-        except (wire.Dropped, raftlog.Damaged) as why:
+        except (wire.DatagramError, raftlog.RaftLogFormatError) as why:
             # Danger: entries behind a dump that is lost would be applied to rows that are not theirs, and a
             # log with a flipped bit may hold a vote that was never given, or not hold one that was.
             log("quorum_damaged", id=self.id, why=str(why))
@@ -301,13 +303,13 @@
         try:
             async with stream:
                 if self.taken > MOST_INCOMING:
-                    raise wire.Dropped("too many streams")
+                    raise wire.DatagramError("too many streams")
                 frames = BufferedByteReceiveStream(stream)
                 with anyio.fail_after(HELLO_S):
                     hello = await self._frame(frames)
                 wire.need(hello, {"from": str, "to": str, "empty": bool})
                 if hello["from"] not in q.others or hello["to"] != q.id:
-                    raise wire.Dropped(
+                    raise wire.DatagramError(
                         f"{hello['from'][:64]!r} to {hello['to'][:64]!r} is no stream of voters"
                     )
                 id_ = hello["from"]
@@ -317,7 +319,7 @@
                 with anyio.CancelScope() as scope:
                     self.incoming[id_] = scope
                     await self._hear(Node(id_), frames)
-        except (wire.Dropped, TimeoutError) as why:
+        except (wire.DatagramError, TimeoutError) as why:
             log("quorum_refused", id=q.id, source=id_ or "", why=str(why) or "no hello in time")
         except (OSError, anyio.EndOfStream, anyio.IncompleteRead, anyio.BrokenResourceError):
             pass
@@ -342,13 +344,13 @@
             try:
                 self._onMessageReceived(node, message)
             except Exception as error:  # noqa: BLE001  whatever the library makes of it must not end the courier
-                raise wire.Dropped(f"{kind}: {error!r}"[:200]) from None
+                raise wire.DatagramError(f"{kind}: {error!r}"[:200]) from None
             q.wake()
 
     async def _frame(self, frames):
         length, sum_ = wire.head(await frames.receive_exactly(wire.HEAD.size), MAGIC)
         if length > MOST_FRAME:
-            raise wire.Dropped(f"a frame of {length} bytes")
+            raise wire.DatagramError(f"a frame of {length} bytes")
         return wire.body_of(await frames.receive_exactly(length), sum_, self.quorum.key)
 
 
@@ -414,27 +416,27 @@
     """A message in the shape that the library takes; `Dropped` with the reason otherwise."""
     kind = message.get("type")
     if kind not in NEEDS:
-        raise wire.Dropped(f"message {str(kind)[:64]!r}")
+        raise wire.DatagramError(f"message {str(kind)[:64]!r}")
     for name, type_ in NEEDS[kind].items():
         if not wire.is_a(message.get(name), type_):
-            raise wire.Dropped(f"{kind}: field {name!r}")
+            raise wire.DatagramError(f"{kind}: field {name!r}")
     commands = [message["command"]] if kind == "apply_command" else []
     if kind == "append_entries":
         if "prevLogIdx" in message:
             if not all(wire.is_a(message.get(n), int) for n in ("prevLogIdx", "prevLogTerm")):
-                raise wire.Dropped("append_entries: what goes before")
+                raise wire.DatagramError("append_entries: what goes before")
         elif not _serialized(message.get("serialized")):
-            raise wire.Dropped("append_entries: neither entries nor a dump")
+            raise wire.DatagramError("append_entries: neither entries nor a dump")
         if "transmission" in message:
-            raise wire.Dropped("append_entries: an entry in parts")
+            raise wire.DatagramError("append_entries: an entry in parts")
         entries = message.get("entries", [])
         if not isinstance(entries, list) or not all(_entry(e) for e in entries):
-            raise wire.Dropped("append_entries: an entry is not well-formed")
+            raise wire.DatagramError("append_entries: an entry is not well-formed")
         message = message | {"entries": [tuple(e) for e in entries]}
         commands = [e[0] for e in entries]
     # Danger: the library unpickles commands; one that imports or calls would run in this process.
     if not all(plain(c) for c in commands):
-        raise wire.Dropped(f"{kind}: a command that is not plain")
+        raise wire.DatagramError(f"{kind}: a command that is not plain")
     return message
 
 
--- a/pinspread/cluster/raftlog.py
+++ b/pinspread/leases/raft_log.py
@@ -28,7 +28,7 @@
 ENTRY, CUT, VOTE, AGREED = 1, 2, 3, 4
 
 
-class Damaged(Exception):
+class RaftLogFormatError(Exception):
     """The file holds something that was not written so; the text says where."""
 
 
@@ -56,12 +56,12 @@
             size, checksum = _HEAD.unpack_from(data, at)
             # Danger: a flipped bit in a length would make all that is behind it look like a record cut short.
             if _SUM.unpack_from(data, at + _HEAD.size)[0] != zlib.crc32(data[at : at + _HEAD.size]):
-                raise Damaged(f"{self.path}: the head of the record at byte {at}")
+                raise RaftLogFormatError(f"{self.path}: the head of the record at byte {at}")
             payload = data[at + HEAD_BYTES : at + HEAD_BYTES + size]
             if len(payload) < size:
                 break  # cut short
             if zlib.crc32(payload) != checksum:
-                raise Damaged(f"{self.path}: the record at byte {at}")
+                raise RaftLogFormatError(f"{self.path}: the record at byte {at}")
             self._replay(payload, at)
             at += HEAD_BYTES + size
         return at
@@ -80,9 +80,9 @@
                 _, self.term = _VOTE.unpack_from(payload)
                 self.voted = payload[_VOTE.size :].decode() or None
             else:
-                raise Damaged(f"{self.path}: a record of kind {kind} at byte {at}")
+                raise RaftLogFormatError(f"{self.path}: a record of kind {kind} at byte {at}")
         except (struct.error, UnicodeDecodeError) as error:
-            raise Damaged(f"{self.path}: the record at byte {at}: {error}") from None
+            raise RaftLogFormatError(f"{self.path}: the record at byte {at}: {error}") from None
 
     def _append(self, payload):
         self._write(self.fd, _record(payload))
--- a/pinspread/cluster/leases.py
+++ b/pinspread/leases/service.py
@@ -12,10 +12,11 @@
 
 import anyio
 
-from pinspread.cluster import lease, wire
-from pinspread.cluster.member import machine_us
 from pinspread.core.log import log
-from pinspread.net.sockets import split_address
+from pinspread.leases import state_machine as lease
+from pinspread.membership import codec as wire
+from pinspread.membership.service import machine_us
+from pinspread.sockets.connections import split_address
 
 MAGIC = b"PSL"
 TURN_S = 0.05  # claims are looked at, at least this often
@@ -134,7 +135,7 @@
         host, port = split_address(self.plan.listen)
         self.sock = await anyio.create_udp_socket(local_host=host, local_port=port)
         if self.id in self.plan.voters:
-            from pinspread.cluster.quorum import Quorum  # Danger: what is no voter must not load the library
+            from pinspread.leases.raft import Quorum  # Danger: what is no voter must not load the library
 
             self.listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
             self.quorum = Quorum(
@@ -301,7 +302,7 @@
                     continue
                 try:
                     message = checked(wire.whole(data, self.key, MAGIC))
-                except wire.Dropped as why:
+                except wire.DatagramError as why:
                     self.counts["dropped"] += 1
                     log("lease_dropped", source=source, why=str(why), mono_us=machine_us())
                     continue
@@ -359,11 +360,11 @@
     """A request or an answer that is well-formed; `Dropped` with the reason otherwise."""
     kind = message.get("t")
     if kind not in (ASKED, ANSWERED):
-        raise wire.Dropped(f"kind {str(kind)[:64]!r}")
+        raise wire.DatagramError(f"kind {str(kind)[:64]!r}")
     wire.need(message, REQUEST if kind == ASKED else ANSWER)
     if kind == ASKED and message["kind"] not in (lease.ASK, lease.KEEP, lease.GIVE):
-        raise wire.Dropped(f"a request to {message['kind'][:64]!r}")
+        raise wire.DatagramError(f"a request to {message['kind'][:64]!r}")
     numbers = [message[n] for n in ("token", "number", "wait_us") if n in message]
     if min(numbers) < 0 or max(numbers) >= 1 << 63 or len(message["task"]) > MOST_TASK:
-        raise wire.Dropped(f"{kind}: a figure or name out of range")
+        raise wire.DatagramError(f"{kind}: a figure or name out of range")
     return message
--- a/pinspread/cluster/wire.py
+++ b/pinspread/membership/codec.py
@@ -10,7 +10,7 @@
 import msgpack
 import xxhash
 
-from pinspread.cluster import swim
+from pinspread.membership import swim
 
 MAGIC, VERSION = b"PSM", 1
 HEAD = struct.Struct(">3sBII")
@@ -18,7 +18,7 @@
 STATES = set(swim.RANK)
 
 
-class Dropped(Exception):
+class DatagramError(Exception):
     """A datagram that is not taken; the text says why."""
 
 
@@ -30,25 +30,25 @@
 def head(data, magic: bytes = MAGIC) -> tuple[int, int]:
     """The length and the sum that a head says of its body; `Dropped` if it is none of ours."""
     if len(data) < HEAD.size:
-        raise Dropped("shorter than a head")
+        raise DatagramError("shorter than a head")
     said, version, length, sum_ = HEAD.unpack(data[: HEAD.size])
     if said != magic:
-        raise Dropped(f"not a datagram or frame of {magic.decode()}")
+        raise DatagramError(f"not a datagram or frame of {magic.decode()}")
     if version != VERSION:
-        raise Dropped(f"version {version}")
+        raise DatagramError(f"version {version}")
     return length, sum_
 
 
 def body_of(body: bytes, sum_: int, key: bytes) -> dict:
     """The map in a body that has the sum; `Dropped` otherwise."""
     if xxhash.xxh32_intdigest(key + body) != sum_:
-        raise Dropped("checksum: another fleet's key, or damaged")
+        raise DatagramError("checksum: another fleet's key, or damaged")
     try:
         message = msgpack.unpackb(body, raw=False, strict_map_key=True)
     except Exception as error:  # noqa: BLE001  msgpack raises several kinds for bad bytes
-        raise Dropped(f"body: {type(error).__name__}") from None
+        raise DatagramError(f"body: {type(error).__name__}") from None
     if not isinstance(message, dict):
-        raise Dropped("body is not a map")
+        raise DatagramError("body is not a map")
     return message
 
 
@@ -57,7 +57,7 @@
     length, sum_ = head(data, magic)
     body = bytes(memoryview(data)[HEAD.size :])
     if len(body) != length:
-        raise Dropped(f"length {len(body)}, said {length}")
+        raise DatagramError(f"length {len(body)}, said {length}")
     return body_of(body, sum_, key)
 
 
@@ -104,15 +104,15 @@
     """`Dropped` unless the message has each field with a value of its type."""
     for name, type_ in fields.items():
         if not is_a(message.get(name), type_):
-            raise Dropped(f"{message.get('t')}: field {name!r}")
+            raise DatagramError(f"{message.get('t')}: field {name!r}")
 
 
 def _check(message):
     kind = message.get("t")
     if kind not in NEEDS:
-        raise Dropped(f"kind {kind!r}")
+        raise DatagramError(f"kind {kind!r}")
     need(message, {"from": str, "from_at": str, "inc": int, "up": list} | NEEDS[kind])
     if message["inc"] < 0 or not all(_row(row, 5) for row in message["up"]):
-        raise Dropped(f"{kind}: an update is not well-formed")
+        raise DatagramError(f"{kind}: an update is not well-formed")
     if kind == swim.SYNC and not all(_row(row, 4) for row in message["table"]):
-        raise Dropped("sync: a row of the table is not well-formed")
+        raise DatagramError("sync: a row of the table is not well-formed")
--- a/pinspread/cluster/frames.py
+++ b/pinspread/membership/framing.py
@@ -3,7 +3,7 @@
 import anyio
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from pinspread.cluster import wire
+from pinspread.membership import codec as wire
 
 # What a stream that ends or breaks raises; none of it is a fault of what was said on it.
 GONE = (
@@ -26,7 +26,7 @@
         """The next message; `wire.Dropped` if it is not well-formed, GONE if there is none."""
         length, sum_ = wire.head(await self.reader.receive_exactly(wire.HEAD.size), self.magic)
         if length > self.most:
-            raise wire.Dropped(f"a frame of {length} bytes")
+            raise wire.DatagramError(f"a frame of {length} bytes")
         return wire.body_of(await self.reader.receive_exactly(length), sum_, self.key)
 
     async def put(self, message: dict):
--- a/pinspread/cluster/member.py
+++ b/pinspread/membership/service.py
@@ -12,9 +12,10 @@
 import anyio
 import anyio.to_thread
 
-from pinspread.cluster import seeds, swim, wire
 from pinspread.core.log import log
-from pinspread.net.sockets import split_address
+from pinspread.membership import codec as wire
+from pinspread.membership import seeds, swim
+from pinspread.sockets.connections import split_address
 
 MOST_WAIT_S = 0.05  # a turn at least this often, whatever is due
 SEEDS_S = 1.0  # between questions for seeds by DNS-SD, while this member knows nobody
@@ -117,7 +118,7 @@
                 now = self.now()
                 try:
                     message = wire.unpack(data, self.plan.fleet)
-                except wire.Dropped as why:
+                except wire.DatagramError as why:
                     self.dropped += 1
                     log("member_dropped", source=source, why=str(why), mono_us=machine_us())
                     continue
--- a/pinspread/cluster/swim.py
+++ b/pinspread/membership/swim.py
@@ -2,7 +2,7 @@
 
 A `Member` is told of time (`tick(now_us)`) and of messages (`heard(message, now_us)`), and gives what to
 send as `(address, message)` pairs; `events` gathers changes of the table for the log. Messages are dicts of
-short keys that `pinspread.cluster.wire` packs. Times are whole monotonic microseconds.
+short keys that `pinspread.membership.codec` packs. Times are whole monotonic microseconds.
 
 Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2017).
 """
--- a/pinspread/decide.py
+++ b/pinspread/policy/delivery_policy.py
@@ -1,4 +1,4 @@
-"""The decisions of pinspread. Settings, events and actions are defined in pinspread/interface.py.
+"""The decisions of pinspread. Settings, events and actions are in pinspread/policy/settings.py.
 
 Per destination, a token bucket that failed retries drain and successes refill bounds retries; retries wait
 by jittered exponential backoff; first attempts go out; freed slots go in turns, fewest calls out first.
@@ -10,13 +10,16 @@
 from heapq import heappop, heappush
 from math import exp, sqrt
 
-from pinspread import interface as api
-from pinspread.state import Call, Destination, Endpoint, Line, Message
+from pinspread.policy import events
+from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer, Subscribe
+from pinspread.policy.events import EndpointState, Outcome, UpdateScope
+from pinspread.policy.settings import DeduplicationScope, Idempotency
+from pinspread.policy.state import Call, Destination, QueuedMessage, RateLimiter, TrackedEndpoint
 
 MS = 1_000_000
 SECOND = 1_000 * MS
 NEVER = 1 << 62  # later than any time of the clock
-MAY_HAVE_RUN = (api.Verdict.TIMEOUT, api.Verdict.RESET, api.Verdict.CANCELLED, api.Verdict.ERROR)
+MAY_HAVE_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR)
 
 # The design's own figures.
 BUCKET_CAP = 10.0  # tokens of a new destination, and the most it can have
@@ -26,7 +29,7 @@
 BACKOFF_FACTOR = 4  # b: growth from retry to retry
 JITTER = (0.5, 1.5)  # waits are scaled by a random factor from this range
 
-# Ours: a destination's own waits and pace.
+# Ours.
 LONGEST_WAIT_NS = SECOND  # trial calls and untold refusals of few senders: looks must not be rare
 LOOKS = 0.3  # looks of all senders together, as a share of the calls usual there; half: 0.03 lower
 PACE_GAIN = 0.08  # growth of a pace with each success
@@ -38,7 +41,6 @@
 RATE_SPAN_S = 8.0  # delivered rates are means over about this long
 BASE_SPAN_S = 60.0  # what a destination once took fades this slowly: longer than outages and throttled times
 
-# Ours: health, from outcomes alone.
 DOUBT = 0.5  # share of failures, newest weighing most, from which an endpoint counts as out
 CAUTION = 0.25  # share from which no unsafe message goes while another, or a probe, can find out
 DOUBT_WEIGHT = 0.3  # weight of the newest outcome in it: two failures in a row suffice
@@ -78,7 +80,7 @@
 CREEP = 1.0  # calls a second, over all senders, to a cold destination that nothing is known of
 
 
-class Sender:
+class DeliveryPolicy:
     """One sender: `handle` takes what happened and gives what to do. No I/O, no clock, no shared state."""
 
     def __init__(self, settings, seed):
@@ -108,61 +110,60 @@
         self.settings = settings
         self.few = min(1.0, FEW / settings.senders)  # 1: few senders; the less of it, the more
 
-    def handle(self, now_ns, events):
+    def handle(self, now_ns, batch):
         """Take the events of one turn and give the actions, in order."""
         self.now = now_ns
         self.actions, self.unused = [], {}
-        for event in events:
+        for event in batch:
             kind = type(event)
-            if kind is api.AttemptEnded:
+            if kind is events.AttemptCompleted:
                 self.on_outcome(event)
-            elif kind is api.MessageTaken:
+            elif kind is events.MessageAccepted:
                 self.on_message(event)
-            elif kind is api.TimerDue:
+            elif kind is events.TimerFired:
                 if event.tag == self.tag:
                     self.timer_ns = NEVER
-            elif kind is api.ListChanged:
+            elif kind is events.EndpointsChanged:
                 self.on_list(event)
-            elif kind is api.ProbeEnded:
+            elif kind is events.HealthCheckCompleted:
                 self.on_probe(event)
-            elif kind is api.ClientGone:
+            elif kind is events.ClientCancelled:
                 self.end(self.messages.get(event.request))
-            elif kind is api.SettingsChanged:
+            elif kind is events.SettingsChanged:
                 self.use(event.settings)
             else:
                 raise TypeError(f"unknown event {event!r}")
         if self.ask_ns <= now_ns:
             self.ask_ns = NEVER  # at most one call out: the next is set by its answer
-            self.actions.append(api.Subscribe())
+            self.actions.append(Subscribe())
         self.set_timer(min(self.hand_out(), self.ask_ns))
         for endpoint in self.unused:
             if not endpoint.calls and not self.keeps_connections(endpoint):
-                self.actions.append(api.Disconnect(endpoint.id))
+                self.actions.append(Disconnect(endpoint.id))
         return self.actions
 
-    # --- the list of endpoints --------------------------------------------------------------------
-
     def on_list(self, event):
         """Keep up with the list; an endpoint that drains or is gone gets nothing more from this turn on."""
         self.plan_ask(event.scope)
-        if event.scope in (api.ListScope.FULL, api.ListScope.CACHED):
+        if event.scope in (UpdateScope.FULL, UpdateScope.CACHED):
             for endpoint in self.endpoints.values():
                 endpoint.usable = False
                 endpoint.gone_ns = endpoint.gone_ns or self.now
         for entry in event.entries:
             endpoint = self.endpoints.get(entry.endpoint)
             if endpoint is None:
-                if entry.state is api.ListState.GONE:
+                if entry.state is EndpointState.REMOVED:
                     continue
                 destination = self.destination(entry.destination)
-                line = Line() if self.settings.kind(entry.kind).routes_apart else destination.line
-                endpoint = Endpoint(entry, destination, line, self.now, self.random.random())
+                apart = self.settings.kind(entry.kind).limits_per_endpoint
+                line = RateLimiter() if apart else destination.line
+                endpoint = TrackedEndpoint(entry, destination, line, self.now, self.random.random())
                 self.inherit(endpoint)
                 line.rate = line.rate or self.most(endpoint) % NEVER
                 self.endpoints[entry.endpoint] = destination.endpoints[entry.endpoint] = endpoint
             else:
                 endpoint.update(entry)
-                gone = entry.state is api.ListState.GONE
+                gone = entry.state is EndpointState.REMOVED
                 endpoint.gone_ns = (endpoint.gone_ns or self.now) if gone else 0
                 if entry.cold:
                     endpoint.cold_ns = self.now
@@ -173,7 +174,7 @@
         """Drop endpoints that are gone once nothing is out there and what they taught has been passed on."""
         # Danger: endpoints are replaced all day under new ids, and each event would pass over all there ever
         # were. It could hurt where one comes back under its old id: it starts as a new one, and inherits.
-        kept_ns = max(self.settings.cold_ns, GONE_KEPT_NS)
+        kept_ns = max(self.settings.slow_start_ns, GONE_KEPT_NS)
         for endpoint in list(self.endpoints.values()):
             if not endpoint.gone_ns or self.now - endpoint.gone_ns <= kept_ns:
                 continue
@@ -197,7 +198,7 @@
         alike = [e for e in others if e.line is endpoint.line]
         if alike and not any(e.usable and not e.down for e in alike):
             for other in alike:
-                if other.down and (other.usable or self.now - other.heard_ns < self.settings.cold_ns):
+                if other.down and (other.usable or self.now - other.heard_ns < self.settings.slow_start_ns):
                     endpoint.down, endpoint.doubt = True, other.doubt
                     endpoint.trials = max(endpoint.trials, other.trials)
                     endpoint.trial_ns = max(endpoint.trial_ns, other.trial_ns)
@@ -210,13 +211,13 @@
         """Where the list is not pushed: subscribe soon after the start, and again after whatever failed."""
         # Danger: who never asks is held to know of drains all the same (rule 3), and never sees what is new.
         # All senders may start in one instant, and the register takes few calls: asks are spread by chance.
-        if not self.settings.list_on_request:
+        if not self.settings.polled_discovery:
             return
-        span = self.settings.must_ask_in_ns or SECOND / ASK_AGAIN
-        if scope is api.ListScope.FAILED:
+        span = self.settings.max_poll_interval_ns or SECOND / ASK_AGAIN
+        if scope is UpdateScope.FAILED:
             wait = min(ASK_AGAIN * 2**self.asks, ASK_SPREAD) * self.random.uniform(*JITTER)
             self.asks = min(self.asks + 1, 20)
-        elif scope is api.ListScope.CACHED:
+        elif scope is UpdateScope.CACHED:
             wait = ASK_SPREAD * self.random.random()
         else:
             self.asks = 0
@@ -229,12 +230,10 @@
             self.destinations[number] = Destination(number, BUCKET_CAP)
         return self.destinations[number]
 
-    # --- a message's life -------------------------------------------------------------------------
-
     def on_message(self, event):
         """Take a message: hold it for its destination, behind its key's earlier ones."""
         destination = self.destination(event.destination)
-        message = Message(event, event.rule or self.settings.classes[event.cls], destination, self.now)
+        message = QueuedMessage(event, event.rule or self.settings.classes[event.cls], destination, self.now)
         message.most = event.max_attempts or self.settings.max_attempts
         message.due_ns = self.now + int(OWED_WAIT * (message.deadline_ns - self.now)) if event.owed else NEVER
         self.messages[message.request] = message
@@ -244,9 +243,9 @@
             self.keys.setdefault(message.key, deque()).append(message)
         # Danger: a sender that restarts with what it had taken must not repeat what may have run (rule 2).
         message.attempts = message.failures = event.attempts
-        message.may_run_ns, message.may_run_zone = event.may_run_ns, event.may_run_zone
-        if message.may_run_ns and message.rule.effect is api.Effect.BY_KEY:
-            heappush(self.expiry, (message.may_run_ns + message.rule.window_ns, message.request))
+        message.may_have_run_ns, message.may_have_run_zone = event.may_have_run_ns, event.may_have_run_zone
+        if message.may_have_run_ns and message.rule.effect is Idempotency.WITH_KEY:
+            heappush(self.expiry, (message.may_repeat_until_ns(), message.request))
         if event.attempts and not self.may_repeat(message, self.now):
             self.give_up(message)
 
@@ -254,7 +253,7 @@
         """Book an attempt's outcome; then retry, give up, or be done."""
         message, call, retry = self.attempts.pop((event.request, event.attempt))
         destination = message.destination
-        verdict, line = event.verdict, call.endpoint.line
+        outcome, line = event.outcome, call.endpoint.line
         message.out = False
         call.left -= 1
         if call.left == 0:
@@ -264,30 +263,31 @@
             if not call.endpoint.calls:
                 self.unused[call.endpoint] = True
         destination.retries_out -= retry
-        if verdict is api.Verdict.OK:
+        if outcome is Outcome.OK:
             destination.tokens = min(BUCKET_CAP, destination.tokens + REFILL)
-        elif retry and verdict not in (api.Verdict.MOOT, api.Verdict.CANCELLED):
+        elif retry and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
             destination.tokens = max(0.0, destination.tokens - RETRY_COST)
         if event.limit_per_s > 0:
-            line.limit, line.left = event.limit_per_s, event.allowance_left
-        if event.wait_ns:
-            self.heed(call.endpoint, event.wait_ns)
+            line.limit, line.left = event.limit_per_s, event.limit_remaining
+        if event.retry_after_ns:
+            self.heed(call.endpoint, event.retry_after_ns)
         if call.fresh:
             call.fresh = False
             self.tells_opened |= event.opened
-            if verdict is api.Verdict.FULL and event.opened and not event.wait_ns and not line.refusals:
+            full_table = outcome is Outcome.OVERLOADED and event.opened and not event.retry_after_ns
+            if full_table and not line.refusals:
                 self.crowd(call.endpoint.kind, True, 1 - self.few)
-            self.observe(call.endpoint, verdict, event.elapsed_ns, call.sent_ns, event.wait_ns)
-        unknown = verdict in MAY_HAVE_RUN
-        if message.key and unknown and verdict is not api.Verdict.ERROR:
+            self.observe(call.endpoint, outcome, event.elapsed_ns, call.sent_ns, event.retry_after_ns)
+        unknown = outcome in MAY_HAVE_RUN
+        if message.key and unknown and outcome is not Outcome.ERROR:
             # Danger: it may still be running, and a later message of its key would overtake it.
             if len(self.rests) > RESTS_KEPT:
                 self.rests = {key: at for key, at in self.rests.items() if at > self.now}
-            self.rests[message.key] = self.now + self.settings.order_pause_ns
-        if unknown and not message.may_run_ns:
-            message.may_run_ns, message.may_run_zone = call.sent_ns, call.endpoint.zone
-            if message.rule.effect is api.Effect.BY_KEY:
-                heappush(self.expiry, (call.sent_ns + message.rule.window_ns, message.request))
+            self.rests[message.key] = self.now + self.settings.ordering_pause_ns
+        if unknown and not message.may_have_run_ns:
+            message.may_have_run_ns, message.may_have_run_zone = call.sent_ns, call.endpoint.zone
+            if message.rule.effect is Idempotency.WITH_KEY:
+                heappush(self.expiry, (message.may_repeat_until_ns(), message.request))
         if event.done or message.request not in self.messages:
             self.end(message)
             return
@@ -295,21 +295,21 @@
         # Danger: a told wait or a key's notice that bars a call between choice and write would use up all
         # attempts within milliseconds, and the message would be given up with no call.
         message.most += event.unsent
-        if event.unsent or verdict is not api.Verdict.MOOT:
+        if event.unsent or outcome is not Outcome.NOT_SENT:
             message.ready_ns = self.now + self.backoff(MOOT_STEP if event.unsent else message.failures)
-        message.failures += verdict is not api.Verdict.MOOT
+        message.failures += outcome is not Outcome.NOT_SENT
         at = max(self.now, message.ready_ns, line.told_ns, line.wait_ns, line.next_ns)
         # Danger: messages that are worth little any more crowd fresh ones out at a limit that is passed.
-        stale = verdict is api.Verdict.FULL and self.worth(message, at) < LEAST_WORTH * message.rule.worth
+        stale = outcome is Outcome.OVERLOADED and self.worth(message, at) < LEAST_WORTH * message.rule.worth
         if stale or not self.may_repeat(message, at):
             self.give_up(message)
 
-    def heed(self, endpoint, wait_ns):
+    def heed(self, endpoint, retry_after_ns):
         """A wait was told, by a call or a probe: nothing goes to that line before it is over (rule 5)."""
         # Danger: the messages of a bundle share a fate, yet each may be told a longer wait.
         line = endpoint.line
-        line.told_ns = max(line.told_ns, self.now + wait_ns)
-        if wait_ns > LONG_TOLD_NS:
+        line.told_ns = max(line.told_ns, self.now + retry_after_ns)
+        if retry_after_ns > LONG_TOLD_NS:
             # Danger: all who were told of a shutting come back in one instant, each with what it held,
             # and push over what opens cold (rule 4). The told end is taken as an outage's end.
             for sibling in self.siblings(endpoint):
@@ -329,22 +329,22 @@
         """Whether another attempt at that time is in time, not one too many and harmless (rule 2)."""
         if at >= message.deadline_ns or message.attempts >= message.most:
             return False
-        if not message.may_run_ns or message.rule.effect is api.Effect.REPEATABLE:
+        if not message.may_have_run_ns or message.rule.effect is Idempotency.IDEMPOTENT:
             return True
-        return message.rule.effect is api.Effect.BY_KEY and at < message.may_run_ns + message.rule.window_ns
+        return message.rule.effect is Idempotency.WITH_KEY and at < message.may_repeat_until_ns()
 
     def give_up(self, message):
         """Answer at once: refused where handing it in again is harmless, failed otherwise (rules 1 and 2)."""
         rule = message.rule
-        harmless = not message.may_run_ns or rule.effect is api.Effect.REPEATABLE
-        if not harmless and rule.effect is api.Effect.BY_KEY and rule.group is api.Group.ALL:
-            harmless = self.now + self.settings.max_come_back_ns < message.may_run_ns + rule.window_ns
+        harmless = not message.may_have_run_ns or rule.effect is Idempotency.IDEMPOTENT
+        if not harmless and rule.effect is Idempotency.WITH_KEY and rule.group is DeduplicationScope.ALL:
+            harmless = self.now + self.settings.max_retry_after_ns < message.may_repeat_until_ns()
         if harmless:
             opens = self.opening(message.destination)
-            come_back = min(max(opens - self.now, 0), self.settings.max_come_back_ns)
-            self.actions.append(api.Refuse(message.request, come_back if self.settings.may_tell_wait else 0))
+            wait_ns = min(max(opens - self.now, 0), self.settings.max_retry_after_ns)
+            self.actions.append(Reject(message.request, wait_ns * self.settings.retry_after_allowed))
         else:
-            self.actions.append(api.Fail(message.request))
+            self.actions.append(Fail(message.request))
         self.end(message)
 
     def end(self, message):
@@ -359,30 +359,28 @@
             if not line:
                 del self.keys[message.key]
 
-    # --- what outcomes tell of an endpoint and its destination ------------------------------------
-
-    def observe(self, endpoint, verdict, elapsed_ns, sent_ns, wait_ns):
+    def observe(self, endpoint, outcome, elapsed_ns, sent_ns, retry_after_ns):
         """Fold a call's or a probe's outcome into waits, pace and health."""
         line = endpoint.line
         endpoint.heard_ns = self.now
-        if verdict is api.Verdict.FULL:
-            self.refused(endpoint, wait_ns, sent_ns)
+        if outcome is Outcome.OVERLOADED:
+            self.refused(endpoint, retry_after_ns, sent_ns)
             return
-        if verdict in (api.Verdict.MOOT, api.Verdict.CANCELLED):
+        if outcome in (Outcome.NOT_SENT, Outcome.CANCELLED):
             return
-        failed = verdict is not api.Verdict.OK
+        failed = outcome is not Outcome.OK
         # Danger: an outage at one destination would close the connections to all others, for long. Where it
         # is told that a table is full, what fails unanswered tells of none.
-        unanswered = verdict is not api.Verdict.ERROR and endpoint.doubt < CAUTION and not self.tells_opened
+        unanswered = outcome is not Outcome.ERROR and endpoint.doubt < CAUTION and not self.tells_opened
         if unanswered or not failed:
             self.crowd(endpoint.kind, failed, self.few if self.tells_opened else 1.0)
         if not failed:
             endpoint.answered_ns = max(endpoint.answered_ns, sent_ns)
-        if not failed or verdict is api.Verdict.TIMEOUT:
+        if not failed or outcome is Outcome.TIMEOUT:
             # A lone one shows by later calls that were answered before it, or by the next that is.
             missed = endpoint.answered_ns > sent_ns if failed else endpoint.failed and not endpoint.errors
             self.lost += LOST_GAIN * (missed - self.lost)
-        lone = verdict in (api.Verdict.TIMEOUT, api.Verdict.RESET)  # a call or a connection, at first
+        lone = outcome in (Outcome.TIMEOUT, Outcome.RESET)  # a call or a connection, at first
         if lone and endpoint.served_ns > sent_ns and not endpoint.down:
             # Danger: single calls get lost while the rest is answered as ever. Such a time-out is no
             # outage and no slowness. It could hurt in the first moments of a hang, by one time-out at most.
@@ -395,13 +393,13 @@
             # by itself, with calls that are lost and push what comes back. Outages mostly take all: a failure
             # speaks for those not heard of since. It could hurt where one endpoint fails among well ones.
             # A reset speaks for its connection only: where all are out, the next ones are refused, or silent.
-            alike = self.siblings(endpoint) if verdict is not api.Verdict.RESET else ()
+            alike = self.siblings(endpoint) if outcome is not Outcome.RESET else ()
             for sibling in alike:
                 if sibling is not endpoint and sibling.served_ns < sent_ns:
                     sibling.doubt += DOUBT_WEIGHT * (1 - sibling.doubt)
                     if sibling.doubt > DOUBT and not sibling.down:
                         self.mark_down(sibling)
-            if verdict is api.Verdict.TIMEOUT:
+            if outcome is Outcome.TIMEOUT:
                 endpoint.stretch = min(endpoint.stretch * 2, MOST_STRETCH)
             endpoint.down |= endpoint.doubt > DOUBT
             self.next_trial(endpoint)
@@ -420,10 +418,9 @@
             line.rate = min(line.rate * (1 + min(self.few**-CUT, gain)), self.most(endpoint))
         # Danger: calls get lost one by one, and two in a row look like an outage with a long ramp. Where only
         # such, or a lone error or two, lay between two successes close together it was none.
-        short = self.now - endpoint.served_ns < SHORT_OUTAGE * self.settings.cold_ns
+        short = self.now - endpoint.served_ns < SHORT_OUTAGE * self.settings.slow_start_ns
         lossy = endpoint.errors < FEW_ERRORS and short
-        endpoint.errors = 0
-        endpoint.served_ns = self.now
+        endpoint.errors, endpoint.served_ns = 0, self.now
         if not endpoint.mean_ns:
             endpoint.mean_ns, endpoint.dev_ns = float(elapsed_ns), elapsed_ns / 2
         else:
@@ -448,7 +445,7 @@
                 endpoint.down, endpoint.trials = False, 0
         else:
             endpoint.trials = 0
-        if endpoint.cold_ns and self.now - endpoint.cold_ns > self.settings.cold_ns:
+        if endpoint.cold_ns and self.now - endpoint.cold_ns > self.settings.slow_start_ns:
             endpoint.cold_ns = 0
         self.delivered(endpoint, 1)
 
@@ -498,7 +495,8 @@
         if refused and endpoint.line.limit:
             usual = max(own, self.share(endpoint))
         else:
-            usual = max(LOOKS * max(own, self.share(endpoint)), SECOND / max(SECOND, self.settings.cold_ns))
+            usual = LOOKS * max(own, self.share(endpoint))
+            usual = max(usual, SECOND / max(SECOND, self.settings.slow_start_ns))
         return int(max(LONGEST_WAIT_NS, SECOND / max(self.few, usual)))
 
     def own(self, endpoint):
@@ -518,7 +516,7 @@
         endpoint.base = max(endpoint.base, rate)
         return rate
 
-    def refused(self, endpoint, wait_ns, sent_ns):
+    def refused(self, endpoint, retry_after_ns, sent_ns):
         """Turned away: keep a told wait (rule 5), or wait a jittered while and lower the pace."""
         line = endpoint.line
         if sent_ns < line.refused_ns:
@@ -542,11 +540,11 @@
         if many or not line.refusals:
             cut = USED_UP_PACE if used_up else self.few**CUT
             line.rate = max(many * self.few * LEAST_RATE, line.rate * cut)
-        if many and wait_ns <= LONG_TOLD_NS:
-            line.wait_ns = self.now + wait_ns + int(SECOND / line.rate * self.random.random())
-        elif used_up or not wait_ns:
-            steps = 1 if used_up and not wait_ns else 3
-            line.wait_ns = self.now + wait_ns + self.wait(endpoint, line.refusals + 1, steps, True)
+        if many and retry_after_ns <= LONG_TOLD_NS:
+            line.wait_ns = self.now + retry_after_ns + int(SECOND / line.rate * self.random.random())
+        elif used_up or not retry_after_ns:
+            steps = 1 if used_up and not retry_after_ns else 3
+            line.wait_ns = self.now + retry_after_ns + self.wait(endpoint, line.refusals + 1, steps, True)
         if used_up:
             # Danger: a clump uses up one route after the other: three of four calls that go on to a sibling
             # at once are refused there too, and use its limit up. It could hurt where a sibling had room.
@@ -578,15 +576,15 @@
         """A probe's result counts like a call's; a good one lets a message try."""
         endpoint = self.endpoints[event.endpoint]
         endpoint.probing = False
-        if event.verdict is api.Verdict.OK:
+        if event.outcome is Outcome.OK:
             # Danger: a probe may be answered where calls fail. It lets one message try, doubt stays.
             endpoint.probed = True
             endpoint.trial_ns = self.now
-        elif event.verdict is api.Verdict.FULL:
-            if event.wait_ns:
-                self.heed(endpoint, event.wait_ns)
-            self.refused(endpoint, event.wait_ns, self.now)
-        elif event.verdict is api.Verdict.MOOT:
+        elif event.outcome is Outcome.OVERLOADED:
+            if event.retry_after_ns:
+                self.heed(endpoint, event.retry_after_ns)
+            self.refused(endpoint, event.retry_after_ns, self.now)
+        elif event.outcome is Outcome.NOT_SENT:
             # Danger: a probe that was never sent tells nothing, least of all of an outage; but asked for
             # again at once, it is barred again at once, and the turn loop spins for as long as it is.
             endpoint.trial_ns = max(endpoint.trial_ns, self.now + self.backoff(MOOT_STEP))
@@ -594,8 +592,6 @@
             endpoint.doubt += DOUBT_WEIGHT * (1 - endpoint.doubt)
             self.mark_down(endpoint)
 
-    # --- the gate ---------------------------------------------------------------------------------
-
     def opens(self, endpoint, due=False):
         """From when an endpoint may be called: drains, told and untold waits, pace, trials and ramp."""
         if not endpoint.usable:
@@ -653,8 +649,8 @@
 
     def may_send(self, message, endpoint):
         """The one gate: whether all rules and waits let this message go to this endpoint now."""
-        zoned = message.rule.effect is api.Effect.BY_KEY and message.rule.group is api.Group.ZONE
-        if message.may_run_ns and zoned and endpoint.zone != message.may_run_zone:
+        zoned = message.rule.effect is Idempotency.WITH_KEY and message.rule.group is DeduplicationScope.ZONE
+        if message.may_have_run_ns and zoned and endpoint.zone != message.may_have_run_zone:
             return False
         return (
             not message.out
@@ -663,14 +659,12 @@
             and self.message_opens(message) <= self.now
         )
 
-    # --- the turn ---------------------------------------------------------------------------------
-
     def hand_out(self):
         """Hand free slots to destinations, fewest calls out first; give when to look again."""
         self.give_up_late()
         self.wake_ns = NEVER
         ready = [d for d in self.waiting.values() if self.opening(d, self.due(d.queue.values())) <= self.now]
-        slots = self.settings.calls_out
+        slots = self.settings.max_concurrent_calls
         best = {d.number: min(map(self.urgency, d.queue.values()))[0] for d in ready}
         while ready and self.calls_out < slots:
             # Danger: where slots are short (all slow at once, a hot sender) turns alone spend them on what is
@@ -710,11 +704,11 @@
         # Danger: held messages of a destination that is out fill all places, and messages for well ones are
         # turned away at the door. The longest queue gives way, its least worth first; a plain overload of
         # everything is met the same way. It could hurt where a long queue was about to be let go.
-        places = self.settings.most_held - max(1, int(self.settings.most_held * HOLD_SPARE))
+        places = self.settings.max_held_messages - max(1, int(self.settings.max_held_messages * HOLD_SPARE))
         while len(self.messages) > places:
             longest = max(self.waiting.values(), key=lambda d: len(d.queue), default=None)
             queue = longest.queue.values() if longest else ()
-            held = [m for m in queue if not m.may_run_ns and (m.attempts or m.due_ns == NEVER)]
+            held = [m for m in queue if not m.may_have_run_ns and (m.attempts or m.due_ns == NEVER)]
             if not held:
                 break
             self.give_up(min(held, key=lambda m: (self.worth(m, self.now), m.taken_ns)))
@@ -732,22 +726,22 @@
             if endpoint.doubt > CAUTION:
                 # Danger: where calls end in errors, an unsafe message is lost with each. Repeatable ones or
                 # probes find out; alone in the queue, unsafe ones go one by one, at the pace of trials.
-                safe = [m for m in ready if m.rule.effect is not api.Effect.ONCE]
+                safe = [m for m in ready if m.rule.effect is not Idempotency.NOT_IDEMPOTENT]
                 if not safe and (endpoint.calls or endpoint.probing or endpoint.trial_ns > self.now):
                     # Danger: with the trial's time past, a wake-up at once comes again and again until what
                     # is out ends: the turn loop spins. That end is an event and wakes by itself.
                     if endpoint.trial_ns > self.now:
                         self.wake_ns = min(self.wake_ns, endpoint.trial_ns)
                     continue
-                if not safe and self.settings.may_probe and not endpoint.probed:
+                if not safe and self.settings.health_checks_allowed and not endpoint.probed:
                     endpoint.probing = True
                     if endpoint.cold_ns:
                         # Danger: a probe weighs like a call on a partner that returns cold (rule 4).
                         endpoint.next_ns = self.ramp_next(endpoint, 1.0)
-                    self.actions.append(api.Probe(endpoint.id))
+                    self.actions.append(CheckHealth(endpoint.id))
                     continue
                 ready = safe or ready[:1]
-            bundle = self.settings.kind(endpoint.kind).bundle_max
+            bundle = self.settings.kind(endpoint.kind).max_bundle_size
             if endpoint.down or endpoint.cold_ns:
                 bundle = 1
             self.call(destination, endpoint, ready[:bundle])
@@ -759,7 +753,7 @@
         settings = self.settings
         idle = self.now - endpoint.heard_ns < settings.keepalive_ns and not endpoint.down
         cost = settings.handshake_price * (not idle)
-        cost += settings.crossing_price * (endpoint.zone != settings.zone)
+        cost += settings.cross_zone_price * (endpoint.zone != settings.zone)
         if endpoint.line is not endpoint.destination.line:
             # Danger: where all senders prefer one route, its limit is used up while its siblings' is left.
             fees = settings.zone_fees
@@ -784,15 +778,15 @@
 
     def worth(self, message, at):
         """What delivering the message then would earn."""
-        rule = message.rule
-        age = at - (message.deadline_ns - rule.deadline_ns)
-        if age <= rule.aim_ns:
+        rule, objective_ns = message.rule, message.rule.latency_objective_ns
+        late_ns = at - (message.deadline_ns - rule.deadline_ns) - objective_ns
+        if late_ns <= 0:
             return rule.worth
-        if self.settings.halves:
-            share = 0.5 ** ((age - rule.aim_ns) / rule.aim_ns)
+        if self.settings.value_halves:
+            share = 0.5 ** (late_ns / objective_ns)
         else:
-            share = 1 - (1 - rule.late_share) * (age - rule.aim_ns) / max(1, rule.deadline_ns - rule.aim_ns)
-        return rule.worth * max(share, rule.late_share)
+            share = 1 - (1 - rule.late_value_share) * late_ns / max(1, rule.deadline_ns - objective_ns)
+        return rule.worth * max(share, rule.late_value_share)
 
     def call(self, destination, endpoint, messages):
         """Send messages to an endpoint as one call and book it."""
@@ -819,16 +813,17 @@
             message.attempts += 1
             message.out = True
             del destination.queue[message.request]
-            self.actions.append(api.Send(message.request, endpoint.id, self.timeout(message, endpoint)))
+            self.actions.append(Send(message.request, endpoint.id, self.timeout(message, endpoint)))
 
     def timeout(self, message, endpoint):
         """How long to wait for an answer: learned from the latencies, longer while calls time out."""
         # Giving an unsafe message up early gains only the slot, and loses the message.
-        crowded = 2 * self.calls_out >= self.settings.calls_out
+        crowded = 2 * self.calls_out >= self.settings.max_concurrent_calls
         stretch = 1.0
-        if message.rule.effect is api.Effect.ONCE:
+        if message.rule.effect is Idempotency.NOT_IDEMPOTENT:
             stretch = CROWDED_STRETCH if crowded else UNSAFE_STRETCH
-        learned = 2 * (endpoint.mean_ns + TIMEOUT_SPREAD * endpoint.dev_ns) or message.rule.aim_ns
+        slow_ns = endpoint.mean_ns + TIMEOUT_SPREAD * endpoint.dev_ns
+        learned = 2 * slow_ns or message.rule.latency_objective_ns
         # Danger: where calls get lost one by one, those that wait for their time-outs hold all slots. It
         # could hurt where a partner's answers overtake each other by more than its latencies have shown.
         lossy = crowded and self.lost * LEAST_TIMEOUT_NS > LOST * endpoint.mean_ns
@@ -841,16 +836,16 @@
 
     def ramp_next(self, endpoint, calls):
         """When this sender's part of what a cold endpoint may get has grown by so many calls (rule 4)."""
-        settings = self.settings
+        settings, first = self.settings, self.settings.slow_start_fraction
         alike = sum(e.usable for e in self.siblings(endpoint))  # they share what the line takes
         base = max(endpoint.base, self.share(endpoint) / max(1, alike), CREEP / settings.senders)
-        # The part grows with a share of capacity that rises evenly: from `cold_from` to all in `cold_ns`.
-        span = max(1, settings.cold_ns) / SECOND
+        # The part grows with a share of capacity that rises evenly: from `first` to all in `slow_start_ns`.
+        span = max(1, settings.slow_start_ns) / SECOND
         since = min(span, max(0, self.now - endpoint.cold_ns) / SECOND)
-        rise = max(1e-9, (1 - settings.cold_from) / (2 * span))
-        spent = settings.cold_from * since + rise * since**2
-        spent += calls / (RAMP_SAFETY * settings.tip_multiple * base)
-        then = (sqrt(settings.cold_from**2 + 4 * rise * spent) - settings.cold_from) / (2 * rise)
+        rise = max(1e-9, (1 - first) / (2 * span))
+        spent = first * since + rise * since**2
+        spent += calls / (RAMP_SAFETY * settings.overload_multiple * base)
+        then = (sqrt(first**2 + 4 * rise * spent) - first) / (2 * rise)
         return endpoint.cold_ns + int(min(then, span) * SECOND)
 
     def set_timer(self, at):
@@ -859,4 +854,4 @@
             return
         self.tag += 1
         self.timer_ns = at
-        self.actions.append(api.SetTimer(self.tag, max(1, at - self.now)))
+        self.actions.append(SetTimer(self.tag, max(1, at - self.now)))
--- /dev/null
+++ b/pinspread/policy/settings.py
@@ -0,0 +1,140 @@
+"""Settings of the delivery policy. Times are integer nanoseconds."""
+
+from dataclasses import dataclass, field
+from enum import Enum
+
+
+class Idempotency(Enum):
+    """What a repeat of a message may do at its destination."""
+
+    IDEMPOTENT = "repeatable"  # safe to repeat
+    WITH_KEY = "by_key"  # repeats are dropped, inside a group of endpoints and for a time
+    NOT_IDEMPOTENT = "once"  # must never run twice
+
+
+class DeduplicationScope(Enum):
+    """Which endpoints of a destination drop repeats of a keyed message."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"  # the endpoints of one destination
+
+
+@dataclass(slots=True, frozen=True)
+class TrafficClass:
+    """A class of message."""
+
+    latency_objective_ns: int  # delivered within this time it earns its full worth
+    deadline_ns: int
+    effect: Idempotency = Idempotency.IDEMPOTENT
+    group: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ns: int = 0  # for keyed messages: how long repeats are dropped
+    late_value_share: float = 0.0  # share of the worth that is left at the deadline
+    worth: float = 1.0
+    in_order: bool = False  # messages with one key go one at a time
+
+
+@dataclass(slots=True)
+class Tenant:
+    """A tenant and the rate, summed over all senders, that is within its share."""
+
+    quota_per_s: float
+    share: float
+
+
+@dataclass(slots=True)
+class DestinationKind:
+    """A kind of destination."""
+
+    limits_per_endpoint: bool = False  # its endpoints have limits, pace and outages of their own
+    max_bundle_size: int = 1  # messages that one call may carry
+
+
+@dataclass(slots=True)
+class Settings:
+    """What a sender is told at its start."""
+
+    classes: list[TrafficClass]
+    kinds: list[DestinationKind]
+    max_concurrent_calls: int  # calls that this sender may have out at once
+    max_held_messages: int  # messages that it may hold, sent or not
+    max_attempts: int  # for one message
+    tenants: list[Tenant] = field(default_factory=list)
+    senders: int = 1  # how many senders there are
+    zone: int = 0
+    over_quota_weight: float = 1.0
+    value_halves: bool = False  # worth falls by half with each further aim, otherwise evenly
+    weights_known: bool = False  # listed weights tell the calls a second that a destination takes
+    weights_exact: bool = False  # and they are exact, not rough
+    health_checks_allowed: bool = False
+    cancellation_allowed: bool = False
+    retry_after_allowed: bool = False  # a come-back time reaches the client
+    max_retry_after_ns: int = 0
+    streams_per_connection: int = 1
+    keepalive_ns: int = 0
+    drain_grace_ns: int = 0
+    slow_start_fraction: float = 1.0  # share of capacity that a destination has right after an outage
+    slow_start_ns: int = 0  # all of it after this
+    overload_multiple: float = 1.0  # of its present capacity: sent more, a cold destination falls over
+    ordering_pause_ns: int = 0  # a key rests this long after an attempt that may still be running
+    polled_discovery: bool = False  # changes of the list come only to a subscriber
+    max_poll_interval_ns: int = 0  # who has not asked for this long is held to know what was listed then
+    handshake_price: float = 0.0  # what a new connection costs, against one message's mean worth
+    cross_zone_price: float = 0.0  # the same for a call to another zone
+    zone_fees: list[float] = field(default_factory=list)  # for each zone, where routes are apart
+
+    def kind(self, n: int) -> DestinationKind:
+        """The kind of that place; what the settings do not name is a plain one."""
+        return self.kinds[n] if 0 <= n < len(self.kinds) else DestinationKind()
+
+    def __post_init__(self):
+        """Refuse values that no policy can work with, naming the setting as configuration files do."""
+        for field_name, setting in _POSITIVE.items():
+            if getattr(self, field_name) < 1:
+                raise ValueError(f"settings: {setting} must be at least 1, not {getattr(self, field_name)}")
+        for field_name, setting in _NOT_NEGATIVE.items():
+            if getattr(self, field_name) < 0:
+                raise ValueError(f"settings: {setting} must not be negative, not {getattr(self, field_name)}")
+        if not self.classes:
+            raise ValueError("settings: classes must name at least one class")
+        if not self.kinds:
+            raise ValueError("settings: kinds must name at least one kind")
+        for n, kind in enumerate(self.kinds):
+            if kind.max_bundle_size < 1:
+                raise ValueError(
+                    f"settings: kinds[{n}].bundle_max must be at least 1, not {kind.max_bundle_size}"
+                )
+        for n, traffic_class in enumerate(self.classes):
+            _check_class(n, traffic_class)
+        if not 0 < self.slow_start_fraction <= 1:
+            raise ValueError(
+                f"settings: cold_from must be above 0 and at most 1, not {self.slow_start_fraction}"
+            )
+        if self.overload_multiple <= 0:
+            raise ValueError(f"settings: tip_multiple must be above 0, not {self.overload_multiple}")
+
+
+# Fields with a bound, and the names by which configuration files know them.
+_POSITIVE = {
+    "max_concurrent_calls": "calls_out",
+    "max_held_messages": "most_held",
+    "max_attempts": "max_attempts",
+    "senders": "senders",
+}
+_NOT_NEGATIVE = {
+    "max_retry_after_ns": "max_come_back_ns",
+    "keepalive_ns": "keepalive_ns",
+    "drain_grace_ns": "drain_grace_ns",
+    "slow_start_ns": "cold_ns",
+    "ordering_pause_ns": "order_pause_ns",
+    "max_poll_interval_ns": "must_ask_in_ns",
+}
+
+
+def _check_class(n: int, traffic_class: TrafficClass) -> None:
+    durations = {"aim_ns": traffic_class.latency_objective_ns, "deadline_ns": traffic_class.deadline_ns}
+    for setting, duration_ns in durations.items():
+        if duration_ns <= 0:
+            raise ValueError(f"settings: classes[{n}].{setting} must be above 0, not {duration_ns}")
+    if traffic_class.effect is Idempotency.WITH_KEY and traffic_class.deduplication_window_ns <= 0:
+        raise ValueError(f"settings: classes[{n}].window_ns must be above 0 for a keyed class")
