--- a/pinspread/state.py
+++ b/pinspread/policy/state.py
@@ -1,9 +1,9 @@
 """What a sender remembers: messages, calls, limits, endpoints, destinations. No decisions."""
 
-from pinspread.interface import ListState
+from pinspread.policy.events import EndpointState
 
 
-class Message:
+class QueuedMessage:
     """A message that is held or out."""
 
     __slots__ = (
@@ -14,8 +14,8 @@
         "due_ns",
         "failures",
         "key",
-        "may_run_ns",
-        "may_run_zone",
+        "may_have_run_ns",
+        "may_have_run_zone",
         "most",
         "out",
         "ready_ns",
@@ -40,8 +40,12 @@
         self.attempts = 0
         self.failures = 0
         self.out = False
-        self.may_run_ns = 0  # when the earliest attempt was sent that may have run; 0: none
-        self.may_run_zone = 0
+        self.may_have_run_ns = 0  # when the earliest attempt was sent that may have run; 0: none
+        self.may_have_run_zone = 0
+
+    def may_repeat_until_ns(self):
+        """When the destination stops dropping repeats of a keyed message that may have run."""
+        return self.may_have_run_ns + self.rule.deduplication_window_ns
 
 
 class Call:
@@ -56,7 +60,7 @@
         self.fresh = True  # no outcome has come yet
 
 
-class Line:
+class RateLimiter:
     """A limit that endpoints share: told and untold waits, and a pace. One a destination, or one a route."""
 
     __slots__ = (
@@ -83,7 +87,7 @@
         self.next_ns = 0
 
 
-class Endpoint:
+class TrackedEndpoint:
     """What one endpoint has shown: list state, outcomes, latencies, delivered rate."""
 
     __slots__ = (
@@ -154,7 +158,7 @@
         self.zone = entry.zone
         self.kind = entry.kind
         self.weight = entry.weight
-        self.usable = entry.state is ListState.READY
+        self.usable = entry.state is EndpointState.READY
 
 
 class Destination:
@@ -165,7 +169,7 @@
     def __init__(self, number, tokens):
         self.number = number
         self.endpoints = {}
-        self.line = Line()
+        self.line = RateLimiter()
         self.queue = {}  # messages held for it, in order of arrival
         self.tokens = tokens
         self.retries_out = 0
--- a/pinspread/cluster/copies.py
+++ b/pinspread/replication/log.py
@@ -10,8 +10,8 @@
 
 import xxhash
 
-from pinspread.cluster.swim import DEAD, LEFT
 from pinspread.core import journal
+from pinspread.membership.swim import DEAD, LEFT
 
 RANGE = 64 * 1024  # bytes that are compared by one sum
 MOST_DATA = 256 * 1024  # bytes in one message
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Source:
+class ReplicationLog:
     """The owner's side: its journal as it stands, and what each copy has acknowledged."""
 
     need: int  # copies that a promise waits for
@@ -96,7 +96,7 @@
 
 
 @dataclass
-class Kept:
+class Replica:
     """The keeper's side of one owner's copy: what the files hold and who may append."""
 
     owner: str
--- a/pinspread/cluster/copying.py
+++ b/pinspread/replication/service.py
@@ -11,15 +11,20 @@
 
 import anyio
 
-from pinspread.cluster import copies, lease, placement, swim, wire
-from pinspread.cluster.frames import GONE, Frames
-from pinspread.cluster.leases import WORK
-from pinspread.cluster.member import machine_us
-from pinspread.cluster.shelf import Shelf
 from pinspread.core import journal as journals
-from pinspread.core.journal import Journal, JournalFull, JournalUnreadable
+from pinspread.core.journal import Journal
 from pinspread.core.log import log
-from pinspread.net.sockets import split_address
+from pinspread.errors import JournalFormatError, JournalFullError
+from pinspread.leases import state_machine as lease
+from pinspread.leases.service import WORK
+from pinspread.membership import codec as wire
+from pinspread.membership import swim
+from pinspread.membership.framing import GONE, Frames
+from pinspread.membership.service import machine_us
+from pinspread.replication import log as copies
+from pinspread.replication import placement
+from pinspread.replication.store import ReplicaStore
+from pinspread.sockets.connections import split_address
 
 MAGIC = b"PSC"
 MOST_FRAME = 64 << 20  # a whole journal; [journal] disk_mb bounds it in fact
@@ -48,7 +53,7 @@
     sync: bool = False  # what is acknowledged is on the keeper's disk, not just written
 
 
-class Copies:
+class ReplicationService:
     """The owner's, the keeper's and the successor's side in one courier."""
 
     name = "copies"
@@ -58,7 +63,7 @@
         self.id, self.key = membership.plan.id, membership.plan.fleet
         self.host, self.port = split_address(plan.listen)
         self.folder = Path(plan.folder)
-        self.source = copies.Source(plan.need)
+        self.source = copies.ReplicationLog(plan.need)
         self.targets = []
         self.told = {}  # target -> the targets that it was last told of
         self.streams = set()  # targets that are connected and up to date once
@@ -66,7 +71,7 @@
         self.shelves = {}
         self.news = anyio.Event()  # a copy has acknowledged something
         self.more = anyio.Event()  # the journal has grown
-        self.courier = self.listener = None
+        self.engine = self.listener = None
         self.since = {}  # owner whose work is due for another -> since when
         self.away = {}  # owner that left or is unknown -> since when
         self.spare = {}  # live owner that has chosen others -> when it is asked next whether its copy may go
@@ -78,10 +83,10 @@
 
     # --- what the core asks -------------------------------------------------------------------------
 
-    def attach(self, courier):
+    def attach(self, engine):
         """The core is there; from now on its journal is copied."""
-        self.courier = courier
-        courier.copies = courier.journal.tap = self
+        self.engine = engine
+        engine.copies = engine.journal.tap = self
 
     def barred(self) -> str:
         """Why nothing may be promised or sent just now; empty if all is well."""
@@ -131,7 +136,7 @@
     def rewritten(self, data):
         """Likewise."""
         self.source.rewritten(data, machine_unix_us(), machine_us())
-        (self.courier.journal.path.parent / GENERATION).write_text(str(self.source.generation))
+        (self.engine.journal.path.parent / GENERATION).write_text(str(self.source.generation))
         self._grown()
 
     def _heard(self):
@@ -170,7 +175,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         for path in self.folder.iterdir():
             if path.is_dir():
-                self.shelves[path.name] = Shelf(self.folder, path.name)
+                self.shelves[path.name] = ReplicaStore(self.folder, path.name)
         self.listener = await anyio.create_tcp_listener(local_host=self.host, local_port=self.port)
         log("copies_up", id=self.id, listen=self.plan.listen, keeps=len(self.shelves), mono_us=machine_us())
 
@@ -240,7 +245,7 @@
                             await self._send_on(target, frames, token)
                 except (*GONE, TimeoutError):
                     pass
-                except wire.Dropped as why:
+                except wire.DatagramError as why:
                     log("copies_refused", id=self.id, by=target, why=str(why), mono_us=machine_us())
                 self.streams.discard(target)
                 self.told.pop(target, None)
@@ -252,7 +257,7 @@
             await frames.put(message)
             answer = await frames.get()
         if answer.get("t") == "no":
-            raise wire.Dropped(str(answer.get("why")))
+            raise wire.DatagramError(str(answer.get("why")))
         return answer
 
     async def _send_on(self, target, frames, token):
@@ -321,7 +326,7 @@
 
     def _own(self):
         """The bytes of this courier's journal on its own disk, and whether they are there and whole."""
-        path = self.courier.journal.path
+        path = self.engine.journal.path
         if not path.exists():
             return b"", False
         data = path.read_bytes()
@@ -333,15 +338,15 @@
         while True:
             await anyio.sleep(WATCH_S / 2)
             token = self.leases.holds(WORK + self.id)
-            if not token or token == self.sure or not self.courier.serving:
+            if not token or token == self.sure or not self.engine.serving:
                 continue
             found = await self._fetch_all(self.id, token)
             gone, adopted, sure = await self._gone(found)
             if not sure or self.leases.holds(WORK + self.id) != token:
                 continue
             try:
-                count = self.courier.disown(gone)
-            except JournalFull as error:
+                count = self.engine.release(gone)
+            except JournalFullError as error:
                 log("copies_kept_on", id=self.id, error=str(error), mono_us=machine_us())
                 continue
             self.sure = token
@@ -361,7 +366,7 @@
         return gone, adopted, sure
 
     def _restore(self, found, drop, adopted):
-        journal = self.courier.journal
+        journal = self.engine.journal
         stamp = journal.path.parent / GENERATION
         mine, there = self._own()
         generation = int(stamp.read_text()) if stamp.exists() and stamp.read_text().isdigit() else 0
@@ -383,7 +388,7 @@
         elif not sound:
             log("copies_lost", id=self.id, at=whole, warning="damaged, and no newer copy was found")
         if drop:
-            old = Journal(str(journal.path.parent), self.courier.settings.disk_bytes)
+            old = Journal(str(journal.path.parent), self.engine.settings.disk_bytes)
             old.read()
             gone = [t for t in old.live.values() if t.id in drop]
             old.drop(gone)
@@ -403,7 +408,7 @@
                 return await self._call(frames, message | {"from": self.id, "to": member})
         except (*GONE, TimeoutError):
             return None
-        except wire.Dropped as why:
+        except wire.DatagramError as why:
             log("copies_refused", id=self.id, by=member, why=str(why), mono_us=machine_us())
             return None
 
@@ -451,7 +456,7 @@
                 while True:
                     message = await frames.get()
                     await frames.put(await self._answer(message))
-        except wire.Dropped as why:
+        except wire.DatagramError as why:
             log("copies_refused", id=self.id, why=str(why), mono_us=machine_us())
         except GONE:
             pass
@@ -460,7 +465,7 @@
         """What a keeper makes of a message; Dropped if it is not well-formed."""
         kind = message.get("t")
         if kind not in NEEDS:
-            raise wire.Dropped(f"kind {str(kind)[:64]!r}")
+            raise wire.DatagramError(f"kind {str(kind)[:64]!r}")
         wire.need(message, {"from": str, "to": str, "owner": str} | NEEDS[kind])
         owner, sender = message["owner"], message["from"]
         known = self.membership.member.table
@@ -488,7 +493,7 @@
 
     def _shelf(self, owner):
         if owner not in self.shelves:
-            self.shelves[owner] = Shelf(self.folder, owner)
+            self.shelves[owner] = ReplicaStore(self.folder, owner)
         return self.shelves[owner]
 
     def _no(self, owner, why):
@@ -568,7 +573,7 @@
         """Take over what is kept of owners that are dead, one after the other."""
         while True:
             await anyio.sleep(WATCH_S)
-            if not self.courier.serving or self.courier.stopping:
+            if not self.engine.serving or self.engine.stopping:
                 continue
             table = self.membership.member.table
             for owner in list(self.shelves):
@@ -581,7 +586,7 @@
                 away_us = machine_us() - self.away.setdefault(owner, machine_us())
                 lost = owner != self.id and copies.absent(state, away_us, self.plan.absent_us)
                 # Danger: the owner would send its next message of a key before this courier's last.
-                open_here = self.taken.get(owner, set()) & self.courier.ids.keys()
+                open_here = self.taken.get(owner, set()) & self.engine.ids.keys()
                 if not lost or not kept.generation or kept.adopted:
                     self.since.pop(owner, None)
                     self.unsure.pop(("own", owner), None)
@@ -597,7 +602,7 @@
                 if token := self.leases.holds(WORK + owner):
                     try:
                         await self._take_over(owner, token)
-                    except (JournalFull, JournalUnreadable, OSError) as error:
+                    except (JournalFullError, JournalFormatError, OSError) as error:
                         log(
                             "copies_not_taken_over",
                             id=self.id,
@@ -650,7 +655,7 @@
         if self.leases.holds(WORK + owner) != token or self.barred():
             return
         mine = [t for t in live if t.id not in named]
-        count = self.courier.adopt(mine)
+        count = self.engine.adopt(mine)
         self.taken[owner] = {t.id for t in mine}
         log(
             "copies_taken_over",
--- a/pinspread/cluster/shelf.py
+++ b/pinspread/replication/store.py
@@ -7,19 +7,19 @@
 import anyio
 import orjson
 
-from pinspread.cluster import copies
 from pinspread.core.log import log
+from pinspread.replication import log as copies
 
 LASTS = ("owner", "token", "keepers", "tried", "adopted")
 
 
-class Shelf:
+class ReplicaStore:
     """One owner's copy on disk; `kept` decides, this writes. OSError if the disk does not take it."""
 
     def __init__(self, folder: Path, owner: str):
         self.folder = folder / owner
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.kept = copies.Kept(owner)
+        self.kept = copies.Replica(owner)
         self.lock = anyio.Lock()  # whoever decides by `kept` and writes
         try:
             for name, value in orjson.loads((self.folder / "meta").read_bytes()).items():
--- /dev/null
+++ b/pinspread/resp/__init__.py
@@ -0,0 +1,1 @@
+"""The RESP2 front end: client connections, and notifications of final results."""
--- a/pinspread/net/front.py
+++ b/pinspread/resp/front.py
@@ -4,12 +4,19 @@
 import anyio.lowlevel
 import orjson
 
-from pinspread.core.courier import Busy
 from pinspread.core.log import log
-from pinspread.core.transactions import State, Transaction
-from pinspread.net import resp
-from pinspread.net.http import Exchange
-from pinspread.net.sockets import Kept, ReadBuffer, Room, accept_forever, dial, in_room
+from pinspread.core.messages import FinalState, Message
+from pinspread.errors import RejectedError
+from pinspread.http.transport import Exchange
+from pinspread.resp import parser as resp
+from pinspread.sockets.connections import (
+    ConnectionLimiter,
+    IdleConnection,
+    ReadBuffer,
+    accept_forever,
+    dial,
+    in_room,
+)
 
 NAME = "resp"
 NOTICE_S = 1.0  # how long one POST of notices may take; answered at once as a rule
@@ -27,12 +34,12 @@
     """Caller legs on a listening socket."""
 
     tells_delivery = False  # the platform sees a delivery by itself
-    over_when_heard = True
+    ordered_by_notice = True
 
-    def __init__(self, courier, notices, room=None):
-        self.courier = courier
+    def __init__(self, engine, notices, room=None):
+        self.engine = engine
         self.notices = notices
-        self.room = room or Room(courier.clock)
+        self.room = room or ConnectionLimiter(engine.clock)
         self.scope = None  # of what `run` has started
         self.accepting = None  # the scope of the task that accepts
         self.sock = None
@@ -99,7 +106,7 @@
                     answers = bytearray()
                     follow, need, wrong = self._commands(connection, leg, buffer, answers)
                     if answers:
-                        if TAKEN in answers and not await self.courier.promised():
+                        if TAKEN in answers and not await self.engine.wait_committed():
                             # Danger: BUSY would say that nothing was taken on, OK that it is safe; neither is
                             # known. A client that hears nothing hands the same id in again.
                             await connection.part()
@@ -125,7 +132,7 @@
             if follow and self.kept is not None:
                 unsent = bytes(answers[len(answers) - connection.left :])
                 unread = bytes(buffer.view())
-                self.kept.append(Kept(connection, leg.spoke, leg.asked, errors, unread, unsent))
+                self.kept.append(IdleConnection(connection, leg.spoke, leg.asked, errors, unread, unsent))
                 connection = None
             raise
         except Exception as error:
@@ -148,7 +155,7 @@
             try:
                 arguments, size = resp.parse(buffer.view())
                 if arguments is None:
-                    leg.begun(self.courier.clock.now())
+                    leg.begun(self.engine.clock.now())
                     return True, size, wrong
                 self.room.hold(leg, 0)
                 good, answer = self._command(connection, leg, arguments)
@@ -159,7 +166,7 @@
                 answers += _error(error)
                 return False, 1, wrong + 1
             if good:
-                leg.spoken(self.courier.clock.now())
+                leg.spoken(self.engine.clock.now())
             else:
                 wrong += 1
         return True, 1, wrong
@@ -178,44 +185,44 @@
         except resp.CommandError as error:
             log("malformed", error=str(error))
             return False, _error(error)
-        except Busy as error:
+        except RejectedError as error:
             log("busy", why=str(error))
-            return True, b"-BUSY %d\r\n" % error.after_ms
+            return True, b"-BUSY %d\r\n" % error.retry_after_ms
 
     def _enqueue(self, connection, key, id_, options, body):
-        courier = self.courier
+        engine = self.engine
         cls, tenant = options["c"], options.get("t", "")
-        unknown = courier.unknown(cls, tenant, options["dest"])
+        unknown = engine.unknown(cls, tenant, options["dest"])
         if unknown:
             raise resp.CommandError(unknown)
         if connection.ended():
             # Danger: a client that has stopped waiting hands the message in again under another id.
-            raise Busy(0, "the caller has gone")
-        courier.take(
-            Transaction(
+            raise RejectedError(0, "the caller has gone")
+        engine.accept(
+            Message(
                 number=0,
                 id=id_,
                 cls=cls,
                 tenant=tenant,
                 dest=options["dest"],
                 key=key,
-                idempotency=options.get("k", ""),
-                until_unix_us=courier.clock.unix(courier.clock.now()) + options["d"] * 1000,
+                idempotency_key=options.get("k", ""),
+                deadline_unix_us=engine.clock.unix(engine.clock.now()) + options["d"] * 1000,
                 body=bytes(body),
                 front=NAME,
             )
         )
         return TAKEN
 
-    async def notify(self, transaction, final):
+    async def notify(self, message, final):
         """Have the platform told, and return when it has answered."""
-        line = {"id": transaction.id, "state": "failed" if final.state is State.FAILED else "returned"}
-        if final.after_ms:
-            line["after_ms"] = final.after_ms
+        line = {"id": message.id, "state": "failed" if final.state is FinalState.FAILED else "returned"}
+        if final.retry_after_ms:
+            line["after_ms"] = final.retry_after_ms
         await self.notices.tell(orjson.dumps(line))
 
 
-class Notices:
+class NotificationSender:
     """Posts notices to the platform, those of one moment together, until each is answered."""
 
     def __init__(self, address):
--- a/pinspread/net/platform.py
+++ b/pinspread/service.py
@@ -13,14 +13,16 @@
 from pinspread.amqp.front import AmqpFront
 from pinspread.config import settings
 from pinspread.core.clock import Clock
-from pinspread.core.courier import Courier
-from pinspread.core.journal import Journal, JournalFull, JournalUnreadable
+from pinspread.core.engine import DeliveryEngine
+from pinspread.core.folder_lock import FolderLock
+from pinspread.core.journal import Journal
 from pinspread.core.log import log, use
-from pinspread.core.owner import Owner
-from pinspread.decide import Sender
-from pinspread.net import front, sockets
-from pinspread.net.discovery import Discovery
-from pinspread.net.http import HttpTransport, Pool
+from pinspread.discovery.client import Discovery
+from pinspread.errors import JournalFormatError, JournalFullError
+from pinspread.http.transport import HttpTransport, Pool
+from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.resp import front
+from pinspread.sockets import connections as sockets
 
 BOUND_S, BOUND_TRIES = 0.05, 40  # between tries to listen where another process still does
 OWNER_S = 5.0  # how long a start waits for a process that still owns the folder
@@ -30,7 +32,13 @@
 
 
 async def serve(
-    told: settings.Told, amqp: settings.AmqpFile, reread, discover=None, login=GUEST, companions=(), early=()
+    told: settings.EffectiveSettings,
+    amqp: settings.AmqpFile,
+    reread,
+    discover=None,
+    login=GUEST,
+    companions=(),
+    early=(),
 ):
     """Serve until SIGTERM or SIGINT; on SIGHUP, `reread(told)` tells what counts from now on.
 
@@ -48,20 +56,20 @@
         self.companions = list(companions)
         self.clock = clock = Clock()
         use(clock)
-        self.owner = Owner(told.state)
+        self.owner = FolderLock(told.state)
         journal = Journal(told.state, told.disk_bytes)
-        self.courier = courier = Courier(Sender(told.module, told.seed), told, clock, journal)
+        self.engine = engine = DeliveryEngine(DeliveryPolicy(told.module, told.seed), told, clock, journal)
         self.pool = Pool(clock, told.keepalive_us)
-        self.notices = front.Notices(told.discovery)
-        courier.transports["http"] = HttpTransport(clock, self.pool, told.dial_us, told.reports)
-        self.room = sockets.Room(clock, *_legs(told))
-        courier.fronts[front.NAME] = self.first = front.RespFront(courier, self.notices, self.room)
-        courier.fronts[AMQP] = self.second = AmqpFront(courier, amqp.heartbeat_s, self.room)
-        self.discovery = discover(courier) if discover else Discovery(told.discovery, courier, told)
-        courier.subscribe = self.discovery.ask
+        self.notices = front.NotificationSender(told.discovery)
+        engine.transports["http"] = HttpTransport(clock, self.pool, told.dial_us, told.reports)
+        self.room = sockets.ConnectionLimiter(clock, *_legs(told))
+        engine.fronts[front.NAME] = self.first = front.RespFront(engine, self.notices, self.room)
+        engine.fronts[AMQP] = self.second = AmqpFront(engine, amqp.heartbeat_s, self.room)
+        self.discovery = discover(engine) if discover else Discovery(told.discovery, engine, told)
+        engine.subscribe = self.discovery.ask
         for companion in self.companions:
-            companion.attach(courier)
-        self.change = partial(change, courier, reread, self.pool, self.room, self.discovery, self.notices)
+            companion.attach(engine)
+        self.change = partial(change, engine, reread, self.pool, self.room, self.discovery, self.notices)
         self.listening = {}  # name of a front -> its socket
         self.tasks = None
         self.scopes = []  # of what rests while another process takes over
@@ -83,12 +91,12 @@
             self.again = bool(self.early)
             async with anyio.create_task_group() as self.tasks:
                 for sock in doors:
-                    self.tasks.start_soon(door(self.courier, self.told.sockets, self.companions).run, sock)
+                    self.tasks.start_soon(door(self.engine, self.told.sockets, self.companions).run, sock)
                 # Danger: SIGTERM may come while another process still owns the folder, for seconds.
                 self.tasks.start_soon(self._follow_signals)
                 try:
                     await self._begin()
-                except (JournalFull, JournalUnreadable, OSError) as error:
+                except (JournalFullError, JournalFormatError, OSError) as error:
                     failed = error
                 else:
                     await self.leaving.wait()
@@ -103,17 +111,17 @@
         async with anyio.create_task_group() as tasks:  # beside each other: both count in the 3.7 s
             for companion in self.companions:
                 tasks.start_soon(companion.leave)
-            if self.courier.serving:
+            if self.engine.serving:
                 await self._end()
         for companion in self.companions:
             await companion.part()
 
     async def _begin(self):
-        told, courier, tasks = self.told, self.courier, self.tasks
+        told, engine, tasks = self.told, self.engine, self.tasks
         for companion in self.companions:
             await companion.open()
             tasks.start_soon(companion.run)
-        courier.transports["amqp"] = BrokerTransport(self.clock, tasks, told.dial_us, self.login)
+        engine.transports["amqp"] = BrokerTransport(self.clock, tasks, told.dial_us, self.login)
         before = await self._take_over()
         if self.leaving.is_set() and not before:
             return  # all that is owed is in the journal
@@ -130,28 +138,28 @@
             # before the end, to endpoints that drain or are gone, until the first answer has come.
             with anyio.move_on_after(FIRST_LIST_S):
                 await self.discovery.first.wait()
-        for run in (courier.run, self.pool.run, self.room.run):
+        for run in (engine.run, self.pool.run, self.room.run):
             tasks.start_soon(run)
         self._hear(legs)
-        courier.serving = True
-        if self.again and not courier.heir:
+        engine.serving = True
+        if self.again and not engine.successor:
             self.change()
         log("serving", name=told.name, listen=told.listen, amqp=self.amqp.listen, admin=told.admin)
         if told.passed is not None:
-            from pinspread.net import succession
+            from pinspread.hot_restart import transfer as succession
 
             if before:
-                tasks.start_soon(succession.follow, before.link, courier, self.clock)
+                tasks.start_soon(succession.follow, before.link, engine, self.clock)
             tasks.start_soon(succession.Succession(self, told.state).run)
 
     async def _take_over(self):
         """Own the folder and all that is owed; gives what a process before has handed over, or None."""
-        told, courier = self.told, self.courier
+        told, engine = self.told, self.engine
         before = None
         if told.passed is not None:
-            from pinspread.net import succession
+            from pinspread.hot_restart import transfer as succession
 
-            before = await succession.inherit(told.state, self.owner, courier.journal, courier.sender)
+            before = await succession.inherit(told.state, self.owner, engine.journal, engine.sender)
         else:
             await self._own()
             if self.companions and not self.leaving.is_set():
@@ -160,9 +168,9 @@
                 return None  # Danger: it may not own the folder, and must not write there
         if before is None or before.state is None:
             self.discovery.start()
-            courier.recover()
+            engine.recover()
             return None
-        courier.inherit(before.state)
+        engine.inherit(before.state)
         self.discovery.resume(before.state["discovery"])
         self.pool.adopt(before.idle)
         return before
@@ -221,9 +229,9 @@
         async for signum in self.signals:
             if signum != signal.SIGHUP:
                 self.leaving.set()
-            elif not self.courier.serving:
+            elif not self.engine.serving:
                 self.again = True  # there is nothing to change yet
-            elif not self.courier.heir:
+            elif not self.engine.successor:
                 # A new configuration counts to the end: the notices of a courier that stops are still owed.
                 self.change()
 
@@ -234,27 +242,27 @@
         self.leaving.set()
 
     async def _end(self):
-        if not self.courier.heir:
-            await self.courier.stop()
+        if not self.engine.successor:
+            await self.engine.stop()
             await self.second.close()
             await self.first.close()
             return
         with anyio.move_on_after(FINISH_S):
-            while self.courier.branches or self.courier.probes or self.courier.heir.queue:
+            while self.engine.attempts or self.engine.probes or self.engine.successor.queue:
                 await anyio.sleep(0.01)
 
     # --- what an upgrade asks of the old process ------------------------------------------------------
 
-    async def rest(self, heir) -> dict:
+    async def rest(self, successor) -> dict:
         """Come to rest, and give all that goes over."""
-        from pinspread.net import succession
+        from pinspread.hot_restart import transfer as succession
 
         await self.second.close()
         scopes, self.scopes = self.scopes, []
         for scope in scopes:
             scope.cancel()
         legs = await self.first.part()
-        state = self.courier.rest(heir) | {"discovery": self.discovery.rest()}
+        state = self.engine.rest(successor) | {"discovery": self.discovery.rest()}
         return {
             "blob": succession.packed(state),
             "state": state,
@@ -267,7 +275,7 @@
     def resume(self, given):
         """The other process did not take over: serve on."""
         self.pool.adopt(given["idle"])
-        self.courier.resume()
+        self.engine.resume()
         self._follow()
         self._hear(given["legs"])
         log("resumed", legs=len(given["legs"]))
@@ -312,29 +320,29 @@
         return None
 
 
-def door(courier, most, companions=()):
+def door(engine, most, companions=()):
     """The operators' door; it is loaded only where it is on."""
-    from pinspread.net.admin import Door
+    from pinspread.admin.server import AdminServer
 
-    return Door(courier, most, companions)
+    return AdminServer(engine, most, companions)
 
 
-def change(courier, reread, pool, room, discovery, notices):
+def change(engine, reread, pool, room, discovery, notices):
     """The configuration was replaced: it counts from now on, whole, or not at all."""
-    old = courier.settings
+    old = engine.settings
     try:
         told, where, heard = reread(old)
     except settings.SettingsError as error:
         log("configuration_unusable", error=str(error), instead="what was in force")
         return
     fixed = [n for n in ("name", "listen", "state", "admin") if getattr(told, n) != getattr(old, n)]
-    courier.settle(told)
-    courier.transports["http"].dial_us = told.dial_us
-    courier.transports["http"].reports = told.reports
+    engine.apply_settings(told)
+    engine.transports["http"].dial_us = told.dial_us
+    engine.transports["http"].reports = told.reports
     pool.keep_for(told.keepalive_us)
     room.resize(*_legs(told))
-    courier.journal.resize(told.disk_bytes)
-    discovery.settle(told)
+    engine.journal.resize(told.disk_bytes)
+    discovery.apply_settings(told)
     discovery.move(where)
     notices.move(heard)
     settings.keep_good(told)
--- a/pinspread/simhost.py
+++ b/pinspread/simhost.py
@@ -3,7 +3,7 @@
 import sys
 
 from pinspread import wire
-from pinspread.decide import Sender
+from pinspread.policy.delivery_policy import DeliveryPolicy
 
 
 def read_exactly(stream, size, what, may_end=False):
@@ -29,7 +29,7 @@
         records = []
         for instance, event in self._decoder.batch(count, payload):
             if type(event) is wire.Start:
-                self._senders[instance] = Sender(event.settings, event.seed)
+                self._senders[instance] = DeliveryPolicy(event.settings, event.seed)
                 turns[instance] = []
             elif type(event) is wire.Stop:
                 self._senders.pop(instance, None)
--- a/pinspread/fleet/cli.py
+++ b/pinspread/simulation/cli.py
@@ -24,7 +24,7 @@
 @app.command()
 def check(file: File):
     """Name every problem of an experiment file with its place."""
-    from pinspread.fleet import experiment
+    from pinspread.simulation import experiment
 
     try:
         found = experiment.load(str(file))
@@ -39,7 +39,7 @@
     partner: Annotated[list[int] | None, typer.Option(help="second by second for this one, too")] = None,
 ):
     """Count where a day's messages went, from the logs (*.log) of all its couriers in a folder."""
-    from pinspread.fleet import losses as counter
+    from pinspread.simulation import losses as counter
 
     if not any(folder.glob("*.log")):
         fail(f"{folder}: no *.log there")
@@ -55,8 +55,8 @@
     report: Annotated[bool, typer.Option(help="write report.md and plots too")] = True,
 ):
     """Run an experiment; stop it with Ctrl-C and start it again, and it goes on where it was."""
-    from pinspread.fleet import experiment, runs, trace
-    from pinspread.fleet import report as writer
+    from pinspread.simulation import experiment, runs, trace
+    from pinspread.simulation import report as writer
 
     try:
         found = runs.run(experiment.load(str(file)), str(out), processes, quiet)
@@ -81,9 +81,10 @@
     variant: Annotated[str, typer.Option(help="whose world; the couriers are this checkout's")] = "",
 ):
     """Play one day of an experiment on real sockets, with real couriers among stand-ins."""
-    from pinspread.fleet import day, experiment
-    from pinspread.fleet.loopback import stage
-    from pinspread.fleet.world import World
+    from pinspread.simulation import experiment
+    from pinspread.simulation import scenario as day
+    from pinspread.simulation.model import World
+    from pinspread.testbed import platform as stage
 
     try:
         points = experiment.load(str(file)).points
@@ -110,7 +111,7 @@
     as_json: Annotated[bool, typer.Option("--json", help="for programs")] = False,
 ):
     """Compare two variants on the same days: differences with intervals, and a plain verdict."""
-    from pinspread.fleet import compare as judge
+    from pinspread.simulation import compare as judge
 
     left, right = point_of(a), point_of(b)
     if left["seeds"] != right["seeds"]:
@@ -136,7 +137,7 @@
 @app.command()
 def report(folder: Annotated[Path, typer.Argument(metavar="DIR", show_default=False)]):
     """Write report.md and the plots of a folder's result again."""
-    from pinspread.fleet import report as writer
+    from pinspread.simulation import report as writer
 
     try:
         print(writer.write(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
@@ -155,7 +156,7 @@
     ],
 ):
     """Turn couriers' logs into a trace, and say what was fitted and how well it holds."""
-    from pinspread.fleet import trace
+    from pinspread.simulation import trace
 
     try:
         found = trace.record([(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip())
@@ -170,7 +171,7 @@
 @app.command()
 def inspect(file: File):
     """Check a trace and show what it holds."""
-    from pinspread.fleet import trace
+    from pinspread.simulation import trace
 
     try:
         show(trace.read(str(file)), file)
@@ -209,9 +210,9 @@
     """A real courier, three stand-in partners of which one goes down, and traffic; prints what became of it."""
     import tempfile
 
-    from pinspread.fleet import day
-    from pinspread.fleet.loopback import stage
-    from pinspread.fleet.world import World
+    from pinspread.simulation import scenario as day
+    from pinspread.simulation.model import World
+    from pinspread.testbed import platform as stage
 
     world = World.model_validate(
         {
@@ -261,7 +262,7 @@
 @stage.command("run")
 def stage_run(file: File, out: Out = Path("found/stage")):
     """Play a scene; its history and verdicts go to OUT; exit code 1 if an expectation failed."""
-    from pinspread.fleet.loopback import cast
+    from pinspread.testbed import processes as cast
 
     try:
         scene = cast.load(str(file))
@@ -273,7 +274,8 @@
         shown = {k: v for k, v in verdict.items() if k not in ("ok", "kind", "faults", "each_s")}
         print("ok  " if verdict["ok"] else "FAIL", verdict["kind"], orjson.dumps(shown).decode()[:300])
     (out / "verdicts.json").write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
-    from pinspread.fleet.loopback import judge, picture
+    from pinspread.testbed import history_checker as judge
+    from pinspread.testbed import picture
 
     lines = judge.read_scene(out / "history.jsonl")
     marks = [(e["s"], e["do"] + " " + ",".join(e.get("who", []))) for e in scene.get("at", [])]
@@ -286,7 +288,7 @@
 @stage.command("check")
 def stage_check(file: File):
     """Name a scene's problem, or say that it can be played."""
-    from pinspread.fleet.loopback import cast
+    from pinspread.testbed import processes as cast
 
     try:
         scene = cast.load(str(file))
--- a/pinspread/fleet/clients.py
+++ b/pinspread/simulation/clients.py
@@ -2,8 +2,8 @@
 
 import numpy as np
 
-from pinspread.fleet.engine import SECOND
-from pinspread.fleet.streams import stream
+from pinspread.simulation.engine import SECOND
+from pinspread.simulation.random_streams import stream
 
 
 class Habits:
--- a/pinspread/fleet/compare.py
+++ b/pinspread/simulation/compare.py
@@ -3,7 +3,7 @@
 import numpy as np
 from scipy import stats
 
-from pinspread.fleet.streams import stream
+from pinspread.simulation.random_streams import stream
 
 LEVEL = 0.90
 RESAMPLES = 2000
--- a/pinspread/fleet/partner.py
+++ b/pinspread/simulation/destination.py
@@ -5,8 +5,8 @@
 
 from collections import deque
 
-from pinspread.fleet.engine import MS, SECOND
-from pinspread.interface import Verdict
+from pinspread.policy.events import Outcome
+from pinspread.simulation.engine import MS, SECOND
 
 UP, CRASHED, SILENT, ERRORS, SHUT, FALLEN = range(6)
 STATES = ("up", "crashed", "silent", "errors", "shut", "fallen")
@@ -54,7 +54,7 @@
         self.watch = watch  # rules.Checker
         self.accepts = world.network.silent_accepts
         self.full_table = world.network.full_table
-        self.cold_from, self.warm_ns = p.cold_from, int(p.warm_s * SECOND)
+        self.slow_start_fraction, self.warm_ns = p.cold_from, int(p.warm_s * SECOND)
         self.multiple, self.fall_ns, self.slack = p.fall_multiple, int(p.fall_s * SECOND), p.fall_slack
         self.endpoints = [
             Endpoint(first_id + n, self, *one)
@@ -133,7 +133,7 @@
         if since >= self.warm_ns:
             self.cold_ns = -1
             return 1.0
-        return self.cold_from + (1 - self.cold_from) * since / self.warm_ns
+        return self.slow_start_fraction + (1 - self.slow_start_fraction) * since / self.warm_ns
 
     def _weigh(self, courier):
         """Every call and probe that reaches a cold partner weighs; too much in a while, and it falls."""
@@ -171,7 +171,7 @@
                 return
             if state == ERRORS:
                 if call.chance[2] < self.error_share:
-                    self.engine.after(FAST_ERROR_NS, call.answered, Verdict.ERROR, 0)
+                    self.engine.after(FAST_ERROR_NS, call.answered, Outcome.ERROR, 0)
                     return
             else:
                 self._refuse(call, self.opens_ns - now)
@@ -202,7 +202,7 @@
     def _refuse(self, call, wait_ns):
         self.refused += 1
         told = wait_ns if wait_ns > 0 and call.chance[3] < self.spec.tells else 0
-        call.answered(Verdict.FULL, told)
+        call.answered(Outcome.OVERLOADED, told)
 
     def _work(self, endpoint, call, work_ns):
         endpoint.busy += 1
@@ -214,7 +214,7 @@
         if life != endpoint.life:
             return  # it was lost with the process
         endpoint.busy -= 1
-        call.answered(Verdict.OK, 0)
+        call.answered(Outcome.OK, 0)
         while endpoint.queue and endpoint.busy < endpoint.cores:
             waiting, work_ns = endpoint.queue.popleft()
             self._work(endpoint, waiting, work_ns)
--- a/pinspread/fleet/experiment.py
+++ b/pinspread/simulation/experiment.py
@@ -8,8 +8,8 @@
 import orjson
 from pydantic import Field, ValidationError
 
-from pinspread.fleet import variants
-from pinspread.fleet.world import Part, World
+from pinspread.simulation import variants
+from pinspread.simulation.model import Part, World
 
 
 class ExperimentError(ValueError):
--- a/pinspread/fleet/courier.py
+++ b/pinspread/simulation/instance.py
@@ -4,18 +4,28 @@
 live branch are checked again.
 """
 
-from pinspread import interface as api
-from pinspread.fleet.day import DRAWS
-from pinspread.fleet.engine import MS, SECOND
-from pinspread.net.http import IDLE_SHARE
-
-Verdict = api.Verdict
-TELLS_OPENED = hasattr(api.AttemptEnded, "opened")  # older versions of the module do not ask for it
+from pinspread.http.transport import IDLE_SHARE
+from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer
+from pinspread.policy.events import (
+    AttemptCompleted,
+    EndpointsChanged,
+    EndpointState,
+    HealthCheckCompleted,
+    MessageAccepted,
+    Outcome,
+    TimerFired,
+    UpdateScope,
+)
+from pinspread.simulation.engine import MS, SECOND
+from pinspread.simulation.scenario import DRAWS
+
+Outcome = Outcome
+TELLS_OPENED = hasattr(AttemptCompleted, "opened")  # older versions of the module do not ask for it
 LINGER_NS = 500 * MS  # and newcomers hear busy answers at least so long
 DRAIN_NS = 3200 * MS  # after SIGTERM: what is out has so long to end
-NEVER_RAN = (Verdict.FULL, Verdict.CONNECT_FAILED, Verdict.MOOT)
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 PROBE_NS = 1500 * MS
-PROBE_TELLS = "wait_ns" in api.ProbeEnded.__dataclass_fields__  # older versions do not take it
+PROBE_TELLS = "retry_after_ns" in HealthCheckCompleted.__dataclass_fields__  # older versions do not take it
 PROBE_WORK_NS = 5 * MS
 PROBE_CHANCE = (0.5, 0.5, 0.5, 0.5)
 
@@ -23,7 +33,7 @@
 class Held:
     """A message that is taken on: what the journal keeps of it, and who handed it in."""
 
-    __slots__ = ("attempts", "client", "deadline_ns", "live", "may_run_ns", "number", "row")
+    __slots__ = ("attempts", "client", "deadline_ns", "live", "may_have_run_ns", "number", "row")
 
     def __init__(self, number, row, deadline_ns, client):
         self.number = number
@@ -31,7 +41,7 @@
         self.deadline_ns = deadline_ns
         self.client = client
         self.attempts = 0
-        self.may_run_ns = 0
+        self.may_have_run_ns = 0
         self.live = None  # the call that is out and has been written
 
 
@@ -112,7 +122,7 @@
     def broken(self):
         """The connection is reset."""
         self.home.engine.after(
-            self.home.delay(self.endpoint, self.chance[1]), self.home.ended, self, Verdict.RESET, 0
+            self.home.delay(self.endpoint, self.chance[1]), self.home.ended, self, Outcome.RESET, 0
         )
 
 
@@ -153,7 +163,7 @@
         self.told.clear()
         self.sender = fleet.make_sender(self.number, self.restarts)
         self.restarts += 1
-        self.learn(api.ListScope.FULL, entries)
+        self.update_endpoints(UpdateScope.FULL, entries)
         fleet.checker.started(self.number, self.engine.now)
         for held in self.open.values():
             self.post(self._taken(held))
@@ -184,7 +194,7 @@
         for call in list(self.calls.values()):
             call.over = True
             if call.held is not None and call.held.live is call:
-                call.held.may_run_ns = call.held.may_run_ns or call.sent_ns
+                call.held.may_have_run_ns = call.held.may_have_run_ns or call.sent_ns
                 call.held.live = None
                 self.fleet.checker.cut(self.number, call.held.number, call.sent_ns)
         for pool in self.pools.values():
@@ -205,8 +215,8 @@
         if not self.up:
             return -1
         if self.stopping:
-            return self.fleet.settings.max_come_back_ns
-        if len(self.open) >= self.fleet.settings.most_held:
+            return self.fleet.settings.max_retry_after_ns
+        if len(self.open) >= self.fleet.settings.max_held_messages:
             return SECOND
         self.serial += 1
         held = self.open[self.serial] = Held(self.serial, row, deadline_ns, client)
@@ -219,25 +229,25 @@
 
     def _taken(self, held):
         day, row = self.fleet.day, held.row
-        return api.MessageTaken(
+        return MessageAccepted(
             held.number, int(day.cls[row]), int(day.dest[row]), held.deadline_ns, int(day.key[row]),
-            int(day.team[row]), held.attempts, held.may_run_ns,
+            int(day.team[row]), held.attempts, held.may_have_run_ns,
         )  # fmt: skip
 
-    def learn(self, scope, entries):
+    def update_endpoints(self, scope, entries):
         """News of the list."""
         now, checker = self.engine.now, self.fleet.checker
-        if scope is api.ListScope.FULL:
+        if scope is UpdateScope.FULL:
             for id_ in self.usable.keys() - {e.endpoint for e in entries}:
                 self.usable[id_] = False
                 checker.listed(self.number, now, id_, False)
         for entry in entries:
-            usable = entry.state is api.ListState.READY
+            usable = entry.state is EndpointState.READY
             self.usable[entry.endpoint] = usable
             checker.listed(self.number, now, entry.endpoint, usable)
             if not usable and entry.endpoint in self.pools:
                 self.pools[entry.endpoint].close_idle()
-        self.post(api.ListChanged(scope, entries))
+        self.post(EndpointsChanged(scope, entries))
 
     def post(self, event):
         """Have the module told in the next turn."""
@@ -248,7 +258,7 @@
 
     def _timer(self, life, tag):
         if life == self.life:
-            self.post(api.TimerDue(tag))
+            self.post(TimerFired(tag))
 
     def _turn(self):
         self.turn_due = False
@@ -259,21 +269,21 @@
         now = self.engine.now
         for action in self.sender.handle(now, events):
             kind = type(action)
-            if kind is api.SetTimer:
+            if kind is SetTimer:
                 self.engine.after(max(1000, action.delay_ns), self._timer, self.life, action.tag)
-            elif kind is api.Send:
+            elif kind is Send:
                 self._send(action, now)
-            elif kind is api.Refuse or kind is api.Fail:
-                refused = kind is api.Refuse
+            elif kind is Reject or kind is Fail:
+                refused = kind is Reject
                 self.fleet.checker.final(self.number, now, action.request, refused)
                 held = self.open.pop(action.request, None)
                 if held is not None:
                     held.client.ended(
-                        held.row, "returned" if refused else "failed", action.come_back_ns if refused else 0
+                        held.row, "returned" if refused else "failed", action.retry_after_ns if refused else 0
                     )
-            elif kind is api.Probe:
+            elif kind is CheckHealth:
                 self._probe(action.endpoint, now)
-            elif kind is api.Disconnect:
+            elif kind is Disconnect:
                 if action.endpoint in self.pools:
                     self.pools[action.endpoint].close_idle()
         self._maybe_gone()
@@ -328,9 +338,9 @@
             call.fresh = call.turned_away = True
             self.engine.after(there_and_back, self._write, call, pool)
         elif found == "refused":
-            self.engine.after(there_and_back, self.ended, call, Verdict.CONNECT_FAILED, 0)
+            self.engine.after(there_and_back, self.ended, call, Outcome.CONNECT_FAILED, 0)
         else:
-            self.engine.after(min(self.dial_ns, call.timeout_ns), self.ended, call, Verdict.CONNECT_FAILED, 0)
+            self.engine.after(min(self.dial_ns, call.timeout_ns), self.ended, call, Outcome.CONNECT_FAILED, 0)
 
     def _write(self, call, pool):
         """Right before the first byte: whether it may still go."""
@@ -350,7 +360,7 @@
             )
         )
         if barred:
-            self.ended(call, Verdict.MOOT, 0)
+            self.ended(call, Outcome.NOT_SENT, 0)
             return
         call.sent_ns = now
         if held is not None:
@@ -366,13 +376,13 @@
         if call.over and not call.sent_ns:
             return
         if call.turned_away:
-            call.answered(Verdict.FULL, 0)
+            call.answered(Outcome.OVERLOADED, 0)
         else:
             call.endpoint.partner.arrive(call.endpoint, call, work_ns)
 
     def _timed_out(self, call):
         if not call.over:
-            self.ended(call, Verdict.TIMEOUT if call.sent_ns else Verdict.CONNECT_FAILED, 0)
+            self.ended(call, Outcome.TIMEOUT if call.sent_ns else Outcome.CONNECT_FAILED, 0)
 
     def ended(self, call, verdict, wait_ns):
         """A branch or a probe has its outcome; whatever comes after it says nothing any more."""
@@ -383,35 +393,35 @@
         pool = self.pools.get(endpoint.id)
         if pool is not None and call in pool.out:
             del pool.out[call]
-            if verdict in (Verdict.TIMEOUT, Verdict.RESET):
+            if verdict in (Outcome.TIMEOUT, Outcome.RESET):
                 endpoint.connections -= 1  # of no further use
             else:
                 pool.idle.append(now)
         dest = endpoint.partner.number
         if wait_ns:
             self.told[dest] = max(self.told.get(dest, 0), now + wait_ns)
-        if verdict not in (Verdict.OK, Verdict.MOOT):
+        if verdict not in (Outcome.OK, Outcome.NOT_SENT):
             endpoint.partner.failed_for(self.number)
         held = call.held
         if held is None:
             told = (wait_ns,) if PROBE_TELLS else ()
-            self.post(api.ProbeEnded(endpoint.id, verdict, now - call.started_ns, *told))
+            self.post(HealthCheckCompleted(endpoint.id, verdict, now - call.started_ns, *told))
             return
         del self.calls[held.number, call.attempt]
         if held.live is call:
             held.live = None
-            if verdict not in NEVER_RAN and not held.may_run_ns:
-                held.may_run_ns = call.sent_ns
+            if verdict not in NEVER_RAN and not held.may_have_run_ns:
+                held.may_have_run_ns = call.sent_ns
         checker = self.fleet.checker
         was_open = held.number in self.open
-        done = verdict is Verdict.OK or not was_open
-        if was_open and verdict is Verdict.OK:
+        done = verdict is Outcome.OK or not was_open
+        if was_open and verdict is Outcome.OK:
             del self.open[held.number]
             checker.delivered(self.number, now, held.number)
             held.client.ended(held.row, "delivered", 0)
         checker.outcome(self.number, now, held.number, verdict, call.sent_ns or now, wait_ns, dest, done)
         self.fleet.outcome(verdict)
-        event = api.AttemptEnded(
+        event = AttemptCompleted(
             held.number, call.attempt, endpoint.id, verdict, now - call.started_ns, done, wait_ns
         )
         if TELLS_OPENED:
--- a/pinspread/fleet/crowd.py
+++ b/pinspread/simulation/load.py
@@ -9,29 +9,39 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from pinspread import interface as api
-from pinspread.decide import MS, SECOND, Sender
-
-OK, FULL = api.Verdict.OK, api.Verdict.FULL
+from pinspread.policy.actions import Send, SetTimer
+from pinspread.policy.delivery_policy import MS, SECOND, DeliveryPolicy
+from pinspread.policy.events import (
+    AttemptCompleted,
+    EndpointEntry,
+    EndpointsChanged,
+    MessageAccepted,
+    Outcome,
+    TimerFired,
+    UpdateScope,
+)
+from pinspread.policy.settings import DestinationKind, Settings, TrafficClass
+
+OK, FULL = Outcome.OK, Outcome.OVERLOADED
 
 
 def settings(senders):
     """What each of so many senders is told: one repeatable class, an exact listed rate."""
-    return api.Settings(
-        classes=[api.TrafficClass(4 * SECOND, 20 * SECOND, late_share=0.3)],
-        kinds=[api.Kind()],
-        calls_out=5,
-        most_held=100,
+    return Settings(
+        classes=[TrafficClass(4 * SECOND, 20 * SECOND, late_value_share=0.3)],
+        kinds=[DestinationKind()],
+        max_concurrent_calls=5,
+        max_held_messages=100,
         max_attempts=6,
         senders=senders,
         weights_known=True,
         weights_exact=True,
-        may_tell_wait=True,
-        max_come_back_ns=2 * SECOND,
+        retry_after_allowed=True,
+        max_retry_after_ns=2 * SECOND,
         keepalive_ns=15 * SECOND,
-        cold_from=0.2,
-        cold_ns=9 * SECOND,
-        tip_multiple=2.0,
+        slow_start_fraction=0.2,
+        slow_start_ns=9 * SECOND,
+        overload_multiple=2.0,
     )
 
 
@@ -60,8 +70,8 @@
     chance = random.Random(seed)
     partner = Partner(limit)
     told = settings(senders)
-    entry = api.ListEntry("a", 1, weight=limit(0))
-    fleet = [Sender(told, seed=seed * 1000 + n) for n in range(senders)]
+    entry = EndpointEntry("a", 1, weight=limit(0))
+    fleet = [DeliveryPolicy(told, seed=seed * 1000 + n) for n in range(senders)]
     heap, order, ids, attempts = [], count(), count(1), {}
     delivered = [0] * senders
 
@@ -69,22 +79,22 @@
         heappush(heap, (int(when), next(order), n, event))
 
     for n, rate in enumerate(rates):
-        at(0, n, api.ListChanged(api.ListScope.CACHED, [entry]))
+        at(0, n, EndpointsChanged(UpdateScope.CACHED, [entry]))
         when = chance.expovariate(rate)
         while when < span:
-            at(when * SECOND, n, api.MessageTaken(next(ids), 0, 1, int((when + 12) * SECOND)))
+            at(when * SECOND, n, MessageAccepted(next(ids), 0, 1, int((when + 12) * SECOND)))
             when += chance.expovariate(rate)
     while heap and heap[0][0] < (span + 12) * SECOND:
         now, _, n, event = heappop(heap)
         for action in fleet[n].handle(now, [event]):
-            if type(action) is api.SetTimer:
-                at(now + action.delay_ns, n, api.TimerDue(action.tag))
-            elif type(action) is api.Send:
+            if type(action) is SetTimer:
+                at(now + action.delay_ns, n, TimerFired(action.tag))
+            elif type(action) is Send:
                 number = attempts[action.request] = attempts.get(action.request, -1) + 1
                 verdict = partner.call(now)
                 delivered[n] += verdict is OK
                 took = 50 * MS
-                ended = api.AttemptEnded(action.request, number, "a", verdict, took, verdict is OK)
+                ended = AttemptCompleted(action.request, number, "a", verdict, took, verdict is OK)
                 at(now + took, n, ended)
     return partner, delivered
 
--- a/pinspread/fleet/losses.py
+++ b/pinspread/simulation/losses.py
@@ -10,6 +10,8 @@
 
 import orjson
 
+from pinspread.simulation.recorded_events import recorded
+
 
 class Life:
     """One message at one courier: when it was taken, what its branches met, how it ended."""
@@ -45,7 +47,7 @@
             if not line.strip():
                 continue
             try:
-                event = orjson.loads(line[max(0, start) :])
+                event = recorded(orjson.loads(line[max(0, start) :]))
                 found.append((event["at_us"], path.stem, event))
             except (orjson.JSONDecodeError, KeyError, TypeError):
                 # The last line of a courier that was killed may be cut; what a runtime prints is no event.
--- a/pinspread/fleet/accounts.py
+++ b/pinspread/simulation/metrics.py
@@ -9,8 +9,8 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from pinspread.fleet.engine import MS, SECOND
-from pinspread.interface import Verdict
+from pinspread.policy.events import Outcome
+from pinspread.simulation.engine import MS, SECOND
 
 WHOLE, WORST, CLASS, TEAM = 0.30, 0.40, 0.20, 0.10
 WORST_S = 10
@@ -134,7 +134,7 @@
         "refused": sum(p.refused for p in fleet.partners.values()),
         "refused_limit": refused,
         "falls": sum(p.falls for p in fleet.partners.values()),
-        "verdicts": {Verdict(v).name.lower(): c for v, c in sorted(fleet.verdicts.items())},
+        "verdicts": {Outcome(v).name.lower(): c for v, c in sorted(fleet.verdicts.items())},
         "turns": sum(c.turns for c in fleet.couriers),
         "events": fleet.engine.events,
         "latency": latencies,
--- a/pinspread/fleet/paper.py
+++ b/pinspread/simulation/paper.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from pinspread.fleet.streams import stream
+from pinspread.simulation.random_streams import stream
 
 
 def waits(seed, requests, retries, base_ms, factor, randomness):
--- a/pinspread/fleet/plots.py
+++ b/pinspread/simulation/plots.py
@@ -11,7 +11,7 @@
 import numpy as np  # noqa: E402
 from hdrh.histogram import HdrHistogram  # noqa: E402
 
-from pinspread.fleet.compare import interval  # noqa: E402
+from pinspread.simulation.compare import interval  # noqa: E402
 
 
 def save(figure, folder, name):
--- a/pinspread/fleet/report.py
+++ b/pinspread/simulation/report.py
@@ -2,8 +2,8 @@
 
 from pathlib import Path
 
-from pinspread.fleet import compare
-from pinspread.fleet.compare import interval
+from pinspread.simulation import compare
+from pinspread.simulation.compare import interval
 
 
 def write(result: dict, folder: str) -> Path:
@@ -17,7 +17,7 @@
 
 
 def _days(result, folder):
-    from pinspread.fleet import plots
+    from pinspread.simulation import plots
 
     points = result["points"]
     lines = [f"# {result['experiment']}", ""]
--- a/pinspread/fleet/rules.py
+++ b/pinspread/simulation/rules.py
@@ -10,8 +10,9 @@
 | order  | messages of a key go one at a time, as they were taken                                       |
 """
 
-from pinspread.fleet.engine import MS, SECOND
-from pinspread.interface import Effect, Verdict
+from pinspread.policy.events import Outcome
+from pinspread.policy.settings import Idempotency
+from pinspread.simulation.engine import MS, SECOND
 
 RULES = ("final", "repeat", "drain", "cold", "wait", "order")
 ANSWER_SLACK_NS = 300 * MS
@@ -19,19 +20,19 @@
 DRAIN_GRACE_NS = 250 * MS
 BLAMED = 2 / 3  # share of what pushed a partner over that came from couriers that knew
 KEPT = 200  # breaks that are listed; all are counted
-NEVER_RAN = (Verdict.FULL, Verdict.CONNECT_FAILED, Verdict.MOOT)
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Entry:
     """What the checker knows of one message at one courier."""
 
-    __slots__ = ("cls", "deadline_ns", "dest", "ended", "key", "may_run_ns", "out", "sends")
+    __slots__ = ("cls", "deadline_ns", "dest", "ended", "key", "may_have_run_ns", "out", "sends")
 
     def __init__(self, cls, dest, key, deadline_ns):
         self.cls, self.dest, self.key, self.deadline_ns = cls, dest, key, deadline_ns
         self.sends = 0
         self.out = False
-        self.may_run_ns = 0
+        self.may_have_run_ns = 0
         self.ended = False
 
 
@@ -74,7 +75,7 @@
     def cut(self, courier, request, sent_ns):
         """A courier's process ended while this attempt was out and written: it may have run."""
         entry = self.messages[courier, request]
-        entry.may_run_ns = entry.may_run_ns or sent_ns
+        entry.may_have_run_ns = entry.may_have_run_ns or sent_ns
 
     def started(self, courier, now):
         """A courier is ready again: told waits and attempts ended with its process."""
@@ -95,9 +96,13 @@
             self.broke("repeat", now, courier, f"a second live attempt for message {request}")
         if entry.sends >= self.max_attempts:
             self.broke("repeat", now, courier, f"attempt {entry.sends + 1} for message {request}")
-        if entry.may_run_ns and rule.effect is Effect.ONCE:
+        if entry.may_have_run_ns and rule.effect is Idempotency.NOT_IDEMPOTENT:
             self.broke("repeat", now, courier, f"message {request} may have run, and must not twice")
-        if entry.may_run_ns and rule.effect is Effect.BY_KEY and now >= entry.may_run_ns + rule.window_ns:
+        if (
+            entry.may_have_run_ns
+            and rule.effect is Idempotency.WITH_KEY
+            and now >= entry.may_have_run_ns + rule.deduplication_window_ns
+        ):
             self.broke("repeat", now, courier, f"message {request} again after its window")
         if dest != entry.dest:
             self.broke("drain", now, courier, f"message {request} to an endpoint of partner {dest}")
@@ -129,8 +134,8 @@
         if entry is None:
             return
         entry.out = False
-        if verdict not in NEVER_RAN and not entry.may_run_ns:
-            entry.may_run_ns = sent_ns
+        if verdict not in NEVER_RAN and not entry.may_have_run_ns:
+            entry.may_have_run_ns = sent_ns
         if done or entry.ended:
             self._over(courier, request, entry)
 
@@ -145,7 +150,7 @@
         if entry is None or entry.ended:
             self.broke("final", now, courier, f"a second final answer for message {request}")
             return
-        if refused and entry.may_run_ns and self.classes[entry.cls].effect is Effect.ONCE:
+        if refused and entry.may_have_run_ns and self.classes[entry.cls].effect is Idempotency.NOT_IDEMPOTENT:
             self.broke("repeat", now, courier, f"message {request} refused though it may have run")
         entry.ended = True
         self._in_time(courier, now, request, entry)
--- a/pinspread/fleet/runs.py
+++ b/pinspread/simulation/runs.py
@@ -13,8 +13,8 @@
 import orjson
 from tqdm import tqdm
 
-from pinspread.fleet import paper, variants
-from pinspread.fleet.experiment import Experiment, canonical
+from pinspread.simulation import paper, variants
+from pinspread.simulation.experiment import Experiment, canonical
 
 FORMAT = 1
 LIBRARIES = ("numpy", "scipy", "hdrhistogram", "orjson", "pydantic")
@@ -22,10 +22,11 @@
 
 def one(point: dict, seed: int) -> dict:
     """One run, in this process: the accounts of a point and a seed."""
-    from pinspread.fleet import day, simulate, trace
-    from pinspread.fleet.engine import Stuck
-    from pinspread.fleet.streams import whole
-    from pinspread.fleet.world import World
+    from pinspread.simulation import scenario as day
+    from pinspread.simulation import simulate, trace
+    from pinspread.simulation.engine import Stuck
+    from pinspread.simulation.model import World
+    from pinspread.simulation.random_streams import whole
 
     world = World.model_validate(point["world"])
     drawn = trace.replay(point["trace"], world, seed) if point["trace"] else day.draw(world, seed)
--- a/pinspread/fleet/day.py
+++ b/pinspread/simulation/scenario.py
@@ -4,8 +4,8 @@
 
 import numpy as np
 
-from pinspread.fleet.engine import MS, SECOND
-from pinspread.fleet.streams import stream
+from pinspread.simulation.engine import MS, SECOND
+from pinspread.simulation.random_streams import stream
 
 DRAWS = 8  # attempts of a message that have chance numbers of their own; later ones start over
 
--- a/pinspread/fleet/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -2,16 +2,19 @@
 
 import numpy as np
 
-from pinspread import decide
-from pinspread import interface as api
-from pinspread.fleet import accounts, partner
-from pinspread.fleet.clients import Habits
-from pinspread.fleet.courier import Courier
-from pinspread.fleet.day import BOOTS, Day, quotas
-from pinspread.fleet.engine import SECOND, Engine
-from pinspread.fleet.partner import Endpoint, partners_of
-from pinspread.fleet.rules import Checker
-from pinspread.fleet.streams import stream, whole
+from pinspread.policy import delivery_policy as decide
+from pinspread.policy.events import EndpointEntry, EndpointState, UpdateScope
+from pinspread.policy.settings import DestinationKind, Idempotency, Settings, Tenant, TrafficClass
+from pinspread.simulation import destination as partner
+from pinspread.simulation import metrics as accounts
+from pinspread.simulation.clients import Habits
+from pinspread.simulation.destination import Endpoint, partners_of
+from pinspread.simulation.engine import SECOND, Engine
+from pinspread.simulation.instance import Courier
+from pinspread.simulation.random_streams import stream, whole
+from pinspread.simulation.rules import Checker
+from pinspread.simulation.scenario import BOOTS, Day, quotas
+from pinspread.simulation.variants import SETTINGS_KEYS
 
 AFTER_NS = 30 * SECOND  # a day runs on so long for what is owed, unless all is over before
 STATE_OF = {
@@ -33,7 +36,7 @@
         self.world, self.day = world, day
         self.engine = Engine(world.couriers.count + len(day.partners))
         self.module_seed = day.seed if module_seed is None else module_seed
-        self.sender = sender or decide.Sender
+        self.sender = sender or decide.DeliveryPolicy
         self.settings = module_settings(world, day, settings or {})
         self.checker = Checker(self.settings.classes, self.settings.max_attempts)
         self.partners, self.endpoints = partners_of(day, self.engine, world, self.checker)
@@ -55,9 +58,9 @@
         self.work_done_ns = 0
         self.habits = Habits(world, day)
 
-    def _entry(self, endpoint, state=api.ListState.READY):
+    def _entry(self, endpoint, state=EndpointState.READY):
         spec = endpoint.partner.spec
-        return api.ListEntry(endpoint.id, spec.number, 0, 0 if spec.big else 1, state, spec.weight)
+        return EndpointEntry(endpoint.id, spec.number, 0, 0 if spec.big else 1, state, spec.weight)
 
     def make_sender(self, courier, start):
         """The module of a courier that starts."""
@@ -196,27 +199,27 @@
     def _change(self, id_, kind, until_ns):
         endpoint = self.endpoints[id_]
         if kind == "drain":
-            self._list(endpoint, api.ListState.DRAINING)
-            self.engine.at(until_ns, self._list, endpoint, api.ListState.READY)
+            self._list(endpoint, EndpointState.DRAINING)
+            self.engine.at(until_ns, self._list, endpoint, EndpointState.READY)
             return
         owner = endpoint.partner
         new = Endpoint(NEW_ID + id_, owner, endpoint.cores, endpoint.queue_room, endpoint.table)
         new.state = endpoint.state
         owner.endpoints.append(new)
         self.endpoints[new.id] = new
-        self._list(new, api.ListState.READY)
-        self._list(endpoint, api.ListState.DRAINING)
+        self._list(new, EndpointState.READY)
+        self._list(endpoint, EndpointState.DRAINING)
         self.engine.after(REPLACED_NS, self._go, endpoint)
 
     def _go(self, endpoint):
-        self._list(endpoint, api.ListState.GONE)
+        self._list(endpoint, EndpointState.REMOVED)
         endpoint.partner.endpoints.remove(endpoint)
         endpoint.state = partner.CRASHED
         endpoint.partner.lose(endpoint, reset=True)
 
     def _list(self, endpoint, state):
         entry = self.entries[endpoint.id] = self._entry(endpoint, state)
-        if state is api.ListState.GONE:
+        if state is EndpointState.REMOVED:
             del self.entries[endpoint.id]
         for courier, lag in zip(self.couriers, self.lag_ns, strict=True):
             self.engine.after(lag, self._tell, courier, entry)
@@ -224,40 +227,40 @@
     @staticmethod
     def _tell(courier, entry):
         if courier.up:
-            courier.learn(api.ListScope.DELTA, [entry])
+            courier.update_endpoints(UpdateScope.DELTA, [entry])
 
 
 def module_settings(world, day, replaced):
     """What each module is told: from the world, with a variant's fields in their place."""
     c, p = world.couriers, world.partners
     classes = [
-        api.TrafficClass(
-            aim_ns=int(one.aim_s * SECOND), deadline_ns=int(one.deadline_s * SECOND),
-            effect=api.Effect(one.effect), window_ns=int(one.window_s * SECOND), late_share=one.late_share,
+        TrafficClass(
+            latency_objective_ns=int(one.aim_s * SECOND), deadline_ns=int(one.deadline_s * SECOND),
+            effect=Idempotency(one.effect), deduplication_window_ns=int(one.window_s * SECOND), late_value_share=one.late_share,
             worth=one.worth, in_order=one.in_order,
         )
         for one in world.classes
     ]  # fmt: skip
     told = {
         "classes": classes,
-        "kinds": [api.Kind(), api.Kind()],
-        "calls_out": day.slots,
-        "most_held": day.held,
+        "kinds": [DestinationKind(), DestinationKind()],
+        "max_concurrent_calls": day.slots,
+        "max_held_messages": day.held,
         "max_attempts": c.max_attempts,
         "senders": c.count,
-        "over_share_worth": world.traffic.over_share_worth,
-        "halves": True,
-        "tenants": [api.Tenant(q, t.share) for t, q in zip(world.teams, quotas(world), strict=True)],
+        "over_quota_weight": world.traffic.over_share_worth,
+        "value_halves": True,
+        "tenants": [Tenant(q, t.share) for t, q in zip(world.teams, quotas(world), strict=True)],
         "weights_known": True,
         "weights_exact": p.weights == 0,
-        "may_probe": c.probes,
-        "may_tell_wait": c.max_come_back_s > 0,
-        "max_come_back_ns": int(c.max_come_back_s * SECOND),
+        "health_checks_allowed": c.probes,
+        "retry_after_allowed": c.max_come_back_s > 0,
+        "max_retry_after_ns": int(c.max_come_back_s * SECOND),
         "keepalive_ns": int(c.keepalive_s * SECOND),
         "drain_grace_ns": SECOND // 4,
-        "cold_from": p.cold_from,
-        "cold_ns": int(p.warm_s * SECOND),
-        "tip_multiple": p.fall_multiple,
+        "slow_start_fraction": p.cold_from,
+        "slow_start_ns": int(p.warm_s * SECOND),
+        "overload_multiple": p.fall_multiple,
         "handshake_price": 0.02,
     }
-    return api.Settings(**(told | replaced))
+    return Settings(**(told | {SETTINGS_KEYS.get(key, key): value for key, value in replaced.items()}))
--- a/pinspread/fleet/trace.py
+++ b/pinspread/simulation/trace.py
@@ -12,10 +12,11 @@
 import orjson
 from cryptography.hazmat.primitives import hashes, hmac
 
-from pinspread.fleet.day import BOOTS, DRAWS, Day, PartnerSpec, Struck
-from pinspread.fleet.engine import MS, SECOND
-from pinspread.fleet.fit import fits
-from pinspread.fleet.streams import stream
+from pinspread.simulation.engine import MS, SECOND
+from pinspread.simulation.fit import fits
+from pinspread.simulation.random_streams import stream
+from pinspread.simulation.recorded_events import recorded
+from pinspread.simulation.scenario import BOOTS, DRAWS, Day, PartnerSpec, Struck
 
 MAGIC = b"PINTRACE"
 VERSION = 1
@@ -51,7 +52,7 @@
     for courier, (_, lines) in enumerate(logs):
         for line in lines:
             try:
-                event = orjson.loads(line)
+                event = recorded(orjson.loads(line))
                 kind, at = event["event"], event["at_us"]
                 if kind == "taken":
                     if "for_ms" not in event:
--- /dev/null
+++ b/pinspread/simulation/variants.py
@@ -0,0 +1,150 @@
+"""Variants: the delivery policy as it stands, with other constants, or of another version.
+
+Another version runs in processes of its own, in which its text takes the place of `pinspread.policy` before the
+model is loaded; so this module must not import the policy or the model at its top.
+"""
+
+import ast
+import hashlib
+import importlib
+import importlib.abc
+import importlib.util
+import subprocess
+import sys
+from pathlib import Path
+
+# Parts of the model that hold classes of the policy once they are loaded.
+USERS = ("simulate", "instance", "destination", "rules", "metrics")
+ROOT = Path(__file__).parents[2]
+PACKAGE = "pinspread/policy"
+LEGACY_NAMES = ("interface", "state", "decide")  # the policy's modules before it became a package
+
+
+# What an experiment's file calls settings of the policy, where the policy's own word differs.
+SETTINGS_KEYS = {
+    "calls_out": "max_concurrent_calls",
+    "most_held": "max_held_messages",
+    "over_share_worth": "over_quota_weight",
+    "halves": "value_halves",
+    "may_probe": "health_checks_allowed",
+    "may_cancel": "cancellation_allowed",
+    "may_tell_wait": "retry_after_allowed",
+    "max_come_back_ns": "max_retry_after_ns",
+    "cold_from": "slow_start_fraction",
+    "cold_ns": "slow_start_ns",
+    "tip_multiple": "overload_multiple",
+    "order_pause_ns": "ordering_pause_ns",
+    "list_on_request": "polled_discovery",
+    "must_ask_in_ns": "max_poll_interval_ns",
+    "crossing_price": "cross_zone_price",
+}
+
+
+class VariantError(ValueError):
+    """A version of the policy that cannot be had; the text says why."""
+
+
+def texts(path="", revision="") -> dict:
+    """The policy's texts by module name: from a folder, a git revision, or (both empty) this checkout."""
+    if revision:
+        return _texts_of_revision(revision)
+    folder = Path(path) if path else ROOT / PACKAGE
+    found = {file.stem: file.read_text() for file in sorted(folder.glob("*.py"))}
+    if "delivery_policy" not in found and "decide" not in found:
+        raise VariantError(f"{folder}: holds no delivery_policy.py")
+    return found
+
+
+def _texts_of_revision(revision):
+    listed = _git(revision, "ls-tree", "--name-only", revision, f"{PACKAGE}/").split()
+    names = listed or [f"pinspread/{name}.py" for name in LEGACY_NAMES]
+    return {
+        Path(name).stem: _git(revision, "show", f"{revision}:{name}")
+        for name in names
+        if name.endswith(".py")
+    }
+
+
+def _git(revision, *arguments):
+    done = subprocess.run(["git", "-C", str(ROOT), *arguments], capture_output=True, text=True)
+    if done.returncode:
+        raise VariantError(f"revision {revision!r}: {done.stderr.strip().splitlines()[-1]}")
+    return done.stdout
+
+
+def digest(found: dict) -> str:
+    """A short hash of a version's texts."""
+    whole = hashlib.sha256()
+    for name in sorted(found):
+        whole.update(found[name].encode())
+    return whole.hexdigest()[:16]
+
+
+class _TextFinder(importlib.abc.MetaPathFinder, importlib.abc.InspectLoader):
+    """Imports the modules of `pinspread.policy` from a version's texts."""
+
+    def __init__(self, found):
+        self.found = found
+
+    def find_spec(self, fullname, path=None, target=None):
+        package, _, name = fullname.rpartition(".")
+        if fullname == "pinspread.policy":
+            return importlib.util.spec_from_loader(fullname, self, is_package=True)
+        if package == "pinspread.policy" and name in self.found:
+            return importlib.util.spec_from_loader(fullname, self)
+        return None
+
+    def is_package(self, fullname):
+        return fullname == "pinspread.policy"
+
+    def get_source(self, fullname):
+        return self.found.get("__init__" if self.is_package(fullname) else fullname.rpartition(".")[2], "")
+
+
+def install(found: dict | None):
+    """Have this process use a version's texts; only before the model has been loaded."""
+    if found is None:
+        return
+    if "decide" in found:
+        raise VariantError("a version from before the policy became a package does not fit this model")
+    loaded = [name for name in USERS if f"pinspread.simulation.{name}" in sys.modules]
+    if loaded:
+        raise VariantError(f"pinspread.simulation.{loaded[0]} is loaded already")
+    # The package itself has loaded today's version; nothing else that uses it has been loaded yet.
+    for name in [name for name in sys.modules if name.startswith("pinspread.policy")]:
+        del sys.modules[name]
+    sys.meta_path.insert(0, _TextFinder(found))
+
+
+def constants_of(found: dict) -> set:
+    """The constants that a version's main module sets."""
+    tree = ast.parse(found.get("delivery_policy") or found["decide"])
+    targets = [t for node in tree.body if type(node) is ast.Assign for t in node.targets]
+    return {t.id for t in targets if type(t) is ast.Name and t.id.isupper()}
+
+
+def settings_of(found: dict) -> set:
+    """The fields of a version's Settings."""
+    tree = ast.parse(found.get("settings") or found["interface"])
+    classes = [n for n in tree.body if type(n) is ast.ClassDef and n.name == "Settings"]
+    fields = {node.target.id for one in classes for node in one.body if type(node) is ast.AnnAssign}
+    return fields | {key for key, field in SETTINGS_KEYS.items() if field in fields}
+
+
+class Constants:
+    """For the length of a `with`, the module's constants have a variant's values."""
+
+    def __init__(self, values: dict):
+        self.values = values
+        self.old = {}
+
+    def __enter__(self):
+        module = importlib.import_module("pinspread.policy.delivery_policy")
+        for name, value in self.values.items():
+            self.old[name] = getattr(module, name)
+            setattr(module, name, tuple(value) if isinstance(value, list) else value)
+
+    def __exit__(self, *_):
+        module = importlib.import_module("pinspread.policy.delivery_policy")
+        for name, value in self.old.items():
+            setattr(module, name, value)
--- /dev/null
+++ b/pinspread/sockets/__init__.py
@@ -0,0 +1,1 @@
+"""Non-blocking sockets: client connections, their limiter and read buffers."""
--- a/pinspread/net/sockets.py
+++ b/pinspread/sockets/connections.py
@@ -38,7 +38,7 @@
     return sock
 
 
-class Leg:
+class ClientConnection:
     """What the room knows of one caller leg."""
 
     __slots__ = ("asked", "bytes", "connection", "half", "kept", "since_us", "spoke", "word")
@@ -65,7 +65,7 @@
         self.since_us = now_us
 
 
-class Room:
+class ConnectionLimiter:
     """How many caller legs the fronts may hold together, and how many bytes for them."""
 
     def __init__(self, clock, most=512, most_bytes=8 << 20):
@@ -82,7 +82,7 @@
 
     def enter(self, connection):
         """Another caller leg."""
-        leg = self.legs[connection] = Leg(connection, self.clock.now())
+        leg = self.legs[connection] = ClientConnection(connection, self.clock.now())
         return leg
 
     def leave(self, leg):
@@ -154,7 +154,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class IdleConnection:
     """A caller leg that goes from one process to the next."""
 
     connection: "Connection"
@@ -174,7 +174,7 @@
         room.leave(leg)
 
 
-async def accept_forever(sock: socket.socket, tasks, serve, room: Room | None = None):
+async def accept_forever(sock: socket.socket, tasks, serve, room: ConnectionLimiter | None = None):
     """Start `serve(connection)` for each connection that comes and finds room; with a leg, if it counts."""
     while True:
         if room and not room.make():
--- a/pinspread/fleet/loopback/judge.py
+++ b/pinspread/testbed/history_checker.py
@@ -15,7 +15,8 @@
 
 import orjson
 
-from pinspread.fleet.loopback import judge_leases, traffic
+from pinspread.testbed import lease_checker as judge_leases
+from pinspread.testbed import traffic
 
 SECOND_US = 1_000_000
 DOWN = {"kill", "term", "wipe"}
--- a/pinspread/fleet/loopback/picture.py
+++ b/pinspread/testbed/picture.py
@@ -1,6 +1,6 @@
 """The stage's report as a picture: for each member, how many others see it alive, over the scene's time."""
 
-from pinspread.fleet.loopback import judge
+from pinspread.testbed import history_checker as judge
 
 
 def counts(lines):
--- a/pinspread/fleet/loopback/stage.py
+++ b/pinspread/testbed/platform.py
@@ -21,16 +21,16 @@
 import numpy as np
 import orjson
 
-from pinspread.fleet import accounts
-from pinspread.fleet.clients import Habits
-from pinspread.fleet.engine import SECOND
-from pinspread.fleet.loopback.parties import Client, HttpStandIn, until
-from pinspread.fleet.partner import CRASHED, FALLEN, Endpoint, partners_of
-from pinspread.fleet.rules import Checker
-from pinspread.fleet.simulate import REPLACED_NS, STATE_OF, module_settings
-from pinspread.fleet.streams import stream, whole
-from pinspread.interface import Verdict
-from pinspread.net import sockets
+from pinspread.policy.events import Outcome
+from pinspread.simulation import metrics as accounts
+from pinspread.simulation.clients import Habits
+from pinspread.simulation.destination import CRASHED, FALLEN, Endpoint, partners_of
+from pinspread.simulation.engine import SECOND
+from pinspread.simulation.random_streams import stream, whole
+from pinspread.simulation.rules import Checker
+from pinspread.simulation.simulate import REPLACED_NS, STATE_OF, module_settings
+from pinspread.sockets import connections as sockets
+from pinspread.testbed.stand_ins import Client, HttpStandIn, until
 
 CLIENT_WAITS_S = 0.4
 LOOK_S = 0.05  # how soon a stand-in sees that a caller whose call it has not answered is gone
@@ -76,7 +76,7 @@
 
     def answered(self, verdict, wait_ns):
         """The partner answers."""
-        if self.alone and verdict is Verdict.OK and self.row is not None:
+        if self.alone and verdict is Outcome.OK and self.row is not None:
             self.stage.unheard += 1
         if not self.reply.done():
             self.reply.set_result((verdict, wait_ns))
@@ -84,7 +84,7 @@
     def broken(self):
         """The connection is reset."""
         if not self.reply.done():
-            self.reply.set_result((Verdict.RESET, 0))
+            self.reply.set_result((Outcome.RESET, 0))
 
 
 class _Unjudged:
@@ -170,7 +170,7 @@
         handshake = stage.world.network.handshake_ms / 1000 if first else 0.0
         await anyio.sleep(there + (2 * there if first else 0))
         if connection in self.turned_away:
-            stage.verdicts[Verdict.FULL] = stage.verdicts.get(Verdict.FULL, 0) + 1
+            stage.verdicts[Outcome.OVERLOADED] = stage.verdicts.get(Outcome.OVERLOADED, 0) + 1
             await anyio.sleep(back)
             return 503, [("Connection", "close")], b""
         call = Incoming(stage, self.courier, row, work, chance)
@@ -183,17 +183,17 @@
                 return None
         verdict, wait_ns = call.reply.result()
         stage.verdicts[verdict] = stage.verdicts.get(verdict, 0) + 1
-        if verdict is Verdict.RESET:
+        if verdict is Outcome.RESET:
             reset(connection)
             return None
         await anyio.sleep(back)
-        if verdict is Verdict.OK:
+        if verdict is Outcome.OK:
             if row is not None and gone(connection):
                 stage.unheard += 1  # it ran, and nobody is there to hear of it
             elif row is not None:
                 stage.delivered(row, request[3]["request-id"])
             return 200, [], b""
-        if verdict is Verdict.ERROR:
+        if verdict is Outcome.ERROR:
             return 500, [], b""
         if wait_ns:
             return 429, [("Retry-After", f"{wait_ns / SECOND:.3f}")], b""
@@ -282,7 +282,7 @@
         config.write_bytes(orjson.dumps(told))
         env = os.environ | {"RELAY_CONFIG": str(config)}
         command = [sys.executable, "-m", "pinspread"]
-        root = Path(__file__).parents[3]
+        root = Path(__file__).parents[2]
         self.running = subprocess.Popen(command, env=env, stdout=self.log, stderr=self.log, cwd=root)
 
     async def until_ready(self):
@@ -433,12 +433,16 @@
                     event = orjson.loads(line)
                 except orjson.JSONDecodeError:
                     continue  # cut by a kill
-                if event.get("event") in ("probe", "branch") and event["verdict"] not in ("OK", "MOOT"):
+                if event.get("event") in ("probe", "branch") and event["verdict"] not in (
+                    "OK",
+                    "NOT_SENT",
+                    "MOOT",
+                ):
                     number = self.endpoints[int(event["hop"][1:])].partner.number
                     failed.append((process.number, number, int((event["at_us"] / 1e6 - begun) * SECOND)))
                 if event.get("event") == "probe":
                     self.probes += 1
-                elif event.get("event") == "branch" and event["verdict"] != "MOOT":
+                elif event.get("event") == "branch" and event["verdict"] not in ("NOT_SENT", "MOOT"):
                     at = int(max(0, (event["at_us"] - event["took_us"]) / 1e6 - begun) * SECOND)
                     self.calls_at.append(at)
                     if event["n"]:
@@ -617,8 +621,8 @@
     ]  # fmt: skip
     policy = {
         "dialTimeoutNs": int(world.couriers.dial_s * SECOND), "keepaliveNs": s.keepalive_ns,
-        "maxRetryAfterNs": s.max_come_back_ns, "mostHeld": s.most_held, "probes": s.may_probe,
-        "retryAfter": s.may_tell_wait, "sendCap": s.max_attempts,
+        "maxRetryAfterNs": s.max_retry_after_ns, "mostHeld": s.max_held_messages, "probes": s.health_checks_allowed,
+        "retryAfter": s.retry_after_allowed, "sendCap": s.max_attempts,
     }  # fmt: skip
     return {
         "name": f"n{number}", "listen": address, "discovery": stage.address(number, 1), "state": state,
@@ -627,13 +631,13 @@
         "known": stage.listed(number),
         "settings": {
             "balancers": s.senders, "lanes": lanes, "policyLimits": policy,
-            "overShareWorth": s.over_share_worth, "prices": {"handshake": s.handshake_price},
+            "overShareWorth": s.over_quota_weight, "prices": {"handshake": s.handshake_price},
             "projects": [{"name": t.name, "quotaRps": q.quota_per_s, "share": q.share}
                          for t, q in zip(world.teams, s.tenants, strict=True)],
-            "rules": {"drainGraceNs": s.drain_grace_ns, "coldFrom": s.cold_from, "coldNs": s.cold_ns,
-                      "tipMultiple": s.tip_multiple},
+            "rules": {"drainGraceNs": s.drain_grace_ns, "coldFrom": s.slow_start_fraction, "coldNs": s.slow_start_ns,
+                      "tipMultiple": s.overload_multiple},
             "shapes": ["big", "small"],
-            "specifics": {"bundleMax": [1, 1], "callsOut": s.calls_out, "kindApart": [False, False], "late": "halves"},
+            "specifics": {"bundleMax": [1, 1], "callsOut": s.max_concurrent_calls, "kindApart": [False, False], "late": "halves"},
             "weights": "nominal" if s.weights_exact else "rough", "zones": ["local"],
         },
     }  # fmt: skip
--- a/pinspread/fleet/loopback/cast.py
+++ b/pinspread/testbed/processes.py
@@ -42,12 +42,12 @@
 
 import orjson
 
-from pinspread.cluster import wire
 from pinspread.config import application
-from pinspread.fleet.loopback import judge
-from pinspread.fleet.loopback.faults import Proxy, Rules
-from pinspread.fleet.loopback.resource import Resource
-from pinspread.fleet.loopback.traffic import Traffic
+from pinspread.membership import codec as wire
+from pinspread.testbed import history_checker as judge
+from pinspread.testbed.faults import Proxy, Rules
+from pinspread.testbed.resource import Resource
+from pinspread.testbed.traffic import Traffic
 
 PORT, LEASES_PORT, COPIES_PORT, RESOURCE_PORT = 7946, 7947, 7948, 9700
 RESOURCE_HOST = 200
@@ -155,7 +155,7 @@
         path.write_text(self.config())
         self.serving.clear()
         self.ending = False
-        root = Path(__file__).parents[3]
+        root = Path(__file__).parents[2]
         command = [sys.executable, "-m", "pinspread", "serve", "--app", str(path)]
         self.process = subprocess.Popen(
             command, cwd=root, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, stdin=subprocess.DEVNULL
--- a/pinspread/fleet/loopback/parties.py
+++ b/pinspread/testbed/stand_ins.py
@@ -13,7 +13,7 @@
 
 from pinspread.amqp import frames
 from pinspread.core.clock import Clock
-from pinspread.net import sockets
+from pinspread.sockets import connections as sockets
 
 SECOND = 1_000_000_000
 
--- a/pinspread/fleet/loopback/traffic.py
+++ b/pinspread/testbed/traffic.py
@@ -11,8 +11,8 @@
 import orjson
 from pamqp import commands
 
-from pinspread.fleet.loopback.parties import AmqpClient, Client, HttpStandIn
-from pinspread.net import sockets
+from pinspread.sockets import connections as sockets
+from pinspread.testbed.stand_ins import AmqpClient, Client, HttpStandIn
 
 PARTNER, PLATFORM = ("201", 8080), ("202", 8500)
 CLASSES = {"payment": 0.4, "booking-change": 0.4, "status-update": 0.2}
@@ -199,8 +199,8 @@
 
         What was returned before any promise may be handed in again under its id.
         """
-        promised = id_ in acked and acked[id_]["mono_us"] < told_us.get(id_, 0)
-        return promised and state in finals[id_] and last_done.get(id_, 0) > told_us[id_]
+        wait_committed = id_ in acked and acked[id_]["mono_us"] < told_us.get(id_, 0)
+        return wait_committed and state in finals[id_] and last_done.get(id_, 0) > told_us[id_]
 
     twice = [i for i, n in delivered.items() if n > 1 and acked.get(i, {}).get("cls") == "payment"]
     disordered, last = [], {}
--- a/pinspread/wire.py
+++ b/pinspread/wire.py
@@ -8,7 +8,27 @@
 import struct
 from dataclasses import dataclass
 
-from pinspread import interface as api
+from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer, Subscribe
+from pinspread.policy.events import (
+    AttemptCompleted,
+    ClientCancelled,
+    EndpointEntry,
+    EndpointsChanged,
+    EndpointState,
+    HealthCheckCompleted,
+    MessageAccepted,
+    Outcome,
+    TimerFired,
+    UpdateScope,
+)
+from pinspread.policy.settings import (
+    DeduplicationScope,
+    DestinationKind,
+    Idempotency,
+    Settings,
+    Tenant,
+    TrafficClass,
+)
 
 BATCH_HEADER = struct.Struct(">IIQ")  # records, bytes, clock
 REPLY_HEADER = struct.Struct(">II")  # bytes, records
@@ -37,7 +57,7 @@
     """An instance begins: its seed and settings."""
 
     seed: int
-    settings: api.Settings
+    settings: Settings
     report_fields: tuple[str, ...]
 
 
@@ -112,8 +132,8 @@
         entries = []
         for endpoint, zone, kind, destination, state, weight, _ in _ROW.iter_unpack(piece):
             entries.append(
-                api.ListEntry(
-                    endpoint, destination, zone, kind, _named(api.ListState, state, "state"), weight
+                EndpointEntry(
+                    endpoint, destination, zone, kind, _named(EndpointState, state, "state"), weight
                 )
             )
         self._sheets[sheet] = entries
@@ -122,30 +142,28 @@
         if code == 4:
             request, leg, endpoint, verdict, elapsed, done, detail, n = reader.take(_RESULT, "RESULT")
             left, limit = self._report(reader, n, instance)
-            verdict = _named(api.Verdict, verdict, "verdict")
-            wait = detail * _MILLISECOND if verdict is api.Verdict.FULL else 0
-            return api.AttemptEnded(request, leg, endpoint, verdict, elapsed, bool(done), wait, left, limit)
+            verdict = _named(Outcome, verdict, "verdict")
+            wait = detail * _MILLISECOND if verdict is Outcome.OVERLOADED else 0
+            return AttemptCompleted(request, leg, endpoint, verdict, elapsed, bool(done), wait, left, limit)
         if code == 2:
             request, cls, tenant, key, until, _, node, _ = reader.take(_JOB, "JOB_IN")
-            return api.MessageTaken(
-                request, cls, int(node) if math.isfinite(node) else -1, until, key, tenant
-            )
+            return MessageAccepted(request, cls, int(node) if math.isfinite(node) else -1, until, key, tenant)
         if code == 6:
-            return api.TimerDue(*reader.take(_U64, "WAKEUP"))
+            return TimerFired(*reader.take(_U64, "WAKEUP"))
         if code == 1:
             _, sheet, scope = reader.take(_FLEET, "FLEET")
-            scope = _named(api.ListScope, scope, "scope")
-            if scope is api.ListScope.FAILED:
-                return api.ListChanged(scope, [])
+            scope = _named(UpdateScope, scope, "scope")
+            if scope is UpdateScope.FAILED:
+                return EndpointsChanged(scope, [])
             if sheet not in self._sheets:
                 raise WireError(f"FLEET refers to list {sheet}, which never came")
-            return api.ListChanged(scope, self._sheets[sheet])
+            return EndpointsChanged(scope, self._sheets[sheet])
         if code == 5:
-            return api.ClientGone(*reader.take(_U64, "HANGUP"))
+            return ClientCancelled(*reader.take(_U64, "HANGUP"))
         if code == 7:
             elapsed, verdict, endpoint, n = reader.take(_HEALTH, "HEALTH")
             self._report(reader, n, instance)
-            return api.ProbeEnded(endpoint, _named(api.Verdict, verdict, "verdict"), elapsed)
+            return HealthCheckCompleted(endpoint, _named(Outcome, verdict, "verdict"), elapsed)
         if code == 0:
             (seed,) = reader.take(_U64, "CONFIGURE")
             (size,) = reader.take(_U32, "CONFIGURE")
@@ -235,54 +253,54 @@
     classes = []
     for n in range(pairs.count("lanes")):
         lane = f"lanes.{n}."
-        effect = get(lane + "effect", api.Effect)
-        keyed = effect is api.Effect.BY_KEY
+        effect = get(lane + "effect", Idempotency)
+        keyed = effect is Idempotency.WITH_KEY
         classes.append(
-            api.TrafficClass(
-                aim_ns=get(lane + "aimNs", int),
+            TrafficClass(
+                latency_objective_ns=get(lane + "aimNs", int),
                 deadline_ns=get(lane + "deadlineNs", int),
                 effect=effect,
-                group=get(lane + "group", api.Group) if keyed else api.Group.ALL,
-                window_ns=get(lane + "windowNs", int) if keyed else 0,
-                late_share=get(lane + "lateShare", _number, 0.0),
+                group=get(lane + "group", DeduplicationScope) if keyed else DeduplicationScope.ALL,
+                deduplication_window_ns=get(lane + "windowNs", int) if keyed else 0,
+                late_value_share=get(lane + "lateShare", _number, 0.0),
                 worth=get(lane + "value", _number, 1.0),
                 in_order=get(lane + "serialByKey", _flag, False),
             )
         )
     tenants = [
-        api.Tenant(get(f"projects.{n}.quotaRps", _number), get(f"projects.{n}.share", _number))
+        Tenant(get(f"projects.{n}.quotaRps", _number), get(f"projects.{n}.share", _number))
         for n in range(pairs.count("projects", 0))
     ]
     bundles = get("specifics.bundleMax", lambda text: [int(item) for item in _items(text)])
     apart = get("specifics.kindApart", lambda text: [_flag(item) for item in _items(text)])
-    settings = api.Settings(
+    settings = Settings(
         classes=classes,
-        kinds=[api.Kind(routes, bundle) for routes, bundle in zip(apart, bundles, strict=False)],
-        calls_out=get("specifics.callsOut", int),
-        most_held=get("policyLimits.mostHeld", int),
+        kinds=[DestinationKind(routes, bundle) for routes, bundle in zip(apart, bundles, strict=False)],
+        max_concurrent_calls=get("specifics.callsOut", int),
+        max_held_messages=get("policyLimits.mostHeld", int),
         max_attempts=get("policyLimits.sendCap", int),
         tenants=tenants,
         senders=get("balancers", int, 1),
         zone=get("az", int, 0),
-        over_share_worth=get("overShareWorth", _number, 1.0),
-        halves=get("specifics.late", str, "line") == "halves",
+        over_quota_weight=get("overShareWorth", _number, 1.0),
+        value_halves=get("specifics.late", str, "line") == "halves",
         weights_known=get("weights", str, "none") in ("nominal", "rough"),
-        may_probe=get("policyLimits.probes", _flag, False),
-        may_cancel=get("policyLimits.mayCancel", _flag, False),
-        may_tell_wait=get("policyLimits.retryAfter", _flag, False),
-        max_come_back_ns=get("policyLimits.maxRetryAfterNs", int, 0),
+        health_checks_allowed=get("policyLimits.probes", _flag, False),
+        cancellation_allowed=get("policyLimits.mayCancel", _flag, False),
+        retry_after_allowed=get("policyLimits.retryAfter", _flag, False),
+        max_retry_after_ns=get("policyLimits.maxRetryAfterNs", int, 0),
         streams_per_connection=get("policyLimits.multiplex", int, 1),
         keepalive_ns=get("policyLimits.keepaliveNs", int, 0),
         drain_grace_ns=get("rules.drainGraceNs", int),
-        cold_from=get("rules.coldFrom", _number),
-        cold_ns=get("rules.coldNs", int),
-        tip_multiple=get("rules.tipMultiple", _number),
-        order_pause_ns=get("rules.orderPauseNs", int, 0),
+        slow_start_fraction=get("rules.coldFrom", _number),
+        slow_start_ns=get("rules.coldNs", int),
+        overload_multiple=get("rules.tipMultiple", _number),
+        ordering_pause_ns=get("rules.orderPauseNs", int, 0),
         weights_exact=get("weights", str, "none") == "nominal",
-        list_on_request=get("membershipMode", str, "pushed") == "on_request",
-        must_ask_in_ns=get("rules.mustAskInNs", int, 0),
+        polled_discovery=get("membershipMode", str, "pushed") == "on_request",
+        max_poll_interval_ns=get("rules.mustAskInNs", int, 0),
         handshake_price=get("prices.handshake", _number, 0.0),
-        crossing_price=get("prices.crossZone", _number, 0.0),
+        cross_zone_price=get("prices.crossZone", _number, 0.0),
         zone_fees=get("specifics.zoneFee", lambda text: [_number(item) for item in _items(text)], []),
     )
     return settings, tuple(get("report.fields", _items, []))
@@ -305,19 +323,19 @@
 def encode(action):
     """One action as a record."""
     kind = type(action)
-    if kind is api.Send:
+    if kind is Send:
         return _SUBMIT.pack(1, action.request, action.endpoint, action.timeout_ns)
-    if kind is api.SetTimer:
+    if kind is SetTimer:
         return _REFUSE.pack(8, action.tag, action.delay_ns)
-    if kind is api.Refuse:
-        return _REFUSE.pack(6, action.request, action.come_back_ns)
-    if kind is api.Fail:
+    if kind is Reject:
+        return _REFUSE.pack(6, action.request, action.retry_after_ns)
+    if kind is Fail:
         return _REQUEST.pack(10, action.request)
-    if kind is api.Probe:
+    if kind is CheckHealth:
         return _ENDPOINT.pack(4, action.endpoint)
-    if kind is api.Disconnect:
+    if kind is Disconnect:
         return _ENDPOINT.pack(11, action.endpoint)
-    if kind is api.Subscribe:
+    if kind is Subscribe:
         return b"\x02\x01"
     raise TypeError(f"no record for {action!r}")
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -16,11 +16,17 @@
 from pinspread.amqp.front import AmqpFront
 from pinspread.config import settings
 from pinspread.core.clock import Clock
-from pinspread.core.courier import Courier
+from pinspread.core.engine import DeliveryEngine
 from pinspread.core.journal import Journal
-from pinspread.core.transactions import NextHop
-from pinspread.decide import Sender
-from pinspread.fleet.loopback.parties import (
+from pinspread.core.messages import Endpoint
+from pinspread.discovery.client import Discovery
+from pinspread.http import transport as http
+from pinspread.http.transport import HttpTransport, Pool
+from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.policy.events import EndpointState, UpdateScope
+from pinspread.resp import front
+from pinspread.sockets import connections as sockets
+from pinspread.testbed.stand_ins import (
     AmqpClient,
     Client,
     HttpStandIn,
@@ -30,10 +36,6 @@
     standing,
     until,
 )
-from pinspread.interface import ListScope, ListState
-from pinspread.net import front, http, sockets
-from pinspread.net.discovery import Discovery
-from pinspread.net.http import HttpTransport, Pool
 
 _ports = count(20_000 + os.getpid() % 750 * 16)  # under those that outgoing connections take
 
@@ -47,28 +49,30 @@
 class Rig:
     """A courier in this process with its fronts, and what tests need of it."""
 
-    def __init__(self, courier, address, amqp, tasks):
-        self.courier = courier
+    def __init__(self, engine, address, amqp, tasks):
+        self.engine = engine
         self.address = address
         self.amqp = amqp
         self.tasks = tasks
 
-    def learn(self, address, id_="s-1", dest=1, scheme="http", state=ListState.READY, scope=ListScope.DELTA):
+    def update_endpoints(
+        self, address, id_="s-1", dest=1, scheme="http", state=EndpointState.READY, scope=UpdateScope.DELTA
+    ):
         """Tell it of a next hop."""
-        hop = NextHop(id_, address, dest, scheme=scheme, weight=500.0)
-        self.courier.learn(scope, [(hop, state)])
+        endpoint = Endpoint(id_, address, dest, scheme=scheme, weight=500.0)
+        self.engine.update_endpoints(scope, [(endpoint, state)])
 
 
 @asynccontextmanager
-async def courier(state, platform="127.0.0.1:1", hops=(), legs=512, leg_bytes=8 << 20, **limits):
+async def engine(state, platform="127.0.0.1:1", endpoints=(), legs=512, leg_bytes=8 << 20, **limits):
     """A courier that serves; it ends as if killed, with nothing but its journal left."""
     told = settings.read(configuration(state, **limits), {})
     clock = Clock()
     journal = Journal(told.state, told.disk_bytes)
-    core = Courier(Sender(told.module, told.seed), told, clock, journal)
+    core = DeliveryEngine(DeliveryPolicy(told.module, told.seed), told, clock, journal)
     pool = Pool(clock, told.keepalive_us)
-    notices = front.Notices(platform)
-    room = sockets.Room(clock, legs, leg_bytes)
+    notices = front.NotificationSender(platform)
+    room = sockets.ConnectionLimiter(clock, legs, leg_bytes)
     core.transports["http"] = HttpTransport(clock, pool, told.dial_us)
     core.fronts["resp"] = resp = front.RespFront(core, notices, room)
     core.fronts["amqp"] = amqp = AmqpFront(core, room=room)
@@ -77,8 +81,8 @@
         core.transports["amqp"] = BrokerTransport(clock, tasks, told.dial_us)
         (resp_sock, address), (amqp_sock, amqp_address) = listener(), listener()
         rig = Rig(core, address, amqp_address, tasks)
-        for hop in hops:
-            rig.learn(*hop)
+        for endpoint in endpoints:
+            rig.update_endpoints(*endpoint)
         core.recover()
         core.serving = True
         for run in (core.run, notices.run, pool.run, room.run):
--- a/tests/stored.py
+++ b/tests/stored.py
@@ -10,9 +10,9 @@
 import zlib
 from pathlib import Path
 
-from pinspread.core.journal import Journal, JournalFull, JournalUnreadable  # noqa: F401  used by tests
-from pinspread.core.transactions import Final, Rules, State, Transaction
-from pinspread.interface import Effect, Group, TrafficClass
+from pinspread.core.journal import Journal, JournalFormatError, JournalFullError  # noqa: F401  used by tests
+from pinspread.core.messages import DeliveryRules, FinalResult, FinalState, Message
+from pinspread.policy.settings import DeduplicationScope, Idempotency, TrafficClass
 
 DATA = Path(__file__).parent / "data" / "stored"
 
@@ -24,24 +24,24 @@
     "tenant": "tenant",
     "dest": "dest",
     "key": "key",
-    "idempotency": "idempotency",
-    "until_unix_us": "until_unix_us",
+    "idempotency": "idempotency_key",
+    "until_unix_us": "deadline_unix_us",
     "front": "front",
     "reply": "reply",
 }
 PROGRESS = {  # told by records of other kinds than TAKEN
-    "attempts": "branches",
-    "may_have_run_unix_us": "may_run_us",
-    "out_since_unix_us": "live_us",
+    "attempts": "attempts",
+    "may_have_run_unix_us": "may_have_run_unix_us",
+    "out_since_unix_us": "in_flight_since_unix_us",
     "zone": "zone",
 }
 CLASS = {
-    "aim_ns": "aim_ns",
+    "aim_ns": "latency_objective_ns",
     "deadline_ns": "deadline_ns",
     "effect": "effect",
     "group": "group",
-    "window_ns": "window_ns",
-    "late_share": "late_share",
+    "window_ns": "deduplication_window_ns",
+    "late_share": "late_value_share",
     "worth": "worth",
     "in_order": "in_order",
 }
@@ -52,9 +52,9 @@
     if told is None:
         return None
     fields = {CLASS[name]: value for name, value in told["cls"].items()}
-    fields[CLASS["effect"]] = Effect(told["cls"]["effect"])
-    fields[CLASS["group"]] = Group(told["cls"]["group"])
-    return Rules(TrafficClass(**fields), told["max_attempts"])
+    fields[CLASS["effect"]] = Idempotency(told["cls"]["effect"])
+    fields[CLASS["group"]] = DeduplicationScope(told["cls"]["group"])
+    return DeliveryRules(TrafficClass(**fields), told["max_attempts"])
 
 
 def told_rules(found):
@@ -66,11 +66,11 @@
     return {"cls": fields, "max_attempts": found.max_attempts}
 
 
-def transaction(number, told, body="", of=None, **progress):
+def message(number, told, body="", of=None, **progress):
     """The code's object for what a TAKEN record holds, its body and what is known of its attempts."""
     fields = {TRANSACTION[name]: value for name, value in told.items()}
     fields |= {PROGRESS[name]: value for name, value in progress.items()}
-    return Transaction(number, body=body.encode("latin-1"), rules=rules(of), **fields)
+    return Message(number, body=body.encode("latin-1"), rules=rules(of), **fields)
 
 
 def told_transaction(t):
@@ -78,7 +78,7 @@
     found = {"number": t.number, "body": t.body.decode("latin-1"), "rules": told_rules(t.rules)}
     found["told"] = {name: getattr(t, at) for name, at in TRANSACTION.items()}
     found |= {name: getattr(t, at) for name, at in PROGRESS.items()}
-    return found | {"final": [int(t.final.state), t.final.after_ms] if t.final else None}
+    return found | {"final": [int(t.final.state), t.final.retry_after_ms] if t.final else None}
 
 
 class Steps:
@@ -89,23 +89,23 @@
         self.known = {t.number: t for t in self.journal.open()}
 
     def taken(self, number, told, body, of):
-        self.known[number] = transaction(number, told, body, of)
+        self.known[number] = message(number, told, body, of)
         self.journal.taken(self.known[number])
 
     def adopted(self, number, told, body, of, progress, final):
-        self.known[number] = t = transaction(number, told, body, of, **progress)
-        t.final = Final(State(final[0]), final[1]) if final else None
+        self.known[number] = t = message(number, told, body, of, **progress)
+        t.final = FinalResult(FinalState(final[0]), final[1]) if final else None
         self.journal.adopted(t)
 
     def attempt_started(self, number, attempt, unix_us, zone):
         self.known[number].zone = zone
-        self.journal.branch_started(self.known[number], attempt, unix_us)
+        self.journal.attempt_started(self.known[number], attempt, unix_us)
 
     def attempt_ended(self, number, attempt, may_have_run):
-        self.journal.branch_ended(self.known[number], attempt, may_have_run)
+        self.journal.attempt_ended(self.known[number], attempt, may_have_run)
 
-    def final(self, number, state, after_ms):
-        self.journal.final(self.known[number], Final(State(state), after_ms))
+    def final(self, number, state, retry_after_ms):
+        self.journal.final(self.known[number], FinalResult(FinalState(state), retry_after_ms))
 
     def ended(self, number):
         self.journal.ended(self.known[number])
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -13,7 +13,14 @@
 import anyio
 import msgpack
 
-from pinspread.cluster import copying, lease, leases, quorum, raftlog, shelf, swim, wire
+from pinspread.leases import raft as quorum
+from pinspread.leases import raft_log as raftlog
+from pinspread.leases import service as leases
+from pinspread.leases import state_machine as lease
+from pinspread.membership import codec as wire
+from pinspread.membership import swim
+from pinspread.replication import service as copying
+from pinspread.replication import store as shelf
 
 KEY = b"fleet-a"
 ADDRESSES = {name: f"127.0.0.1:{port}" for name, port in (("a", 7001), ("b", 7002), ("c", 7003))}
@@ -26,7 +33,7 @@
     copying.MAGIC,
     quorum.MAGIC,
 )
-pack, unpack_member, unpack, Dropped = wire.pack, wire.unpack, wire.whole, wire.Dropped
+pack, unpack_member, unpack, DatagramError = wire.pack, wire.unpack, wire.whole, wire.DatagramError
 
 
 def member(id_):
@@ -93,7 +100,7 @@
     """A member's copies; `holds(task)` is the token that it holds."""
     told = copying.Plan(ADDRESSES[id_], str(folder), check_us=10_000)
     told_leases = SimpleNamespace(holds=holds)
-    found = copying.Copies(told, membership(id_, lambda: 0), told_leases)
+    found = copying.ReplicationService(told, membership(id_, lambda: 0), told_leases)
     found.folder.mkdir(parents=True, exist_ok=True)
     return found
 
@@ -113,7 +120,7 @@
 
 def told_copy(folder, owner):
     """What a keeper knows of a copy that lies in its folder, and the bytes."""
-    found = shelf.Shelf(Path(folder), owner)
+    found = shelf.ReplicaStore(Path(folder), owner)
     kept = found.kept
     told = {"owner": kept.owner, "token": kept.token, "keepers": kept.keepers, "tried": kept.tried}
     told |= {"adopted": kept.adopted, "generation": kept.generation, "size": kept.size}
@@ -122,15 +129,19 @@
 
 def rewrite_copy(folder, owner):
     """Write what is known of a copy again."""
-    shelf.Shelf(Path(folder), owner).save()
+    shelf.ReplicaStore(Path(folder), owner).save()
 
 
 def restore(folder, generation, data):
     """A start of a courier with its journal in the folder, and one copy of it elsewhere."""
     a = copier("a", Path(folder) / "copies", lambda task: 7)
-    a.courier = SimpleNamespace(journal=SimpleNamespace(path=Path(folder) / "journal"))
+    a.engine = SimpleNamespace(journal=SimpleNamespace(path=Path(folder) / "journal"))
     found = {"generation": generation, "bytes": data, "keepers": ["b"], "tried": [], "adopted": 0}
-    a._restore({"b": found}, set(), False)
+
+    async def in_a_loop():  # the log takes the time from the loop once its clock is set
+        a._restore({"b": found}, set(), False)
+
+    anyio.run(in_a_loop)
 
 
 def voter(folder, voters=("a",), election_s=0.05, id_="a", rows=None):
@@ -283,7 +294,7 @@
         a = copier("a", folder / "a" / "copies", lambda task: token.pop(0) if token else 7)
         b = copier("b", folder / "b" / "copies", lambda task: 0)
         c = copier("c", folder / "c" / "copies", lambda task: 0)
-        a.courier = SimpleNamespace(journal=SimpleNamespace(path=folder / "a" / "journal"))
+        a.engine = SimpleNamespace(journal=SimpleNamespace(path=folder / "a" / "journal"))
         a.targets, a.sure = ["b"], 7
         a.rewritten(records[0])
         a.appended(records[1])
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -19,15 +19,18 @@
 import orjson
 from standins import Client, HttpStandIn, configuration, host, own_address, standing, until
 
-from pinspread.cluster.copying import Copies
-from pinspread.cluster.leases import Leases
-from pinspread.cluster.member import Membership, Plan
-from pinspread.cluster.swim import Tuning
+from pinspread.admin import server as admin
 from pinspread.config import settings
-from pinspread.core.transactions import Outcome
-from pinspread.fleet import losses, trace
-from pinspread.interface import ListState, Verdict
-from pinspread.net import admin, discovery, sockets, succession
+from pinspread.core.messages import AttemptResult
+from pinspread.discovery import client as discovery
+from pinspread.hot_restart import transfer as succession
+from pinspread.leases.service import Leases
+from pinspread.membership.service import Membership, Plan
+from pinspread.membership.swim import Tuning
+from pinspread.policy.events import EndpointState, Outcome
+from pinspread.replication.service import ReplicationService
+from pinspread.simulation import losses, trace
+from pinspread.sockets import connections as sockets
 
 DATA = Path(__file__).parent / "data" / "stored"
 
@@ -54,13 +57,17 @@
     return discovery._Left(SimpleNamespace(state=str(state), disk_bytes=3_000_000))
 
 
-LEFT_STATES = {"gone": ListState.GONE, "draining": ListState.DRAINING, "ready": ListState.READY}
+LEFT_STATES = {
+    "gone": EndpointState.REMOVED,
+    "draining": EndpointState.DRAINING,
+    "ready": EndpointState.READY,
+}
 
 
 def door(companions):
     """The operators' door over these answers."""
 
-    class Operable:
+    class EndpointAdmin:
         def ready(self):
             return True
 
@@ -69,9 +76,9 @@
 
         enable = disable
 
-    names = {"members": Membership.name, "leases": Leases.name, "copies": Copies.name}
+    names = {"members": Membership.name, "leases": Leases.name, "copies": ReplicationService.name}
     views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
-    return admin.Door(Operable(), companions=views)
+    return admin.AdminServer(EndpointAdmin(), companions=views)
 
 
 def members_view():
@@ -111,15 +118,26 @@
 }  # fmt: skip
 
 
+RESULT = {
+    "wait_us": "retry_after_us",
+    "over": "over",
+    "note": "note",
+    "idle_us": "idle_us",
+    "opened": "opened",
+    "left": "left",
+    "limit": "limit",
+}
+
+
 def outcome(verdict, **told):
     """How an attempt ended: its words as the packet between processes has them."""
-    return Outcome(Verdict[verdict], **told)
+    words = {"FULL": Outcome.OVERLOADED, "OK": Outcome.OK}
+    return AttemptResult(words[verdict], **{RESULT[name]: value for name, value in told.items()})
 
 
 def told_outcome(packet):
     found = succession._outcome(packet)
-    names = ("wait_us", "over", "note", "idle_us", "opened", "left", "limit")
-    return {"verdict": int(found.verdict)} | {name: getattr(found, name) for name in names}
+    return {"verdict": int(found.outcome)} | {name: getattr(found, at) for name, at in RESULT.items()}
 
 
 def connected():
@@ -132,22 +150,22 @@
 async def give(link_socket):
     """What an old process hands over, but for the state's own bytes."""
     a, b = connected()
-    kept = sockets.Kept(sockets.Connection(a), True, True, 2, b"unread", b"unsent")
+    kept = sockets.IdleConnection(sockets.Connection(a), True, True, 2, b"unread", b"unsent")
     idle = ("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
     lock = os.open(os.devnull, os.O_RDONLY)
     listening = socket.socket()
     given = {"blob": b"state", "legs": [kept], "idle": [idle], "sockets": {"resp": listening}, "lock": lock}
     link = succession.Link(link_socket)
     await succession.Succession(SimpleNamespace(), "")._give(link, given)
-    heir = succession.Heir(link)
-    heir.ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
-    heir.heed("s-1", 1500)
-    heir.probed("s-2", outcome("OK", opened=True))
+    successor = succession.Successor(link)
+    successor.ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
+    successor.apply_retry_after("s-1", 1500)
+    successor.probed("s-2", outcome("OK", opened=True))
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(heir.run)
+        tasks.start_soon(successor.run)
         try:
             with anyio.fail_after(0.2):
-                await heir.ban("s-3", True)
+                await successor.ban("s-3", True)
         except TimeoutError:
             pass
         tasks.cancel_scope.cancel()
@@ -158,7 +176,7 @@
 
 async def take(link_socket, count):
     """The same read by the code of a new process."""
-    link, found = succession.Link(link_socket), succession.Inheritance()
+    link, found = succession.Link(link_socket), succession.TransferredState()
     for _ in range(count):
         kind, data, fd = await link.receive()
         if kind in (PACKETS["LEG"], PACKETS["IDLE"], PACKETS["SOCKET"]):
@@ -447,8 +465,8 @@
 def come_back_ms(data):
     """The come-back time of the one end that has one."""
     found = {struct.unpack_from("<I", p, 10)[0] for p in payloads(data) if p[0] == 4}
-    (after_ms,) = found - {0}
-    return after_ms
+    (retry_after_ms,) = found - {0}
+    return retry_after_ms
 
 
 def open_ids(data):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -7,14 +7,22 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import Client, HttpStandIn, courier, listener, standing, until
-
-from pinspread import interface as api
-from pinspread.core.bans import Bans
-from pinspread.core.journal import JournalFull
-from pinspread.decide import Sender
-from pinspread.interface import ListScope, ListState
-from pinspread.net import admin, sockets
+from standins import Client, HttpStandIn, engine, listener, standing, until
+
+from pinspread.admin import server as admin
+from pinspread.core.endpoint_blocklist import EndpointBlocklist
+from pinspread.errors import JournalFullError
+from pinspread.policy.actions import Send
+from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.policy.events import (
+    EndpointEntry,
+    EndpointsChanged,
+    EndpointState,
+    MessageAccepted,
+    UpdateScope,
+)
+from pinspread.policy.settings import DestinationKind, Settings, TrafficClass
+from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 PUT = "PUT /-/endpoints/%s HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -27,13 +35,13 @@
 
 
 @asynccontextmanager
-async def served(state, hops=(), **more):
+async def served(state, endpoints=(), **more):
     """A courier with its door; gives it and the door's address."""
-    async with courier(state, hops=hops, **more) as rig:
+    async with engine(state, endpoints=endpoints, **more) as rig:
         sock, address = listener()
-        door = admin.Door(rig.courier)
+        door = admin.AdminServer(rig.engine)
         rig.tasks.start_soon(door.run, sock)
-        rig.courier.serving = True
+        rig.engine.serving = True
         rig.door = door
         yield rig, address
 
@@ -88,9 +96,9 @@
 
 async def test_ready_says_no_before_callers_are_heard_and_when_leaving(tmp_path):
     async with served(tmp_path) as (rig, address):
-        rig.courier.serving = False
+        rig.engine.serving = False
         assert await status(address, READY) == 503
-        rig.courier.serving, rig.courier.stopping = True, True
+        rig.engine.serving, rig.engine.stopping = True, True
         assert await status(address, READY) == 503
 
 
@@ -111,106 +119,114 @@
 
 
 async def test_nothing_goes_to_an_endpoint_that_is_out_until_it_is_called_back(tmp_path):
-    hop = HttpStandIn()
-    async with standing(hop) as where, served(tmp_path, [(where,)], platform="127.0.0.1:1") as (rig, door):
+    endpoint = HttpStandIn()
+    async with (
+        standing(endpoint) as where,
+        served(tmp_path, [(where,)], platform="127.0.0.1:1") as (rig, door),
+    ):
         client = Client(rig.address)
         await client.enqueue()
-        await until(lambda: not rig.courier.ids)
+        await until(lambda: not rig.engine.ids)
         for _ in range(2):  # twice out is out once
             assert await status(door, PUT % "s-1/disable") == 200
         assert await client.enqueue(id_="held") == "+OK\r\n"
-        for state, scope in ((ListState.READY, ListScope.FULL), (ListState.DRAINING, ListScope.DELTA)):
-            rig.learn(where, state=state, scope=scope)
+        for state, scope in (
+            (EndpointState.READY, UpdateScope.FULL),
+            (EndpointState.DRAINING, UpdateScope.DELTA),
+        ):
+            rig.update_endpoints(where, state=state, scope=scope)
             await anyio.sleep(0.1)
-        rig.courier.learn(ListScope.FULL, [])  # gone, and back under the same id
+        rig.engine.update_endpoints(UpdateScope.FULL, [])  # gone, and back under the same id
         await anyio.sleep(0.05)
-        rig.learn(where)
+        rig.update_endpoints(where)
         await anyio.sleep(0.1)
-        assert len(hop.requests) == 1 and "held" in rig.courier.ids
+        assert len(endpoint.requests) == 1 and "held" in rig.engine.ids
         assert await status(door, PUT % "s-1/enable") == 200
-        await until(lambda: not rig.courier.ids)
-        assert len(hop.requests) == 2
+        await until(lambda: not rig.engine.ids)
+        assert len(endpoint.requests) == 2
         assert await status(door, PUT % "s-1/enable") == 200  # back without out
 
 
 async def test_a_call_that_was_decided_on_is_not_written_once_its_endpoint_is_out(tmp_path):
-    hop = HttpStandIn()
-    async with standing(hop) as where, served(tmp_path, [(where,)]) as (rig, _):
-        transport = rig.courier.transports["http"]
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as where, served(tmp_path, [(where,)]) as (rig, _):
+        transport = rig.engine.transports["http"]
         opened = transport._open
 
         async def slowly(*what):
             await opened(*what)
-            await rig.courier.disable("s-1")
+            await rig.engine.disable("s-1")
 
         transport._open = slowly
         await Client(rig.address).enqueue()
         await anyio.sleep(0.2)
-        assert not hop.requests
+        assert not endpoint.requests
 
 
 async def test_a_ban_outlasts_a_kill_and_the_rewriting_of_the_journal(tmp_path):
-    async with courier(tmp_path, hops=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as rig:
-        assert await rig.courier.disable("s-1") and await rig.courier.disable("s-2")
-        assert await rig.courier.enable("s-2")
-        rig.courier.journal._rewrite()
+    async with engine(tmp_path, endpoints=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as rig:
+        assert await rig.engine.disable("s-1") and await rig.engine.disable("s-2")
+        assert await rig.engine.enable("s-2")
+        rig.engine.journal._rewrite()
     for _ in range(2):
-        async with courier(tmp_path, hops=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as rig:
-            hops = rig.courier.next_hops
-            assert not hops["s-1"].usable and hops["s-2"].usable
-            rig.courier.learn(ListScope.FULL, [])
+        async with engine(tmp_path, endpoints=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as rig:
+            endpoints = rig.engine.endpoints
+            assert not endpoints["s-1"].usable and endpoints["s-2"].usable
+            rig.engine.update_endpoints(UpdateScope.FULL, [])
             await anyio.sleep(0.02)
-    async with courier(tmp_path) as rig:
-        assert await rig.courier.enable("s-1")  # known though unlisted
-        assert not await rig.courier.enable("s-1")
+    async with engine(tmp_path) as rig:
+        assert await rig.engine.enable("s-1")  # known though unlisted
+        assert not await rig.engine.enable("s-1")
 
 
 async def test_the_yes_follows_the_record(tmp_path):
     async with served(tmp_path, [("127.0.0.1:1",)]) as (rig, door):
 
         def full(*_):
-            raise JournalFull("no room")
+            raise JournalFullError("no room")
 
-        rig.courier.journal.banned = full
+        rig.engine.journal.banned = full
         assert await status(door, PUT % "s-1/disable") == 503
-        assert rig.courier.next_hops["s-1"].usable
+        assert rig.engine.endpoints["s-1"].usable
 
 
 def test_an_endpoint_that_is_back_gets_its_ramp_from_the_module():
-    settings = api.Settings(
-        classes=[api.TrafficClass(10**9, 10**10)],
-        kinds=[api.Kind()],
-        calls_out=50,
-        most_held=500,
+    settings = Settings(
+        classes=[TrafficClass(10**9, 10**10)],
+        kinds=[DestinationKind()],
+        max_concurrent_calls=50,
+        max_held_messages=500,
         max_attempts=3,
         weights_known=True,
         weights_exact=True,
-        cold_from=0.2,
-        cold_ns=9 * 10**9,
-        tip_multiple=2.0,
+        slow_start_fraction=0.2,
+        slow_start_ns=9 * 10**9,
+        overload_multiple=2.0,
     )
 
     def sent(cold):
-        sender = Sender(settings, 1)
-        entry = api.ListEntry("s", 1, weight=10.0)
-        sender.handle(0, [api.ListChanged(ListScope.FULL, [entry])])
-        drain = api.ListEntry("s", 1, state=ListState.DRAINING)
-        sender.handle(1, [api.ListChanged(ListScope.DELTA, [drain])])
-        back = api.ListEntry("s", 1, weight=10.0, cold=cold)
-        sender.handle(2, [api.ListChanged(ListScope.DELTA, [back])])
-        taken = [api.MessageTaken(n, 0, 1, 10**10) for n in range(40)]
-        return sum(type(a) is api.Send for a in sender.handle(3, taken))
+        sender = DeliveryPolicy(settings, 1)
+        entry = EndpointEntry("s", 1, weight=10.0)
+        sender.handle(0, [EndpointsChanged(UpdateScope.FULL, [entry])])
+        drain = EndpointEntry("s", 1, state=EndpointState.DRAINING)
+        sender.handle(1, [EndpointsChanged(UpdateScope.DELTA, [drain])])
+        back = EndpointEntry("s", 1, weight=10.0, cold=cold)
+        sender.handle(2, [EndpointsChanged(UpdateScope.DELTA, [back])])
+        taken = [MessageAccepted(n, 0, 1, 10**10) for n in range(40)]
+        return sum(type(a) is Send for a in sender.handle(3, taken))
 
     assert sent(False) > 20 and sent(True) <= 1
 
 
 @given(st.lists(st.tuples(st.booleans(), st.sampled_from("abc"))))
 def test_one_call_back_undoes_any_number_of_calls_out(calls):
-    bans, out = Bans(), {}
+    bans, out = EndpointBlocklist(), {}
     for off, id_ in calls:
         assert (bans.out(id_) if off else bans.back(id_)) is (out.get(id_, False) is not off)
         out[id_] = off
     for id_ in "abc":
         banned = out.get(id_, False)
-        assert bans.seen(id_, ListState.READY) is (ListState.DRAINING if banned else ListState.READY)
-        assert bans.seen(id_, ListState.GONE) is ListState.GONE
+        assert bans.seen(id_, EndpointState.READY) is (
+            EndpointState.DRAINING if banned else EndpointState.READY
+        )
+        assert bans.seen(id_, EndpointState.REMOVED) is EndpointState.REMOVED
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -9,10 +9,10 @@
 import anyio
 import pytest
 from pamqp import commands
-from standins import AmqpClient, Broker, Client, HttpStandIn, courier, own_address, standing, until
+from standins import AmqpClient, Broker, Client, HttpStandIn, engine, own_address, standing, until
 
 from pinspread.config import application
-from pinspread.interface import ListState
+from pinspread.policy.events import EndpointState
 
 PAYMENTS, PARTNERS = 3000, 20
 
@@ -38,7 +38,7 @@
 async def test_what_a_brokers_word_proves_of_a_payment(tmp_path, todo, state, effects, tries):
     seen = []
     broker = Broker(lambda _, id_: seen.append(id_) or todo)
-    async with standing(broker) as address, courier(tmp_path, hops=[(address, "b", 1, "amqp")]) as rig:
+    async with standing(broker) as address, engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
         await client.publish("p1", for_ms=700)
@@ -49,45 +49,45 @@
 
 async def test_a_broker_that_stays_blocked_counts_as_a_told_wait_and_one_that_is_gone_does_not(tmp_path):
     broker = Broker()
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         async with standing(broker) as address:
-            rig.learn(address, "b", 1, "amqp")
+            rig.update_endpoints(address, "b", 1, "amqp")
             client = Client(rig.address)
             await client.enqueue(id_="p1")
             await until(lambda: broker.effects == ["p1"])
             await broker.say(commands.Connection.Blocked("disk"))
             await client.enqueue(id_="p2", for_ms=500)
-            await until(lambda: not rig.courier.branches and not rig.courier.open)
-            assert rig.courier.told_us[1] > rig.courier.clock.now() and broker.effects == ["p1"]
-            rig.courier.told_us.clear()
+            await until(lambda: not rig.engine.attempts and not rig.engine.open)
+            assert rig.engine.told_us[1] > rig.engine.clock.now() and broker.effects == ["p1"]
+            rig.engine.told_us.clear()
             broker.kill()
         await anyio.sleep(1.1)
         await client.enqueue(id_="p3", for_ms=500)
-        await until(lambda: not rig.courier.open)
-        assert not rig.courier.told_us
+        await until(lambda: not rig.engine.open)
+        assert not rig.engine.told_us
 
 
 async def test_a_broker_that_is_gone_is_forgotten_with_the_last_publish_that_is_out(tmp_path):
     broker = Broker(lambda broker, id_: "wait")
-    async with standing(broker) as address, courier(tmp_path) as rig:
-        transport = rig.courier.transports["amqp"]
-        rig.learn(address, "b", 1, "amqp")
+    async with standing(broker) as address, engine(tmp_path) as rig:
+        transport = rig.engine.transports["amqp"]
+        rig.update_endpoints(address, "b", 1, "amqp")
         await Client(rig.address).enqueue(id_="p1")
         await until(lambda: broker.effects == ["p1"])
-        rig.learn(address, "b", 1, "amqp", state=ListState.GONE)
+        rig.update_endpoints(address, "b", 1, "amqp", state=EndpointState.REMOVED)
         assert not transport.links and not transport.dialling and broker.links
         for wire in broker.links:
             await wire.send(commands.Basic.Ack(1, False), 1)
-        await until(lambda: not rig.courier.ids and not broker.links)
+        await until(lambda: not rig.engine.ids and not broker.links)
 
 
 async def test_a_payment_cut_short_before_its_last_byte_never_ran_and_goes_again(tmp_path):
     broker = Broker()
-    async with standing(broker) as address, courier(tmp_path, hops=[(address, "b", 1, "amqp")]) as rig:
+    async with standing(broker) as address, engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
         client = Client(rig.address)
         await client.enqueue(id_="p1")
         await until(lambda: broker.effects == ["p1"])
-        link = rig.courier.transports["amqp"].links["b"]
+        link = rig.engine.transports["amqp"].links["b"]
         link.wire.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         (theirs,) = broker.links
         theirs.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -104,7 +104,7 @@
 
 async def test_a_blocked_broker_is_waited_for(tmp_path):
     broker = Broker()
-    async with standing(broker) as address, courier(tmp_path, hops=[(address, "b", 1, "amqp")]) as rig:
+    async with standing(broker) as address, engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
         client = Client(rig.address)
         await client.enqueue(id_="p1")
         await until(lambda: broker.effects == ["p1"])
@@ -131,11 +131,11 @@
     broker, platform = Broker(plan), HttpStandIn(lambda request: (204, [], b""))
     taken, restarts = set(), 0
     async with standing(broker) as address, standing(platform) as notices:
-        hops = [(address, f"b{n}", n, "amqp") for n in range(PARTNERS)]
+        endpoints = [(address, f"b{n}", n, "amqp") for n in range(PARTNERS)]
         while len(taken) < PAYMENTS:
             restarts += 1
             upto = min(PAYMENTS, len(taken) + moments.randrange(150, 450))
-            async with courier(tmp_path, notices, hops=hops) as rig:
+            async with engine(tmp_path, notices, endpoints=endpoints) as rig:
                 client = Client(rig.address)
                 while len(taken) < upto:
                     id_, dest = f"p{len(taken)}", len(taken) % PARTNERS
@@ -146,10 +146,10 @@
                     if moments.random() < 0.005:
                         broker.kill()
                         kills += 1
-                    await until(lambda rig=rig: len(rig.courier.open) < 80, 20)
+                    await until(lambda rig=rig: len(rig.engine.open) < 80, 20)
                 # the courier is killed here, with whatever is out or held
-        async with courier(tmp_path, notices, hops=hops) as rig:
-            await until(lambda: not rig.courier.ids, 30)
+        async with engine(tmp_path, notices, endpoints=endpoints) as rig:
+            await until(lambda: not rig.engine.ids, 30)
     ended = {line["id"] for line in platform.lines}
     assert restarts > 5 and kills > 8 and breaks > 20
     assert len(broker.effects) == len(set(broker.effects))  # zero doubles
@@ -167,17 +167,17 @@
     broker, keys, sent = Broker(plan), 5, 0
     async with standing(broker) as address:
         for _ in range(4):
-            async with courier(tmp_path, hops=[(address, "b", 1, "amqp")]) as rig:
+            async with engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
                 client = await AmqpClient.open(rig.amqp)
                 for _ in range(60):
                     key = f"booking-{chance.randrange(keys)}"
                     await client.publish(f"{key}/{sent}", "booking-change", for_ms=20_000, key=key)
                     assert isinstance((await client.next())[0], commands.Basic.Ack)
                     sent += 1
-                    await until(lambda rig=rig: len(rig.courier.open) < 40, 20)
+                    await until(lambda rig=rig: len(rig.engine.open) < 40, 20)
                 # killed here, with what is held
-        async with courier(tmp_path, hops=[(address, "b", 1, "amqp")]) as rig:
-            await until(lambda: not rig.courier.open, 30)
+        async with engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
+            await until(lambda: not rig.engine.open, 30)
     for key in range(keys):
         first = list(dict.fromkeys(int(e.split("/")[1]) for e in broker.effects if f"-{key}/" in e))
         assert len(first) > 20 and first == sorted(first)
@@ -185,15 +185,15 @@
 
 async def test_a_told_wait_holds_for_messages_of_both_fronts(tmp_path):
     answers = [(429, [("Retry-After", "0.4")], b"")]
-    hop = HttpStandIn(lambda request: answers.pop() if answers else (200, [], b""))
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = HttpStandIn(lambda request: answers.pop() if answers else (200, [], b""))
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("a1")
-        await until(lambda: len(hop.requests) == 1)
+        await until(lambda: len(endpoint.requests) == 1)
         await client.publish("a2")
         await Client(rig.address).enqueue(id_="r3")
-        await until(lambda: len(hop.requests) == 4)
-        assert all(r[0] - hop.requests[0][0] >= 0.4 for r in hop.requests[1:])
+        await until(lambda: len(endpoint.requests) == 4)
+        assert all(r[0] - endpoint.requests[0][0] >= 0.4 for r in endpoint.requests[1:])
 
 
 class Application:
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -3,10 +3,10 @@
 import anyio
 import pytest
 from pamqp import commands
-from standins import AmqpClient, Client, HttpStandIn, courier, malformed, standing, until
+from standins import AmqpClient, Client, HttpStandIn, engine, malformed, standing, until
 
 from pinspread.amqp import frames
-from pinspread.net.sockets import dial
+from pinspread.sockets.connections import dial
 
 pytestmark = pytest.mark.anyio
 
@@ -21,8 +21,8 @@
     [(200, "payment", "delivered"), (500, "payment", "failed"), (503, "status-update", "returned")],
 )
 async def test_a_taken_message_is_acked_and_its_one_end_goes_to_reply_to(tmp_path, status, cls, state):
-    hop = HttpStandIn(lambda request: (status, [], b""))
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = HttpStandIn(lambda request: (status, [], b""))
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
         await client.publish("m1", cls, for_ms=600)
@@ -30,18 +30,18 @@
         assert isinstance(method, commands.Basic.Ack) and method.delivery_tag == 1
         told, _ = await client.end()
         assert (told["id"], told["state"]) == ("m1", state)
-        await until(lambda: not rig.courier.ids)  # acknowledged: nothing is owed any more
+        await until(lambda: not rig.engine.ids)  # acknowledged: nothing is owed any more
         with pytest.raises(TimeoutError), anyio.fail_after(0.2):
             await client.end()
-        assert hop.requests[0][3]["request-id"] == "m1"
+        assert endpoint.requests[0][3]["request-id"] == "m1"
 
 
 async def test_a_busy_answer_is_a_return_with_when_to_come_back_and_then_a_nack(tmp_path):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1")
         assert isinstance((await client.next())[0], commands.Basic.Ack)
-        rig.courier.stopping = True
+        rig.engine.stopping = True
         await client.publish("m2", body=b"any\0body")
         back, properties, body = await client.next()
         assert isinstance(back, commands.Basic.Return) and body == b"any\0body"
@@ -51,7 +51,7 @@
 
 
 async def test_an_end_is_kept_until_acked_over_consumers_and_restarts(tmp_path):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1", for_ms=100)  # no next hop: returned when its time is up
         await client.consume()
@@ -61,22 +61,22 @@
         await client.consume()
         again, second = await client.end(ack=False)
         assert told == again and (first.redelivered, second.redelivered) == (False, True)
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
         assert (await client.end())[0] == told
-        await until(lambda: not rig.courier.ids)
-    async with courier(tmp_path) as rig:
-        assert not rig.courier.ids
+        await until(lambda: not rig.engine.ids)
+    async with engine(tmp_path) as rig:
+        assert not rig.engine.ids
 
 
 async def test_prefetch_bounds_what_is_out_and_requeued_ends_come_first(tmp_path):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         for n in (1, 2):
             await client.publish(f"m{n}", for_ms=50 * n)
             await client.next()
-        await until(lambda: len(rig.courier.fronts["amqp"].queue("ends").waiting) == 2)
+        await until(lambda: len(rig.engine.fronts["amqp"].queue("ends").waiting) == 2)
         await client.consume(prefetch=1)
         told, method = await client.end(ack=False)
         await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, True), 1)
@@ -107,7 +107,7 @@
     ],
 )
 async def test_errors_have_the_specifications_reply_codes_and_nothing_is_taken(tmp_path, send, code):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await send(client)
         method, _, _ = await client.next()
@@ -118,25 +118,25 @@
         if code < 500:  # a soft error: the connection goes on with another channel
             await client.wire.send(commands.Channel.CloseOk(), 1)
             assert isinstance((await client.ask(commands.Channel.Open()))[0], commands.Channel.OpenOk)
-        assert not rig.courier.ids and len((await AmqpClient.open(rig.amqp)).wire.buffer.view()) == 0
+        assert not rig.engine.ids and len((await AmqpClient.open(rig.amqp)).wire.buffer.view()) == 0
 
 
 async def test_publishing_without_confirms_is_refused(tmp_path):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp, confirms=False)
         await client.publish("m1")
         assert (await client.next())[0].reply_code == frames.PRECONDITION_FAILED
 
 
 async def test_a_client_hears_that_the_process_ends(tmp_path):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
-        await rig.courier.fronts["amqp"].close()
+        await rig.engine.fronts["amqp"].close()
         assert (await client.next())[0].reply_code == frames.CONNECTION_FORCED
 
 
 async def test_another_protocol_hears_the_greeting(tmp_path):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         host, port = rig.amqp.split(":")
         stream = await anyio.connect_tcp(host, int(port))
         await stream.send(b"AMQP\0\1\0\0")
@@ -144,13 +144,13 @@
 
 
 async def test_a_silent_client_is_dropped_and_a_beating_one_kept(tmp_path):
-    async with courier(tmp_path) as rig:
-        rig.courier.fronts["amqp"].heartbeat_s = 1
+    async with engine(tmp_path) as rig:
+        rig.engine.fronts["amqp"].heartbeat_s = 1
         client = await AmqpClient.open(rig.amqp)  # it chose no heartbeats
         beating = frames.Wire(client.wire.connection, client.wire.clock)
         with anyio.move_on_after(0.2):
             await beating.frame()
-        wire = frames.Wire(await dial(rig.amqp), rig.courier.clock)
+        wire = frames.Wire(await dial(rig.amqp), rig.engine.clock)
         await wire.connection.write(frames.GREETING)
         await wire.method("Connection.Start")
         await wire.send(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"))
@@ -161,7 +161,7 @@
         with pytest.raises(OSError), anyio.fail_after(4):
             while True:
                 assert (await wire.frame())[1].name == "Heartbeat"
-        assert len(rig.courier.fronts["amqp"].sessions) == 1
+        assert len(rig.engine.fronts["amqp"].sessions) == 1
 
 
 async def test_order_per_key_holds_across_both_fronts(tmp_path):
@@ -169,38 +169,40 @@
         await anyio.sleep(0.05)
         return 200, [], b""
 
-    hop = HttpStandIn(lambda request: slow())
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = HttpStandIn(lambda request: slow())
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client, resp = await AmqpClient.open(rig.amqp), Client(rig.address)
         await client.publish("a1", "booking-change", key="5c0f")
         await client.next()
         assert await resp.enqueue("booking-change", "r2", key="5c0f") == "+OK\r\n"
         await client.publish("a3", "booking-change", key="5c0f")
-        await until(lambda: len(hop.requests) == 3)
-        assert [r[3]["request-id"] for r in hop.requests] == ["a1", "r2", "a3"]
-        assert all(b[0] - a[0] >= 0.05 for a, b in zip(hop.requests, hop.requests[1:], strict=False))
+        await until(lambda: len(endpoint.requests) == 3)
+        assert [r[3]["request-id"] for r in endpoint.requests] == ["a1", "r2", "a3"]
+        assert all(
+            b[0] - a[0] >= 0.05 for a, b in zip(endpoint.requests, endpoint.requests[1:], strict=False)
+        )
 
 
 @pytest.mark.parametrize(("status", "again"), [(200, False), (500, False), (503, True)])
 async def test_an_id_that_is_over_is_not_delivered_again_but_a_returned_one_may_be(tmp_path, status, again):
-    hop = HttpStandIn(lambda request: (status, [], b""))
-    async with standing(hop) as address:
-        async with courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = HttpStandIn(lambda request: (status, [], b""))
+    async with standing(endpoint) as address:
+        async with engine(tmp_path, endpoints=[(address,)]) as rig:
             client = await AmqpClient.open(rig.amqp)
             await client.publish("m1", for_ms=100)
             assert (await client.next())[0].name == "Basic.Ack"
-            await until(lambda: not rig.courier.open)
+            await until(lambda: not rig.engine.open)
             await client.publish("m1")  # before its end was heard
             methods = [(await client.next())[0].name for _ in range(2 if again else 1)]
             assert methods == (["Basic.Return", "Basic.Nack"] if again else ["Basic.Ack"])
             await client.consume()
             await client.end()
-            await until(lambda: not rig.courier.ids)
-        async with courier(tmp_path) as rig:  # and over a restart: its publisher missed the confirm
+            await until(lambda: not rig.engine.ids)
+        async with engine(tmp_path) as rig:  # and over a restart: its publisher missed the confirm
             client = await AmqpClient.open(rig.amqp)
             await client.publish("m1")
             assert isinstance((await client.next())[0], commands.Basic.Ack)
-            assert ("m1" in rig.courier.ids) is again
+            assert ("m1" in rig.engine.ids) is again
 
 
 async def test_a_silent_client_is_closed_in_time_and_one_that_does_not_read_is_ended(tmp_path, monkeypatch):
@@ -208,13 +210,13 @@
 
     monkeypatch.setattr(front, "GREET_S", 0.2)
     monkeypatch.setattr(front, "MOST_UNSENT", 100_000)
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         silent = await dial(rig.amqp)
         with anyio.fail_after(1):
             assert await silent.read() == b""
         silent.close()
         client = await AmqpClient.open(rig.amqp)
-        rig.courier.stopping = True  # each publish comes back whole
+        rig.engine.stopping = True  # each publish comes back whole
         with pytest.raises(OSError), anyio.fail_after(10):
             for n in range(1000):
                 await client.publish(f"m{n}", body=b"x" * 60_000)
@@ -222,7 +224,7 @@
 
 
 async def test_a_publish_for_an_unknown_partner_ends_the_channel(tmp_path):
-    async with courier(tmp_path, hops=[("127.0.0.1:1",)]) as rig:
+    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1", dest=2)
         method, _, _ = await client.next()
@@ -230,7 +232,7 @@
 
 
 async def test_contents_that_are_never_whole_share_a_bound_of_memory(tmp_path):
-    async with courier(tmp_path, leg_bytes=10_000) as rig:
+    async with engine(tmp_path, leg_bytes=10_000) as rig:
         client = await AmqpClient.open(rig.amqp)
         whole = frames.content(
             commands.Basic.Publish(0, "", "p", False), commands.Basic.Properties(), b"x" * 60_000, 1, 4096
@@ -242,8 +244,8 @@
 
 
 async def test_queues_that_hold_nothing_and_serve_nobody_are_forgotten(tmp_path):
-    async with courier(tmp_path) as rig:
-        queues = rig.courier.fronts["amqp"].queues
+    async with engine(tmp_path) as rig:
+        queues = rig.engine.fronts["amqp"].queues
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1", for_ms=100)
         await until(lambda: "ends" in queues)  # it holds an end that nobody has heard yet
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -8,13 +8,13 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import Client, HttpStandIn, configuration, courier, standing, until
+from standins import Client, HttpStandIn, configuration, engine, standing, until
 from test_settings import lane
 
 from pinspread.config import settings
-from pinspread.core.calls import groups
-from pinspread.interface import AttemptEnded, Verdict
-from pinspread.net import bundle
+from pinspread.core.bundling import bundles
+from pinspread.http import bundle
+from pinspread.policy.events import AttemptCompleted, Outcome
 
 pytestmark = pytest.mark.anyio
 HEARD = (204, [], b"")
@@ -30,11 +30,9 @@
 
 @given(st.lists(st.integers(1, 10_000), max_size=20), st.integers(1, 6))
 def test_calls_hold_each_branch_once_at_most_so_many_and_of_about_one_time(times, most):
-    branches = [
-        SimpleNamespace(timeout_us=t, transaction=SimpleNamespace(number=n)) for n, t in enumerate(times)
-    ]
-    calls = groups(branches, most)
-    assert sorted(b.transaction.number for call in calls for b in call) == list(range(len(times)))
+    attempts = [SimpleNamespace(timeout_us=t, message=SimpleNamespace(number=n)) for n, t in enumerate(times)]
+    calls = bundles(attempts, most)
+    assert sorted(b.message.number for call in calls for b in call) == list(range(len(times)))
     for call in calls:
         waits = [b.timeout_us for b in call]
         assert len(call) <= most and min(waits) >= 0.9 * max(waits)
@@ -58,26 +56,26 @@
     for id_, outcome in found.items():
         told = [i.get("state") for i in items if i.get("id") == id_]
         if len(told) != 1 or told[0] not in ("ok", "later"):
-            assert outcome.verdict is Verdict.ERROR
+            assert outcome.outcome is Outcome.ERROR
 
 
 @pytest.mark.parametrize(
     ("state", "verdict", "over"),
     [
-        ("ok", Verdict.OK, False),
-        ("error", Verdict.ERROR, False),
-        ("later", Verdict.FULL, False),
-        ("gone", Verdict.MOOT, True),
-        ("exhausted", Verdict.MOOT, False),
-        ("OK", Verdict.ERROR, False),
-        (["ok"], Verdict.ERROR, False),
+        ("ok", Outcome.OK, False),
+        ("error", Outcome.ERROR, False),
+        ("later", Outcome.OVERLOADED, False),
+        ("gone", Outcome.NOT_SENT, True),
+        ("exhausted", Outcome.NOT_SENT, False),
+        ("OK", Outcome.ERROR, False),
+        (["ok"], Outcome.ERROR, False),
     ],
 )
 def test_states_of_an_answer(state, verdict, over):
     raw = orjson.dumps([{"id": "m", "state": state}, {"id": "invented", "state": "ok"}])
     outcome = bundle.ends(raw, ["m"], 7)["m"]
-    assert (outcome.verdict, outcome.over) == (verdict, over)
-    assert outcome.wait_us == (0 if state == "ok" else 7)
+    assert (outcome.outcome, outcome.over) == (verdict, over)
+    assert outcome.retry_after_us == (0 if state == "ok" else 7)
 
 
 @pytest.mark.parametrize(
@@ -150,11 +148,11 @@
 async def played(folder, partner, messages=5, cls="notice", wait=True):
     """Hand messages in while the first is out alone, so that the rest go together; notices that came."""
     platform = HttpStandIn(lambda request: HEARD)
-    async with standing(platform) as address, standing(partner) as where, courier(folder, address) as rig:
-        rig.courier.settle(told(folder))
-        http = rig.courier.transports["http"]
+    async with standing(platform) as address, standing(partner) as where, engine(folder, address) as rig:
+        rig.engine.apply_settings(told(folder))
+        http = rig.engine.transports["http"]
         http.reports = True
-        rig.learn(where)
+        rig.update_endpoints(where)
         await anyio.sleep(0.02)
         client = Client(rig.address)
         async with anyio.create_task_group() as tasks:
@@ -162,7 +160,7 @@
                 await client.enqueue(cls, f"m{n}", for_ms=24_000, body=bytes([n]) * 9)
             tasks.cancel_scope.cancel()
         if wait:
-            await until(lambda: not rig.courier.ids, 8)
+            await until(lambda: not rig.engine.ids, 8)
         else:
             await until(lambda: len(partner.calls) > 1)
     return {line["id"]: line["state"] for line in platform.lines}
@@ -218,8 +216,8 @@
     await played(tmp_path, partner, 4, "payment", wait=False)
     platform, after = HttpStandIn(lambda request: HEARD), Partner()
     async with standing(platform) as address, standing(after) as where:
-        async with courier(tmp_path, address, hops=[(where,)]) as rig:
-            await until(lambda: not rig.courier.ids)
+        async with engine(tmp_path, address, endpoints=[(where,)]) as rig:
+            await until(lambda: not rig.engine.ids)
     assert {line["id"]: line["state"] for line in platform.lines} == {f"m{n}": "failed" for n in (1, 2, 3)}
     assert not after.calls
 
@@ -229,14 +227,14 @@
     tmp_path, report, limit
 ):
     replies = [(503, [("Server-Load", report)], b"")]
-    hop = HttpStandIn(lambda r: replies.pop() if replies else (200, [("Server-Load", report)], b""))
+    endpoint = HttpStandIn(lambda r: replies.pop() if replies else (200, [("Server-Load", report)], b""))
     heard = []
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
-        rig.courier.transports["http"].reports = True
-        post = rig.courier.post
-        rig.courier.post = lambda event: (heard.append(event), post(event))
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+        rig.engine.transports["http"].reports = True
+        post = rig.engine.post
+        rig.engine.post = lambda event: (heard.append(event), post(event))
         assert await Client(rig.address).enqueue() == "+OK\r\n"
-        await until(lambda: not rig.courier.ids)
-    ended = [e for e in heard if type(e) is AttemptEnded]
-    assert [e.verdict for e in ended] == [Verdict.FULL, Verdict.OK]
+        await until(lambda: not rig.engine.ids)
+    ended = [e for e in heard if type(e) is AttemptCompleted]
+    assert [e.outcome for e in ended] == [Outcome.OVERLOADED, Outcome.OK]
     assert [e.limit_per_s for e in ended] == [limit, limit]
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pinspread.cluster import wire
+from pinspread.membership import codec as wire
 
 KEY = b"fleet-a"
 PING = {"t": "ping", "from": "a", "from_at": "127.0.0.1:1", "inc": 0, "up": [], "seq": 1, "to": "b"}
@@ -34,7 +34,7 @@
     ],
 )
 def test_a_datagram_that_is_not_taken_says_why(data, key, why):
-    with pytest.raises(wire.Dropped, match=why):
+    with pytest.raises(wire.DatagramError, match=why):
         wire.unpack(data, key)
 
 
@@ -49,14 +49,15 @@
     good = wire.pack(PING, KEY)
     for n in range(2000):
         data = bytearray(good[: rng.randrange(len(good))]) if n % 2 else bytearray(rng.randbytes(n % 90))
-        with pytest.raises(wire.Dropped):
+        with pytest.raises(wire.DatagramError):
             wire.unpack(bytes(data), KEY)
 
 
 def test_a_leave_while_the_turns_go_on_breaks_no_socket():
     import anyio
 
-    from pinspread.cluster import member, swim
+    from pinspread.membership import service as member
+    from pinspread.membership import swim
 
     async def play():
         plan = member.Plan("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, swim.Tuning())
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 
 from pinspread.__main__ import main
 from pinspread.config import application, dnssd, settings
-from pinspread.interface import ListState
+from pinspread.policy.events import EndpointState
 
 GOOD = application.template("booking")
 MEMBERS = '[members]\nid = "c1"\nlisten = "127.0.0.1:7946"\nfleet = "f"\n'
@@ -114,7 +114,7 @@
 
 
 def test_a_member_is_found_by_the_records_that_its_own_file_prints(tmp_path, capsys):
-    from pinspread.cluster import seeds
+    from pinspread.membership import seeds
 
     members = '[members]\nid = "c1"\nlisten = "127.0.0.7:7946"\nfleet = "f"\n'
     path = tmp_path / "f.toml"
@@ -179,8 +179,8 @@
         records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "z"))
     found = dnssd.browse(records, ["_http._tcp", "_amqp._tcp"], {})
     lodge, park, pay = sorted(found, key=lambda f: f[0].dest)
-    assert (lodge[0].address, lodge[0].weight, lodge[1]) == ("127.0.0.1:8080", 12.5, ListState.READY)
-    assert park[1] is ListState.DRAINING
+    assert (lodge[0].address, lodge[0].weight, lodge[1]) == ("127.0.0.1:8080", 12.5, EndpointState.READY)
+    assert park[1] is EndpointState.DRAINING
     assert (pay[0].scheme, pay[0].route) == ("amqp", {"exchange": "pay", "routing_key": "in"})
     if source == "server":
         server.sock.close()
@@ -202,8 +202,8 @@
         states = dict([((await client.end())[0]["id"], n) for n in range(2)])
         assert set(states) == {"h1", "b1"} and broker.effects == ["b1"] and len(hop.requests) == 1
         (tmp_path / "z").write_text("not a zone")  # the list stays as it was
-        await until(lambda: rig.courier.next_hops)
-        assert rig.courier.next_hops["Lodge\\032One._http._tcp.partners.example."].usable
+        await until(lambda: rig.courier.endpoints)
+        assert rig.courier.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
 
 
 def test_an_applications_file_becomes_settings_for_the_module(tmp_path):
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -9,13 +9,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pinspread.cluster import copies, copying, placement, wire
-from pinspread.cluster.copies import RANGE, Kept, Source
-from pinspread.cluster.member import Membership, Plan
-from pinspread.cluster.swim import ALIVE, Tuning
 from pinspread.core import journal as journals
 from pinspread.core.journal import Journal
-from pinspread.core.transactions import Final, State, Transaction
+from pinspread.core.messages import FinalResult, FinalState, Message
+from pinspread.errors import JournalFullError
+from pinspread.membership import codec as wire
+from pinspread.membership.service import Membership, Plan
+from pinspread.membership.swim import ALIVE, Tuning
+from pinspread.replication import log as copies
+from pinspread.replication import placement
+from pinspread.replication import service as copying
+from pinspread.replication.log import RANGE, Replica, ReplicationLog
 
 MEMBERS = [f"c{n}" for n in range(12)]
 
@@ -32,7 +36,7 @@
 
 
 def test_a_promise_is_copied_once_enough_copies_hold_all_up_to_it():
-    source = Source(need=2)
+    source = ReplicationLog(need=2)
     source.rewritten(b"base", 10)
     source.appended(b"one")
     mark = source.mark()
@@ -42,7 +46,7 @@
     assert source.copied("ab", mark) and not source.copied("a", mark)
     source.rewritten(b"base and one", 5)  # a clock that went back makes no older generation
     assert source.generation == 11
-    started = Source(need=2, floor=11)
+    started = ReplicationLog(need=2, floor=11)
     started.rewritten(b"base", 3)  # nor in another process, where copies have one
     assert started.generation == 12
     assert source.copied("ab", mark)  # what they hold still counts for what was promised by it
@@ -52,7 +56,7 @@
 
 
 def test_lag_counts_the_records_that_a_copy_lacks_and_since_when():
-    source, record = Source(need=1), journals._record(b"x" * 12)
+    source, record = ReplicationLog(need=1), journals._record(b"x" * 12)
     source.rewritten(record * 3, 10, 1000)
     source.appended(record, 5000)
     source.held = {"a": (10, 80), "b": (10, 59), "c": (9, 80)}
@@ -62,7 +66,7 @@
 
 
 def test_a_copy_may_go_only_once_all_that_are_chosen_hold_all():
-    source = Source(need=1)
+    source = ReplicationLog(need=1)
     source.rewritten(b"four", 10)
     source.held = {"a": (10, 4), "b": (10, 3)}
     assert source.spared("z", ["a"]) and not source.spared("z", ["a", "b"])
@@ -110,12 +114,12 @@
     ],
 )
 def test_where_a_keeper_puts_bytes(token, generation, at, said):
-    kept = Kept("a", token=5, generation=7, size=10)
+    kept = Replica("a", token=5, generation=7, size=10)
     assert kept.place(token, generation, 6, at, 2).startswith(said)
 
 
 def test_a_new_generation_takes_the_old_ones_place_only_when_it_is_whole():
-    kept = Kept("a", token=5, generation=7, size=10, adopted=3, tried=["b"])
+    kept = Replica("a", token=5, generation=7, size=10, adopted=3, tried=["b"])
     assert kept.place(5, 8, 6, 0, 4) == "new" and not kept.whole()
     assert (kept.generation, kept.size) == (7, 10)
     assert kept.place(5, 8, 6, 4, 2) == "new" and kept.whole()
@@ -140,8 +144,8 @@
     )
 
 
-def transaction(number, **more):
-    return Transaction(number, f"id{number}", "payment", "all", 1, 0, "", 10**18, b"body", "resp", **more)
+def message(number, **more):
+    return Message(number, f"id{number}", "payment", "all", 1, 0, "", 10**18, b"body", "resp", **more)
 
 
 def test_a_copy_replays_to_what_was_owed_and_a_flipped_bit_ends_it_there(tmp_path):
@@ -156,15 +160,15 @@
     journal.tap = tap
     journal.open()
     for n in range(1, 6):
-        journal.taken(transaction(n))
-    journal.branch_started(journal.live[2], 0, 77)
-    journal.adopted(transaction(9, branches=2, may_run_us=55, final=Final(State.FAILED, 3)))
+        journal.taken(message(n))
+    journal.attempt_started(journal.live[2], 0, 77)
+    journal.adopted(message(9, attempts=2, may_have_run_unix_us=55, final=FinalResult(FinalState.FAILED, 3)))
     journal.ended(journal.live[1])
     assert bytes(tap) == journal.path.read_bytes()
     live, past = copying.replayed(bytes(tap))
     assert [t.number for t in live] == [2, 3, 4, 5, 9] and past == {"id1"}
-    assert live[0].live_us == 77 and live[-1].final == Final(State.FAILED, 3)
-    assert (live[-1].branches, live[-1].may_run_us) == (2, 55)
+    assert live[0].in_flight_since_unix_us == 77 and live[-1].final == FinalResult(FinalState.FAILED, 3)
+    assert (live[-1].attempts, live[-1].may_have_run_unix_us) == (2, 55)
     tap[200] ^= 1
     assert journals.whole(tap) < 200 and not journals.cut(tap, journals.whole(tap))
     cut = journal.path.read_bytes()[:-3]
@@ -176,9 +180,9 @@
 def test_what_is_taken_over_stays_within_the_journals_room(tmp_path):
     journal = Journal(str(tmp_path), 3000)
     journal.open()
-    with pytest.raises(journals.JournalFull):
+    with pytest.raises(JournalFullError):
         for n in range(1, 100):
-            journal.adopted(transaction(n))
+            journal.adopted(message(n))
     assert 1 < len(journal.live) < 20 and journal.path.stat().st_size <= 1440
 
 
@@ -192,7 +196,7 @@
     membership = Membership(Plan("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", Tuning()))
     membership.member.apply(["a", "127.0.0.2:1", 0, ALIVE, "a"], 0)
     membership.member.apply(["b", "127.0.0.3:1", 0, ALIVE, "b"], 0)
-    return copying.Copies(copying.Plan("127.0.0.1:0", str(tmp_path)), membership, Held())
+    return copying.ReplicationService(copying.Plan("127.0.0.1:0", str(tmp_path)), membership, Held())
 
 
 def answer(keeper, message):
@@ -207,21 +211,21 @@
     assert answer(keeper, SEND)["generation"] == 0
     assert answer(keeper, DATA | {"bytes": b"base"}) == {"t": "ack", "generation": 7, "size": 4}
     assert answer(keeper, DATA | {"bytes": b"more", "at": 4})["size"] == 8
-    again = copying.Shelf(tmp_path, "a")
+    again = copying.ReplicaStore(tmp_path, "a")
     assert again.data() == b"basemore" and (again.kept.generation, again.kept.token) == (7, 5)
     copy = answer(keeper, {"t": "fetch", "from": "b", "to": "k", "owner": "a", "token": 6})
     assert copy["bytes"] == b"basemore" and copy["tried"] == ["b"]
     assert answer(keeper, DATA | {"bytes": b"late", "at": 8})["why"].startswith("fenced")
     assert answer(keeper, SEND)["why"].startswith("fenced")
     assert answer(keeper, {"t": "done", "from": "b", "to": "k", "owner": "a", "token": 6})["t"] == "ack"
-    assert copying.Shelf(tmp_path, "a").kept.adopted == 6
+    assert copying.ReplicaStore(tmp_path, "a").kept.adopted == 6
 
 
 def test_a_keeper_lets_go_of_its_copy_but_not_of_the_token_when_the_owner_says_so(keeper, tmp_path):
     answer(keeper, SEND)
     answer(keeper, DATA | {"bytes": b"base"})
     keeper._shelf("a").clear()
-    assert copying.Shelf(tmp_path, "a").kept.token == 5 and not list((tmp_path / "a").glob("journal*"))
+    assert copying.ReplicaStore(tmp_path, "a").kept.token == 5 and not list((tmp_path / "a").glob("journal*"))
     assert answer(keeper, DATA | {"bytes": b"more", "at": 4})["why"].startswith("out of order")
     assert answer(keeper, SEND)["size"] == 0  # chosen anew, it gets all again
     ask = {"t": "spare", "from": "b", "to": "k", "owner": "k"}
@@ -260,7 +264,7 @@
 
 @pytest.mark.parametrize("message", [{}, {"t": "steal"}, SEND | {"token": "5"}, DATA | {"bytes": "text"}])
 def test_a_message_that_is_not_well_formed_ends_its_stream(keeper, message):
-    with pytest.raises(wire.Dropped):
+    with pytest.raises(wire.DatagramError):
         answer(keeper, message)
 
 
@@ -290,7 +294,7 @@
 
 
 def test_the_commands_show_leases_and_copies_as_aligned_text(keeper):
-    from pinspread.cluster import show
+    from pinspread.admin import status_client as show
 
     keeper.targets = ["a"]
     keeper.source.rewritten(b"four", 9)
--- a/tests/test_copies_stage.py
+++ b/tests/test_copies_stage.py
@@ -3,7 +3,8 @@
 import pytest
 from test_leases_stage import FAST, LEASES
 
-from pinspread.fleet.loopback import cast, judge
+from pinspread.testbed import history_checker as judge
+from pinspread.testbed import processes as cast
 
 pytestmark = pytest.mark.stage
 # The last message's time is up before a scene ends: what is then neither delivered nor told is lost.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -7,12 +7,15 @@
 import anyio
 import orjson
 import pytest
-from standins import Client, Gate, HttpStandIn, courier, host, listener, standing, until
+from standins import Client, Gate, HttpStandIn, engine, host, listener, standing, until
 
-from pinspread import decide
-from pinspread.core.transactions import NextHop, Rules
-from pinspread.interface import Group, ListScope, ListState
-from pinspread.net import discovery, http, sockets
+from pinspread.core.messages import DeliveryRules, Endpoint
+from pinspread.discovery import client as discovery
+from pinspread.http import transport as http
+from pinspread.policy import delivery_policy as decide
+from pinspread.policy.events import EndpointState, UpdateScope
+from pinspread.policy.settings import DeduplicationScope
+from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 
@@ -24,23 +27,23 @@
 
 @pytest.mark.parametrize("change", ["drain", "gone", "ban", "moved"])
 async def test_a_list_read_twice_while_a_call_is_dialled_still_keeps_it_unsent(tmp_path, monkeypatch, change):
-    hop = HttpStandIn()
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         gate = Gate(monkeypatch)
         await Client(rig.address).enqueue("payment")
         await until(lambda: gate.waiting)
-        rig.learn(address, scope=ListScope.FULL)  # as a watch does that was opened again
+        rig.update_endpoints(address, scope=UpdateScope.FULL)  # as a watch does that was opened again
         if change == "drain":
-            rig.learn(address, state=ListState.DRAINING)
+            rig.update_endpoints(address, state=EndpointState.DRAINING)
         elif change == "gone":
-            rig.learn(address, id_="s-2", scope=ListScope.FULL, state=ListState.DRAINING)
+            rig.update_endpoints(address, id_="s-2", scope=UpdateScope.FULL, state=EndpointState.DRAINING)
         elif change == "ban":
-            assert await rig.courier.disable("s-1")
+            assert await rig.engine.disable("s-1")
         else:
-            rig.learn("127.0.0.1:1")  # the endpoint is elsewhere by now
+            rig.update_endpoints("127.0.0.1:1")  # the endpoint is elsewhere by now
         gate.open.set()
-        await until(lambda: not rig.courier.branches)
-        assert not hop.requests
+        await until(lambda: not rig.engine.attempts)
+        assert not endpoint.requests
 
 
 @pytest.mark.parametrize(
@@ -58,47 +61,51 @@
     tmp_path, monkeypatch, answer, behind, ends
 ):
     monkeypatch.setattr(http, behind, 60)  # so the message's time ends first
-    hop, told = HttpStandIn(lambda request: answer), HttpStandIn(lambda request: (204, [], b""))
-    async with standing(told) as heard, standing(hop) as address:
-        async with courier(tmp_path, heard, hops=[(address,)]) as rig:
+    endpoint, told = HttpStandIn(lambda request: answer), HttpStandIn(lambda request: (204, [], b""))
+    async with standing(told) as heard, standing(endpoint) as address:
+        async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:
             assert await Client(rig.address).enqueue("payment", for_ms=300) == "+OK\r\n"
-            await until(lambda: not rig.courier.ids)
-    assert len(hop.requests) == 1
+            await until(lambda: not rig.engine.ids)
+    assert len(endpoint.requests) == 1
     assert [line["state"] for line in told.lines] == ends
 
 
 async def test_a_repeat_whose_window_ends_while_it_is_dialled_is_not_written(tmp_path, monkeypatch):
-    hop = HttpStandIn(lambda request: None)  # every call ends as a reset: it may have run
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
-        core = rig.courier
+    endpoint = HttpStandIn(lambda request: None)  # every call ends as a reset: it may have run
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+        core = rig.engine
         await Client(rig.address).enqueue("booking-change", "keyed", for_ms=60_000)
         gate = Gate(monkeypatch)
-        await until(lambda: len(hop.requests) == 1 and gate.waiting)
+        await until(lambda: len(endpoint.requests) == 1 and gate.waiting)
         rules = core.ids["keyed"].rules
-        core.clock.offset_us += rules.cls.window_ns // 1000  # the repeat's dial takes so long
+        core.clock.offset_us += rules.cls.deduplication_window_ns // 1000  # the repeat's dial takes so long
         gate.open.set()
-        await until(lambda: not core.branches)
-        assert len(hop.requests) == 1
+        await until(lambda: not core.attempts)
+        assert len(endpoint.requests) == 1
 
 
 async def test_a_repeat_after_a_restart_goes_to_the_zone_that_drops_it(tmp_path):
     waits = [anyio.sleep_forever()]  # killed with this one out: it may have run
-    hops = [HttpStandIn(lambda request: waits.pop() if waits else (200, [], b"")), HttpStandIn()]
-    async with standing(hops[0]) as far, standing(hops[1]) as near:
+    endpoints = [HttpStandIn(lambda request: waits.pop() if waits else (200, [], b"")), HttpStandIn()]
+    async with standing(endpoints[0]) as far, standing(endpoints[1]) as near:
         for n in range(2):
-            async with courier(tmp_path) as rig:
+            async with engine(tmp_path) as rig:
                 if n == 0:
-                    lane = rig.courier.settings.rules["booking-change"]
-                    by_zone = dataclasses.replace(lane.cls, group=Group.ZONE)
-                    rig.courier.settings.rules["booking-change"] = Rules(by_zone, lane.max_attempts)
-                rig.courier.learn(ListScope.FULL, [(NextHop("far", far, 1, zone=1), ListState.READY)])
+                    lane = rig.engine.settings.rules["booking-change"]
+                    by_zone = dataclasses.replace(lane.cls, group=DeduplicationScope.ZONE)
+                    rig.engine.settings.rules["booking-change"] = DeliveryRules(by_zone, lane.max_attempts)
+                rig.engine.update_endpoints(
+                    UpdateScope.FULL, [(Endpoint("far", far, 1, zone=1), EndpointState.READY)]
+                )
                 if n == 0:
                     await Client(rig.address).enqueue("booking-change", for_ms=60_000)
-                    await until(lambda: hops[0].requests)
+                    await until(lambda: endpoints[0].requests)
                     continue
-                rig.courier.learn(ListScope.DELTA, [(NextHop("near", near, 1, zone=0), ListState.READY)])
-                await until(lambda: not rig.courier.ids)
-    assert not hops[1].requests and len(hops[0].requests) == 2
+                rig.engine.update_endpoints(
+                    UpdateScope.DELTA, [(Endpoint("near", near, 1, zone=0), EndpointState.READY)]
+                )
+                await until(lambda: not rig.engine.ids)
+    assert not endpoints[1].requests and len(endpoints[0].requests) == 2
 
 
 class Agent:
@@ -134,9 +141,9 @@
     for name in ("LINE_S", "FIRST_S", "HEAD_S", "TRY_S", "AGAIN_S"):
         monkeypatch.setattr(discovery, name, getattr(discovery, name) / faster)
     agent = Agent()
-    async with courier(tmp_path, agent.address) as rig:
+    async with engine(tmp_path, agent.address) as rig:
         rig.tasks.start_soon(agent.run)
-        watch = discovery.Discovery(agent.address, rig.courier, rig.courier.settings)
+        watch = discovery.Discovery(agent.address, rig.engine, rig.engine.settings)
         rig.tasks.start_soon(watch.run)
         await until(lambda: agent.watches)
         yield rig, agent, watch
@@ -173,7 +180,7 @@
         await until(lambda: len(agent.watches) > 2)
         last = len(agent.watches) - 1
         agent.say(last, told(2, S1 | {"health": "draining"}) + b"\n", head=True)
-        await until(lambda: "s-1" in rig.courier.next_hops and not rig.courier.next_hops["s-1"].usable)
+        await until(lambda: "s-1" in rig.engine.endpoints and not rig.engine.endpoints["s-1"].usable)
         assert 2 * (time.monotonic() - start) < 6.0  # the first was silent from its first moment on
 
 
@@ -183,7 +190,7 @@
     async with watched(tmp_path, monkeypatch) as (rig, agent, _):
         await until(lambda: len(agent.watches) == 3)  # while it is away they are opened beside each other
         agent.say(0, told(1, S1) + b"\n", head=True)  # the one that has waited longest
-        await until(lambda: rig.courier.next_hops)
+        await until(lambda: rig.engine.endpoints)
         seen = len(agent.asked)
         await anyio.sleep(0.1)
         assert len(agent.asked) <= seen + 1  # one that was on its way; it is followed, no more are opened
@@ -193,7 +200,7 @@
 async def test_late_bytes_of_an_old_watch_do_not_undo_the_newer_list(tmp_path, monkeypatch, how):
     async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
         agent.say(0, told(5, S1) + b"\n", head=True)
-        await until(lambda: rig.courier.next_hops)
+        await until(lambda: rig.engine.endpoints)
         new, at = agent, 1
         if how == "moved":
             new, at = Agent(), 0
@@ -205,7 +212,7 @@
         agent.say(0, told(6, S1, whole=False) + b"\n")
         await until(lambda: watch.seq == 9)
         await anyio.sleep(0.05)
-        assert not rig.courier.next_hops["s-1"].usable and watch.seq == 9
+        assert not rig.engine.endpoints["s-1"].usable and watch.seq == 9
         new.sock.close()
 
 
@@ -213,7 +220,7 @@
     async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
         news = {"seq": 5, "whole": True, "hosts": [host('"s-{[1\\"', "127.0.0.1:9"), S1]}
         agent.say(0, b"\n" + orjson.dumps(news, option=orjson.OPT_INDENT_2) + b"\n\n", head=True)
-        await until(lambda: len(rig.courier.next_hops) == 2 and watch.seq == 5)
+        await until(lambda: len(rig.engine.endpoints) == 2 and watch.seq == 5)
         assert len(agent.asked) == 1
 
 
@@ -240,7 +247,7 @@
         entry = host("s-2", "127.0.0.1:9") | bad
         agent.say(0, told(5, S1) + b"\n" + told(6, entry, whole=False) + b"\n", head=True)
         agent.say(0, told(7, S1 | {"health": "gone", "dial": None}, whole=False) + b"\n")
-        await until(lambda: not rig.courier.next_hops)  # what it says of one that is known still counts
+        await until(lambda: not rig.engine.endpoints)  # what it says of one that is known still counts
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
     assert logged.count("malformed_host") == 2
 
@@ -257,31 +264,34 @@
 async def test_what_bars_a_call_behind_its_choice_uses_up_no_attempt(tmp_path, monkeypatch, bar):
     monkeypatch.setattr(decide, "MOST_TIMEOUT_NS", 2000 * decide.MS if bar == "told wait" else 50 * decide.MS)
     untold = b"HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 9\r\n\r\n"  # its body never comes
-    hop = HttpStandIn(lambda request: (200, [], b"") if request[3]["request-id"] == "second" else untold)
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
-        core = rig.courier
-        core.settings.rules["booking-change"] = Rules(core.settings.rules["booking-change"].cls, 2)
+    endpoint = HttpStandIn(lambda request: (200, [], b"") if request[3]["request-id"] == "second" else untold)
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+        core = rig.engine
+        core.settings.rules["booking-change"] = DeliveryRules(core.settings.rules["booking-change"].cls, 2)
         if bar == "notice":
             core.notified[0x77] = 1  # an earlier message of the key, whose notice is not answered
         else:
             await Client(rig.address).enqueue("status-update", "first", for_ms=1500)
             await until(lambda: core.told_us)  # heard by the transport; the module hears of it at its end
         ended = []
-        branch_ended = core._branch_ended
-        core._branch_ended = lambda branch, outcome: (ended.append(outcome), branch_ended(branch, outcome))
+        attempt_ended = core._attempt_ended
+        core._attempt_ended = lambda attempt, outcome: (
+            ended.append(outcome),
+            attempt_ended(attempt, outcome),
+        )
         assert await Client(rig.address).enqueue("booking-change", "second", key="77") == "+OK\r\n"
         await until(lambda: len([o for o in ended if o.note]) >= 3 or "second" not in core.ids, 20)
         core.notified.pop(0x77, None)
         core.told_us.clear()
-        await until(lambda: any(r[3]["request-id"] == "second" for r in hop.requests), 20)
+        await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests), 20)
 
 
 async def test_what_is_read_behind_our_own_end_of_a_leg_is_not_taken_on(tmp_path):
-    async with courier(tmp_path, hops=[("127.0.0.1:1",)]) as rig:
+    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         leg = await sockets.dial(rig.address)
         await leg.write(b"*1\r\n$4\r\nPING\r\n")
         assert await leg.read() == b"+PONG\r\n"
-        room = rig.courier.fronts["resp"].room
+        room = rig.engine.fronts["resp"].room
         (ours,) = room.legs.values()
         body = b"x" * 6000  # two of them: the second is still unread when the first is parsed
         command = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm%d\r\n$31\r\nc=payment,t=north,d=5000,dest=1\r\n"
@@ -290,34 +300,34 @@
         with suppress(ConnectionResetError):
             assert await leg.read() == b""
         await until(lambda: ours.connection.sock.fileno() < 0)  # all of it has been read
-        assert not rig.courier.ids
+        assert not rig.engine.ids
 
 
 @pytest.mark.parametrize("way", ["draining", "gone", "left out"])
 async def test_a_restart_while_discovery_is_away_keeps_to_the_drains_told_before(tmp_path, monkeypatch, way):
-    hop = HttpStandIn()
-    async with standing(hop) as address, standing(HttpStandIn(lambda request: (204, [], b""))) as heard:
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address, standing(HttpStandIn(lambda request: (204, [], b""))) as heard:
         ready = host("s-1", address)
         async with watched(tmp_path, monkeypatch) as (rig, agent, _):
             agent.say(0, told(5, ready) + b"\n", head=True)
-            await until(lambda: rig.courier.next_hops)
+            await until(lambda: rig.engine.endpoints)
             left_out = way == "left out"
             news = told(6) if left_out else told(6, ready | {"health": way}, whole=False)
             agent.say(0, news + b"\n")
-            await until(lambda: not any(h.usable for h in rig.courier.next_hops.values()))
+            await until(lambda: not any(h.usable for h in rig.engine.endpoints.values()))
             assert await Client(rig.address).enqueue("status-update", "owed", for_ms=700) == "+OK\r\n"
         agent = Agent()  # it is away at first: whoever asks hears nothing
-        async with courier(tmp_path, heard) as rig:
+        async with engine(tmp_path, heard) as rig:
             rig.tasks.start_soon(agent.run)
             old = {"seq": 5, "whole": True, "hosts": [ready]}  # as the configuration has it
-            settings_ = dataclasses.replace(rig.courier.settings, known=old)
-            watch = discovery.Discovery(agent.address, rig.courier, settings_)
+            settings_ = dataclasses.replace(rig.engine.settings, known=old)
+            watch = discovery.Discovery(agent.address, rig.engine, settings_)
             watch.start()
             rig.tasks.start_soon(watch.run)
-            await until(lambda: agent.watches and not rig.courier.ids)  # its time is over
-            assert not hop.requests
+            await until(lambda: agent.watches and not rig.engine.ids)  # its time is over
+            assert not endpoint.requests
             assert await Client(rig.address).enqueue("status-update", "later") == "+OK\r\n"
             agent.say(len(agent.watches) - 1, told(7, ready) + b"\n", head=True)
-            await until(lambda: not rig.courier.ids)
-            assert [r[3]["request-id"] for r in hop.requests] == ["later"]
+            await until(lambda: not rig.engine.ids)
+            assert [r[3]["request-id"] for r in endpoint.requests] == ["later"]
         agent.sock.close()
