--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -7,27 +7,40 @@
 
 import pytest
 
-from pinspread import decide
-from pinspread import interface as api
-from pinspread.decide import MS, SECOND, Sender
+from pinspread.policy import delivery_policy as decide
+from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer, Subscribe
+from pinspread.policy.delivery_policy import MS, SECOND, DeliveryPolicy
+from pinspread.policy.events import (
+    AttemptCompleted,
+    ClientCancelled,
+    EndpointEntry,
+    EndpointsChanged,
+    EndpointState,
+    HealthCheckCompleted,
+    MessageAccepted,
+    Outcome,
+    TimerFired,
+    UpdateScope,
+)
+from pinspread.policy.settings import DeduplicationScope, DestinationKind, Idempotency, Settings, TrafficClass
 
-OK, FULL, ERROR = api.Verdict.OK, api.Verdict.FULL, api.Verdict.ERROR
-TIMEOUT, CONNECT_FAILED = api.Verdict.TIMEOUT, api.Verdict.CONNECT_FAILED
+OK, FULL, ERROR = Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR
+TIMEOUT, CONNECT_FAILED = Outcome.TIMEOUT, Outcome.CONNECT_FAILED
 SAFE, KEYED, UNSAFE, ORDERED, ZONED = range(5)
 
 
 # What the second deployment has otherwise: the list is asked for, several senders, a price between
 # halls, longer cold times and grace, worth that falls by halves.
 SECOND_SHAPE = {
-    "list_on_request": True,
-    "must_ask_in_ns": 13 * SECOND,
+    "polled_discovery": True,
+    "max_poll_interval_ns": 13 * SECOND,
     "senders": 3,
-    "cold_ns": 13 * SECOND,
+    "slow_start_ns": 13 * SECOND,
     "drain_grace_ns": 500 * MS,
-    "crossing_price": 0.05,
+    "cross_zone_price": 0.05,
     "handshake_price": 0.01,
-    "may_cancel": True,
-    "halves": True,
+    "cancellation_allowed": True,
+    "value_halves": True,
 }
 
 
@@ -40,54 +53,58 @@
 
 
 def settings(**changes):
-    effects = api.Effect
+    effects = Idempotency
     aim, deadline = 4 * SECOND, 20 * SECOND
     values = {
         "classes": [
-            api.TrafficClass(aim, deadline, effects.REPEATABLE, late_share=0.3),
-            api.TrafficClass(aim, deadline, effects.BY_KEY, window_ns=10 * SECOND, late_share=0.3),
-            api.TrafficClass(aim, deadline, effects.ONCE, late_share=0.3),
-            api.TrafficClass(aim, deadline, effects.REPEATABLE, late_share=0.3, in_order=True),
-            api.TrafficClass(aim, deadline, effects.BY_KEY, api.Group.ZONE, 10 * SECOND, 0.3),
+            TrafficClass(aim, deadline, effects.IDEMPOTENT, late_value_share=0.3),
+            TrafficClass(
+                aim, deadline, effects.WITH_KEY, deduplication_window_ns=10 * SECOND, late_value_share=0.3
+            ),
+            TrafficClass(aim, deadline, effects.NOT_IDEMPOTENT, late_value_share=0.3),
+            TrafficClass(aim, deadline, effects.IDEMPOTENT, late_value_share=0.3, in_order=True),
+            TrafficClass(aim, deadline, effects.WITH_KEY, DeduplicationScope.ZONE, 10 * SECOND, 0.3),
+        ],
+        "kinds": [
+            DestinationKind(),
+            DestinationKind(max_bundle_size=3),
+            DestinationKind(limits_per_endpoint=True),
         ],
-        "kinds": [api.Kind(), api.Kind(bundle_max=3), api.Kind(routes_apart=True)],
-        "calls_out": 8,
-        "most_held": 100,
+        "max_concurrent_calls": 8,
+        "max_held_messages": 100,
         "max_attempts": 8,
-        "may_tell_wait": True,
-        "max_come_back_ns": 2 * SECOND,
+        "retry_after_allowed": True,
+        "max_retry_after_ns": 2 * SECOND,
         "keepalive_ns": 10 * SECOND,
-        "cold_from": 0.25,
-        "cold_ns": 10 * SECOND,
-        "tip_multiple": 2.0,
-        "order_pause_ns": 300 * MS,
+        "slow_start_fraction": 0.25,
+        "slow_start_ns": 10 * SECOND,
+        "overload_multiple": 2.0,
+        "ordering_pause_ns": 300 * MS,
     }
-    return api.Settings(**(values | SHAPE | changes))
+    return Settings(**(values | SHAPE | changes))
 
 
 class Desk:
     """Feeds one sender by hand and keeps what it did."""
 
     def __init__(self, endpoints=(("a", 1),), kind=0, zones=None, **changes):
-        asks = SHAPE.get("list_on_request") and "list_on_request" not in changes
-        self.hidden = (
-            (api.SetTimer, api.Subscribe) if asks else (api.SetTimer,)
-        )  # asks have tests of their own
-        self.sender = Sender(settings(**changes), seed=7)
+        asks = SHAPE.get("polled_discovery") and "polled_discovery" not in changes
+        self.hidden = (SetTimer, Subscribe) if asks else (SetTimer,)  # asks have tests of their own
+        self.sender = DeliveryPolicy(settings(**changes), seed=7)
         self.now = 1_000 * SECOND
         self.ids = 0
         self.attempts = {}
         self.listed = [
-            api.ListEntry(name, number, zone=(zones or {}).get(name, 0), kind=kind)
+            EndpointEntry(name, number, zone=(zones or {}).get(name, 0), kind=kind)
             for name, number in endpoints
         ]
-        self.turn(api.ListChanged(api.ListScope.CACHED, self.listed))
+        self.turn(EndpointsChanged(UpdateScope.CACHED, self.listed))
 
     def turn(self, *events, after=0):
         self.now += int(after)
         actions = self.sender.handle(self.now, list(events))
         for action in actions:
-            if type(action) is api.Send:
+            if type(action) is Send:
                 number = self.attempts.get(action.request, (-1,))[0] + 1
                 self.attempts[action.request] = (number, action.endpoint)
         return [a for a in actions if type(a) not in self.hidden]
@@ -97,17 +114,17 @@
         events = []
         for _ in range(count):
             self.ids += 1
-            events.append(api.MessageTaken(self.ids, cls, destination, int(self.now + life), **fields))
+            events.append(MessageAccepted(self.ids, cls, destination, int(self.now + life), **fields))
         return self.turn(*events)
 
-    def end(self, request, verdict=OK, after=50 * MS, done=None, **fields):
+    def end(self, request, outcome=OK, after=50 * MS, done=None, **fields):
         number, endpoint = self.attempts[request]
-        done = verdict is OK if done is None else done
-        event = api.AttemptEnded(request, number, endpoint, verdict, int(after), done, **fields)
+        done = outcome is OK if done is None else done
+        event = AttemptCompleted(request, number, endpoint, outcome, int(after), done, **fields)
         return self.turn(event, after=after)
 
     def sent(self, actions):
-        return [a.request for a in actions if type(a) is api.Send]
+        return [a.request for a in actions if type(a) is Send]
 
     @property
     def bucket(self):
@@ -131,13 +148,13 @@
     assert desk.bucket.tokens == pytest.approx(9.1)  # a successful one takes none and brings a tenth
 
 
-@pytest.mark.parametrize("verdict", [api.Verdict.MOOT, CONNECT_FAILED, TIMEOUT])
+@pytest.mark.parametrize("verdict", [Outcome.NOT_SENT, CONNECT_FAILED, TIMEOUT])
 def test_what_was_out_when_its_time_ended_is_answered_when_its_outcome_comes(verdict):
     desk = Desk()
     desk.take(life=SECOND)
     assert not desk.turn(after=SECOND)  # the turn at its deadline: it is out
     (action,) = desk.end(1, verdict, after=MS)
-    assert action.request == 1 and type(action) is api.Refuse
+    assert action.request == 1 and type(action) is Reject
     assert not desk.sender.messages
 
 
@@ -176,7 +193,7 @@
 def test_told_wait_holds_first_tries_to_every_endpoint_until_it_is_over():
     desk = Desk(endpoints=(("a", 1), ("b", 1), ("c", 2)))
     desk.take()
-    desk.end(1, FULL, wait_ns=700 * MS)
+    desk.end(1, FULL, retry_after_ns=700 * MS)
     assert desk.take() == []
     assert desk.sent(desk.take(destination=2)) == [3]  # another destination is not held
     assert desk.turn(after=699 * MS) == []
@@ -188,7 +205,7 @@
     desk = Desk(kind=1)
     assert desk.sent(desk.take(2)) == [1, 2]
     events = [
-        api.AttemptEnded(n, 0, "a", FULL, 10 * MS, False, wait_ns=wait)
+        AttemptCompleted(n, 0, "a", FULL, 10 * MS, False, retry_after_ns=wait)
         for n, wait in ((1, 200 * MS), (2, 900 * MS))
     ]
     desk.turn(*events, after=10 * MS)
@@ -200,7 +217,7 @@
     desk = Desk()
     desk.take(life=55 * MS)
     answers = desk.end(1, CONNECT_FAILED, after=51 * MS)
-    assert [type(a) for a in answers] == [api.Refuse] and not desk.sender.messages
+    assert [type(a) for a in answers] == [Reject] and not desk.sender.messages
 
 
 def test_spent_attempts_are_answered_at_once():
@@ -209,11 +226,11 @@
     assert desk.end(1, CONNECT_FAILED) == []
     desk.turn(after=20 * MS)
     (answer,) = desk.end(1, CONNECT_FAILED)
-    assert type(answer) is api.Refuse and 0 <= answer.come_back_ns <= 2 * SECOND
+    assert type(answer) is Reject and 0 <= answer.retry_after_ns <= 2 * SECOND
 
 
 def test_turns_favour_fewest_calls_out():
-    desk = Desk(endpoints=(("a", 1), ("b", 2)), calls_out=4)
+    desk = Desk(endpoints=(("a", 1), ("b", 2)), max_concurrent_calls=4)
     assert desk.sent(desk.take(3)) == [1, 2]  # the rest of the slots are left to others
     assert desk.sent(desk.take(2, destination=2)) == [4]  # two out here, none there
     assert desk.sent(desk.end(1)) == [3]  # one out each: the one served longest ago
@@ -223,7 +240,7 @@
 def test_short_slots_go_to_what_is_worth_most_among_destinations_with_as_few_calls_out():
     classes = settings().classes
     classes[UNSAFE] = replace(classes[UNSAFE], worth=3.0)
-    desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 5)], calls_out=1, classes=classes)
+    desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 5)], max_concurrent_calls=1, classes=classes)
     desk.take()
     assert desk.take(destination=2) == [] and desk.take(cls=UNSAFE, destination=3) == []
     assert desk.sent(desk.end(1)) == [3]
@@ -236,7 +253,7 @@
         desk = Desk(senders=50)
         desk.sender.random.seed(seed)
         desk.take()
-        desk.end(1, FULL, wait_ns=SECOND, allowance_left=0.0, limit_per_s=3.0)
+        desk.end(1, FULL, retry_after_ns=SECOND, limit_remaining=0.0, limit_per_s=3.0)
         line = desk.sender.endpoints["a"].line
         assert line.wait_ns > line.told_ns == desk.now + SECOND
         ends.add(line.wait_ns // (50 * MS))
@@ -246,16 +263,16 @@
 def test_refusal_by_a_used_up_route_makes_its_siblings_wait():
     desk = Desk(endpoints=(("a", 1), ("b", 1)), kind=2, senders=50)
     desk.take()
-    desk.end(1, FULL, allowance_left=0.0, limit_per_s=3.0)
+    desk.end(1, FULL, limit_remaining=0.0, limit_per_s=3.0)
     assert desk.turn(after=50 * MS) == []  # a sibling not heard of is likely used up too
     other = Desk(endpoints=(("a", 1), ("b", 1)), kind=2, senders=50)
     other.take()
-    other.end(1, FULL, allowance_left=0.9, limit_per_s=3.0)
+    other.end(1, FULL, limit_remaining=0.9, limit_per_s=3.0)
     assert other.sent(other.turn(after=50 * MS)) == [1]
 
 
 def test_bundle_takes_one_slot():
-    desk = Desk(kind=1, calls_out=4)
+    desk = Desk(kind=1, max_concurrent_calls=4)
     assert desk.sent(desk.take(4)) == [1, 2, 3, 4]
     assert desk.sender.calls_out == 2
 
@@ -268,7 +285,7 @@
     desk.take(destination=99, life=5 * SECOND)
     assert desk.turn(after=5 * SECOND - 1) == []
     (answer,) = desk.turn(after=1)
-    assert type(answer) is api.Refuse and answer.request == 1
+    assert type(answer) is Reject and answer.request == 1
     assert desk.turn(after=SECOND) == []
 
 
@@ -276,14 +293,14 @@
     desk = Desk()
     desk.take()
     desk.end(1, CONNECT_FAILED)
-    desk.turn(api.ClientGone(1))
+    desk.turn(ClientCancelled(1))
     assert desk.turn(after=5 * SECOND) == []
 
 
 def test_rule_1_late_outcome_of_an_ended_message_frees_its_slot():
     desk = Desk()
     desk.take()
-    desk.turn(api.ClientGone(1))
+    desk.turn(ClientCancelled(1))
     assert desk.sender.calls_out == 1
     assert desk.end(1, TIMEOUT, done=True) == []
     assert desk.sender.calls_out == 0 and not desk.sender.messages
@@ -294,13 +311,13 @@
     desk.take(cls=UNSAFE)
     assert desk.end(1, CONNECT_FAILED) == []
     assert desk.sent(desk.turn(after=20 * MS)) == [1]
-    assert desk.end(1, TIMEOUT) == [api.Fail(1)]
+    assert desk.end(1, TIMEOUT) == [Fail(1)]
 
 
 def test_rule_2_unsafe_message_after_an_error_fails_and_is_not_refused():
     desk = Desk()
     desk.take(cls=UNSAFE)
-    assert desk.end(1, ERROR) == [api.Fail(1)]
+    assert desk.end(1, ERROR) == [Fail(1)]
 
 
 def test_rule_2_keyed_message_is_sent_again_only_inside_its_window():
@@ -313,11 +330,11 @@
     message = desk.sender.messages[1]
     assert desk.sender.may_repeat(message, desk.now)
     assert not desk.sender.may_repeat(message, desk.now + 1)
-    assert desk.turn(after=1) == [api.Fail(1)]
+    assert desk.turn(after=1) == [Fail(1)]
 
 
 def test_rule_2_zone_group_binds_further_sends():
-    desk = Desk(endpoints=(("a", 1), ("b", 1)), zones={"a": 0, "b": 1}, crossing_price=0.1)
+    desk = Desk(endpoints=(("a", 1), ("b", 1)), zones={"a": 0, "b": 1}, cross_zone_price=0.1)
     desk.take(cls=ZONED)
     assert desk.attempts[1][1] == "a"
     desk.end(1, ERROR)
@@ -334,33 +351,33 @@
     assert desk.turn(after=3 * SECOND) == []
 
 
-@pytest.mark.parametrize("state", [api.ListState.DRAINING, api.ListState.GONE])
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_rule_3_nothing_new_to_a_draining_or_gone_endpoint(state):
     desk = Desk()
-    desk.turn(api.ListChanged(api.ListScope.DELTA, [api.ListEntry("a", 1, state=state)]))
+    desk.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry("a", 1, state=state)]))
     assert desk.take(life=3 * SECOND) == []
-    assert [type(a) for a in desk.turn(after=3 * SECOND)] == [api.Refuse]
+    assert [type(a) for a in desk.turn(after=3 * SECOND)] == [Reject]
     assert desk.take() == []
-    assert desk.sent(desk.turn(api.ListChanged(api.ListScope.DELTA, desk.listed))) == [2]
+    assert desk.sent(desk.turn(EndpointsChanged(UpdateScope.DELTA, desk.listed))) == [2]
 
 
 def asks(actions):
-    return sum(type(action) is api.Subscribe for action in actions)
+    return sum(type(action) is Subscribe for action in actions)
 
 
 def test_rule_3_the_list_is_asked_for_once_and_again_after_failures():
-    desk = Desk(list_on_request=True, must_ask_in_ns=10 * SECOND)
+    desk = Desk(polled_discovery=True, max_poll_interval_ns=10 * SECOND)
     news = [desk.turn(after=100 * MS) for _ in range(100)]
     assert sum(map(asks, news)) == 1 and sum(map(asks, news[:31])) == 1
     gaps = []
     for _ in range(5):  # the answer fails, or a running subscription breaks
-        desk.turn(api.ListChanged(api.ListScope.FAILED, []))
+        desk.turn(EndpointsChanged(UpdateScope.FAILED, []))
         waited = 0
         while not asks(desk.turn(after=50 * MS)):
             waited += 1
         gaps.append(waited)
     assert gaps[0] < 20 and gaps[3] > gaps[0] and max(gaps) * 50 * MS < 5 * SECOND
-    desk.turn(api.ListChanged(api.ListScope.DELTA, []))
+    desk.turn(EndpointsChanged(UpdateScope.DELTA, []))
     assert not any(asks(desk.turn(after=SECOND)) for _ in range(30))
     assert desk.sent(desk.take()) == [1]  # the list that is held stays in force throughout
 
@@ -368,21 +385,21 @@
 def test_first_asks_are_spread_and_pushed_lists_are_never_asked_for():
     firsts = set()
     for seed in range(20):
-        sender = Sender(settings(list_on_request=True, must_ask_in_ns=10 * SECOND), seed)
-        sender.handle(1, [api.ListChanged(api.ListScope.CACHED, [])])
+        sender = DeliveryPolicy(settings(polled_discovery=True, max_poll_interval_ns=10 * SECOND), seed)
+        sender.handle(1, [EndpointsChanged(UpdateScope.CACHED, [])])
         firsts.add(sender.ask_ns // (500 * MS))
         assert sender.ask_ns <= 3 * SECOND + 1
     assert len(firsts) >= 4
     pushed = Desk()
-    pushed.turn(api.ListChanged(api.ListScope.FAILED, []))
+    pushed.turn(EndpointsChanged(UpdateScope.FAILED, []))
     assert not any(asks(pushed.turn(after=SECOND)) for _ in range(30))
 
 
 def test_rule_3_endpoint_missing_from_a_whole_list_is_gone():
     desk = Desk()
-    desk.turn(api.ListChanged(api.ListScope.FULL, []))
+    desk.turn(EndpointsChanged(UpdateScope.FULL, []))
     assert desk.take() == []
-    assert desk.turn(api.ListChanged(api.ListScope.FAILED, [])) == []
+    assert desk.turn(EndpointsChanged(UpdateScope.FAILED, [])) == []
 
 
 def test_endpoints_that_are_gone_are_forgotten_once_nothing_is_out_and_an_heir_is_there():
@@ -390,21 +407,21 @@
     known = desk.sender.endpoints
 
     def listed(name, state, after=0):
-        desk.turn(api.ListChanged(api.ListScope.DELTA, [api.ListEntry(name, 1, state=state)]), after=after)
+        desk.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry(name, 1, state=state)]), after=after)
 
     desk.take()
-    listed("a", api.ListState.GONE)
-    kept = desk.sender.settings.cold_ns + SECOND
-    listed("a", api.ListState.GONE, after=kept)
+    listed("a", EndpointState.REMOVED)
+    kept = desk.sender.settings.slow_start_ns + SECOND
+    listed("a", EndpointState.REMOVED, after=kept)
     assert "a" in known  # a call is out, and nobody has learned from it
-    listed("b", api.ListState.READY)
+    listed("b", EndpointState.READY)
     assert "a" in known
     desk.end(1, OK)
-    listed("c", api.ListState.READY, after=SECOND)
+    listed("c", EndpointState.READY, after=SECOND)
     assert list(known) == list(desk.bucket.endpoints) == ["b", "c"]
-    listed("b", api.ListState.GONE)
-    listed("b", api.ListState.READY, after=SECOND)  # back again in time
-    listed("c", api.ListState.READY, after=kept)
+    listed("b", EndpointState.REMOVED)
+    listed("b", EndpointState.READY, after=SECOND)  # back again in time
+    listed("c", EndpointState.READY, after=kept)
     assert list(known) == ["b", "c"]
 
 
@@ -450,8 +467,8 @@
             desk.end(request, after=MS)
         desk.turn(after=4 * MS)
     settings_ = desk.sender.settings
-    share = settings_.cold_from + (1 - settings_.cold_from) * 0.2
-    assert 3 <= len(sends) <= settings_.tip_multiple * share * endpoint.base * 2
+    share = settings_.slow_start_fraction + (1 - settings_.slow_start_fraction) * 0.2
+    assert 3 <= len(sends) <= settings_.overload_multiple * share * endpoint.base * 2
 
 
 def test_rule_4_without_history_the_return_creeps():
@@ -461,7 +478,7 @@
     # half a call a second for each sender with all capacity; a call is due when its part has grown to one
     assert desk.sender.ramp_next(endpoint, 1.0) > desk.now + 3 * SECOND
     desk.sender.settings.senders = 500
-    assert desk.sender.ramp_next(endpoint, 1.0) == desk.now + desk.sender.settings.cold_ns  # warm
+    assert desk.sender.ramp_next(endpoint, 1.0) == desk.now + desk.sender.settings.slow_start_ns  # warm
 
 
 def test_rule_4_end_of_a_told_shutting_is_a_cold_return_for_all_who_were_told():
@@ -470,7 +487,7 @@
         desk = Desk(senders=60)
         desk.sender.random.seed(seed)
         desk.take(after=SECOND)
-        desk.end(1, FULL, wait_ns=8 * SECOND, allowance_left=1.0, limit_per_s=6.0)
+        desk.end(1, FULL, retry_after_ns=8 * SECOND, limit_remaining=1.0, limit_per_s=6.0)
         desk.turn(after=8 * SECOND)
         waited = 0
         while not desk.sender.endpoints["a"].calls:
@@ -479,7 +496,7 @@
         starts.append(waited)
     # capacity starts at a quarter of 6 a second: twice that for two seconds are 6 calls and the rise
     assert sum(at < 2 * SECOND for at in starts) <= 10
-    assert max(starts) <= desk.sender.settings.cold_ns
+    assert max(starts) <= desk.sender.settings.slow_start_ns
 
 
 def test_rule_6_one_key_goes_one_at_a_time_in_order():
@@ -493,7 +510,7 @@
 def test_rule_6_key_rests_after_an_attempt_that_may_be_running():
     desk = Desk()
     desk.take(2, cls=ORDERED, key=5)
-    desk.turn(api.ClientGone(1))
+    desk.turn(ClientCancelled(1))
     assert desk.end(1, TIMEOUT, done=True) == []
     assert desk.turn(after=300 * MS - 1) == []
     assert desk.sent(desk.turn(after=1)) == [2]
@@ -502,7 +519,7 @@
 def test_rule_6_unfinished_attempt_of_a_withdrawn_message_blocks_its_key():
     desk = Desk()
     desk.take(2, cls=ORDERED, key=5)
-    assert desk.turn(api.ClientGone(1)) == []
+    assert desk.turn(ClientCancelled(1)) == []
     assert desk.turn(after=200 * MS) == []
     assert desk.sent(desk.end(1, CONNECT_FAILED, done=True)) == [2]  # it never ran, so the key needs no rest
 
@@ -511,7 +528,7 @@
 
 
 def test_silent_endpoint_takes_no_more_slots():
-    desk = Desk(endpoints=(("a", 1),), calls_out=20)
+    desk = Desk(endpoints=(("a", 1),), max_concurrent_calls=20)
     assert len(desk.sent(desk.take(2))) == 2
     assert desk.sent(desk.take(after=301 * MS)) == []
     assert desk.sent(desk.end(1, after=MS)) != []
@@ -533,7 +550,7 @@
 
 
 def test_a_lost_call_keeps_nobody_from_an_endpoint_that_has_answered_lately():
-    desk = Desk(calls_out=20)
+    desk = Desk(max_concurrent_calls=20)
     desk.take()
     desk.end(1)  # it answers
     assert len(desk.sent(desk.take(2))) == 2  # both get lost
@@ -548,15 +565,15 @@
 
 def test_lost_calls_among_answered_later_ones_shorten_the_wait_where_slots_are_short():
     def waits(verdict):
-        desk = Desk(endpoints=(("a", 1), ("b", 2)), calls_out=4)
+        desk = Desk(endpoints=(("a", 1), ("b", 2)), max_concurrent_calls=4)
         for _ in range(4):
             desk.take(2)
             desk.end(desk.ids, after=50 * MS)  # sent later, or with it: only the one sent later counts
             desk.take()
             desk.end(desk.ids, after=50 * MS)
             desk.end(desk.ids - 2, verdict, after=SECOND, done=True)
-        free = next(a.timeout_ns for a in desk.take() if type(a) is api.Send)
-        short = next(a.timeout_ns for a in desk.take(2, destination=2) if type(a) is api.Send)
+        free = next(a.timeout_ns for a in desk.take() if type(a) is Send)
+        short = next(a.timeout_ns for a in desk.take(2, destination=2) if type(a) is Send)
         desk.take()
         return free, short, desk.sender.timeout(next(iter(desk.sender.messages.values())), endpoint(desk))
 
@@ -570,7 +587,7 @@
 
 @pytest.mark.parametrize(("verdict", "shorter"), [(TIMEOUT, True), (CONNECT_FAILED, False)])
 def test_a_lone_time_out_shows_as_lost_by_the_next_answer_of_its_endpoint(verdict, shorter):
-    desk = Desk(calls_out=2)
+    desk = Desk(max_concurrent_calls=2)
     for _ in range(3):  # one call at a time: no later one is answered before it
         desk.take()
         desk.end(desk.ids, after=20 * MS)
@@ -591,7 +608,7 @@
     a, b = desk.sender.endpoints.values()
     for _ in range(4):
         desk.take(2)
-        desk.end(desk.ids, api.Verdict.RESET, after=MS, done=True)
+        desk.end(desk.ids, Outcome.RESET, after=MS, done=True)
         desk.end(desk.ids - 1, after=MS)
         desk.turn(after=200 * MS)
     assert not a.down and not b.down and not a.cold_ns and not b.cold_ns
@@ -599,21 +616,21 @@
 
 
 def test_slow_destination_leaves_slots_to_others():
-    desk = Desk(endpoints=(("a", 1), ("b", 2)), calls_out=6)
+    desk = Desk(endpoints=(("a", 1), ("b", 2)), max_concurrent_calls=6)
     assert len(desk.sent(desk.take(10))) == 3
     assert len(desk.sent(desk.take(2, destination=2))) == 2
 
 
 def test_full_held_set_gives_way_at_the_longest_queue():
-    desk = Desk(endpoints=(("b", 2),), most_held=20)
+    desk = Desk(endpoints=(("b", 2),), max_held_messages=20)
     desk.take(19)  # destination 1 is not listed
     actions = desk.take(destination=2)
     assert desk.sent(actions) == [20]
-    assert [a.request for a in actions if type(a) is api.Refuse] == [1]
+    assert [a.request for a in actions if type(a) is Reject] == [1]
 
 
 def test_unsafe_message_shuns_a_doubtful_endpoint_while_another_can_find_out():
-    desk = Desk(calls_out=20)
+    desk = Desk(max_concurrent_calls=20)
     desk.take()
     desk.end(1, ERROR, done=True)
     actions = desk.take(cls=UNSAFE)
@@ -634,7 +651,7 @@
     desk = Desk(endpoints=(("a", 1), ("b", 1)), kind=2)
     desk.take()
     first = desk.attempts[1][1]
-    desk.end(1, FULL, wait_ns=SECOND)
+    desk.end(1, FULL, retry_after_ns=SECOND)
     desk.take()
     assert desk.attempts[2][1] != first
 
@@ -650,8 +667,8 @@
     log += desk.take(cls=n % 5, destination=1 + n % 3, key=n % 4, after=20 * MS)
     out = [r for r, m in desk.sender.messages.items() if m.out]
     if out:
-        verdict = list(api.Verdict)[n % 8]
-        log += desk.end(out[0], verdict)
+        outcome = list(Outcome)[n % 8]
+        log += desk.end(out[0], outcome)
 print(hashlib.sha256(repr(log).encode()).hexdigest(), len(log))
 """
 
@@ -674,18 +691,18 @@
 
 def test_invalid_settings_name_the_field():
     with pytest.raises(ValueError, match="calls_out"):
-        settings(calls_out=0)
+        settings(max_concurrent_calls=0)
     with pytest.raises(ValueError, match="cold_from"):
-        settings(cold_from=0)
+        settings(slow_start_fraction=0)
     with pytest.raises(ValueError, match=r"classes\[0\].deadline_ns"):
-        settings(classes=[api.TrafficClass(SECOND, 0)])
+        settings(classes=[TrafficClass(SECOND, 0)])
 
 
 def test_the_module_stays_within_its_limits():
     lines = Path(decide.__file__).read_text().splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 800
     assert max(map(len, lines)) <= 110
-    assert "pinspread/interface.py" in lines[0]
+    assert "pinspread/policy/settings.py" in lines[0]
 
 
 @pytest.mark.parametrize(("senders", "closes"), [(2, False), (8, True), (200, True)])
@@ -693,11 +710,11 @@
     desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 80)], senders=senders)
     endpoint = desk.sender.endpoints["e1"]
     endpoint.first_ns -= 9 * SECOND
-    assert api.Disconnect("e1") not in desk.end(desk.sent(desk.take())[0])  # nothing told of a full table
+    assert Disconnect("e1") not in desk.end(desk.sent(desk.take())[0])  # nothing told of a full table
     for n in (2, 3):  # one destination after the other takes no connection at first
         closed = desk.end(desk.sent(desk.take(destination=n))[0], CONNECT_FAILED)
-        assert (api.Disconnect("e1") in closed) is (closes and n == 2)  # what is idle is closed at once
-    assert (api.Disconnect("e1") in desk.end(desk.sent(desk.take())[0])) is closes
+        assert (Disconnect("e1") in closed) is (closes and n == 2)  # what is idle is closed at once
+    assert (Disconnect("e1") in desk.end(desk.sent(desk.take())[0])) is closes
     for n in range(20, 50):  # all is well for long
         desk.end(desk.sent(desk.take(destination=n))[0])
     assert desk.sender.keeps_connections(endpoint)
@@ -710,13 +727,13 @@
         desk.end(desk.sent(desk.take())[0], opened=told)
         for n in (2, 3, 4):
             desk.end(desk.sent(desk.take(destination=n))[0], CONNECT_FAILED)
-        assert (api.Disconnect("e1") in desk.end(desk.sent(desk.take())[0])) is not told
+        assert (Disconnect("e1") in desk.end(desk.sent(desk.take())[0])) is not told
 
 
 def test_who_got_a_connection_in_time_lets_it_go_by_chance_to_learn_of_full_tables():
     for senders, least, most in ((4, 0, 0), (12, 4, 40), (120, 8, 50)):
         desk = Desk(senders=senders)
-        let_go = sum(api.Disconnect("a") in desk.end(desk.sent(desk.take())[0]) for _ in range(200))
+        let_go = sum(Disconnect("a") in desk.end(desk.sent(desk.take())[0]) for _ in range(200))
         assert least <= let_go <= most
 
 
@@ -733,13 +750,14 @@
 
 @pytest.mark.parametrize(("senders", "closes"), [(3, False), (12, True), (40, True), (120, True)])
 def test_untold_refusals_of_new_connections_tell_many_senders_of_full_tables(senders, closes):
-    for fields, told in (({"opened": True}, True), ({}, False), ({"opened": True, "wait_ns": SECOND}, False)):
+    cases = (({"opened": True}, True), ({}, False), ({"opened": True, "retry_after_ns": SECOND}, False))
+    for fields, told in cases:
         desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 9)], senders=senders)
         desk.sender.endpoints["e1"].first_ns -= 9 * SECOND
         desk.end(desk.sent(desk.take())[0])
         for n in (2, 3, 4):
             desk.end(desk.sent(desk.take(destination=n))[0], FULL, **fields)
-        assert (api.Disconnect("e1") in desk.end(desk.sent(desk.take())[0])) is (closes and told)
+        assert (Disconnect("e1") in desk.end(desk.sent(desk.take())[0])) is (closes and told)
 
 
 def test_rule_4_new_endpoint_of_a_destination_that_is_out_starts_with_looks():
@@ -749,11 +767,11 @@
         desk.end(request, CONNECT_FAILED)
         desk.turn(after=20 * MS)
     desk.take(5)
-    added = desk.turn(api.ListChanged(api.ListScope.DELTA, [api.ListEntry("new", 1)]), after=SECOND)
+    added = desk.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry("new", 1)]), after=SECOND)
     assert desk.sent(added) == [] and desk.sender.endpoints["new"].down
     other = Desk(endpoints=(("a", 1), ("b", 1)))  # where a sibling is well it is an endpoint like any
     other.sender.endpoints["a"].down = True
-    other.turn(api.ListChanged(api.ListScope.DELTA, [api.ListEntry("new", 1)]))
+    other.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry("new", 1)]))
     assert not other.sender.endpoints["new"].down
 
 
@@ -798,7 +816,7 @@
 
 
 def test_volley_of_refusals_counts_once():
-    desk = Desk(calls_out=20)
+    desk = Desk(max_concurrent_calls=20)
     desk.take(6)
     for n in range(1, 7):
         desk.end(n, FULL, after=MS)
@@ -807,24 +825,24 @@
 
 def test_looks_of_many_senders_are_spread():
     few, many = Desk(senders=3), Desk(senders=200)
-    for desk, longest in ((few, SECOND), (many, many.sender.settings.cold_ns)):
+    for desk, longest in ((few, SECOND), (many, many.sender.settings.slow_start_ns)):
         assert desk.sender.longest_wait(desk.sender.endpoints["a"]) == longest
 
 
 def test_little_told_room_makes_a_sender_wait():
     desk = Desk(senders=200)
     desk.take()
-    desk.end(1, OK, allowance_left=0.05, limit_per_s=5.0)
+    desk.end(1, OK, limit_remaining=0.05, limit_per_s=5.0)
     assert desk.take() == []
     other = Desk(senders=200)
     other.take()
-    other.end(1, OK, allowance_left=0.9, limit_per_s=5.0)
+    other.end(1, OK, limit_remaining=0.9, limit_per_s=5.0)
     assert other.sent(other.take(after=SECOND)) == [2]
 
 
 def test_outage_is_looked_at_by_a_repeatable_message_and_by_a_probe_only_for_unsafe_ones():
-    for cls, look in ((SAFE, api.Send), (UNSAFE, api.Probe)):
-        desk = Desk(may_probe=True)
+    for cls, look in ((SAFE, Send), (UNSAFE, CheckHealth)):
+        desk = Desk(health_checks_allowed=True)
         endpoint = desk.sender.endpoints["a"]
         endpoint.down, endpoint.doubt = True, 0.6
         assert [type(action) for action in desk.take(cls=cls)] == [look]
@@ -832,8 +850,10 @@
 
 def test_work_of_an_event_does_not_grow_with_destinations_it_does_not_concern(monkeypatch):
     looks = []
-    opens = Sender.opens
-    monkeypatch.setattr(Sender, "opens", lambda self, e, *due: looks.append(e) or opens(self, e, *due))
+    opens = DeliveryPolicy.opens
+    monkeypatch.setattr(
+        DeliveryPolicy, "opens", lambda self, e, *due: looks.append(e) or opens(self, e, *due)
+    )
     counts = []
     for others in (1, 400):
         desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, others + 2)])
@@ -867,22 +887,22 @@
 
 
 def test_rule_4_a_probe_spends_the_ramp_of_a_cold_endpoint_as_a_call_does():
-    desk = Desk(may_probe=True)
+    desk = Desk(health_checks_allowed=True)
     endpoint = desk.sender.endpoints["a"]
     endpoint.cold_ns, endpoint.doubt, endpoint.base = desk.now, 0.4, 1.0
-    assert [type(a) for a in desk.take(cls=UNSAFE)] == [api.Probe]
+    assert [type(a) for a in desk.take(cls=UNSAFE)] == [CheckHealth]
     assert endpoint.next_ns > desk.now
-    done = api.ProbeEnded("a", OK, 20 * MS)
+    done = HealthCheckCompleted("a", OK, 20 * MS)
     assert not desk.sent(desk.turn(done, after=20 * MS))  # its message waits for the ramp
 
 
 def test_a_probe_that_was_never_sent_tells_nothing():
-    desk = Desk(may_probe=True)
+    desk = Desk(health_checks_allowed=True)
     endpoint = desk.sender.endpoints["a"]
     endpoint.doubt = 0.4
     desk.take(cls=UNSAFE)
     assert endpoint.probing
-    desk.turn(api.ProbeEnded("a", api.Verdict.MOOT, 0), after=MS)
+    desk.turn(HealthCheckCompleted("a", Outcome.NOT_SENT, 0), after=MS)
     assert not endpoint.down and endpoint.doubt == 0.4
 
 
@@ -890,40 +910,40 @@
     """How often a sender asks to be woken in a span, each wake-up heeded as soon as it is due."""
     count, end = 0, desk.now + span
     actions = desk.sender.handle(desk.now, list(events))
-    while timers := [a for a in actions if type(a) is api.SetTimer]:
+    while timers := [a for a in actions if type(a) is SetTimer]:
         if desk.now + timers[-1].delay_ns > end or (count := count + 1) > 1000:
             break
         desk.now += timers[-1].delay_ns
-        actions = desk.sender.handle(desk.now, [api.TimerDue(timers[-1].tag)])
+        actions = desk.sender.handle(desk.now, [TimerFired(timers[-1].tag)])
     return count
 
 
 def test_a_payment_that_waits_for_a_probe_does_not_wake_the_sender_again_and_again():
-    desk = Desk(may_probe=True)
+    desk = Desk(health_checks_allowed=True)
     endpoint = desk.sender.endpoints["a"]
     endpoint.doubt, endpoint.trial_ns = 0.4, desk.now - SECOND
     for number in (1, 2):
-        taken = api.MessageTaken(number, UNSAFE, 1, desk.now + 20 * SECOND)
+        taken = MessageAccepted(number, UNSAFE, 1, desk.now + 20 * SECOND)
         assert wake_ups(desk, SECOND, [taken]) <= 2
     assert endpoint.probing
 
 
 def test_a_barred_probe_is_not_asked_for_again_at_once():
-    desk = Desk(may_probe=True)
+    desk = Desk(health_checks_allowed=True)
     desk.sender.endpoints["a"].doubt = 0.4
     actions, probes = desk.take(cls=UNSAFE), 0
     for _ in range(1000):  # a second in which each probe is barred within a millisecond
-        out = [a for a in actions if type(a) is api.Probe]
+        out = [a for a in actions if type(a) is CheckHealth]
         probes += len(out)
-        actions = desk.turn(*(api.ProbeEnded("a", api.Verdict.MOOT, 0) for _ in out), after=MS)
+        actions = desk.turn(*(HealthCheckCompleted("a", Outcome.NOT_SENT, 0) for _ in out), after=MS)
     assert 2 <= probes <= 15
 
 
 def test_rule_5_a_wait_told_to_a_probe_binds_as_one_told_to_a_call():
-    desk = Desk(may_probe=True)
+    desk = Desk(health_checks_allowed=True)
     desk.sender.endpoints["a"].doubt = 0.4
     desk.take(cls=UNSAFE)
-    told = api.ProbeEnded("a", FULL, 20 * MS, 2 * SECOND)
+    told = HealthCheckCompleted("a", FULL, 20 * MS, 2 * SECOND)
     assert not desk.turn(told, after=20 * MS)
     assert not desk.turn(after=1900 * MS)
     assert desk.turn(after=200 * MS)
@@ -945,20 +965,20 @@
 @pytest.mark.parametrize(
     ("cls", "attempts", "may_run", "answer"),
     [
-        (UNSAFE, 1, True, api.Fail),  # it may have run: never again
-        (UNSAFE, 1, False, api.Send),
-        (SAFE, 1, True, api.Send),
-        (KEYED, 1, True, api.Send),
-        (KEYED, 1, None, api.Fail),  # out of its window: a repeat would not be dropped
-        (SAFE, 8, True, api.Refuse),  # its attempts were spent before the restart
+        (UNSAFE, 1, True, Fail),  # it may have run: never again
+        (UNSAFE, 1, False, Send),
+        (SAFE, 1, True, Send),
+        (KEYED, 1, True, Send),
+        (KEYED, 1, None, Fail),  # out of its window: a repeat would not be dropped
+        (SAFE, 8, True, Reject),  # its attempts were spent before the restart
     ],
 )
 def test_a_message_of_before_a_restart_goes_on_with_what_it_may_have_done(cls, attempts, may_run, answer):
     desk = Desk()
     at = {True: desk.now - SECOND, False: 0, None: desk.now - 11 * SECOND}[may_run]
-    actions = desk.take(cls=cls, attempts=attempts, may_run_ns=at)
+    actions = desk.take(cls=cls, attempts=attempts, may_have_run_ns=at)
     assert [type(a) for a in actions] == [answer]
-    if answer is api.Send:
+    if answer is Send:
         desk.attempts[1] = (attempts, "a")
         assert not desk.sent(desk.end(1)) and not desk.sender.messages
 
@@ -994,4 +1014,4 @@
     assert desk.sent(desk.turn(after=2 * MS)) == [2]
     desk.end(1), desk.end(2)
     (given_up,) = desk.take(life=8 * SECOND)  # one that came since goes by the paces, as ever
-    assert type(given_up) is api.Refuse
+    assert type(given_up) is Reject
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,13 +12,15 @@
 from hypothesis import settings as sized
 from hypothesis import strategies as st
 
-from pinspread import decide
-from pinspread import interface as api
-from pinspread.fleet import accounts, compare, day, experiment, fit, paper, runs, simulate, trace, variants
-from pinspread.fleet.engine import MS, SECOND, Engine, Stuck
-from pinspread.fleet.partner import CRASHED, SHUT, UP, Partner
-from pinspread.fleet.rules import RULES, Checker
-from pinspread.fleet.world import World
+from pinspread.policy import delivery_policy as decide
+from pinspread.policy.events import EndpointsChanged, EndpointState, Outcome, UpdateScope
+from pinspread.simulation import compare, experiment, fit, paper, runs, simulate, trace, variants
+from pinspread.simulation import metrics as accounts
+from pinspread.simulation import scenario as day
+from pinspread.simulation.destination import CRASHED, SHUT, UP, Partner
+from pinspread.simulation.engine import MS, SECOND, Engine, Stuck
+from pinspread.simulation.model import World
+from pinspread.simulation.rules import RULES, Checker
 
 ROOT = Path(__file__).parents[1]
 KEY = b"a secret of sixteen or more"
@@ -120,7 +122,7 @@
         self.got.append((verdict, wait_ns))
 
     def broken(self):
-        self.got.append((api.Verdict.RESET, 0))
+        self.got.append((Outcome.RESET, 0))
 
 
 def partner(**fields):
@@ -138,11 +140,11 @@
     for call in calls:
         one.arrive(endpoint, call, 100 * MS)
     assert [c.ran for c in calls] == [True, True, False, False, False, False]
-    assert calls[5].got == [(api.Verdict.FULL, 0)]
+    assert calls[5].got == [(Outcome.OVERLOADED, 0)]
     engine.run(100 * MS)
     assert [c.ran for c in calls[:4]] == [True] * 4
     engine.run(SECOND)
-    assert all(c.got == [(api.Verdict.OK, 0)] for c in calls[:5])
+    assert all(c.got == [(Outcome.OK, 0)] for c in calls[:5])
 
 
 @pytest.mark.parametrize("counts", [True, False])
@@ -154,13 +156,13 @@
     engine.run(200 * MS)
     for call in calls:
         one.arrive(endpoint, call, MS)
-    assert [c.got for c in calls[2:]] == [[(api.Verdict.FULL, 800 * MS)]] * 2
+    assert [c.got for c in calls[2:]] == [[(Outcome.OVERLOADED, 800 * MS)]] * 2
     assert one.span_count == (4 if counts else 2)
     engine.run(SECOND)
     late = Caller()
     one.arrive(endpoint, late, MS)
     engine.run(1100 * MS)
-    assert late.got == [(api.Verdict.OK, 0)]
+    assert late.got == [(Outcome.OK, 0)]
 
 
 def test_a_partner_comes_back_at_a_fifth_is_warm_in_9_s_and_falls_when_pushed():
@@ -215,30 +217,30 @@
 # --- the rules, by modules that break them ----------------------------------------------------------
 
 
-class Forgets(decide.Sender):
+class Forgets(decide.DeliveryPolicy):
     """Gives late messages no answer."""
 
     def give_up(self, message):
         self.end(message)
 
 
-class Repeats(decide.Sender):
+class Repeats(decide.DeliveryPolicy):
     """Sends a payment again though it may have run."""
 
     def may_repeat(self, message, at):
         return at < message.deadline_ns
 
 
-class Drains(decide.Sender):
+class Drains(decide.DeliveryPolicy):
     """Does not take endpoints off."""
 
     def on_list(self, event):
         for entry in event.entries:
-            entry = replace(entry, state=api.ListState.READY)
-            super().on_list(api.ListChanged(api.ListScope.DELTA, [entry]))
+            entry = replace(entry, state=EndpointState.READY)
+            super().on_list(EndpointsChanged(UpdateScope.DELTA, [entry]))
 
 
-class Pushes(decide.Sender):
+class Pushes(decide.DeliveryPolicy):
     """Looks and sends without waits at what is down or cold."""
 
     def wait(self, endpoint, n, steps=1, refused=False):
@@ -248,25 +250,25 @@
         return self.now
 
 
-class Hurries(decide.Sender):
+class Hurries(decide.DeliveryPolicy):
     """Takes no told wait to heart."""
 
     def heed(self, endpoint, wait_ns):
         pass
 
 
-class Overtakes(decide.Sender):
+class Overtakes(decide.DeliveryPolicy):
     """Minds no key."""
 
     def message_opens(self, message):
         return message.ready_ns
 
 
-class Starts(decide.Sender):
+class Starts(decide.DeliveryPolicy):
     """Takes what was out when its process ended for never run."""
 
     def on_message(self, event):
-        super().on_message(replace(event, may_run_ns=0))
+        super().on_message(replace(event, may_have_run_ns=0))
 
 
 BROKEN = dict(zip(RULES, (Forgets, Repeats, Drains, Pushes, Hurries, Overtakes), strict=True))
@@ -290,7 +292,7 @@
 def test_the_checker_catches_a_payment_that_is_sent_again_after_a_restart():
     kills = [{"kind": "kill", "at_s": at, "length_s": 1, "share": 1.0, "batch": 1.0} for at in (3, 6, 9)]
     busy = world(trouble=kills)
-    assert not play(busy, sender=decide.Sender)["broken"].get("repeat")
+    assert not play(busy, sender=decide.DeliveryPolicy)["broken"].get("repeat")
     found = play(busy, sender=Starts)
     assert any("may have run" in b["why"] for b in found["breaks"])  # the checker's word
     assert found["payments_twice"] and found["broken"]["repeat"]  # and the ledger's
@@ -446,8 +448,7 @@
 
 
 def test_another_version_runs_in_a_process_of_its_own(tmp_path):
-    for name in variants.NAMES:
-        text = (ROOT / "pinspread" / f"{name}.py").read_text()
+    for name, text in variants.texts().items():
         (tmp_path / f"{name}.py").write_text(text.replace("BUCKET_CAP = 10.0", "BUCKET_CAP = 0.0"))
     more = f'\n[[variant]]\nname = "other"\nmodule = "{tmp_path}"\n'
     file = tmp_path / "x.toml"
@@ -565,7 +566,7 @@
     assert played["latency_all"]["ms"]["50"] == pytest.approx(125, rel=0.5)
 
 
-@pytest.mark.parametrize(("meets", "verdict"), [("busy", "full"), ("refused", "connect_failed")])
+@pytest.mark.parametrize(("meets", "verdict"), [("busy", "overloaded"), ("refused", "connect_failed")])
 def test_a_connection_too_many_is_turned_away_as_the_world_says(meets, verdict):
     tables = {"table": 0.5, "least_table": 2.0}
     traffic = {"load": 0.8, "clump_share": 0.3}
@@ -686,16 +687,28 @@
 
 
 def test_the_serving_process_loads_none_of_it():
-    code = "import sys; import pinspread.__main__, pinspread.net.platform; print(*sys.modules)"
+    code = "import sys; import pinspread.__main__, pinspread.service; print(*sys.modules)"
     loaded = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT
     ).stdout.split()
-    heavy = ("numpy", "scipy", "matplotlib", "hdrh", "cryptography", "typer", "tqdm", "pinspread.fleet")
+    heavy = (
+        "numpy",
+        "scipy",
+        "matplotlib",
+        "hdrh",
+        "cryptography",
+        "typer",
+        "tqdm",
+        "pinspread.simulation",
+        "pinspread.testbed",
+    )
     heavy += (
-        "pinspread.cluster",
+        "pinspread.membership",
+        "pinspread.leases",
+        "pinspread.replication",
         "msgpack",
         "xxhash",
         "pysyncobj",
     )  # membership only where a file turns it on
-    assert "pinspread.core.courier" in loaded
+    assert "pinspread.core.engine" in loaded
     assert [name for name in loaded if name.startswith(heavy)] == []
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -6,13 +6,14 @@
 import pytest
 
 from pinspread.core import journal as journal_module
-from pinspread.core.journal import Journal, JournalFull, records
-from pinspread.core.transactions import Final, Rules, State, Transaction
-from pinspread.interface import TrafficClass
+from pinspread.core.journal import Journal, records
+from pinspread.core.messages import DeliveryRules, FinalResult, FinalState, Message
+from pinspread.errors import JournalFullError
+from pinspread.policy.settings import TrafficClass
 
 
 def message(number, body=b"body", **more):
-    return Transaction(number, f"id{number}", "payment", "north", 1, 7, "ab12", 10**15, body=body, **more)
+    return Message(number, f"id{number}", "payment", "north", 1, 7, "ab12", 10**15, body=body, **more)
 
 
 def opened(folder, limit=100_000):
@@ -29,20 +30,23 @@
     held = [message(n, bytes(range(256))) for n in range(1, 6)]
     for t in held:
         journal.taken(t)
-    journal.branch_started(held[0], 0, 111)
-    journal.branch_ended(held[0], 0, True)
-    journal.branch_started(held[1], 0, 222)
-    journal.branch_ended(held[1], 0, False)
-    journal.branch_started(held[1], 1, 333)
-    journal.final(held[2], Final(State.RETURNED, 500))
+    journal.attempt_started(held[0], 0, 111)
+    journal.attempt_ended(held[0], 0, True)
+    journal.attempt_started(held[1], 0, 222)
+    journal.attempt_ended(held[1], 0, False)
+    journal.attempt_started(held[1], 1, 333)
+    journal.final(held[2], FinalResult(FinalState.RETURNED, 500))
     journal.ended(held[3])
     for _ in range(2):  # from the appended records, then from the rewritten file
         journal.close()
         journal, back = opened(tmp_path)
         assert [t.number for t in back] == [1, 2, 3, 5] and back[0].body == bytes(range(256))
-        assert [(t.branches, t.may_run_us, t.live_us) for t in back[:2]] == [(1, 111, 0), (2, 0, 333)]
+        assert [(t.attempts, t.may_have_run_unix_us, t.in_flight_since_unix_us) for t in back[:2]] == [
+            (1, 111, 0),
+            (2, 0, 333),
+        ]
         assert list(journal.past) == ["id4"]
-        assert back[2].final == Final(State.RETURNED, 500) and back[0] == held[0]
+        assert back[2].final == FinalResult(FinalState.RETURNED, 500) and back[0] == held[0]
 
 
 @pytest.mark.parametrize("cut", range(1, 40))
@@ -88,11 +92,11 @@
         try:
             journal.taken(t)
             held.append(t)
-        except JournalFull:
+        except JournalFullError:
             full += 1
             journal.ended(held.pop(0))
-        for branch in range(3):
-            journal.branch_started(held[n % len(held)], branch, n)
+        for attempt in range(3):
+            journal.attempt_started(held[n % len(held)], attempt, n)
     assert full and 0 < most <= limit and used(tmp_path) <= limit
     journal.close()
     assert [t.number for t in opened(tmp_path, limit)[1]] == [t.number for t in held]
@@ -104,7 +108,7 @@
     write = os.write
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", lambda fd, data: write(fd, data[:20]))  # the disk is full
-        with pytest.raises(JournalFull):
+        with pytest.raises(JournalFullError):
             journal.taken(message(2))
     journal.taken(message(3))
     journal.close()
@@ -123,7 +127,7 @@
     old.close()
     path.write_bytes(path.read_bytes() + journal_module._record(bytes([99]) + bytes(8)))
     before = path.read_bytes()
-    with pytest.raises(journal_module.JournalUnreadable, match="kind 99"):
+    with pytest.raises(journal_module.JournalFormatError, match="kind 99"):
         Journal(str(tmp_path), 3_000_000).open()
     assert path.read_bytes() == before  # nothing was written over it
 
@@ -132,7 +136,9 @@
     journal, _ = opened(tmp_path)
     journal.taken(message(1))
     t = journal.live[1]
-    t.rules = Rules(TrafficClass(aim_ns=1, deadline_ns=2), 3)  # as at the start that recovers it
+    t.rules = DeliveryRules(
+        TrafficClass(latency_objective_ns=1, deadline_ns=2), 3
+    )  # as at the start that recovers it
     journal._rewrite()
     journal.close()
     assert opened(tmp_path)[1][0].rules == t.rules
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -51,9 +51,9 @@
 class Amqp:
     """An application's file with the AMQP front alone, with few slots."""
 
-    def __init__(self, folder, hop, _):
+    def __init__(self, folder, endpoint, _):
         self.address = own_address()
-        host, port = hop.split(":")
+        host, port = endpoint.split(":")
         (folder / "partners.zone").write_text(ZONE.format(host=host, port=port))
         self.file = folder / "booking.toml"
         self.file.write_text(FILE.format(amqp=self.address, folder=folder, slots=SLOTS))
@@ -132,8 +132,8 @@
 )
 async def test_what_a_restart_finds_taken_on_and_untried_is_tried(tmp_path, front, ends):
     partner, silent = Partner(), HttpStandIn(silent_discovery)
-    async with standing(partner) as hop, standing(silent) as platform:
-        process = front(tmp_path, hop, platform)
+    async with standing(partner) as endpoint, standing(silent) as platform:
+        process = front(tmp_path, endpoint, platform)
         try:
             await process.ready()
             for n in range(HELD):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -2,8 +2,9 @@
 
 import pytest
 
-from pinspread.cluster import lease, modelcheck
-from pinspread.cluster.lease import Answer, Claim, Command, Request, Row
+from pinspread.leases import model_checker as modelcheck
+from pinspread.leases import state_machine as lease
+from pinspread.leases.state_machine import Answer, Claim, Command, Request, Row
 
 TERMS = lease.Terms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
 
@@ -115,7 +116,7 @@
 def test_the_stand_in_resource_refuses_an_older_token_and_what_is_no_act():
     import asyncio
 
-    from pinspread.fleet.loopback.resource import Resource
+    from pinspread.testbed.resource import Resource
 
     said = []
 
--- a/tests/test_leases_stage.py
+++ b/tests/test_leases_stage.py
@@ -2,8 +2,12 @@
 
 import pytest
 
-from pinspread.cluster import leases, quorum, wire
-from pinspread.fleet.loopback import cast, judge, judge_leases
+from pinspread.leases import raft as quorum
+from pinspread.leases import service as leases
+from pinspread.membership import codec as wire
+from pinspread.testbed import history_checker as judge
+from pinspread.testbed import lease_checker as judge_leases
+from pinspread.testbed import processes as cast
 
 pytestmark = pytest.mark.stage
 FAST = {"period_s": 0.2, "timeout_s": 0.08}
@@ -150,7 +154,7 @@
 )
 def test_a_request_that_is_not_well_formed_is_dropped_with_a_reason(change, why):
     assert leases.checked(ASK) == ASK
-    with pytest.raises(wire.Dropped, match=why):
+    with pytest.raises(wire.DatagramError, match=why):
         leases.checked(ASK | change)
 
 
@@ -179,7 +183,7 @@
         ({"type": "apply_command", "command": evil}, "not plain"),
         ({"type": "apply_command", "command": b"\0garbage"}, "not plain"),
     ):
-        with pytest.raises(wire.Dropped, match=why):
+        with pytest.raises(wire.DatagramError, match=why):
             quorum.checked(bad)
 
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -10,11 +10,12 @@
 import pytest
 
 from pinspread.config import settings
-from pinspread.fleet import day, simulate, trace
-from pinspread.fleet.loopback import stage
-from pinspread.fleet.loopback.parties import Client, until
-from pinspread.fleet.partner import SILENT
-from pinspread.fleet.world import World
+from pinspread.simulation import scenario as day
+from pinspread.simulation import simulate, trace
+from pinspread.simulation.destination import SILENT
+from pinspread.simulation.model import World
+from pinspread.testbed import platform as stage
+from pinspread.testbed.stand_ins import Client, until
 
 ROOT = Path(__file__).parents[1]
 CALM = {"length_s": 5, "traffic": {"load": 0.5}, "network": {"silent_accepts": True}}
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -2,7 +2,7 @@
 
 from typer.testing import CliRunner
 
-from pinspread.fleet import cli, losses
+from pinspread.simulation import cli, losses
 
 BRANCH = '"event":"branch","id":"x","hop":"h","took_us":5'
 ONE = """0.1 {"at_us":1,"event":"taken","id":"x","cls":"a","dest":1,"for_ms":900}
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pinspread.fleet.crowd import FULL, OK, clump, lowered
+from pinspread.simulation.load import FULL, OK, clump, lowered
 
 
 @pytest.mark.parametrize("senders", [3, 12, 40, 120])
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -7,9 +7,10 @@
 
 from pinspread.amqp import frames
 from pinspread.config import settings
-from pinspread.net import http, resp
-from pinspread.net.http import retry_after_us
-from pinspread.net.sockets import split_address
+from pinspread.http import transport as http
+from pinspread.http.transport import retry_after_us
+from pinspread.resp import parser as resp
+from pinspread.sockets.connections import split_address
 
 
 def command(*words):
@@ -109,7 +110,7 @@
     + [b"HTTP/1.1 200 OK\r\r\n", b"x" * 20_000, b"HTTP/1.1 100 Go on\r\nX: " + b"x" * 20_000],
 )
 def test_what_is_no_first_line_is_spoilt(seen):
-    with pytest.raises(http.SpoiltError):
+    with pytest.raises(http.MalformedResponseError):
         http.first_line(seen)
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,7 +14,7 @@
     Gate,
     HttpStandIn,
     configuration,
-    courier,
+    engine,
     host,
     listener,
     own_address,
@@ -22,9 +22,9 @@
     until,
 )
 
-from pinspread.interface import AttemptEnded, ListScope, ListState
-from pinspread.net import sockets
-from pinspread.net.discovery import Discovery
+from pinspread.discovery.client import Discovery
+from pinspread.policy.events import AttemptCompleted, EndpointState, UpdateScope
+from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 OK = (200, [], b"")
@@ -52,15 +52,15 @@
 
 
 async def test_a_message_passes_on_unchanged_and_connections_are_reused(tmp_path):
-    hop, body = HttpStandIn(), bytes(range(256)) * 256
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint, body = HttpStandIn(), bytes(range(256)) * 256
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = Client(rig.address)
         assert await client.say("PING") == "+PONG\r\n"
         for n in range(4):
             assert await client.enqueue(id_=f"m{n}", body=body) == "+OK\r\n"
-            await until(lambda: not rig.courier.ids)
-        assert hop.connections == 1
-        _, method, target, headers, sent = hop.requests[0]
+            await until(lambda: not rig.engine.ids)
+        assert endpoint.connections == 1
+        _, method, target, headers, sent = endpoint.requests[0]
         assert (method, target, sent, headers["idempotency-key"]) == ("POST", "/events", body, "ab12")
         assert 0 < float(headers["request-timeout"]) <= 5 and headers["request-id"] == "m0"
 
@@ -75,15 +75,15 @@
     ],
 )
 async def test_malformed_commands_hear_an_error_and_the_connection_goes_on(tmp_path, words, answer):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         client = Client(rig.address)
         assert (await client.say(*words)).startswith(answer)
         assert await client.say("ping") == "+PONG\r\n"
-        assert not rig.courier.ids
+        assert not rig.engine.ids
 
 
 async def test_a_stream_that_cannot_be_followed_hears_why_and_ends(tmp_path):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         stream = await anyio.connect_tcp(*rig.address.split(":"))
         await stream.send(b"GET / HTTP/1.1\r\n\r\n")
         assert (await stream.receive()).startswith(b"-ERR")
@@ -93,14 +93,14 @@
 
 @pytest.mark.parametrize("full", [{"disk_mb": 0.0004}, {"mostHeld": 1}])
 async def test_without_room_the_answer_is_busy_with_a_time_and_nothing_is_owed(tmp_path, full):
-    async with courier(tmp_path, **full) as rig:
-        rig.courier.open[0] = None  # one place is taken
+    async with engine(tmp_path, **full) as rig:
+        rig.engine.open[0] = None  # one place is taken
         assert await Client(rig.address).enqueue() == "-BUSY 1000\r\n"
-        assert not rig.courier.ids
+        assert not rig.engine.ids
 
 
 async def test_a_message_for_a_partner_that_does_not_exist_is_an_error(tmp_path):
-    async with courier(tmp_path, hops=[("127.0.0.1:1",)]) as rig:
+    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         assert await Client(rig.address).enqueue(dest=2) == "-ERR unknown dest: 2\r\n"
         assert await Client(rig.address).enqueue(dest=1) == "+OK\r\n"
 
@@ -119,7 +119,7 @@
 
 async def test_newcomers_are_served_though_silent_or_idle_callers_fill_the_room(tmp_path, monkeypatch):
     monkeypatch.setattr(sockets, "IDLE_US", 300_000)
-    async with courier(tmp_path, legs=4) as rig:
+    async with engine(tmp_path, legs=4) as rig:
         usual = [Client(rig.address) for _ in range(2)]
         silent = [await sockets.dial(rig.address) for _ in range(10)]
         for client in usual:  # the silent give way at once, those that wait for their next command later
@@ -134,8 +134,8 @@
 
 
 async def test_callers_that_ask_once_and_stay_give_way_before_they_can_open_no_more(tmp_path):
-    async with courier(tmp_path, legs=20) as rig:
-        room = rig.courier.fronts["resp"].room
+    async with engine(tmp_path, legs=20) as rig:
+        room = rig.engine.fronts["resp"].room
         pings = [Client(rig.address) for _ in range(3)]
         for client in pings:
             await client.say("PING")
@@ -152,23 +152,23 @@
 async def test_who_keeps_a_command_waiting_or_is_idle_for_long_is_ended_in_time(tmp_path, monkeypatch, said):
     monkeypatch.setattr(sockets, "FIRST_US", 200_000)
     monkeypatch.setattr(sockets, "LONG_IDLE_US", 800_000)
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         start = time.monotonic()
         heard = await ends(rig.address, said)
         idle = said.endswith(b"PING\r\n")
         assert heard.endswith(b"+PONG\r\n" if idle else b"-ERR no whole command in time\r\n")
         assert (0.8 if idle else 0.2) <= time.monotonic() - start < (1.3 if idle else 0.7)
-        assert not rig.courier.fronts["resp"].room.legs
+        assert not rig.engine.fronts["resp"].room.legs
 
 
 async def test_the_error_is_heard_though_much_is_still_unread(tmp_path):
-    async with courier(tmp_path) as rig:
+    async with engine(tmp_path) as rig:
         huge = b"*1\r\n$60000000\r\n" + b"x" * 8_000_000
         assert await ends(rig.address, huge) == b"-ERR a string of 60000000 bytes\r\n"
 
 
 async def test_hundreds_of_malformed_commands_are_cut_short_and_hold_nobody_up(tmp_path):
-    async with courier(tmp_path) as rig, anyio.create_task_group() as tasks:
+    async with engine(tmp_path) as rig, anyio.create_task_group() as tasks:
         for _ in range(4):
             tasks.start_soon(ends, rig.address, b"*1\r\n$4\r\nNOPE\r\n" * 40_000)
         await anyio.sleep(0.05)
@@ -180,24 +180,24 @@
 
 
 async def test_commands_that_are_never_whole_share_a_bound_of_memory(tmp_path):
-    async with courier(tmp_path, leg_bytes=100_000) as rig:
+    async with engine(tmp_path, leg_bytes=100_000) as rig:
         half = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$1\r\na\r\n$1\r\nb\r\n$60000\r\n" + b"x" * 50_000
         first = await sockets.dial(rig.address)
         await first.write(half)
-        await until(lambda: rig.courier.fronts["resp"].room.bytes > 50_000)
+        await until(lambda: rig.engine.fronts["resp"].room.bytes > 50_000)
         assert await ends(rig.address, half) == b"-BUSY 1000\r\n"
         first.close()
-        await until(lambda: not rig.courier.fronts["resp"].room.bytes)
+        await until(lambda: not rig.engine.fronts["resp"].room.bytes)
 
 
 async def test_a_request_sent_once_more_is_taken_on_once(tmp_path):
-    hop = HttpStandIn()
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = Client(rig.address)
         for _ in range(3):
             assert await client.enqueue(id_="same") == "+OK\r\n"
-            await until(lambda: not rig.courier.ids)
-        assert len(hop.requests) == 1
+            await until(lambda: not rig.engine.ids)
+        assert len(endpoint.requests) == 1
 
 
 @pytest.mark.parametrize(
@@ -213,12 +213,12 @@
     ],
 )
 async def test_a_payment_goes_again_only_after_proof_that_it_never_ran(tmp_path, reply, payments, state):
-    hop, told = scripted(reply), platform()
-    async with standing(hop) as address, standing(told) as notices:
-        async with courier(tmp_path, notices, hops=[(address,)]) as rig:
+    endpoint, told = scripted(reply), platform()
+    async with standing(endpoint) as address, standing(told) as notices:
+        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue()
-            await until(lambda: not rig.courier.ids)
-            assert len(hop.requests) == payments
+            await until(lambda: not rig.engine.ids)
+            assert len(endpoint.requests) == payments
             assert [line["state"] for line in told.lines] == ([state] if state else [])
 
 
@@ -243,35 +243,35 @@
 async def test_a_first_line_with_200_delivers_and_no_other_spoilt_answer_proves_a_thing(
     tmp_path, reply, calls, state
 ):
-    hop, told = scripted(reply), platform()
-    async with standing(hop) as address, standing(told) as notices:
-        async with courier(tmp_path, notices, hops=[(address,)]) as rig:
+    endpoint, told = scripted(reply), platform()
+    async with standing(endpoint) as address, standing(told) as notices:
+        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue(for_ms=1500)
-            await until(lambda: not rig.courier.ids)
-            assert len(hop.requests) == calls
+            await until(lambda: not rig.engine.ids)
+            assert len(endpoint.requests) == calls
             assert [line["state"] for line in told.lines] == ([state] if state else [])
 
 
 async def test_what_comes_behind_an_answer_never_answers_the_next_call(tmp_path):
     twice = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" * 2
-    hop = scripted(twice, (500, [], b""))
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = scripted(twice, (500, [], b""))
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = Client(rig.address)
         for n in range(2):
             await client.enqueue(id_=f"m{n}")
-            await until(lambda: not rig.courier.open)
-        assert hop.connections == 2 and rig.courier.ids["m1"].final.state.name == "FAILED"
+            await until(lambda: not rig.engine.open)
+        assert endpoint.connections == 2 and rig.engine.ids["m1"].final.state.name == "FAILED"
 
 
 async def test_a_wait_told_in_a_spoilt_answer_binds_from_its_head_on(tmp_path):
-    hop = scripted(b"HTTP/1.1 429 Wait\r\nRetry-After: 0.6\r\nContent-Length: 9\r\n\r\n")
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = scripted(b"HTTP/1.1 429 Wait\r\nRetry-After: 0.6\r\nContent-Length: 9\r\n\r\n")
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         for n in range(3):
             await Client(rig.address).enqueue("status-update", id_=f"m{n}")
-            await until(lambda: hop.requests)
+            await until(lambda: endpoint.requests)
             await anyio.sleep(0.1)
-        await until(lambda: len(hop.requests) > 1)
-        assert hop.requests[1][0] - hop.requests[0][0] >= 0.6
+        await until(lambda: len(endpoint.requests) > 1)
+        assert endpoint.requests[1][0] - endpoint.requests[0][0] >= 0.6
 
 
 async def test_one_who_always_has_data_does_not_hold_the_loop():
@@ -315,34 +315,34 @@
 
 
 async def test_a_timed_out_payment_fails_and_its_connection_is_closed(tmp_path):
-    hop, told = HttpStandIn(lambda request: late(30)), platform()
-    async with standing(hop) as address, standing(told) as notices:
-        async with courier(tmp_path, notices, hops=[(address,)]) as rig:
+    endpoint, told = HttpStandIn(lambda request: late(30)), platform()
+    async with standing(endpoint) as address, standing(told) as notices:
+        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue(for_ms=300)
             await until(lambda: told.lines)
-            assert told.lines == [{"id": "id1", "state": "failed"}] and len(hop.requests) == 1
+            assert told.lines == [{"id": "id1", "state": "failed"}] and len(endpoint.requests) == 1
 
 
 async def test_a_told_wait_silences_all_messages_to_that_partner(tmp_path):
-    hop = scripted((429, [("Retry-After", "0.4")], b""))
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = scripted((429, [("Retry-After", "0.4")], b""))
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = Client(rig.address)
         for _ in range(3):
             await client.enqueue("status-update")
             await anyio.sleep(0.05)
-        await until(lambda: len(hop.requests) == 4)
-        assert hop.requests[1][0] - hop.requests[0][0] >= 0.4
+        await until(lambda: len(endpoint.requests) == 4)
+        assert endpoint.requests[1][0] - endpoint.requests[0][0] >= 0.4
 
 
 @pytest.mark.parametrize("change", ["drain", "wait", "deadline", "withdrawn"])
 async def test_what_changes_while_a_call_is_dialled_keeps_it_unsent(tmp_path, monkeypatch, change):
-    hop, gate = HttpStandIn(), Gate(monkeypatch)
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
-        core = rig.courier
+    endpoint, gate = HttpStandIn(), Gate(monkeypatch)
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+        core = rig.engine
         await Client(rig.address).enqueue(for_ms=100 if change == "deadline" else 5000)
         await until(lambda: gate.waiting)
         if change == "drain":
-            rig.learn(address, state=ListState.DRAINING)
+            rig.update_endpoints(address, state=EndpointState.DRAINING)
         elif change == "wait":
             core.told_us[1] = core.clock.now() + 10**9
         elif change == "withdrawn":
@@ -350,101 +350,104 @@
         else:
             await until(lambda: core.ids["id1"].final)
         gate.open.set()
-        await until(lambda: not core.branches)
-        assert not hop.requests
+        await until(lambda: not core.attempts)
+        assert not endpoint.requests
 
 
 async def test_two_next_hops_of_other_partners_are_never_called(tmp_path):
-    hop = HttpStandIn()
-    hops = [("127.0.0.1:1", "s-1", 1)]
-    async with standing(hop) as address, courier(tmp_path, hops=[*hops, (address, "s-2", 2)]) as rig:
+    endpoint = HttpStandIn()
+    endpoints = [("127.0.0.1:1", "s-1", 1)]
+    async with (
+        standing(endpoint) as address,
+        engine(tmp_path, endpoints=[*endpoints, (address, "s-2", 2)]) as rig,
+    ):
         await Client(rig.address).enqueue(dest=1, for_ms=200)
         await anyio.sleep(0.4)
-        assert not hop.requests
+        assert not endpoint.requests
 
 
 async def test_a_given_up_message_gets_its_notice_at_once_and_until_it_is_heard(tmp_path):
     answers = [(500, [], b""), None, HEARD]
     told = HttpStandIn(lambda request: answers.pop(0))
-    hop = HttpStandIn(lambda request: (500, [], b""))
-    async with standing(hop) as address, standing(told) as notices:
-        async with courier(tmp_path, notices, hops=[(address,)]) as rig:
+    endpoint = HttpStandIn(lambda request: (500, [], b""))
+    async with standing(endpoint) as address, standing(told) as notices:
+        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue(for_ms=20_000)
-            await until(lambda: not rig.courier.ids)
+            await until(lambda: not rig.engine.ids)
             first, *_, last = told.requests
-            assert first[0] - hop.requests[0][0] < 0.1 and last[0] - first[0] < 1
+            assert first[0] - endpoint.requests[0][0] < 0.1 and last[0] - first[0] < 1
             assert len(told.requests) == 3 and first[4] == last[4]
 
 
 async def test_a_key_goes_on_only_when_its_earlier_notice_has_been_answered(tmp_path):
     slow = HttpStandIn(lambda request: late(0.3, HEARD))
-    hop = scripted(*[(500, [], b"")] * 6)
-    async with standing(hop) as address, standing(slow) as notices:
-        async with courier(tmp_path, notices, hops=[(address,)]) as rig:
+    endpoint = scripted(*[(500, [], b"")] * 6)
+    async with standing(endpoint) as address, standing(slow) as notices:
+        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
             client = Client(rig.address)
             await client.enqueue("booking-change", key="77", for_ms=400)
             await client.enqueue("booking-change", id_="second", key="77")
-            await until(lambda: any(r[3]["request-id"] == "second" for r in hop.requests))
-            sent = next(r[0] for r in hop.requests if r[3]["request-id"] == "second")
+            await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests))
+            sent = next(r[0] for r in endpoint.requests if r[3]["request-id"] == "second")
             assert sent - slow.requests[0][0] >= 0.3
 
 
 async def test_attempts_are_at_most_six_over_restarts_too(tmp_path):
-    hop, told = HttpStandIn(lambda request: late(30)), platform()
-    async with standing(hop) as address, standing(told) as notices:
+    endpoint, told = HttpStandIn(lambda request: late(30)), platform()
+    async with standing(endpoint) as address, standing(told) as notices:
         for _ in range(8):
-            async with courier(tmp_path, notices, hops=[(address,)]) as rig:
-                if not rig.courier.ids and not told.lines:
+            async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
+                if not rig.engine.ids and not told.lines:
                     await Client(rig.address).enqueue("status-update", for_ms=20_000)
-                before = len(hop.requests)
-                await until(lambda before=before: len(hop.requests) > before or told.lines)
-        assert len(hop.requests) == 6 and [line["state"] for line in told.lines] == ["returned"]
+                before = len(endpoint.requests)
+                await until(lambda before=before: len(endpoint.requests) > before or told.lines)
+        assert len(endpoint.requests) == 6 and [line["state"] for line in told.lines] == ["returned"]
 
 
 async def test_an_idle_connection_that_the_next_hop_closed_is_not_written_to(tmp_path):
-    hop = HttpStandIn()
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = Client(rig.address)
         for _ in range(2):
             await client.enqueue()
-            await until(lambda: not rig.courier.ids)
-            for connection in list(hop.open):
+            await until(lambda: not rig.engine.ids)
+            for connection in list(endpoint.open):
                 connection.sock.shutdown(2)
-        assert len(hop.requests) == hop.connections == 2
+        assert len(endpoint.requests) == endpoint.connections == 2
 
 
 @pytest.mark.parametrize("how", ["drains", "left out"])
 async def test_idle_connections_to_a_next_hop_that_goes_are_closed(tmp_path, how):
-    hop = HttpStandIn()
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         await Client(rig.address).enqueue()
-        await until(lambda: not rig.courier.ids and hop.open)
+        await until(lambda: not rig.engine.ids and endpoint.open)
         if how == "drains":
-            rig.learn(address, state=ListState.DRAINING)
+            rig.update_endpoints(address, state=EndpointState.DRAINING)
         else:
-            rig.courier.learn(ListScope.FULL, [])
-        await until(lambda: not hop.open, 1.0)
+            rig.engine.update_endpoints(UpdateScope.FULL, [])
+        await until(lambda: not endpoint.open, 1.0)
 
 
 async def test_idle_connections_are_closed_before_the_next_hop_would(tmp_path):
-    hop = HttpStandIn()
-    async with standing(hop) as address:
-        async with courier(tmp_path, hops=[(address,)], keepaliveNs=500_000_000) as rig:
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address:
+        async with engine(tmp_path, endpoints=[(address,)], keepaliveNs=500_000_000) as rig:
             await Client(rig.address).enqueue()
-            await until(lambda: hop.requests)
-            await until(lambda: not hop.open, 1.0)
+            await until(lambda: endpoint.requests)
+            await until(lambda: not endpoint.open, 1.0)
 
 
-@pytest.mark.parametrize("where", ["take", "send"])
+@pytest.mark.parametrize("where", ["accept", "send"])
 async def test_a_fault_of_one_message_does_not_end_the_courier(tmp_path, monkeypatch, where):
     told = platform()
-    async with standing(told) as notices, courier(tmp_path, notices, hops=[("not an address",)]) as rig:
-        if where == "take":
-            monkeypatch.setattr(rig.courier, "take", lambda transaction: 1 / 0)
+    async with standing(told) as notices, engine(tmp_path, notices, endpoints=[("not an address",)]) as rig:
+        if where == "accept":
+            monkeypatch.setattr(rig.engine, "accept", lambda message: 1 / 0)
             with pytest.raises(anyio.EndOfStream):
                 await Client(rig.address).enqueue()
         else:
-            monkeypatch.setattr(rig.courier.transports["http"], "_call", None)
+            monkeypatch.setattr(rig.engine.transports["http"], "_call", None)
             await Client(rig.address).enqueue(for_ms=300)
             await until(lambda: told.lines)
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
@@ -456,47 +459,47 @@
     change = {"seq": 8, "whole": False, "hosts": [host("s-1", "127.0.0.1:9", health="draining")]}
     lists.append(orjson.dumps(whole) + b"\n\n" + orjson.dumps(change) + b"\n")
     told = HttpStandIn(lambda request: (200, [], lists.pop(0) if lists else b""))
-    async with standing(told) as address, courier(tmp_path) as rig:
-        rig.tasks.start_soon(Discovery(address, rig.courier, rig.courier.settings).run)
-        hops = rig.courier.next_hops
-        await until(lambda: "s-1" in hops and not hops["s-1"].usable)
-        assert hops["s-2"].usable
+    async with standing(told) as address, engine(tmp_path) as rig:
+        rig.tasks.start_soon(Discovery(address, rig.engine, rig.engine.settings).run)
+        endpoints = rig.engine.endpoints
+        await until(lambda: "s-1" in endpoints and not endpoints["s-1"].usable)
+        assert endpoints["s-2"].usable
         await until(lambda: told.requests[-1][2] == "/api/targets?watch=1&from=8")
 
 
 async def test_next_hops_that_are_replaced_all_day_leave_nothing_behind(tmp_path, monkeypatch):
-    from pinspread import decide
+    from pinspread.policy import delivery_policy as decide
 
     monkeypatch.setattr(decide, "GONE_KEPT_NS", 0)
-    hop = HttpStandIn()
-    async with standing(hop) as address, courier(tmp_path, coldNs=0) as rig:
-        core, client = rig.courier, Client(rig.address)
-        core.sender.settings.cold_ns = 0
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address, engine(tmp_path, coldNs=0) as rig:
+        core, client = rig.engine, Client(rig.address)
+        core.sender.settings.slow_start_ns = 0
         for n in range(6):  # each at the address of the one before
-            rig.learn(address, f"s-{n}")
+            rig.update_endpoints(address, f"s-{n}")
             await client.enqueue(id_=f"m{n}")
-            await until(lambda: not core.ids and hop.open)
+            await until(lambda: not core.ids and endpoint.open)
             core.told_us[f"s-{n}"] = core.clock.now()
-            rig.learn(address, f"s-{n}", state=ListState.GONE)
-            await until(lambda: not hop.open)
+            rig.update_endpoints(address, f"s-{n}", state=EndpointState.REMOVED)
+            await until(lambda: not endpoint.open)
         core.told_us[1] = waits = core.clock.now() + 10**9
-        rig.learn(address, "last")
+        rig.update_endpoints(address, "last")
         await until(lambda: not core.inbox)
-        assert list(core.next_hops) == list(core.sender.endpoints) == ["last"]
+        assert list(core.endpoints) == list(core.sender.endpoints) == ["last"]
         assert list(core.sender.destinations[1].endpoints) == ["last"]
         assert core.told_us == {1: waits}  # what still binds is kept
-        assert not core.transports["http"].pool.idle and hop.connections == 6
+        assert not core.transports["http"].pool.idle and endpoint.connections == 6
 
 
 class Process:
     """A courier as the platform starts it."""
 
-    def __init__(self, folder, hop, discovery):
+    def __init__(self, folder, endpoint, discovery):
         self.address = own_address()
         (folder / "state").mkdir(exist_ok=True)
         self.file = folder / "config.json"
         self.told = configuration(folder / "state")
-        self.told["known"]["hosts"] = [host("s-1", hop)]
+        self.told["known"]["hosts"] = [host("s-1", endpoint)]
         self.configure(listen=self.address, discovery=discovery)
         self.env = os.environ | {
             "RELAY_CONFIG": str(self.file),
@@ -532,26 +535,26 @@
 
 
 async def test_killed_outright_it_delivers_what_it_had_taken_and_repeats_no_payment(tmp_path):
-    hop, told = scripted(late(30), late(30)), platform()
-    async with standing(hop) as address, standing(told) as notices:
+    endpoint, told = scripted(late(30), late(30)), platform()
+    async with standing(endpoint) as address, standing(told) as notices:
         first = await Process(tmp_path, address, notices).ready()
         await first.client.enqueue("payment", "out", for_ms=20_000)
         await first.client.enqueue("status-update", "repeatable", for_ms=20_000)
-        await until(lambda: len(hop.requests) == 2)
+        await until(lambda: len(endpoint.requests) == 2)
         await first.end(signal.SIGKILL)
         second = await Process(tmp_path, address, notices).ready()
-        await until(lambda: len(hop.requests) == 3 and told.lines)
-        assert hop.requests[2][3]["request-id"] == "repeatable"
+        await until(lambda: len(endpoint.requests) == 3 and told.lines)
+        assert endpoint.requests[2][3]["request-id"] == "repeatable"
         assert told.lines == [{"id": "out", "state": "failed"}]
         await second.end(signal.SIGKILL)
 
 
 async def test_sigterm_finishes_what_is_out_answers_busy_and_ends_in_time(tmp_path):
-    hop, told = scripted(late(1.0), late(60)), platform()
-    async with standing(hop) as address, standing(told) as notices:
+    endpoint, told = scripted(late(1.0), late(60)), platform()
+    async with standing(endpoint) as address, standing(told) as notices:
         process = await Process(tmp_path, address, notices).ready()
         await process.client.enqueue(id_="out", for_ms=20_000)
-        await until(lambda: hop.requests)
+        await until(lambda: endpoint.requests)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(process.end, signal.SIGTERM)
             await anyio.sleep(0.3)
@@ -560,9 +563,9 @@
         assert process.process.returncode == 0
         again = await Process(tmp_path, address, notices).ready()
         await anyio.sleep(0.2)
-        assert len(hop.requests) == 1 and not told.lines  # delivered: nothing is owed
+        assert len(endpoint.requests) == 1 and not told.lines  # delivered: nothing is owed
         await again.client.enqueue("status-update", "hung", for_ms=20_000)
-        await until(lambda: len(hop.requests) == 2)
+        await until(lambda: len(endpoint.requests) == 2)
         code, seconds = await again.end(signal.SIGTERM)
         assert code == 0 and seconds < 3.7
 
@@ -575,7 +578,7 @@
             if request[2] == "/v2/finals":
                 return HEARD
             watches[n] = request[2]
-            news = {"seq": 9, "whole": True, "hosts": [host("s-1", hops[n])]}
+            news = {"seq": 9, "whole": True, "hosts": [host("s-1", endpoints[n])]}
             return late(0, (200, [], orjson.dumps(news) + b"\n"))
 
         return HttpStandIn(answer)
@@ -583,7 +586,7 @@
     refuses = [HttpStandIn(lambda request: (500, [], b"")) for _ in range(2)]
     old, new = discovery(0), discovery(1)
     async with standing(refuses[0]) as first, standing(refuses[1]) as second:
-        hops = [first, second]
+        endpoints = [first, second]
         async with standing(old) as before, standing(new) as after:
             process = await Process(tmp_path, first, before).ready()
             await until(lambda: watches[0])
@@ -608,28 +611,28 @@
     tmp_path, couriers, least, most
 ):
     overbooked = HttpStandIn(lambda request: (503, [], b""))
-    async with standing(overbooked) as address, courier(tmp_path) as rig:
-        rig.courier.settings.module.senders = couriers
-        rig.tasks.start_soon(Discovery(address, rig.courier, rig.courier.settings).run)
+    async with standing(overbooked) as address, engine(tmp_path) as rig:
+        rig.engine.settings.module.senders = couriers
+        rig.tasks.start_soon(Discovery(address, rig.engine, rig.engine.settings).run)
         await until(lambda: overbooked.requests)
         await anyio.sleep(0.95)  # one of 40 waits for a second at least
         assert least <= len(overbooked.requests) - 1 <= most
 
 
 async def test_the_module_hears_which_calls_had_a_connection_opened_for_them(tmp_path, monkeypatch):
-    hop, heard = scripted((503, [], b""), (503, [], b"")), []
-    async with standing(hop) as address, courier(tmp_path, hops=[(address,)]) as rig:
-        post = rig.courier.post
-        monkeypatch.setattr(rig.courier, "post", lambda event: (heard.append(event), post(event)))
+    endpoint, heard = scripted((503, [], b""), (503, [], b"")), []
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+        post = rig.engine.post
+        monkeypatch.setattr(rig.engine, "post", lambda event: (heard.append(event), post(event)))
         await Client(rig.address).enqueue()
-        await until(lambda: not rig.courier.ids)
-    assert [event.opened for event in heard if type(event) is AttemptEnded] == [True, False, False]
+        await until(lambda: not rig.engine.ids)
+    assert [event.opened for event in heard if type(event) is AttemptCompleted] == [True, False, False]
 
 
 async def test_a_start_sends_nothing_by_the_old_list_before_the_first_answer(tmp_path):
-    state, hop = tmp_path / "state", HttpStandIn()
+    state, endpoint = tmp_path / "state", HttpStandIn()
     state.mkdir()
-    async with courier(state) as rig:
+    async with engine(state) as rig:
         await Client(rig.address).enqueue("status-update", "owed", for_ms=9000)
 
     def discovery(request):
@@ -637,28 +640,28 @@
             return HEARD
         return late(0.15, (200, [], orjson.dumps(news) + b"\n"))
 
-    async with standing(hop) as address, standing(HttpStandIn(discovery)) as where:
+    async with standing(endpoint) as address, standing(HttpStandIn(discovery)) as where:
         news = {"seq": 9, "whole": True, "hosts": [host("s-1", address, health="draining")]}
         process = await Process(tmp_path, address, where).ready()  # its file still has it as ready
         await anyio.sleep(0.3)
-        assert not hop.requests
+        assert not endpoint.requests
         await process.end(signal.SIGKILL)
 
 
 async def test_a_watch_that_moves_keeps_the_old_one_until_the_new_one_is_up(tmp_path):
     news = orjson.dumps({"seq": 5, "whole": True, "hosts": [host("s-1", "127.0.0.1:9")]}) + b"\n"
     stays = HttpStandIn(lambda request: (200, [], news))
-    async with standing(stays) as address, courier(tmp_path) as rig:
-        watch = Discovery(address, rig.courier, rig.courier.settings)
+    async with standing(stays) as address, engine(tmp_path) as rig:
+        watch = Discovery(address, rig.engine, rig.engine.settings)
         rig.tasks.start_soon(watch.run)
-        await until(lambda: "s-1" in rig.courier.next_hops)
+        await until(lambda: "s-1" in rig.engine.endpoints)
         watch.move("127.0.0.1:1")  # nobody is there
         before = len(stays.requests)
         await until(lambda: len(stays.requests) > before + 1)
         moved = HttpStandIn(lambda request: (200, [], news.replace(b"s-1", b"s-2")))
         async with standing(moved) as there:
             watch.move(there)
-            await until(lambda: "s-2" in rig.courier.next_hops)
+            await until(lambda: "s-2" in rig.engine.endpoints)
             before = len(stays.requests)
             await anyio.sleep(0.5)
             assert len(stays.requests) == before
@@ -698,9 +701,9 @@
         return (429, [("Retry-After", "1.0")], b"") if barred else silent()
 
     partner = HttpStandIn(answer)
-    async with standing(partner) as address, courier(tmp_path, hops=[(address,)]) as rig:
+    async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client, turns = Client(rig.address), []
-        found = rig.courier.sender
+        found = rig.engine.sender
         await until(lambda: "s-1" in found.endpoints)
         found.endpoints["s-1"].doubt = 0.4
         handle = found.handle
--- a/tests/test_raftlog.py
+++ b/tests/test_raftlog.py
@@ -8,7 +8,9 @@
 from hypothesis import strategies as st
 from pysyncobj.journal import MemoryJournal
 
-from pinspread.cluster import lease, quorum, raftlog
+from pinspread.leases import raft as quorum
+from pinspread.leases import raft_log as raftlog
+from pinspread.leases import state_machine as lease
 
 STEPS = st.lists(
     st.tuples(st.sampled_from(["add", "front", "back", "vote", "clear", "again", "torn"]), st.integers(0, 5)),
@@ -62,7 +64,7 @@
         data = bytearray(sound)
         data[bit // 8] ^= 1 << bit % 8
         path.write_bytes(data)
-        with pytest.raises(raftlog.Damaged):
+        with pytest.raises(raftlog.RaftLogFormatError):
             raftlog.RaftLog(path)
     path.write_bytes(sound)
     assert raftlog.RaftLog(path).getRaftCommitIndex() == 2
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -18,8 +18,29 @@
 
 import pytest
 
-from pinspread import interface as api
-from pinspread.decide import Sender
+from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer, Subscribe
+from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.policy.events import (
+    AttemptCompleted,
+    ClientCancelled,
+    EndpointEntry,
+    EndpointsChanged,
+    EndpointState,
+    HealthCheckCompleted,
+    MessageAccepted,
+    Outcome,
+    SettingsChanged,
+    TimerFired,
+    UpdateScope,
+)
+from pinspread.policy.settings import (
+    DeduplicationScope,
+    DestinationKind,
+    Idempotency,
+    Settings,
+    Tenant,
+    TrafficClass,
+)
 
 RECORDINGS = Path(__file__).parent / "data" / "decisions"
 
@@ -79,72 +100,70 @@
 
 
 FLAG = Coded((0, False), (1, True))
-EFFECT = Coded((0, api.Effect.REPEATABLE), (1, api.Effect.BY_KEY), (2, api.Effect.ONCE))
-GROUP = Coded((0, api.Group.ALL), (1, api.Group.ZONE), (2, api.Group.CELL))
-SCOPE = Coded(
-    (0, api.ListScope.DELTA), (1, api.ListScope.FULL), (2, api.ListScope.CACHED), (3, api.ListScope.FAILED)
-)
-STATE = Coded((0, api.ListState.GONE), (1, api.ListState.DRAINING), (2, api.ListState.READY))
+EFFECT = Coded((0, Idempotency.IDEMPOTENT), (1, Idempotency.WITH_KEY), (2, Idempotency.NOT_IDEMPOTENT))
+GROUP = Coded((0, DeduplicationScope.ALL), (1, DeduplicationScope.ZONE), (2, DeduplicationScope.CELL))
+SCOPE = Coded((0, UpdateScope.DELTA), (1, UpdateScope.FULL), (2, UpdateScope.CACHED), (3, UpdateScope.FAILED))
+STATE = Coded((0, EndpointState.REMOVED), (1, EndpointState.DRAINING), (2, EndpointState.READY))
 VERDICT = Coded(
-    (0, api.Verdict.OK),
-    (249, api.Verdict.MOOT),
-    (250, api.Verdict.CANCELLED),
-    (251, api.Verdict.RESET),
-    (252, api.Verdict.CONNECT_FAILED),
-    (253, api.Verdict.TIMEOUT),
-    (254, api.Verdict.FULL),
-    (255, api.Verdict.ERROR),
+    (0, Outcome.OK),
+    (249, Outcome.NOT_SENT),
+    (250, Outcome.CANCELLED),
+    (251, Outcome.RESET),
+    (252, Outcome.CONNECT_FAILED),
+    (253, Outcome.TIMEOUT),
+    (254, Outcome.OVERLOADED),
+    (255, Outcome.ERROR),
 )
 CLASS = Record(
-    api.TrafficClass,
-    "aim_ns",
+    TrafficClass,
+    "latency_objective_ns",
     "deadline_ns",
     ("effect", EFFECT),
     ("group", GROUP),
-    "window_ns",
-    "late_share",
+    "deduplication_window_ns",
+    "late_value_share",
     "worth",
     ("in_order", FLAG),
 )
 SETTINGS = Record(
-    api.Settings,
+    Settings,
     ("classes", Several(CLASS)),
-    ("kinds", Several(Record(api.Kind, ("routes_apart", FLAG), "bundle_max"))),
-    "calls_out",
-    "most_held",
+    ("kinds", Several(Record(DestinationKind, ("limits_per_endpoint", FLAG), "max_bundle_size"))),
+    "max_concurrent_calls",
+    "max_held_messages",
     "max_attempts",
-    ("tenants", Several(Record(api.Tenant, "quota_per_s", "share"))),
+    ("tenants", Several(Record(Tenant, "quota_per_s", "share"))),
     "senders",
     "zone",
-    "over_share_worth",
-    ("halves", FLAG),
+    "over_quota_weight",
+    ("value_halves", FLAG),
     ("weights_known", FLAG),
     ("weights_exact", FLAG),
-    ("may_probe", FLAG),
-    ("may_cancel", FLAG),
-    ("may_tell_wait", FLAG),
-    "max_come_back_ns",
+    ("health_checks_allowed", FLAG),
+    ("cancellation_allowed", FLAG),
+    ("retry_after_allowed", FLAG),
+    "max_retry_after_ns",
     "streams_per_connection",
     "keepalive_ns",
     "drain_grace_ns",
-    "cold_from",
-    "cold_ns",
-    "tip_multiple",
-    "order_pause_ns",
-    ("list_on_request", FLAG),
-    "must_ask_in_ns",
+    "slow_start_fraction",
+    "slow_start_ns",
+    "overload_multiple",
+    "ordering_pause_ns",
+    ("polled_discovery", FLAG),
+    "max_poll_interval_ns",
     "handshake_price",
-    "crossing_price",
+    "cross_zone_price",
     "zone_fees",
 )
 ENTRY = Record(
-    api.ListEntry, "endpoint", "destination", "zone", "kind", ("state", STATE), "weight", ("cold", FLAG)
+    EndpointEntry, "endpoint", "destination", "zone", "kind", ("state", STATE), "weight", ("cold", FLAG)
 )
 EVENTS = {
-    0: Record(api.SettingsChanged, ("settings", SETTINGS)),
-    1: Record(api.ListChanged, ("scope", SCOPE), ("entries", Several(ENTRY))),
+    0: Record(SettingsChanged, ("settings", SETTINGS)),
+    1: Record(EndpointsChanged, ("scope", SCOPE), ("entries", Several(ENTRY))),
     2: Record(
-        api.MessageTaken,
+        MessageAccepted,
         "request",
         "cls",
         "destination",
@@ -152,44 +171,44 @@
         "key",
         "tenant",
         "attempts",
-        "may_run_ns",
-        "may_run_zone",
+        "may_have_run_ns",
+        "may_have_run_zone",
         ("rule", CLASS),
         ("owed", FLAG),
         "max_attempts",
     ),
     4: Record(
-        api.AttemptEnded,
+        AttemptCompleted,
         "request",
         "attempt",
         "endpoint",
-        ("verdict", VERDICT),
+        ("outcome", VERDICT),
         "elapsed_ns",
         ("done", FLAG),
-        "wait_ns",
-        "allowance_left",
+        "retry_after_ns",
+        "limit_remaining",
         "limit_per_s",
         ("opened", FLAG),
         ("unsent", FLAG),
     ),
-    5: Record(api.ClientGone, "request"),
-    6: Record(api.TimerDue, "tag"),
-    7: Record(api.ProbeEnded, "endpoint", ("verdict", VERDICT), "elapsed_ns", "wait_ns"),
+    5: Record(ClientCancelled, "request"),
+    6: Record(TimerFired, "tag"),
+    7: Record(HealthCheckCompleted, "endpoint", ("outcome", VERDICT), "elapsed_ns", "retry_after_ns"),
 }
 ACTIONS = {
-    1: Record(api.Send, "request", "endpoint", "timeout_ns"),
-    2: Record(api.Subscribe),
-    4: Record(api.Probe, "endpoint"),
-    6: Record(api.Refuse, "request", "come_back_ns"),
-    8: Record(api.SetTimer, "tag", "delay_ns"),
-    10: Record(api.Fail, "request"),
-    11: Record(api.Disconnect, "endpoint"),
+    1: Record(Send, "request", "endpoint", "timeout_ns"),
+    2: Record(Subscribe),
+    4: Record(CheckHealth, "endpoint"),
+    6: Record(Reject, "request", "retry_after_ns"),
+    8: Record(SetTimer, "tag", "delay_ns"),
+    10: Record(Fail, "request"),
+    11: Record(Disconnect, "endpoint"),
 }
 
 
 def new_sender(settings_row, seed):
     """A sender with these settings."""
-    return Sender(SETTINGS.read(settings_row), seed)
+    return DeliveryPolicy(SETTINGS.read(settings_row), seed)
 
 
 def play_turn(sender, now_ns, event_rows):
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -6,15 +6,15 @@
 
 import anyio
 import pytest
-from standins import Client, HttpStandIn, configuration, courier, listener, own_address, standing, until
+from standins import Client, HttpStandIn, configuration, engine, listener, own_address, standing, until
 
+from pinspread import service as platform_module
 from pinspread.amqp.broker import GUEST
 from pinspread.config import settings
+from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
-from pinspread.core.owner import Owner
-from pinspread.net import platform as platform_module
-from pinspread.net import sockets
-from pinspread.net.platform import Service
+from pinspread.service import Service
+from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 
@@ -26,29 +26,29 @@
 
 async def test_what_may_have_run_before_one_kill_may_have_run_after_the_next_one_too(tmp_path):
     answers = [anyio.sleep_forever(), (429, [("Retry-After", "60")], b"")]
-    hop = HttpStandIn(lambda request: answers.pop(0))
-    async with standing(hop) as address:
-        async with courier(tmp_path, hops=[(address,)]) as rig:  # killed with the first branch out
+    endpoint = HttpStandIn(lambda request: answers.pop(0))
+    async with standing(endpoint) as address:
+        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed with the first branch out
             await Client(rig.address).enqueue("booking-change", for_ms=60_000)
-            await until(lambda: hop.requests)
-            written_us = rig.courier.ids["id1"].live_us
-        async with courier(tmp_path, hops=[(address,)]) as rig:  # killed after one that surely never ran
-            await until(lambda: len(hop.requests) == 2 and not rig.courier.branches)
-        async with courier(tmp_path) as rig:
-            t = rig.courier.ids["id1"]
-            assert (t.may_run_us, t.branches) == (written_us, 2)
+            await until(lambda: endpoint.requests)
+            written_us = rig.engine.ids["id1"].in_flight_since_unix_us
+        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed after one that surely never ran
+            await until(lambda: len(endpoint.requests) == 2 and not rig.engine.attempts)
+        async with engine(tmp_path) as rig:
+            t = rig.engine.ids["id1"]
+            assert (t.may_have_run_unix_us, t.attempts) == (written_us, 2)
 
 
 async def test_a_notice_that_nobody_answered_is_told_again_after_a_restart(tmp_path):
-    hop = HttpStandIn(lambda request: (500, [], b""))  # it may have run: the payment fails
+    endpoint = HttpStandIn(lambda request: (500, [], b""))  # it may have run: the payment fails
     unheard, heard = HttpStandIn(lambda request: None), HttpStandIn(lambda request: (204, [], b""))
-    async with standing(hop) as address, standing(unheard) as first, standing(heard) as second:
-        async with courier(tmp_path, first, hops=[(address,)]) as rig:
+    async with standing(endpoint) as address, standing(unheard) as first, standing(heard) as second:
+        async with engine(tmp_path, first, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue("payment")
             await until(lambda: unheard.requests)  # and killed, with the notice out
-        async with courier(tmp_path, second, hops=[(address,)]) as rig:
-            await until(lambda: not rig.courier.ids)
-        assert [r[4] for r in heard.requests] == [unheard.requests[0][4]] and len(hop.requests) == 1
+        async with engine(tmp_path, second, endpoints=[(address,)]) as rig:
+            await until(lambda: not rig.engine.ids)
+        assert [r[4] for r in heard.requests] == [unheard.requests[0][4]] and len(endpoint.requests) == 1
 
 
 def service(folder, platform, **more):
@@ -83,7 +83,7 @@
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform)
         async with running(parts) as done:
-            await until(lambda: parts.courier.serving)
+            await until(lambda: parts.engine.serving)
             leg = await sockets.dial(parts.told.listen)
             if known:
                 await leg.write(command(b"PING"))
@@ -91,13 +91,13 @@
             idle = await sockets.dial(parts.told.listen)
             half = await sockets.dial(parts.told.listen)
             await half.write(ENQUEUE[:-5])
-            stop = parts.courier.stop
+            stop = parts.engine.stop
 
             async def stopped():
                 await stop()
                 leg.sock.send(ENQUEUE)  # it is in the kernel, unread, when the process is about to end
 
-            parts.courier.stop = stopped
+            parts.engine.stop = stopped
             parts.leaving.set()
             await done.wait()
             heard = b""
@@ -113,7 +113,7 @@
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform)
         async with running(parts) as done:
-            await until(lambda: parts.courier.serving)
+            await until(lambda: parts.engine.serving)
             leg = await sockets.dial(parts.told.listen)
             await leg.write(command(b"PING"))
             assert await leg.read() == b"+PONG\r\n"
@@ -134,11 +134,11 @@
 
 
 async def test_a_leg_whose_next_command_is_there_is_not_ended_for_having_been_idle(tmp_path, monkeypatch):
-    async with courier(tmp_path, hops=[("127.0.0.1:1",)]) as rig:
+    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         leg = await sockets.dial(rig.address)
         await leg.write(command(b"PING"))
         assert await leg.read() == b"+PONG\r\n"
-        room = rig.courier.fronts["resp"].room
+        room = rig.engine.fronts["resp"].room
         monkeypatch.setattr(sockets, "LONG_IDLE_US", -1)  # it has been idle for too long just now
         leg.sock.send(ENQUEUE)
         room.sweep()
@@ -146,9 +146,9 @@
 
 
 async def test_a_first_command_that_is_there_is_answered_though_the_loop_was_late(tmp_path):
-    async with courier(tmp_path, hops=[("127.0.0.1:1",)]) as rig:
+    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         leg = await sockets.dial(rig.address)
-        room = rig.courier.fronts["resp"].room
+        room = rig.engine.fronts["resp"].room
         await until(lambda: room.legs)
         (ours,) = room.legs.values()
         leg.sock.send(ENQUEUE)
@@ -159,7 +159,7 @@
 
 async def test_sigterm_is_heard_while_another_process_owns_the_folder(tmp_path):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
-        other = Owner(str(tmp_path))
+        other = FolderLock(str(tmp_path))
         assert other.take()
         parts = service(tmp_path, platform)
         async with running(parts) as done:
@@ -175,7 +175,7 @@
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform, early=[True])
         changed = []
-        parts.change = lambda: changed.append(parts.courier.serving)
+        parts.change = lambda: changed.append(parts.engine.serving)
         async with running(parts):
             await until(lambda: changed)
     assert changed == [True]
@@ -194,7 +194,7 @@
 
         monkeypatch.setattr(platform_module, "log", heard)
         async with running(parts):
-            await until(lambda: parts.courier.serving)
+            await until(lambda: parts.engine.serving)
     assert "address_in_use" in said
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,14 +10,14 @@
 from hypothesis import given
 from hypothesis import settings as runs
 from hypothesis import strategies as st
-from standins import Client, HttpStandIn, configuration, courier, standing, until
+from standins import Client, HttpStandIn, configuration, engine, standing, until
 from test_platform import HEARD, Process, platform
 
 from pinspread.__main__ import main
 from pinspread.config import settings
 from pinspread.core.journal import Journal
-from pinspread.core.transactions import Rules, Transaction
-from pinspread.interface import Effect, TrafficClass
+from pinspread.core.messages import DeliveryRules, Message
+from pinspread.policy.settings import Idempotency, TrafficClass
 
 pytestmark = pytest.mark.anyio
 
@@ -109,14 +109,14 @@
     down = HttpStandIn(lambda request: (500, [], b""))
     told = configuration(tmp_path)
     async with standing(platform()) as heard, standing(down) as address:
-        async with courier(tmp_path, heard, hops=[(address,), (address, "s-2", 2)]) as rig:
-            client, core = Client(rig.address), rig.courier
+        async with engine(tmp_path, heard, endpoints=[(address,), (address, "s-2", 2)]) as rig:
+            client, core = Client(rig.address), rig.engine
             assert await client.enqueue("status-update", "old", for_ms=3500) == "+OK\r\n"
             await until(lambda: down.requests)
             new = copy.deepcopy(told)
             new["settings"]["lanes"] = [lane("refund", effect="once"), lane("status-update", effect="once")]
             new["settings"]["policyLimits"]["sendCap"] = 1
-            core.settle(settings.read(new, {}))
+            core.apply_settings(settings.read(new, {}))
             assert (await client.enqueue("payment")).startswith("-ERR unknown class")
             assert await client.enqueue("refund", "new", dest=2) == "+OK\r\n"
             await until(lambda: not core.ids)
@@ -126,29 +126,29 @@
 
 async def test_rules_of_a_class_that_was_dropped_last_over_a_restart(tmp_path):
     answers = []
-    hop = HttpStandIn(lambda request: answers.pop(0) if answers else (500, [], b""))
-    async with standing(platform()) as heard, standing(hop) as address:
-        async with courier(tmp_path, heard) as rig:
+    endpoint = HttpStandIn(lambda request: answers.pop(0) if answers else (500, [], b""))
+    async with standing(platform()) as heard, standing(endpoint) as address:
+        async with engine(tmp_path, heard) as rig:
             told = configuration(tmp_path)
             told["settings"]["lanes"].append(lane("refund", effect="once"))
-            rig.courier.settle(settings.read(told, {}))
-            rig.learn(address, state=0)
+            rig.engine.apply_settings(settings.read(told, {}))
+            rig.update_endpoints(address, state=0)
             assert await Client(rig.address).enqueue("refund", "kept") == "+OK\r\n"
-        async with courier(tmp_path, heard, hops=[(address,)]) as rig:  # whose settings know no refund
-            await until(lambda: not rig.courier.ids)
-    assert len(hop.requests) == 1  # an error may have run, and the class must not repeat
+        async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:  # whose settings know no refund
+            await until(lambda: not rig.engine.ids)
+    assert len(endpoint.requests) == 1  # an error may have run, and the class must not repeat
 
 
 CLASSES = st.builds(
     TrafficClass,
-    aim_ns=st.integers(1, 3),
+    latency_objective_ns=st.integers(1, 3),
     deadline_ns=st.just(5),
-    effect=st.sampled_from(Effect),
-    window_ns=st.just(9),
+    effect=st.sampled_from(Idempotency),
+    deduplication_window_ns=st.just(9),
     in_order=st.booleans(),
 )
 STEPS = st.one_of(
-    st.tuples(st.just("take"), st.builds(Rules, CLASSES, st.integers(1, 4))),
+    st.tuples(st.just("take"), st.builds(DeliveryRules, CLASSES, st.integers(1, 4))),
     st.tuples(st.sampled_from(("end", "rewrite", "restart", "fill")), st.integers(0, 9)),
 )
 
@@ -161,7 +161,7 @@
         journal.open()
         for n, (step, what) in enumerate(steps, 1):
             if step == "take":
-                t = Transaction(n, f"id{n}", "c", "", 1, 0, "", 10**15, b"x" * 300, rules=what)
+                t = Message(n, f"id{n}", "c", "", 1, 0, "", 10**15, b"x" * 300, rules=what)
                 journal.taken(t)
                 wanted[n] = what
             elif step == "end" and wanted:
@@ -182,8 +182,8 @@
 
 
 async def test_a_reload_under_load_and_a_start_with_a_broken_file(tmp_path):
-    hop = HttpStandIn()
-    async with standing(hop) as address, standing(HttpStandIn(lambda r: HEARD)) as heard:
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address, standing(HttpStandIn(lambda r: HEARD)) as heard:
         process = await Process(tmp_path, address, heard).ready()
         lanes = [*process.told["settings"]["lanes"], lane("refund")]
         good = copy.deepcopy(process.told)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -90,7 +90,7 @@
 
 
 def test_exception_in_the_decisions_becomes_a_fault(monkeypatch):
-    monkeypatch.setattr(simhost.Sender, "handle", lambda *_: 1 / 0)
+    monkeypatch.setattr(simhost.DeliveryPolicy, "handle", lambda *_: 1 / 0)
     sink = io.BytesIO()
     simhost.serve(io.BytesIO(frame(ON, configure())), sink)
     assert wire.fault("ZeroDivisionError: division by zero") in sink.getvalue()
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -2,8 +2,9 @@
 
 import pytest
 
-from pinspread.fleet.loopback import cast, judge
-from pinspread.fleet.loopback.faults import Rules
+from pinspread.testbed import history_checker as judge
+from pinspread.testbed import processes as cast
+from pinspread.testbed.faults import Rules
 
 pytestmark = pytest.mark.stage
 FAST = {"period_s": 0.2, "timeout_s": 0.08}
@@ -212,7 +213,7 @@
 
 
 def test_the_picture_counts_who_sees_whom_alive():
-    from pinspread.fleet.loopback import picture
+    from pinspread.testbed import picture
 
     lines = [
         {"mono_us": 0, "who": "stage", "event": "stage_began"},
@@ -230,7 +231,7 @@
     import asyncio
     import time
 
-    from pinspread.fleet.loopback.faults import Proxy
+    from pinspread.testbed.faults import Proxy
 
     prefix = "127.31.77"
     real = {"a": (f"{prefix}.10", 7947), "b": (f"{prefix}.11", 7947)}
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -10,7 +10,7 @@
 import pytest
 import stored
 import stored_cluster as cluster
-import stored_courier as courier
+import stored_courier as engine
 from standins import Client, standing, until
 
 
@@ -112,21 +112,21 @@
 
 def test_the_endpoints_that_were_told_to_leave_are_read_and_written_as_before(tmp_path):
     kept = stored.DATA / "kept" / "list.left"
-    assert courier.write_left(tmp_path) == kept.read_bytes()
-    assert courier.left(stored.DATA / "kept").health == {"s-2": "gone", "s-ü": "gone", "s-3": "draining"}
+    assert engine.write_left(tmp_path) == kept.read_bytes()
+    assert engine.left(stored.DATA / "kept").health == {"s-2": "gone", "s-ü": "gone", "s-3": "draining"}
     hosts = [{"host": "s-1", "health": "ready"}, {"host": "s-2", "health": "ready"}]
-    assert courier.left(stored.DATA / "kept").over({"hosts": hosts})["hosts"][1]["health"] == "gone"
+    assert engine.left(stored.DATA / "kept").over({"hosts": hosts})["hosts"][1]["health"] == "gone"
 
 
 def test_the_last_good_settings_are_read_and_written_as_before(tmp_path):
     kept = stored.DATA / "kept" / "configuration.good"
     raw = zlib.decompress(kept.read_bytes())
-    assert raw == courier.SETTINGS
-    assert courier.kept_settings(stored.DATA / "kept") == (
+    assert raw == engine.SETTINGS
+    assert engine.kept_settings(stored.DATA / "kept") == (
         raw,
         {"name": "n0", "seed": 0x1F, "disk_bytes": 3_000_000},
     )
-    courier.keep_settings(tmp_path, courier.SETTINGS)  # its bytes differ with the library that packs them
+    engine.keep_settings(tmp_path, engine.SETTINGS)  # its bytes differ with the library that packs them
     assert zlib.decompress((tmp_path / "configuration.good").read_bytes()) == raw
 
 
@@ -143,18 +143,18 @@
 
 
 def test_recorded_logs_make_the_same_trace(tmp_path):
-    found = courier.recorded_trace(courier.logs(), tmp_path / "trace")
+    found = engine.recorded_trace(engine.logs(), tmp_path / "trace")
     assert rounded(found) == rounded(expected("trace"))
-    mine, theirs = (json.loads(courier.unpacked_trace(f / "trace")) for f in (tmp_path, stored.DATA))
+    mine, theirs = (json.loads(engine.unpacked_trace(f / "trace")) for f in (tmp_path, stored.DATA))
     assert rounded(mine) == rounded(theirs) and list(mine) == list(theirs)
 
 
 def test_a_recorded_trace_is_read_to_the_same_content():
-    assert courier.read_trace(str(stored.DATA / "trace")) == expected("trace")
+    assert engine.read_trace(str(stored.DATA / "trace")) == expected("trace")
 
 
 def test_recorded_logs_give_the_same_account():
-    assert courier.losses_text(stored.DATA / "logs") == (stored.DATA / "losses.expected.txt").read_text()
+    assert engine.losses_text(stored.DATA / "logs") == (stored.DATA / "losses.expected.txt").read_text()
 
 
 # --- an upgrade from that version -------------------------------------------------------------------
@@ -170,36 +170,36 @@
 
 async def goes_on(folder):
     data = (stored.DATA / "state" / "journal").read_bytes()
-    assert courier.open_ids(data) == SENT_AGAIN | set(TOLD)
+    assert engine.open_ids(data) == SENT_AGAIN | set(TOLD)
     shutil.copytree(stored.DATA / "state", folder / "state")
-    after_ms = {"returned": courier.come_back_ms(data)}  # as it was decided then
+    after_ms = {"returned": engine.come_back_ms(data)}  # as it was decided then
     ends = {(id_, state, after_ms.get(id_, 0)) for id_, state in TOLD.items()}
-    by_us = time.time_ns() // 1000 - 1_000_000 - courier.times(data)
-    (folder / "state" / "journal").write_bytes(courier.shifted(data, by_us))
+    by_us = time.time_ns() // 1000 - 1_000_000 - engine.times(data)
+    (folder / "state" / "journal").write_bytes(engine.shifted(data, by_us))
     had, elsewhere = [], []
-    platform = courier.Platform(None, True)
+    platform = engine.Platform(None, True)
     async with AsyncExitStack() as stack:
-        at = await stack.enter_async_context(standing(courier.partner(had, lambda id_: (200, [], b""))))
+        at = await stack.enter_async_context(standing(engine.partner(had, lambda id_: (200, [], b""))))
         other = await stack.enter_async_context(
-            standing(courier.partner(elsewhere, lambda id_: (200, [], b"")))
+            standing(engine.partner(elsewhere, lambda id_: (200, [], b"")))
         )
         platform_at = await stack.enter_async_context(standing(platform))
-        hosts = courier.hosts_at({"s-1": at, "s-4": at, "s-5": at}, other)
-        with courier.process(folder, hosts, platform_at, folder / "log") as running:
-            await courier.listening(running)
+        hosts = engine.hosts_at({"s-1": at, "s-4": at, "s-5": at}, other)
+        with engine.process(folder, hosts, platform_at, folder / "log") as running:
+            await engine.listening(running)
             client = Client(running.listen)
             again = ("answered", *sorted(SENT_AGAIN))  # a client that lost its connection says them once more
             for id_ in again:
-                cls, key, dest = courier.MESSAGES[id_]
+                cls, key, dest = engine.MESSAGES[id_]
                 assert await client.enqueue(cls, id_, key, 20_000, dest) == "+OK\r\n"
             await until(lambda: set(had) >= SENT_AGAIN and platform.ends() >= ends, 8)
             for n in range(8):
                 assert await client.enqueue("status-update", f"new-{n}", for_ms=9_000) == "+OK\r\n"
             await until(lambda: len([i for i in had if i.startswith("new-")]) == 8)
             await anyio.sleep(0.3)
-            assert "404" not in await courier.ask(running.door, "PUT /-/endpoints/s-2/enable")
+            assert "404" not in await engine.ask(running.door, "PUT /-/endpoints/s-2/enable")
     assert sorted(i for i in had if not i.startswith("new-")) == sorted(SENT_AGAIN)  # each of them once
     assert had.index("out-keyed") < had.index("behind-keyed")
     assert elsewhere == []  # neither the endpoint that was banned, nor the one that has gone
     assert platform.ends() == ends
-    assert courier.open_ids((folder / "state" / "journal").read_bytes()) == set()
+    assert engine.open_ids((folder / "state" / "journal").read_bytes()) == set()
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -5,7 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pinspread.cluster import swim, wire
+from pinspread.membership import codec as wire
+from pinspread.membership import swim
 
 MS = 1000
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,8 @@
 from standins import Client, HttpStandIn, configuration, host, listener, own_address, standing, until
 
 from pinspread.core import journal
-from pinspread.net import sockets, succession
+from pinspread.hot_restart import transfer as succession
+from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -4,8 +4,16 @@
 
 import pytest
 
-from pinspread import interface as api
 from pinspread import wire
+from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer
+from pinspread.policy.events import (
+    ClientCancelled,
+    HealthCheckCompleted,
+    MessageAccepted,
+    Outcome,
+    TimerFired,
+    UpdateScope,
+)
 
 
 def records(*texts):
@@ -29,13 +37,13 @@
 
 def test_message_and_timer():
     (_, message), (_, timer) = decode(3, ON, JOB, "06 000000000000004d")
-    assert message == api.MessageTaken(0x000BAC885D3A91C4, 0, 57, 0x0203B6DB90, 0x91F03B7C55D20A64, 0)
-    assert timer == api.TimerDue(0x4D)
+    assert message == MessageAccepted(0x000BAC885D3A91C4, 0, 57, 0x0203B6DB90, 0x91F03B7C55D20A64, 0)
+    assert timer == TimerFired(0x4D)
 
 
 def test_list():
     ((instance, event),) = decode(3, ON, ROWS, FLEET)
-    assert instance == 3 and event.scope is api.ListScope.CACHED
+    assert instance == 3 and event.scope is UpdateScope.CACHED
     assert [e.endpoint for e in event.entries] == [
         bytes.fromhex("0a124a071f43"),
         bytes.fromhex("0a9011f21f6c"),
@@ -48,30 +56,30 @@
         4, ON, RESULT, "05 0007fa040e6f2b19", "07 0000000000155cc0 0000 0a9011f2 1f6c 02 3ecccccd3fa00000"
     )
     outcome, gone, probe = (event for _, event in found)
-    assert outcome.verdict is api.Verdict.OK and outcome.done and outcome.elapsed_ns == 0x11A49A0
-    assert gone == api.ClientGone(0x0007FA040E6F2B19)
-    assert probe == api.ProbeEnded(bytes.fromhex("0a9011f21f6c"), api.Verdict.OK, 0x155CC0)
+    assert outcome.outcome is Outcome.OK and outcome.done and outcome.elapsed_ns == 0x11A49A0
+    assert gone == ClientCancelled(0x0007FA040E6F2B19)
+    assert probe == HealthCheckCompleted(bytes.fromhex("0a9011f21f6c"), Outcome.OK, 0x155CC0)
 
 
 def test_told_wait_is_in_milliseconds():
     text = "04 000bac885d3a91c4 00 0a124a07 1f43 00fe 00000000011a49a0 00 000000fa 00"
     ((_, outcome),) = decode(2, ON, text)
-    assert outcome.verdict is api.Verdict.FULL and outcome.wait_ns == 250_000_000
+    assert outcome.outcome is Outcome.OVERLOADED and outcome.retry_after_ns == 250_000_000
 
 
 def test_actions_and_reply():
     endpoint = bytes.fromhex("0a124a071f43")
     assert wire.source(3) == records("07 0003")
-    assert wire.encode(api.Send(0x000BAC885D3A91C4, endpoint, 80_000_000)) == records(
+    assert wire.encode(Send(0x000BAC885D3A91C4, endpoint, 80_000_000)) == records(
         "01 000bac885d3a91c4 0a124a07 1f43 0000000004c4b400"
     )
-    assert wire.encode(api.SetTimer(0x4D, 500_000_000)) == records("08 000000000000004d 000000001dcd6500")
-    assert wire.encode(api.Refuse(0x0007FA040E6F2B19, 250_000_000)) == records(
+    assert wire.encode(SetTimer(0x4D, 500_000_000)) == records("08 000000000000004d 000000001dcd6500")
+    assert wire.encode(Reject(0x0007FA040E6F2B19, 250_000_000)) == records(
         "06 0007fa040e6f2b19 000000000ee6b280"
     )
-    assert wire.encode(api.Fail(0x0007FA040E6F2B19)) == records("0a 0007fa040e6f2b19")
-    assert wire.encode(api.Disconnect(bytes.fromhex("0a9011f21f6c"))) == records("0b 0a9011f2 1f6c")
-    assert wire.encode(api.Probe(bytes.fromhex("0a9011f21f6c"))) == records("04 0a9011f2 1f6c")
+    assert wire.encode(Fail(0x0007FA040E6F2B19)) == records("0a 0007fa040e6f2b19")
+    assert wire.encode(Disconnect(bytes.fromhex("0a9011f21f6c"))) == records("0b 0a9011f2 1f6c")
+    assert wire.encode(CheckHealth(bytes.fromhex("0a9011f21f6c"))) == records("04 0a9011f2 1f6c")
     assert wire.fault("index out of range") == records("09 0012 696e646578206f7574206f662072616e6765")
     assert wire.reply([]) == bytes(8)
     assert wire.reply([b"\x07\x00\x03"]) == struct.pack(">II", 3, 1) + b"\x07\x00\x03"
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -7,7 +7,7 @@
 import pytest
 import stored
 import stored_cluster as cluster
-import stored_courier as courier
+import stored_courier as engine
 
 
 def recorded(name):
@@ -73,8 +73,8 @@
 def test_the_door_answers_as_before():
     before = recorded("door")
     views = {name: before["views"][name] for name in ("members", "leases", "copies")}
-    assert courier.members_view() == views["members"]
-    found = anyio.run(courier.calls, views)
+    assert engine.members_view() == views["members"]
+    found = anyio.run(engine.calls, views)
     for call, answer in before["calls"].items():
         if (
             call.startswith("GET /-/") and call.rpartition("/")[2] in views
@@ -88,7 +88,7 @@
 
 
 def test_the_check_of_settings_says_what_it_said():
-    assert courier.summary() == recorded("door")["summary"]
+    assert engine.summary() == recorded("door")["summary"]
 
 
 # --- packets between two processes ------------------------------------------------------------------
@@ -96,13 +96,13 @@
 
 def test_packets_of_a_hand_over_are_sent_byte_for_byte_as_before():
     before = recorded("packets")
-    assert before["kinds"] == courier.PACKETS
-    assert anyio.run(courier.packets) == before["packets"]
+    assert before["kinds"] == engine.PACKETS
+    assert anyio.run(engine.packets) == before["packets"]
 
 
 def test_packets_of_a_hand_over_are_read_as_before():
     before = recorded("packets")
-    assert anyio.run(courier.handed_over) == before["handed_over"]
+    assert anyio.run(engine.handed_over) == before["handed_over"]
     reports = [json.loads(data) for kind, _, data, _ in before["packets"] if kind in (9, 11)]
     for report in reports:
-        assert courier.told_outcome(dict(report[-1])) == report[-1]
+        assert engine.told_outcome(dict(report[-1])) == report[-1]
