--- a/Makefile
+++ b/Makefile
@@ -14,6 +14,9 @@
 lint: build
 	.venv/bin/ruff check .
 	.venv/bin/ruff format --check .
+	.venv/bin/mypy
+	.venv/bin/lint-imports --no-cache --no-logo
+	$(PYTHON) tools/lint_exceptions.py --check
 
 # The example: a toy partner in one terminal, the courier in another.
 toy: build
