--- a/Makefile
+++ b/Makefile
@@ -18,14 +18,14 @@
 	.venv/bin/lint-imports --no-cache --no-logo
 	$(PYTHON) tools/lint_exceptions.py --check
 
-# The example: a toy partner in one terminal, the courier in another.
+# The example: a toy destination in one terminal, the courier in another.
 toy: build
 	$(PYTHON) examples/toy_partner.py
 
 run: build
 	$(PYTHON) -m pinspread serve --app examples/booking.toml
 
-# Twenty seconds of traffic to three stand-in partners, one of which goes down.
+# Twenty seconds of traffic to three stand-in destinations, one of which goes down.
 demo: build
 	$(PYTHON) -m pinspread demo
 
