--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,205 @@
+"""Stored data of the version before the code was renamed: the same content read, the same bytes written."""
+
+import json
+import shutil
+import time
+import zlib
+from contextlib import AsyncExitStack
+
+import anyio
+import pytest
+import stored
+import stored_cluster as cluster
+import stored_courier as courier
+from standins import Client, standing, until
+
+
+def expected(name):
+    return json.loads((stored.DATA / f"{name}.expected.json").read_bytes())
+
+
+# --- the courier's journal --------------------------------------------------------------------------
+
+
+def test_the_journals_have_records_of_every_kind():
+    found = {n: stored.kinds((stored.DATA / "journal" / n).read_bytes()) for n in stored.JOURNAL_FILES}
+    assert set(found["appended"]) | set(found["continued"]) == set(range(1, 12))
+    assert set(found["rewritten"]) == {1, 4, 6, 7, 8, 10, 11}
+    assert 10 not in found["without-rules"] and found["torn"] == found["continued"][:-1]
+
+
+@pytest.mark.parametrize("name", stored.JOURNAL_FILES)
+def test_a_stored_journal_is_read_to_the_same_content(tmp_path, name):
+    (tmp_path / "journal").write_bytes((stored.DATA / "journal" / name).read_bytes())
+    assert stored.content(tmp_path) == expected("journal")[name]
+
+
+@pytest.mark.parametrize("name", stored.JOURNAL_FILES)
+def test_a_stored_journal_reads_the_same_once_it_was_rewritten(tmp_path, name):
+    (tmp_path / "journal").write_bytes((stored.DATA / "journal" / name).read_bytes())
+    stored.Steps(tmp_path).close()
+    assert stored.content(tmp_path) == expected("journal")[name]
+
+
+def test_a_journal_is_written_byte_for_byte_as_before(tmp_path):
+    for name, data in stored.journals(tmp_path).items():
+        assert data == (stored.DATA / "journal" / name).read_bytes(), name
+
+
+# --- copies kept for others -------------------------------------------------------------------------
+
+
+def test_copies_that_lie_in_a_folder_are_read_to_the_same_content(tmp_path):
+    shutil.copytree(stored.DATA / "copies", tmp_path / "copies")
+    for owner, told in expected("copies").items():
+        assert cluster.told_copy(tmp_path / "copies", owner) == told
+        cluster.rewrite_copy(tmp_path / "copies", owner)
+    assert cluster.files(tmp_path / "copies") == cluster.files(stored.DATA / "copies")
+
+
+def test_copies_are_written_byte_for_byte_as_before(tmp_path):
+    found = anyio.run(cluster.copy_exchange, tmp_path, stored.copied())
+    assert found["files"] == cluster.files(stored.DATA / "copies")
+    assert found["generation_file"] == (stored.DATA / "copies.generation").read_text()
+
+
+def test_a_generation_that_was_stored_is_the_one_that_a_restart_goes_by(tmp_path):
+    """An older copy elsewhere must not take the place of the own journal, nor a newer one be passed over."""
+    own = stored.copied()[1]
+    stamp = int((stored.DATA / "copies.generation").read_text())
+    for generation, restored in ((stamp - 1, False), (stamp, False), (stamp + 1, True)):
+        (tmp_path / "journal").write_bytes(own)
+        shutil.copy(stored.DATA / "copies.generation", tmp_path / "copies.generation")
+        cluster.restore(tmp_path, generation, own[:200])
+        assert ((tmp_path / "journal").read_bytes() == own[:200]) == restored, generation
+
+
+# --- voters -----------------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("name", ["appended", "rewritten"])
+def test_a_voters_log_is_read_to_the_same_content(tmp_path, name):
+    shutil.copy(stored.DATA / "voters" / name, tmp_path / "log")
+    assert cluster.told_log(tmp_path / "log") == expected("voters")[name]
+
+
+def test_a_voters_log_is_written_byte_for_byte_as_before(tmp_path):
+    for name, data in cluster.log_file(tmp_path / "log").items():
+        assert data == (stored.DATA / "voters" / name).read_bytes(), name
+
+
+def test_the_commands_of_leases_stand_in_the_log_as_before(tmp_path):
+    data, rows = anyio.run(cluster.agreed_log, tmp_path / "v")
+    assert data == (stored.DATA / "voters" / "agreed").read_bytes()
+    assert rows == expected("voters")["rows"]
+
+
+def test_a_voter_makes_the_same_rows_of_a_log_that_was_stored(tmp_path):
+    shutil.copy(stored.DATA / "voters" / "agreed", tmp_path / "log")
+    (tmp_path / "votes").touch()
+    rows, fresh = anyio.run(cluster.replayed_log, tmp_path)
+    assert rows == expected("voters")["rows"] and not fresh
+
+
+def test_the_dump_of_leases_is_the_same_both_ways(tmp_path):
+    stored_dump = stored.DATA / "voters" / "dump"
+    assert anyio.run(cluster.undumped, tmp_path / "u", stored_dump) == expected("voters")["dump"]
+    assert anyio.run(cluster.dump, tmp_path / "w", tmp_path / "dump") == stored_dump.read_bytes()
+
+
+# --- other files of the folder ----------------------------------------------------------------------
+
+
+def test_the_endpoints_that_were_told_to_leave_are_read_and_written_as_before(tmp_path):
+    kept = stored.DATA / "kept" / "list.left"
+    assert courier.write_left(tmp_path) == kept.read_bytes()
+    assert courier.left(stored.DATA / "kept").health == {"s-2": "gone", "s-ü": "gone", "s-3": "draining"}
+    hosts = [{"host": "s-1", "health": "ready"}, {"host": "s-2", "health": "ready"}]
+    assert courier.left(stored.DATA / "kept").over({"hosts": hosts})["hosts"][1]["health"] == "gone"
+
+
+def test_the_last_good_settings_are_read_and_written_as_before(tmp_path):
+    kept = stored.DATA / "kept" / "configuration.good"
+    raw = zlib.decompress(kept.read_bytes())
+    assert raw == courier.SETTINGS
+    assert courier.kept_settings(stored.DATA / "kept") == (
+        raw,
+        {"name": "n0", "seed": 0x1F, "disk_bytes": 3_000_000},
+    )
+    courier.keep_settings(tmp_path, courier.SETTINGS)  # its bytes differ with the library that packs them
+    assert zlib.decompress((tmp_path / "configuration.good").read_bytes()) == raw
+
+
+# --- logs and traces --------------------------------------------------------------------------------
+
+
+def rounded(value):
+    """A mean's last digits differ with the library that adds."""
+    if isinstance(value, dict):
+        return {k: rounded(v) for k, v in value.items()}
+    if isinstance(value, list | tuple):
+        return [rounded(v) for v in value]
+    return round(value, 9) if isinstance(value, float) else value
+
+
+def test_recorded_logs_make_the_same_trace(tmp_path):
+    found = courier.recorded_trace(courier.logs(), tmp_path / "trace")
+    assert rounded(found) == rounded(expected("trace"))
+    mine, theirs = (json.loads(courier.unpacked_trace(f / "trace")) for f in (tmp_path, stored.DATA))
+    assert rounded(mine) == rounded(theirs) and list(mine) == list(theirs)
+
+
+def test_a_recorded_trace_is_read_to_the_same_content():
+    assert courier.read_trace(str(stored.DATA / "trace")) == expected("trace")
+
+
+def test_recorded_logs_give_the_same_account():
+    assert courier.losses_text(stored.DATA / "logs") == (stored.DATA / "losses.expected.txt").read_text()
+
+
+# --- an upgrade from that version -------------------------------------------------------------------
+
+SENT_AGAIN = {"unreached", "unreached-keyed", "refused", "out-keyed", "behind-keyed", "out-repeatable"}
+TOLD = {"out-payment": "failed", "failed": "failed", "returned": "returned"}
+
+
+def test_this_version_goes_on_where_a_killed_process_of_that_one_was(tmp_path):
+    """Nothing is lost, and what may have run and must not run twice is not sent again."""
+    anyio.run(goes_on, tmp_path)
+
+
+async def goes_on(folder):
+    data = (stored.DATA / "state" / "journal").read_bytes()
+    assert courier.open_ids(data) == SENT_AGAIN | set(TOLD)
+    shutil.copytree(stored.DATA / "state", folder / "state")
+    after_ms = {"returned": courier.come_back_ms(data)}  # as it was decided then
+    ends = {(id_, state, after_ms.get(id_, 0)) for id_, state in TOLD.items()}
+    by_us = time.time_ns() // 1000 - 1_000_000 - courier.times(data)
+    (folder / "state" / "journal").write_bytes(courier.shifted(data, by_us))
+    had, elsewhere = [], []
+    platform = courier.Platform(None, True)
+    async with AsyncExitStack() as stack:
+        at = await stack.enter_async_context(standing(courier.partner(had, lambda id_: (200, [], b""))))
+        other = await stack.enter_async_context(
+            standing(courier.partner(elsewhere, lambda id_: (200, [], b"")))
+        )
+        platform_at = await stack.enter_async_context(standing(platform))
+        hosts = courier.hosts_at({"s-1": at, "s-4": at, "s-5": at}, other)
+        with courier.process(folder, hosts, platform_at, folder / "log") as running:
+            await courier.listening(running)
+            client = Client(running.listen)
+            again = ("answered", *sorted(SENT_AGAIN))  # a client that lost its connection says them once more
+            for id_ in again:
+                cls, key, dest = courier.MESSAGES[id_]
+                assert await client.enqueue(cls, id_, key, 20_000, dest) == "+OK\r\n"
+            await until(lambda: set(had) >= SENT_AGAIN and platform.ends() >= ends, 8)
+            for n in range(8):
+                assert await client.enqueue("status-update", f"new-{n}", for_ms=9_000) == "+OK\r\n"
+            await until(lambda: len([i for i in had if i.startswith("new-")]) == 8)
+            await anyio.sleep(0.3)
+            assert "404" not in await courier.ask(running.door, "PUT /-/endpoints/s-2/enable")
+    assert sorted(i for i in had if not i.startswith("new-")) == sorted(SENT_AGAIN)  # each of them once
+    assert had.index("out-keyed") < had.index("behind-keyed")
+    assert elsewhere == []  # neither the endpoint that was banned, nor the one that has gone
+    assert platform.ends() == ends
+    assert courier.open_ids((folder / "state" / "journal").read_bytes()) == set()
