--- a/benchmarks/members_model.py
+++ b/benchmarks/members_model.py
@@ -1,6 +1,6 @@
 """SWIM's decision module at sizes no machine holds as processes: `python benchmarks/members_model.py [N ...] [OUT.png]`.
 
-Each of N members is a `swim.Member` in one process, with whole tables at the start (a fleet that has met), on a
+Each of N members is a `swim.SwimMember` in one process, with whole tables at the start (a fleet that has met), on a
 network that delivers in 1 to 3 ms and loses nothing. After 6 s one member stops. Prints, a row a size: messages
 a member sends a second before the stop, seconds until the first member suspects and until every other says dead,
 and the wall time taken; with OUT.png, a plot of them. Members share the rows that they have not changed. SWIM's claim is that the first two stay flat in N and the third grows with log N.
@@ -13,14 +13,17 @@
 from collections import ChainMap
 
 from pinspread.membership import swim
+from pinspread.membership.members import MemberState
 
 MS = 1000
 WARM_US = 6_000_000
 
 
 def fleet(n, seed):
-    tuning = swim.Tuning()
-    members = [swim.Member(f"m{i}", f"a{i}", (), tuning, random.Random(seed * 7919 + i)) for i in range(n)]
+    tuning = swim.SwimConfig()
+    members = [
+        swim.SwimMember(f"m{i}", f"a{i}", (), tuning, random.Random(seed * 7919 + i)) for i in range(n)
+    ]
     rows = {m.id: m.table[m.id] for m in members}
     for m in members:
         m.table = ChainMap({m.id: rows[m.id]}, rows)
@@ -65,9 +68,9 @@
             heapq.heappush(heap, (now + rng.randrange(1 * MS, 3 * MS), order, by_address[address], sent))
         for event in m.events:
             if stopped and event.get("id") == members[victim].id:
-                if event["state"] == swim.SUSPECT and first_suspect is None:
+                if event["state"] == MemberState.SUSPECT and first_suspect is None:
                     first_suspect = now
-                if event["state"] == swim.DEAD:
+                if event["state"] == MemberState.DEAD:
                     told.add(k)
         m.events.clear()
         if len(told) == n - 1:
--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -189,13 +189,13 @@
 
     companions = []
     if file.members:  # Danger: serving loads membership only where a file turns it on
-        from pinspread.membership.service import Membership
+        from pinspread.membership.service import MembershipService
 
-        companions.append(Membership(file.members.plan(), records(file)))
+        companions.append(MembershipService(file.members.plan(), records(file)))
     if file.leases:
-        from pinspread.leases.service import Leases
+        from pinspread.leases.service import LeaseService
 
-        companions.append(Leases(file.leases.plan(file.journal.folder), companions[0]))
+        companions.append(LeaseService(file.leases.plan(file.journal.folder), companions[0]))
     if file.copies:
         from pinspread.replication.service import ReplicationService
 
--- a/pinspread/config/application.py
+++ b/pinspread/config/application.py
@@ -116,19 +116,19 @@
         from pinspread.membership import swim
 
         us = 1_000_000
-        tuning = swim.Tuning(
+        tuning = swim.SwimConfig(
             period_us=int(self.period_s * us),
             timeout_us=int(self.timeout_s * us),
-            k=self.indirect,
-            alpha=self.suspicion_alpha,
-            beta=self.suspicion_beta,
-            lam=self.gossip_lambda,
+            indirect_probes=self.indirect,
+            suspicion_alpha=self.suspicion_alpha,
+            suspicion_beta=self.suspicion_beta,
+            gossip_lambda=self.gossip_lambda,
             sync_us=int(self.sync_s * us),
             forget_us=int(self.forget_s * us),
-            most_health=self.most_health,
+            max_health=self.most_health,
         )
         advertise = self.advertise or self.listen
-        return member.Plan(
+        return member.MembershipConfig(
             self.id,
             self.listen,
             advertise,
@@ -178,12 +178,12 @@
 
         us = 1_000_000
         figures = (self.lease_s, self.drift_s, self.margin_s, self.renew_s, self.retry_s)
-        return leases.Plan(
+        return leases.LeaseConfig(
             self.listen,
             self.advertise or self.listen,
             {v.id: v.address for v in self.voters},
-            tuple(leases.Task(t.name, t.address, int(t.every_s * us)) for t in self.tasks),
-            lease.Terms(*(int(f * us) for f in figures)),
+            tuple(leases.LeaseTask(t.name, t.address, int(t.every_s * us)) for t in self.tasks),
+            lease.LeaseTerms(*(int(f * us) for f in figures)),
             self.election_s,
             os.path.join(folder, "leases"),
             self.sync,
--- a/pinspread/leases/model_checker.py
+++ b/pinspread/leases/model_checker.py
@@ -50,7 +50,7 @@
     numbers: int = 3  # requests with a number of their own
     acts: bool = False  # contenders check and act, too
     jumps: int = 2  # clocks that drift in one run
-    drift: int = 1  # what a clock may gain or lose; lease.Terms has the same
+    drift: int = 1  # what a clock may gain or lose; lease.LeaseTerms has the same
     states: int = 5_000_000
     seconds: float = 600.0
 
@@ -58,13 +58,13 @@
 class Rules(NamedTuple):
     """The decisions under test."""
 
-    judge: object = lease.judge
-    apply: object = lease.apply
+    evaluate_request: object = lease.evaluate_request
+    apply_command: object = lease.apply_command
     may_act: object = lease.may_act
     fenced: bool = True  # the resource refuses old tokens
 
 
-TERMS = lease.Terms(lease_us=3, drift_us=1, margin_us=0, renew_us=1, retry_us=1)
+TERMS = lease.LeaseTerms(lease_us=3, drift_us=1, margin_us=0, renew_us=1, retry_us=1)
 
 
 def starts(bounds, terms):
@@ -73,9 +73,9 @@
     none, claims = frozenset(), (lease.Claim(),) * n
     first = World(0, (0,) * (n + m), (), ((0, 0),) * m, claims, 0, none, none, none, (0,) * n, 0)
     yield "nobody has asked", first
-    log = (lease.Command(lease.GRANT, "c0", 0, 1),)
+    log = (lease.Command(lease.CommandKind.GRANT, "c0", 0, 1),)
     held = lease.Claim(1, terms.lease_us, next_us=terms.renew_us)
-    asked = frozenset([lease.Request(lease.ASK, TASK, "c0", 0, 1)])
+    asked = frozenset([lease.Request(lease.RequestKind.ACQUIRE, TASK, "c0", 0, 1)])
     for knew in range(1, m + 1):  # voters that have applied the grant by now
         applied = ((1, 0),) * knew + ((0, 0),) * (m - knew)
         yield (
@@ -85,9 +85,9 @@
 
 
 def row_of(log, count, rules):
-    row = lease.Row()
+    row = lease.LeaseRecord()
     for command in log[:count]:
-        row, _ = rules.apply(row, command)
+        row, _ = rules.apply_command(row, command)
     return row
 
 
@@ -125,7 +125,7 @@
                 if len(judged.log) > len(w.log) and w.applied[v][0] == len(w.log):
                     yield f"deliver to {v}, apply", _applied(judged, v, rules, n)
     for c, answer in w.answers:
-        claim = lease.heard(w.claims[c], answer, terms, w.real + w.clocks[c])
+        claim = lease.apply_answer(w.claims[c], answer, terms, w.real + w.clocks[c])
         if claim != w.claims[c]:
             yield f"answer {c}", w._replace(claims=put(w.claims, c, claim))
     for v in range(bounds.voters):
@@ -143,7 +143,7 @@
 def _judged(w, v, request, terms, rules, n):
     done, at = w.applied[v]
     now = w.real + w.clocks[n + v]
-    said = rules.judge(row_of(w.log, done, rules), at, request, terms, now)
+    said = rules.evaluate_request(row_of(w.log, done, rules), at, request, terms, now)
     if isinstance(said, lease.Answer):
         return w._replace(answers=w.answers | {(int(request.member[1:]), said._replace(wait_us=0))})
     return w._replace(log=w.log + (said,), owed=w.owed | {(v, len(w.log), request)})
@@ -151,7 +151,7 @@
 
 def _applied(w, v, rules, n):
     done, _ = w.applied[v]
-    row, why = rules.apply(row_of(w.log, done, rules), w.log[done])
+    row, why = rules.apply_command(row_of(w.log, done, rules), w.log[done])
     answers, owed = w.answers, w.owed
     for item in w.owed:
         if item[0] == v and item[1] == done:
--- a/pinspread/leases/raft.py
+++ b/pinspread/leases/raft.py
@@ -71,7 +71,7 @@
     def change(self, task, kind, holder, arg, number):
         """Apply a command; (row, OK or why not), the same on every voter."""
         command = lease.Command(kind, holder, arg, number)
-        row, why = lease.apply(self.rows.get(task, lease.Row()), command)
+        row, why = lease.apply_command(self.rows.get(task, lease.LeaseRecord()), command)
         if self.rows.get(task) != row:
             self.rows[task] = row
             self.on_change(task, row)
@@ -136,7 +136,9 @@
             if error == FAIL_REASON.SUCCESS and result is not None:
                 done(*result)
 
-        self.table.change(task, *command, callback=called)
+        # The log holds a pickle of the call: of plain values, as `plain` asks.
+        kind, holder, arg, number = command
+        self.table.change(task, kind.value, holder, arg, number, callback=called)
         self.wake()
 
     def wake(self):
@@ -149,13 +151,13 @@
         after, before, _ = data
         rows = {task: list(row) for task, row in self.table.rows.items()}
         body = msgpack.packb({"rows": rows, "after": list(after), "before": list(before)}, use_bin_type=True)
-        Path(path).write_bytes(wire.seal(body, b"", MAGIC))
+        Path(path).write_bytes(wire.add_head(body, b"", MAGIC))
 
     def _undump(self, path):
-        found = wire.whole(Path(path).read_bytes(), b"", MAGIC)
+        found = wire.decode(Path(path).read_bytes(), b"", MAGIC)
         self.table.rows.clear()
         for task, row in found["rows"].items():
-            self.table.rows[task] = lease.Row(*row)
+            self.table.rows[task] = lease.LeaseRecord(*row)
             self.table.on_change(task, self.table.rows[task])
         return tuple(found["after"]), tuple(found["before"]), []
 
@@ -164,7 +166,7 @@
         dump = self.folder / "dump"
         try:
             if dump.exists():
-                wire.whole(dump.read_bytes(), b"", MAGIC)
+                wire.decode(dump.read_bytes(), b"", MAGIC)
             return raftlog.RaftLog(self.folder / "log", sync)
         except (wire.DatagramError, raftlog.RaftLogFormatError) as why:
             # Danger: entries behind a dump that is lost would be applied to rows that are not theirs, and a
@@ -266,7 +268,7 @@
         if out is None or not out.up or broken or (self.fresh and message["type"] == "request_vote"):
             return False
         body = {"term": self.quorum.sync.raftCurrentTerm, "message": message}
-        out.put(wire.pack(body, self.quorum.key, MAGIC))
+        out.put(wire.encode(body, self.quorum.key, MAGIC))
         self.sent["entries" if message.get("entries") else message["type"]] += 1
         return True
 
@@ -280,7 +282,7 @@
                     stream = await anyio.connect_tcp(host, port, local_host=q.host)
                 async with stream:
                     hello = {"from": q.id, "to": id_, "empty": q.sync.getStatus()["log_len"] <= 1}
-                    await stream.send(wire.pack(hello, q.key, MAGIC))
+                    await stream.send(wire.encode(hello, q.key, MAGIC))
                     out.up = True
                     if not self.fresh:
                         self._onNodeConnected(Node(id_))
@@ -307,7 +309,7 @@
                 frames = BufferedByteReceiveStream(stream)
                 with anyio.fail_after(HELLO_S):
                     hello = await self._frame(frames)
-                wire.need(hello, {"from": str, "to": str, "empty": bool})
+                wire.require_fields(hello, {"from": str, "to": str, "empty": bool})
                 if hello["from"] not in q.others or hello["to"] != q.id:
                     raise wire.DatagramError(
                         f"{hello['from'][:64]!r} to {hello['to'][:64]!r} is no stream of voters"
@@ -330,7 +332,7 @@
         q = self.quorum
         while True:
             body = await self._frame(frames)
-            wire.need(body, {"term": int, "message": dict})
+            wire.require_fields(body, {"term": int, "message": dict})
             message = beyond(checked(body["message"]), q.sync.raftLastApplied)
             if message is None:
                 continue
@@ -348,10 +350,10 @@
             q.wake()
 
     async def _frame(self, frames):
-        length, sum_ = wire.head(await frames.receive_exactly(wire.HEAD.size), MAGIC)
+        length, sum_ = wire.parse_head(await frames.receive_exactly(wire.HEAD.size), MAGIC)
         if length > MOST_FRAME:
             raise wire.DatagramError(f"a frame of {length} bytes")
-        return wire.body_of(await frames.receive_exactly(length), sum_, self.quorum.key)
+        return wire.parse_body(await frames.receive_exactly(length), sum_, self.quorum.key)
 
 
 class _Out:
@@ -418,12 +420,12 @@
     if kind not in NEEDS:
         raise wire.DatagramError(f"message {str(kind)[:64]!r}")
     for name, type_ in NEEDS[kind].items():
-        if not wire.is_a(message.get(name), type_):
+        if not wire.is_of_type(message.get(name), type_):
             raise wire.DatagramError(f"{kind}: field {name!r}")
     commands = [message["command"]] if kind == "apply_command" else []
     if kind == "append_entries":
         if "prevLogIdx" in message:
-            if not all(wire.is_a(message.get(n), int) for n in ("prevLogIdx", "prevLogTerm")):
+            if not all(wire.is_of_type(message.get(n), int) for n in ("prevLogIdx", "prevLogTerm")):
                 raise wire.DatagramError("append_entries: what goes before")
         elif not _serialized(message.get("serialized")):
             raise wire.DatagramError("append_entries: neither entries nor a dump")
@@ -460,8 +462,8 @@
         isinstance(e, list)
         and len(e) == 3
         and isinstance(e[0], bytes)
-        and wire.is_a(e[1], int)
-        and wire.is_a(e[2], int)
+        and wire.is_of_type(e[1], int)
+        and wire.is_of_type(e[2], int)
     )
 
 
--- a/pinspread/leases/service.py
+++ b/pinspread/leases/service.py
@@ -1,7 +1,7 @@
 """Leases while the courier runs: this member's claims on tasks, its acts, and its vote if it has one.
 
 Requests and answers are datagrams as `wire` seals them; a voter that leads judges and proposes them
-(`lease.judge`, `quorum`), every member keeps its claims (`lease.tick`, `heard`, `may_act`). A task with an
+(`lease.evaluate_request`, `quorum`), every member keeps its claims (`lease.tick`, `heard`, `may_act`). A task with an
 address is acted on while it is held: an HTTP POST every `every_us` with the fencing token, checked right
 before it is written.
 """
@@ -15,20 +15,20 @@
 from pinspread.core.log import log
 from pinspread.leases import state_machine as lease
 from pinspread.membership import codec as wire
-from pinspread.membership.service import machine_us
+from pinspread.membership.clock import monotonic_us
 from pinspread.sockets.connections import split_address
 
 MAGIC = b"PSL"
 TURN_S = 0.05  # claims are looked at, at least this often
 ACT_S = 1.0  # for one act: the connection, the call and its answer
 GIVE_S = 0.2  # what giving back may take of the 3.7 s of SIGTERM
-WORK = "work."  # and a member's id: who may act for what that courier took on (copying.py)
+WORK_TASK_PREFIX = "work."  # and a member's id: who may act for what that courier took on (copying.py)
 ASKED, ANSWERED = "lease", "leased"
 MOST_TASK = 64  # characters of a name in a datagram
 
 
 @dataclass(frozen=True)
-class Task:
+class LeaseTask:
     """A fleet-wide task; without an address it is held and nothing is called."""
 
     name: str
@@ -37,31 +37,31 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class LeaseConfig:
     """What the file's `[leases]` says; `voters` is {id: address}, `folder` lasts."""
 
     listen: str
     advertise: str
     voters: dict
     tasks: tuple
-    terms: lease.Terms
+    terms: lease.LeaseTerms
     election_s: float
     folder: str
     sync: bool = False
 
 
-class Leases:
+class LeaseService:
     """A companion of the courier; `membership` gives the id, the fleet's key, the clock and who is known."""
 
     name = "leases"
 
-    def __init__(self, plan: Plan, membership, seed: int | None = None):
-        self.plan, self.membership = plan, membership
-        self.id, self.key = membership.plan.id, membership.plan.fleet
+    def __init__(self, config: LeaseConfig, membership, seed: int | None = None):
+        self.config, self.membership = config, membership
+        self.id, self.key = membership.config.id, membership.config.fleet_key
         self.rng = random.Random(seed)
-        self.claims = {t.name: lease.Claim() for t in plan.tasks}
+        self.claims = {t.name: lease.Claim() for t in config.tasks}
         self.applied = {}  # task -> when this voter applied its row, by its own clock
-        self.asked = sorted(plan.voters)  # whom to ask, the likely leader first
+        self.asked = sorted(config.voters)  # whom to ask, the likely leader first
         self.rng.shuffle(self.asked)
         self.quorum = None
         self.sock = self.listener = None
@@ -73,18 +73,18 @@
 
     # --- the door -------------------------------------------------------------------------------------
 
-    def holds(self, task: str) -> int:
+    def fencing_token(self, task: str) -> int:
         """The fencing token if this member may act on the task now, else 0."""
         claim = self.claims.get(task, lease.Claim())
-        return claim.token if lease.may_act(claim, self.plan.terms, self.now()) else 0
+        return claim.token if lease.may_act(claim, self.config.terms, self.now()) else 0
 
     def view(self) -> dict:
         """What this member holds, and as a voter the rows as it has applied them."""
         now = self.now()
         rows = {}
         for name, claim in self.claims.items():
-            left = claim.expiry_us - self.plan.terms.drift_us - self.plan.terms.margin_us - now
-            rows[name] = {"task": name, "mine": self.holds(name), "acts_for_ms": max(0, left) // 1000}
+            left = claim.expiry_us - self.config.terms.drift_us - self.config.terms.margin_us - now
+            rows[name] = {"task": name, "mine": self.fencing_token(name), "acts_for_ms": max(0, left) // 1000}
             if not claim.token:
                 rows[name]["acts_for_ms"] = 0
         found = {"id": self.id, "voter": self.quorum is not None, "counts": self.counts}
@@ -94,7 +94,7 @@
             for name, row in self.quorum.table.rows.items():
                 rows.setdefault(name, {"task": name, "mine": 0, "acts_for_ms": 0})
                 if row.version:
-                    waits = lease.waits_us(self.plan.terms, self.applied.get(name, now)) - now
+                    waits = lease.binding_until_us(self.config.terms, self.applied.get(name, now)) - now
                     rows[name] |= row._asdict() | {"binds_for_ms": max(0, waits) // 1000 if row.holder else 0}
         return found | {"tasks": [rows[n] for n in sorted(rows)]}
 
@@ -107,14 +107,14 @@
     async def part(self):
         """Likewise."""
 
-    def want(self, task: str):
+    def contend(self, task: str):
         """Contend for a task beside those of the file: the work of a member, `work.ID`."""
         self.claims.setdefault(task, lease.Claim())
 
-    async def unwant(self, task: str):
+    async def withdraw(self, task: str):
         """Contend no longer; what is held is given back."""
         claim = self.claims.pop(task, None)
-        _, request = lease.give_up(claim or lease.Claim(), task, self.id, self._number())
+        _, request = lease.release_claim(claim or lease.Claim(), task, self.id, self._number())
         if request:
             self._note("lease_given_back", task, claim.token)
             with anyio.move_on_after(GIVE_S):
@@ -122,33 +122,35 @@
                     await self._ask(voter, request)
 
     def _known(self, task):
-        if any(task == t.name for t in self.plan.tasks):
+        if any(task == t.name for t in self.config.tasks):
             return True
         # Danger: a voter that was started again hears nothing of who was lost before, whose work goes on.
         granted = self.quorum is not None and task in self.quorum.table.rows
-        return task.startswith(WORK) and (granted or task.removeprefix(WORK) in self.membership.member.table)
+        return task.startswith(WORK_TASK_PREFIX) and (
+            granted or task.removeprefix(WORK_TASK_PREFIX) in self.membership.member.table
+        )
 
     # --- running --------------------------------------------------------------------------------------
 
     async def open(self):
         """Bind the sockets; OSError if the address cannot be had."""
-        host, port = split_address(self.plan.listen)
+        host, port = split_address(self.config.listen)
         self.sock = await anyio.create_udp_socket(local_host=host, local_port=port)
-        if self.id in self.plan.voters:
+        if self.id in self.config.voters:
             from pinspread.leases.raft import Quorum  # Danger: what is no voter must not load the library
 
             self.listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
             self.quorum = Quorum(
                 self.id,
-                self.plan.listen,
-                self.plan.voters,
+                self.config.listen,
+                self.config.voters,
                 self.key,
-                Path(self.plan.folder),
-                self.plan.election_s,
+                Path(self.config.folder),
+                self.config.election_s,
                 self._applied,
-                self.plan.sync,
+                self.config.sync,
             )
-        log("leases_up", id=self.id, listen=self.plan.listen, voter=self.quorum is not None)
+        log("leases_up", id=self.id, listen=self.config.listen, voter=self.quorum is not None)
 
     async def run(self):
         """Claim and act until cancelled; `open` first."""
@@ -156,7 +158,7 @@
             if self.quorum:
                 tasks.start_soon(self.quorum.run, self.listener)
             tasks.start_soon(self._hear)
-            for task in self.plan.tasks:
+            for task in self.config.tasks:
                 if task.address:
                     tasks.start_soon(self._work, task)
             while True:
@@ -168,16 +170,16 @@
         """Give back what is held, as SIGTERM asks; this courier's own work is given back by who copies it."""
         if self.sock is None:
             return
-        for name in [n for n in self.claims if n != WORK + self.id]:
-            await self.unwant(name)
-        await self.settle()
+        for name in [n for n in self.claims if n != WORK_TASK_PREFIX + self.id]:
+            await self.withdraw(name)
+        await self.flush_proposals()
 
-    async def settle(self):
+    async def flush_proposals(self):
         """Let entries that this voter leads, and that it proposed itself, be agreed on before its end."""
         await anyio.sleep(GIVE_S if self.quorum and self.quorum.is_leader() else 0)
 
     def _note(self, event, task, token, **more):
-        log(event, seer=self.id, task=task, token=token, mono_us=machine_us(), **more)
+        log(event, seer=self.id, task=task, token=token, mono_us=monotonic_us(), **more)
 
     def _number(self):
         return self.rng.getrandbits(62) + 1
@@ -186,14 +188,14 @@
 
     def _stops_us(self, claim):
         """When this claim's acts end, in the machine's time, for the log alone."""
-        left = claim.expiry_us - self.plan.terms.drift_us - self.plan.terms.margin_us - self.now()
-        return machine_us() + int(left / self.membership.plan.clock_rate)
+        left = claim.expiry_us - self.config.terms.drift_us - self.config.terms.margin_us - self.now()
+        return monotonic_us() + int(left / self.membership.config.clock_rate)
 
     async def _turn(self, name):
         before = self.claims.get(name)
         if before is None:
             return  # given up while another was asked for
-        claim, request = lease.tick(before, self.plan.terms, name, self.id, self.now(), self._number())
+        claim, request = lease.tick(before, self.config.terms, name, self.id, self.now(), self._number())
         self.claims[name] = claim
         if before.token and not claim.token:
             self._note("lease_lost", name, before.token, why="not renewed in time")
@@ -204,20 +206,20 @@
             await self._ask(self.asked[0], request)
 
     async def _ask(self, voter, request):
-        message = {"t": ASKED, **request._asdict(), "at": self.plan.advertise}
-        await self._send(message, self.plan.voters[voter])
+        message = {"t": ASKED, **request._asdict(), "at": self.config.advertise}
+        await self._send(message, self.config.voters[voter])
 
     def _answered(self, message):
         answer = lease.Answer(*(message[n] for n in ("task", "number", "why", "token", "wait_us", "leader")))
         before = self.claims.get(answer.task)
         if before is None or not before.number or answer.number != before.number:
             return
-        if answer.leader in self.plan.voters:
+        if answer.leader in self.config.voters:
             self.asked.remove(answer.leader)
             self.asked.insert(0, answer.leader)
             self.claims[answer.task] = before._replace(sent_us=0)  # at once, to whom it says
             return
-        claim = self.claims[answer.task] = lease.heard(before, answer, self.plan.terms, self.now())
+        claim = self.claims[answer.task] = lease.apply_answer(before, answer, self.config.terms, self.now())
         if claim.token and not before.token:
             self._note("lease_held", answer.task, claim.token, stops_us=self._stops_us(claim))
         elif claim.token and claim.expiry_us > before.expiry_us:
@@ -236,7 +238,7 @@
         why, leader = "", ""
         if not self.quorum:
             why = "not a voter"
-        elif request.kind == lease.ASK and request.member not in self.membership.member.table:
+        elif request.kind == lease.RequestKind.ACQUIRE and request.member not in self.membership.member.table:
             # Only of who asks anew: a voter that was just started knows nobody yet, and a refusal would end
             # the claim of a holder that the row knows.
             why = "not a member of the fleet"
@@ -252,11 +254,11 @@
                 self._note("lease_refused", task, request.token, member=request.member, why=why)
             await self._answer(at, lease.Answer(task, request.number, why, leader=leader))
             return
-        row = self.quorum.table.rows.get(task, lease.Row())
+        row = self.quorum.table.rows.get(task, lease.LeaseRecord())
         now = self.now()
-        said = lease.judge(row, self.applied.get(task, now), request, self.plan.terms, now)
+        said = lease.evaluate_request(row, self.applied.get(task, now), request, self.config.terms, now)
         if isinstance(said, lease.Answer):
-            if request.kind != lease.ASK:
+            if request.kind != lease.RequestKind.ACQUIRE:
                 self._note("lease_refused", task, request.token, member=request.member, why=said.why)
             await self._answer(at, said)
             return
@@ -265,7 +267,7 @@
             if outcome != lease.OK:
                 self._note("lease_refused", task, request.token, member=request.member, why=outcome)
             else:
-                event = {lease.GRANT: "lease_granted", lease.RENEW: "lease_renewed"}
+                event = {lease.CommandKind.GRANT: "lease_granted", lease.CommandKind.RENEW: "lease_renewed"}
                 self._note(
                     event.get(said.kind, "lease_released"),
                     task,
@@ -287,10 +289,10 @@
         try:
             host, port = split_address(address)
             async with self.sending:  # the socket takes one sender at a time
-                await self.sock.sendto(wire.pack(message, self.key, MAGIC), host, port)
+                await self.sock.sendto(wire.encode(message, self.key, MAGIC), host, port)
         except (OSError, ValueError, anyio.ClosedResourceError, anyio.BrokenResourceError) as error:
             # Danger: a lease that cannot be asked for must never end the courier that serves.
-            log("lease_unsent", to=str(address)[:100], error=repr(error), mono_us=machine_us())
+            log("lease_unsent", to=str(address)[:100], error=repr(error), mono_us=monotonic_us())
 
     async def _hear(self):
         async with anyio.create_task_group() as self.answers:
@@ -298,13 +300,13 @@
                 try:
                     data, (source, _) = await self.sock.receive()
                 except OSError as error:
-                    log("lease_unheard", error=str(error), mono_us=machine_us())
+                    log("lease_unheard", error=str(error), mono_us=monotonic_us())
                     continue
                 try:
-                    message = checked(wire.whole(data, self.key, MAGIC))
+                    message = checked(wire.decode(data, self.key, MAGIC))
                 except wire.DatagramError as why:
                     self.counts["dropped"] += 1
-                    log("lease_dropped", source=source, why=str(why), mono_us=machine_us())
+                    log("lease_dropped", source=source, why=str(why), mono_us=monotonic_us())
                     continue
                 if message["t"] == ANSWERED:
                     self.counts["answers"] += 1
@@ -319,19 +321,21 @@
         """Act on a held task every `every_us` until cancelled."""
         while True:
             await anyio.sleep(task.every_us / 1e6)
-            if not self.holds(task.name):
+            if not self.fencing_token(task.name):
                 continue
             try:
                 with anyio.fail_after(ACT_S):
                     await self._act(task)
             except (OSError, TimeoutError, ValueError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
-                self._note("lease_act_failed", task.name, self.holds(task.name), error=repr(error)[:200])
+                self._note(
+                    "lease_act_failed", task.name, self.fencing_token(task.name), error=repr(error)[:200]
+                )
 
     async def _act(self, task):
         host, port = split_address(task.address)
         async with await anyio.connect_tcp(host, port) as stream:
             # Danger: the lease may have ended while the connection was made.
-            token = self.holds(task.name)
+            token = self.fencing_token(task.name)
             if not token:
                 return
             head = f"POST /{task.name} HTTP/1.1\r\nHost: {task.address}\r\nFencing-Token: {token}\r\n"
@@ -346,9 +350,9 @@
             token,
             status=status[0].decode("ascii", "replace") if status else "",
         )
-        if status == [b"409"] and self.holds(task.name) == token:
+        if status == [b"409"] and self.fencing_token(task.name) == token:
             # A newer token was seen: somebody else holds it by now, whatever our clock says.
-            self.claims[task.name] = lease.Claim(next_us=self.now() + self.plan.terms.retry_us)
+            self.claims[task.name] = lease.Claim(next_us=self.now() + self.config.terms.retry_us)
             self._note("lease_lost", task.name, token, why="the resource has seen a newer token")
 
 
@@ -361,8 +365,12 @@
     kind = message.get("t")
     if kind not in (ASKED, ANSWERED):
         raise wire.DatagramError(f"kind {str(kind)[:64]!r}")
-    wire.need(message, REQUEST if kind == ASKED else ANSWER)
-    if kind == ASKED and message["kind"] not in (lease.ASK, lease.KEEP, lease.GIVE):
+    wire.require_fields(message, REQUEST if kind == ASKED else ANSWER)
+    if kind == ASKED and message["kind"] not in (
+        lease.RequestKind.ACQUIRE,
+        lease.RequestKind.RENEW,
+        lease.RequestKind.RELEASE,
+    ):
         raise wire.DatagramError(f"a request to {message['kind'][:64]!r}")
     numbers = [message[n] for n in ("token", "number", "wait_us") if n in message]
     if min(numbers) < 0 or max(numbers) >= 1 << 63 or len(message["task"]) > MOST_TASK:
--- a/pinspread/membership/service.py
+++ b/pinspread/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership on a UDP socket: the clock, the datagrams and the log around `swim.Member`.
+"""Membership on a UDP socket: the clock, the datagrams and the log around `swim.SwimMember`.
 
 One turn: read the monotonic clock once (plus the configured offset), take what came, do what is due,
 send. Every change of the table is a log line `member` with the machine's monotonic microseconds (`mono_us`),
@@ -6,7 +6,6 @@
 """
 
 import random
-import time
 from dataclasses import dataclass
 
 import anyio
@@ -15,6 +14,7 @@
 from pinspread.core.log import log
 from pinspread.membership import codec as wire
 from pinspread.membership import seeds, swim
+from pinspread.membership.clock import monotonic_us
 from pinspread.sockets.connections import split_address
 
 MOST_WAIT_S = 0.05  # a turn at least this often, whatever is due
@@ -22,36 +22,31 @@
 LEAVE_S = 0.2  # what a leave may take of the 3.7 s of SIGTERM
 
 
-def machine_us() -> int:
-    """Monotonic microseconds of the machine, for the log: one clock for all, whatever their offsets."""
-    return time.monotonic_ns() // 1000
-
-
 @dataclass(frozen=True)
-class Plan:
+class MembershipConfig:
     """What the file's `[members]` says: `listen` is bound, `advertise` is where others reach us."""
 
     id: str
     listen: str
     advertise: str
     seeds: tuple
-    fleet: bytes
-    tuning: swim.Tuning
+    fleet_key: bytes
+    tuning: swim.SwimConfig
     clock_offset_us: int = 0
     clock_rate: float = 1.0  # for the fault stage: a clock that runs fast or slow
     service: str = ""  # seeds are also looked for under this DNS-SD service
 
 
-class Membership:
+class MembershipService:
     """A member of the fleet while the courier runs; `view()` for the door."""
 
     name = "members"
 
-    def __init__(self, plan: Plan, records=None, seed: int | None = None):
-        self.plan = plan
-        self.records = records  # where `plan.service` is asked for, as config.dnssd.Records
-        self.member = swim.Member(
-            plan.id, plan.advertise, plan.seeds, plan.tuning, random.Random(seed), self.now(), 0
+    def __init__(self, config: MembershipConfig, records=None, seed: int | None = None):
+        self.config = config
+        self.records = records  # where `config.service` is asked for, as config.dnssd.Records
+        self.member = swim.SwimMember(
+            config.id, config.advertise, config.seeds, config.tuning, random.Random(seed), self.now(), 0
         )
         self.sock = None
         self.sending = anyio.Lock()
@@ -59,7 +54,7 @@
 
     def now(self) -> int:
         """Monotonic microseconds as this member sees them, offset and fast or slow as configured."""
-        return self.plan.clock_offset_us + int(machine_us() * self.plan.clock_rate)
+        return self.config.clock_offset_us + int(monotonic_us() * self.config.clock_rate)
 
     def attach(self, courier):
         """It needs nothing of the core."""
@@ -77,30 +72,30 @@
 
     async def open(self):
         """Bind the socket; OSError if the address cannot be had."""
-        host, port = split_address(self.plan.listen)
+        host, port = split_address(self.config.listen)
         self.sock = await anyio.create_udp_socket(local_host=host, local_port=port)
-        log("members_up", id=self.plan.id, listen=self.plan.listen, advertise=self.plan.advertise)
+        log("members_up", id=self.config.id, listen=self.config.listen, advertise=self.config.advertise)
 
     async def run(self):
         """Take part until cancelled; `open` first."""
         try:
             async with self.sock, anyio.create_task_group() as tasks:
-                if self.plan.service:
+                if self.config.service:
                     tasks.start_soon(self._look_for_seeds)
                 await self._turns()
         finally:
-            log("members_ended", id=self.plan.id, mono_us=machine_us())
+            log("members_ended", id=self.config.id, mono_us=monotonic_us())
 
     async def _look_for_seeds(self):
         """While nobody is known, ask DNS-SD who could be."""
         while True:
             if not self.member.live:
                 found = await anyio.to_thread.run_sync(
-                    seeds.found_or_none, self.records, self.plan.service, abandon_on_cancel=True
+                    seeds.found_or_none, self.records, self.config.service, abandon_on_cancel=True
                 )
                 if found:
-                    known = [*self.plan.seeds, *found]
-                    self.member.seeds = [a for a in dict.fromkeys(known) if a != self.plan.advertise]
+                    known = [*self.config.seeds, *found]
+                    self.member.seeds = [a for a in dict.fromkeys(known) if a != self.config.advertise]
             await anyio.sleep(SEEDS_S)
 
     async def _turns(self):
@@ -113,14 +108,14 @@
                     data, (source, _) = await self.sock.receive()
                 except OSError as error:
                     # Danger: a refusal that the kernel tells of an earlier datagram would end membership.
-                    log("member_unheard", error=str(error), mono_us=machine_us())
+                    log("member_unheard", error=str(error), mono_us=monotonic_us())
                     continue
                 now = self.now()
                 try:
-                    message = wire.unpack(data, self.plan.fleet)
+                    message = wire.decode_message(data, self.config.fleet_key)
                 except wire.DatagramError as why:
                     self.dropped += 1
-                    log("member_dropped", source=source, why=str(why), mono_us=machine_us())
+                    log("member_dropped", source=source, why=str(why), mono_us=monotonic_us())
                     continue
                 await self._send(self.member.heard(message, now), now)
 
@@ -131,7 +126,7 @@
         now = self.now()
         with anyio.move_on_after(LEAVE_S):
             await self._send(self.member.leave(), now)
-        log("members_left", id=self.plan.id, mono_us=machine_us())
+        log("members_left", id=self.config.id, mono_us=monotonic_us())
 
     async def _send(self, out, now):
         for address, message in out:
@@ -139,10 +134,10 @@
             try:
                 # Danger: the socket takes one sender at a time, and a leave comes while the turns go on.
                 async with self.sending:
-                    await self.sock.sendto(wire.pack(message, self.plan.fleet), host, port)
+                    await self.sock.sendto(wire.encode(message, self.config.fleet_key), host, port)
             except (OSError, anyio.ClosedResourceError, anyio.BrokenResourceError) as error:
                 # Danger: membership that cannot send must never end the courier that serves.
-                log("member_unsent", to=address, error=repr(error), mono_us=machine_us())
+                log("member_unsent", to=address, error=repr(error), mono_us=monotonic_us())
         for event in self.member.events:
-            log(event.pop("event"), seer=self.plan.id, mono_us=machine_us(), **event)
+            log(event.pop("event"), seer=self.config.id, mono_us=monotonic_us(), **event)
         self.member.events.clear()
--- a/pinspread/membership/swim.py
+++ b/pinspread/membership/swim.py
@@ -1,6 +1,6 @@
 """SWIM membership with the Lifeguard refinements: the decisions alone, with no I/O and no clock.
 
-A `Member` is told of time (`tick(now_us)`) and of messages (`heard(message, now_us)`), and gives what to
+A `SwimMember` is told of time (`tick(now_us)`) and of messages (`heard(message, now_us)`), and gives what to
 send as `(address, message)` pairs; `events` gathers changes of the table for the log. Messages are dicts of
 short keys that `pinspread.membership.codec` packs. Times are whole monotonic microseconds.
 
@@ -11,8 +11,8 @@
 import random
 from dataclasses import dataclass, field, replace
 
-ALIVE, SUSPECT, DEAD, LEFT = "alive", "suspect", "dead", "left"
-RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 2}
+from pinspread.membership.members import PRECEDENCE, MemberRecord, MemberState
+
 PING, ACK, NACK, ASK, SYNC = "ping", "ack", "nack", "ask", "sync"
 MOST_UPDATES = 12  # a message's piggyback; a datagram of 16 members' updates stays under 1,400 bytes
 MOST_ROWS = 400  # of the table in one message: some 50 bytes a row, so that it fits a datagram
@@ -20,34 +20,20 @@
 
 
 @dataclass(frozen=True)
-class Tuning:
+class SwimConfig:
     """The figures of a member, in microseconds where they are times."""
 
     period_us: int = 1_000_000  # between probes, at full health
     timeout_us: int = 400_000  # for a direct ack
-    k: int = 3  # go-betweens of an indirect probe
-    alpha: float = 4.0  # the least suspicion is alpha * log10(n) probe periods
-    beta: float = 6.0  # the most is beta times the least
-    lam: float = 4.0  # an update rides on lam * log10(n + 1) messages, rounded up
+    indirect_probes: int = 3  # go-betweens of an indirect probe
+    suspicion_alpha: float = 4.0  # the least suspicion is alpha * log10(n) probe periods
+    suspicion_beta: float = 6.0  # the most is beta times the least
+    gossip_lambda: float = 4.0  # an update rides on lam * log10(n + 1) messages, rounded up
     sync_us: int = 5_000_000  # between full exchanges of the table
-    most_health: int = 8  # Lifeguard's awareness: periods and time-outs scale by health + 1
+    max_health: int = 8  # Lifeguard's awareness: periods and time-outs scale by health + 1
     forget_us: int = 120_000_000  # how long the dead and those that left stay in the table
 
 
-@dataclass(frozen=True, slots=True)
-class Node:
-    """One row of the table; a change puts another in its place, so that tables may share rows."""
-
-    id: str
-    address: str
-    incarnation: int
-    state: str
-    since_us: int
-
-    def row(self):
-        return [self.id, self.address, self.incarnation, self.state]
-
-
 @dataclass
 class Probe:
     """A probe of ours that is out."""
@@ -79,16 +65,16 @@
     confirmers: set = field(default_factory=set)
 
 
-class Member:
+class SwimMember:
     """One member's view of the fleet."""
 
     def __init__(self, id_, address, seeds=(), tuning=None, rng=None, now_us=0, incarnation=0):
-        self.id, self.address, self.tuning = id_, address, tuning or Tuning()
+        self.id, self.address, self.tuning = id_, address, tuning or SwimConfig()
         self.seeds = [s for s in seeds if s != address]
         self.rng = rng or random.Random()
         self.incarnation = incarnation
         self.health = 0
-        self.table = {id_: Node(id_, address, incarnation, ALIVE, now_us)}
+        self.table = {id_: MemberRecord(id_, address, incarnation, MemberState.ALIVE, now_us)}
         self.gossip = {}  # id -> [row, by, sends left]
         self.order, self.turn = [], 0  # ids of the probe round, shuffled
         self.live = 0  # others alive or suspect
@@ -111,7 +97,7 @@
     def size(self):
         return 1 + self.live
 
-    def _pick(self, count, avoid=(), states=(ALIVE,)):
+    def _pick(self, count, avoid=(), states=(MemberState.ALIVE,)):
         """Up to `count` other members in `states`, drawn at random, none of `avoid`."""
         if len(self.order) <= 64:
             found = [n for n in self.others(*states) if n.id not in avoid]
@@ -147,9 +133,9 @@
     def suspicion_us(self, confirmations):
         """Lifeguard's time-out: from the most down to the least as independent confirmations come."""
         t = self.tuning
-        least = t.alpha * max(1.0, math.log10(self.size())) * t.period_us
-        most = t.beta * least
-        expected = max(1, min(t.alpha - 2, self.size() - 2))
+        least = t.suspicion_alpha * max(1.0, math.log10(self.size())) * t.period_us
+        most = t.suspicion_beta * least
+        expected = max(1, min(t.suspicion_alpha - 2, self.size() - 2))
         fall = (most - least) * math.log(confirmations + 1) / math.log(expected + 1)
         return int(max(least, most - fall))
 
@@ -184,7 +170,7 @@
         for id_, suspicion in list(self.suspicions.items()):
             if now_us >= suspicion.began_us + self.suspicion_us(len(suspicion.confirmers)):
                 node = self.table[id_]
-                self._set(node, DEAD, node.incarnation, now_us, self.id)
+                self._set(node, MemberState.DEAD, node.incarnation, now_us, self.id)
         if now_us >= self.next_probe_us:
             self.next_probe_us = now_us + self.scaled(self.tuning.period_us)
             out += self._probe(now_us)
@@ -204,7 +190,7 @@
                 self.turn += 1  # gone since the round was drawn
             if self.turn < len(self.order):
                 break
-            self.order = [n.id for n in self.others(ALIVE, SUSPECT)]
+            self.order = [n.id for n in self.others(MemberState.ALIVE, MemberState.SUSPECT)]
             self.rng.shuffle(self.order)
             self.turn = 0
         target = self.order[self.turn]
@@ -219,7 +205,7 @@
     def _ask_others(self, probe, now_us):
         probe.asked = -1  # none to ask still counts as asked
         target = self.table.get(probe.target)
-        chosen = self._pick(self.tuning.k, avoid=(probe.target,))
+        chosen = self._pick(self.tuning.indirect_probes, avoid=(probe.target,))
         if not target or not chosen:
             return []
         probe.asked = len(chosen)
@@ -233,20 +219,20 @@
         else:
             self._health(1)
         node = self.table.get(probe.target)
-        if node and node.state == ALIVE:
-            self._set(node, SUSPECT, node.incarnation, now_us, self.id)
-        elif node and node.state == SUSPECT:
+        if node and node.state == MemberState.ALIVE:
+            self._set(node, MemberState.SUSPECT, node.incarnation, now_us, self.id)
+        elif node and node.state == MemberState.SUSPECT:
             self._spread(node, self.id)  # our own failed probe: an independent confirmation for the others
 
     def _sync(self, now_us):
         """The whole table to one member; to seeds while we know nobody; now and then to one that is dead."""
-        dead = [i for i in self.down if self.table[i].state == DEAD]
+        dead = [i for i in self.down if self.table[i].state == MemberState.DEAD]
         if not self.live and self.seeds:
             addresses = self.seeds
         elif dead and (not self.live or self.rng.random() < 0.5):
             addresses = [self.table[self.rng.choice(dead)].address]  # how two sides of a healed cut meet
         elif self.live:
-            addresses = [n.address for n in self._pick(1, states=(ALIVE, SUSPECT))]
+            addresses = [n.address for n in self._pick(1, states=(MemberState.ALIVE, MemberState.SUSPECT))]
         else:
             return []
         return [(a, self._message(SYNC, table=self._rows(), reply=True)) for a in addresses]
@@ -274,10 +260,10 @@
 
     def _live(self, id_):
         node = self.table.get(id_)
-        return node is not None and node.state in (ALIVE, SUSPECT)
+        return node is not None and node.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     def _health(self, delta):
-        self.health = max(0, min(self.tuning.most_health, self.health + delta))
+        self.health = max(0, min(self.tuning.max_health, self.health + delta))
 
     # --- messages -----------------------------------------------------------------------------------
 
@@ -309,9 +295,13 @@
             return []
         known = self.table.get(sender)
         joins = known is None
-        if known and known.state in (DEAD, LEFT) and message["inc"] <= known.incarnation:
+        if (
+            known
+            and known.state in (MemberState.DEAD, MemberState.LEFT)
+            and message["inc"] <= known.incarnation
+        ):
             self._spread(known, self.id)  # so that it hears of its end at once, and refutes
-        self.apply([sender, message["from_at"], message["inc"], ALIVE, sender], now_us)
+        self.apply([sender, message["from_at"], message["inc"], MemberState.ALIVE, sender], now_us)
         for row in message.get("up", ()):
             self.apply(row, now_us)
         out = []
@@ -348,8 +338,13 @@
     def apply(self, row, now_us, whole=False):
         """One update `[id, address, incarnation, state, by]`, by SWIM's order of precedence."""
         id_, address, incarnation, state, by = row
+        state = MemberState(state)
         if id_ == self.id:
-            if state in (SUSPECT, DEAD, LEFT) and incarnation >= self.incarnation and not self.leaving:
+            if (
+                state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT)
+                and incarnation >= self.incarnation
+                and not self.leaving
+            ):
                 self.incarnation = incarnation + 1  # refute: a higher incarnation wins over any rumour
                 self.table[self.id] = replace(self.table[self.id], incarnation=self.incarnation)
                 self._health(1)
@@ -360,26 +355,41 @@
             return
         node = self.table.get(id_)
         if node is None:
-            if state in (ALIVE, SUSPECT):
-                self._set(Node(id_, address, incarnation, DEAD, now_us), state, incarnation, now_us, by)
+            if state in (MemberState.ALIVE, MemberState.SUSPECT):
+                self._set(
+                    MemberRecord(id_, address, incarnation, MemberState.DEAD, now_us),
+                    state,
+                    incarnation,
+                    now_us,
+                    by,
+                )
             return
         if incarnation > node.incarnation or (
-            incarnation == node.incarnation and RANK[state] > RANK[node.state]
+            incarnation == node.incarnation and PRECEDENCE[state] > PRECEDENCE[node.state]
         ):
-            if node.state in (DEAD, LEFT) and state == SUSPECT and incarnation == node.incarnation:
+            if (
+                node.state in (MemberState.DEAD, MemberState.LEFT)
+                and state == MemberState.SUSPECT
+                and incarnation == node.incarnation
+            ):
                 return
             self._set(replace(node, address=address), state, incarnation, now_us, by)
-        elif state == SUSPECT and node.state == SUSPECT and incarnation == node.incarnation and not whole:
+        elif (
+            state == MemberState.SUSPECT
+            and node.state == MemberState.SUSPECT
+            and incarnation == node.incarnation
+            and not whole
+        ):
             suspicion = self.suspicions.get(id_)
             if suspicion is not None and by not in suspicion.confirmers | {suspicion.first, self.id}:
                 suspicion.confirmers.add(by)  # an independent confirmation shortens the time-out
 
     def _set(self, node, state, incarnation, now_us, by):
         changed = node.state != state
-        was = node.state in (ALIVE, SUSPECT)
+        was = node.state in (MemberState.ALIVE, MemberState.SUSPECT)
         since = now_us if changed else node.since_us
-        node = self.table[node.id] = Node(node.id, node.address, incarnation, state, since)
-        now = state in (ALIVE, SUSPECT)
+        node = self.table[node.id] = MemberRecord(node.id, node.address, incarnation, state, since)
+        now = state in (MemberState.ALIVE, MemberState.SUSPECT)
         self.live += now - was
         if now:
             self.down.discard(node.id)
@@ -393,23 +403,25 @@
             self.events.append(
                 {"event": "member", "id": node.id, "state": state, "incarnation": incarnation, "by": by}
             )
-        if state == SUSPECT:
+        if state == MemberState.SUSPECT:
             self.suspicions.setdefault(node.id, Suspicion(now_us, by))
         else:
             self.suspicions.pop(node.id, None)
         self._spread(node, by)
 
     def _spread(self, node, by):
-        sends = math.ceil(self.tuning.lam * math.log10(self.size() + 1))
+        sends = math.ceil(self.tuning.gossip_lambda * math.log10(self.size() + 1))
         self.gossip[node.id] = [node.row(), by, max(1, sends)]
 
     def leave(self):
         """Say that we leave, to every member that lives; the messages."""
         self.leaving = True
         self.incarnation += 1
-        me = self.table[self.id] = replace(self.table[self.id], state=LEFT, incarnation=self.incarnation)
+        me = self.table[self.id] = replace(
+            self.table[self.id], state=MemberState.LEFT, incarnation=self.incarnation
+        )
         self._spread(me, self.id)
         rows = [me.row() + [self.id]]
         message = {"t": SYNC, "from": self.id, "from_at": self.address, "inc": self.incarnation}
         message |= {"up": rows, "table": [], "reply": False}
-        return [(n.address, message) for n in self.others(ALIVE, SUSPECT)]
+        return [(n.address, message) for n in self.others(MemberState.ALIVE, MemberState.SUSPECT)]
--- a/pinspread/replication/log.py
+++ b/pinspread/replication/log.py
@@ -11,7 +11,7 @@
 import xxhash
 
 from pinspread.core import journal
-from pinspread.membership.swim import DEAD, LEFT
+from pinspread.membership.members import MemberState
 
 RANGE = 64 * 1024  # bytes that are compared by one sum
 MOST_DATA = 256 * 1024  # bytes in one message
@@ -161,7 +161,7 @@
     Danger: a member that starts hears of no death before its start. Were the unknown no case, what a lost
     courier promised would stay with keepers that were restarted after it.
     """
-    return state == DEAD or (state in ("", LEFT) and for_us >= absent_us)
+    return state == MemberState.DEAD or (state in ("", MemberState.LEFT) and for_us >= absent_us)
 
 
 def best(found: list) -> object:
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -16,11 +16,11 @@
 from pinspread.core.log import log
 from pinspread.errors import JournalFormatError, JournalFullError
 from pinspread.leases import state_machine as lease
-from pinspread.leases.service import WORK
+from pinspread.leases.service import WORK_TASK_PREFIX
 from pinspread.membership import codec as wire
-from pinspread.membership import swim
-from pinspread.membership.framing import GONE, Frames
-from pinspread.membership.service import machine_us
+from pinspread.membership.clock import monotonic_us
+from pinspread.membership.framing import FrameStream
+from pinspread.membership.members import MemberState
 from pinspread.replication import log as copies
 from pinspread.replication import placement
 from pinspread.replication.store import ReplicaStore
@@ -60,7 +60,7 @@
 
     def __init__(self, plan: Plan, membership, leases):
         self.plan, self.membership, self.leases = plan, membership, leases
-        self.id, self.key = membership.plan.id, membership.plan.fleet
+        self.id, self.key = membership.config.id, membership.config.fleet_key
         self.host, self.port = split_address(plan.listen)
         self.folder = Path(plan.folder)
         self.source = copies.ReplicationLog(plan.need)
@@ -90,7 +90,7 @@
 
     def barred(self) -> str:
         """Why nothing may be promised or sent just now; empty if all is well."""
-        token = self.leases.holds(WORK + self.id)
+        token = self.leases.fencing_token(WORK_TASK_PREFIX + self.id)
         if not token:
             return "the lease of its own work is lost"
         if token != self.sure:
@@ -108,8 +108,8 @@
                 await self.news.wait()
             return True
         if self.plan.alone:
-            if machine_us() - self.loud_us > 1_000_000:
-                self.loud_us = machine_us()
+            if monotonic_us() - self.loud_us > 1_000_000:
+                self.loud_us = monotonic_us()
                 log(
                     "copies_alone",
                     id=self.id,
@@ -117,8 +117,8 @@
                     mono_us=self.loud_us,
                 )
             return True
-        if machine_us() - self.late_us > 1_000_000:  # all that waits would say so
-            self.late_us = machine_us()
+        if monotonic_us() - self.late_us > 1_000_000:  # all that waits would say so
+            self.late_us = monotonic_us()
             behind = {t: self.source.behind(t, self.late_us) for t in self.targets}
             log("copies_late", id=self.id, behind=behind, mono_us=self.late_us)
         return False
@@ -130,12 +130,12 @@
 
     def appended(self, record):
         """The journal's tap."""
-        self.source.appended(record, machine_us())
+        self.source.appended(record, monotonic_us())
         self._grown()
 
     def rewritten(self, data):
         """Likewise."""
-        self.source.rewritten(data, machine_unix_us(), machine_us())
+        self.source.rewritten(data, machine_unix_us(), monotonic_us())
         (self.engine.journal.path.parent / GENERATION).write_text(str(self.source.generation))
         self._grown()
 
@@ -149,7 +149,7 @@
 
     def view(self) -> dict:
         """For the door: this courier's copies and what it keeps of others."""
-        mark, now, mine = self.source.mark(), machine_us(), []
+        mark, now, mine = self.source.mark(), monotonic_us(), []
         for t in self.targets:
             records, bytes_, us = self.source.behind(t, now)
             lag = {"behind_records": records, "behind_bytes": bytes_, "behind_ms": us // 1000}
@@ -177,7 +177,7 @@
             if path.is_dir():
                 self.shelves[path.name] = ReplicaStore(self.folder, path.name)
         self.listener = await anyio.create_tcp_listener(local_host=self.host, local_port=self.port)
-        log("copies_up", id=self.id, listen=self.plan.listen, keeps=len(self.shelves), mono_us=machine_us())
+        log("copies_up", id=self.id, listen=self.plan.listen, keeps=len(self.shelves), mono_us=monotonic_us())
 
     async def run(self):
         """Until cancelled."""
@@ -194,15 +194,15 @@
 
     async def part(self):
         """All that was out has ended: have it copied, then give the work back."""
-        if self.leases.holds(WORK + self.id):
+        if self.leases.fencing_token(WORK_TASK_PREFIX + self.id):
             with anyio.move_on_after(PART_S):
                 await self.settled()
-            await self.leases.unwant(WORK + self.id)
-            await self.leases.settle()
+            await self.leases.withdraw(WORK_TASK_PREFIX + self.id)
+            await self.leases.flush_proposals()
 
     def _live(self):
         m = self.membership.member
-        return [n.id for n in m.others(swim.ALIVE, swim.SUSPECT)]
+        return [n.id for n in m.others(MemberState.ALIVE, MemberState.SUSPECT)]
 
     def _retarget(self, tasks):
         wanted = placement.keepers(self.id, self._live(), self.plan.count)
@@ -210,7 +210,7 @@
             return
         self.targets = wanted
         self._grown()  # those that stay are told of it
-        log("copies_at", id=self.id, keepers=wanted, mono_us=machine_us())
+        log("copies_at", id=self.id, keepers=wanted, mono_us=monotonic_us())
         for gone in [t for t in self.scopes if t not in wanted]:
             self.scopes.pop(gone).cancel()
             self.streams.discard(gone)
@@ -229,7 +229,7 @@
             raise OSError(f"{member} is no member")
         with anyio.fail_after(CALL_S):
             stream = await anyio.connect_tcp(split_address(node.address)[0], self.port, local_host=self.host)
-        frames = Frames(stream, self.key, MAGIC, MOST_FRAME)
+        frames = FrameStream(stream, self.key, MAGIC, MOST_FRAME)
         return stream, frames
 
     async def _feed(self, target, scope):
@@ -237,16 +237,16 @@
         with scope:
             while True:
                 try:
-                    token = self.leases.holds(WORK + self.id)
+                    token = self.leases.fencing_token(WORK_TASK_PREFIX + self.id)
                     # Danger: sent before it is known what was taken over, this journal would pass for that.
                     if token and token == self.sure and self.source.generation:
                         stream, frames = await self._dial(target)
                         async with stream:
                             await self._send_on(target, frames, token)
-                except (*GONE, TimeoutError):
+                except OSError:
                     pass
                 except wire.DatagramError as why:
-                    log("copies_refused", id=self.id, by=target, why=str(why), mono_us=machine_us())
+                    log("copies_refused", id=self.id, by=target, why=str(why), mono_us=monotonic_us())
                 self.streams.discard(target)
                 self.told.pop(target, None)
                 await anyio.sleep(AGAIN_S)
@@ -254,8 +254,8 @@
     async def _call(self, frames, message):
         """Say a message and give the answer; Dropped if it is a refusal."""
         with anyio.fail_after(CALL_S):
-            await frames.put(message)
-            answer = await frames.get()
+            await frames.send(message)
+            answer = await frames.receive()
         if answer.get("t") == "no":
             raise wire.DatagramError(str(answer.get("why")))
         return answer
@@ -264,13 +264,13 @@
         source, tell = self.source, {"from": self.id, "to": target, "owner": self.id, "token": token}
         checked_us = 0
         while True:
-            due = machine_us() - checked_us > self.plan.check_us
+            due = monotonic_us() - checked_us > self.plan.check_us
             if due or not checked_us or self.told.get(target) != self.targets:
-                checked_us, keepers = machine_us(), self.targets
+                checked_us, keepers = monotonic_us(), self.targets
                 have = await self._call(frames, tell | {"t": "send", "keepers": keepers})
                 self.told[target] = keepers
                 self._heard()
-                wire.need(have, {"generation": int, "size": int, "sums": list})
+                wire.require_fields(have, {"generation": int, "size": int, "sums": list})
                 generation, at = (
                     source.generation,
                     source.resume_at(have["generation"], have["size"], have["sums"]),
@@ -282,7 +282,7 @@
                         at=target,
                         place=at,
                         size=have["size"],
-                        mono_us=machine_us(),
+                        mono_us=monotonic_us(),
                     )
             if generation != source.generation:
                 generation, at = source.generation, 0
@@ -291,7 +291,7 @@
                 data = {"t": "data", "generation": generation, "base": source.base, "at": at, "bytes": chunk}
                 ack = await self._call(frames, tell | data)
                 self.sent_bytes += len(chunk)
-                wire.need(ack, {"generation": int, "size": int})
+                wire.require_fields(ack, {"generation": int, "size": int})
                 at = ack["size"]
                 source.held[target] = generation, at
                 self._heard()
@@ -299,7 +299,7 @@
             self.streams.add(target)
             with anyio.move_on_after(min(1.0, self.plan.check_us / 1e6)):
                 await self.more.wait()
-            if self.leases.holds(WORK + self.id) != token:
+            if self.leases.fencing_token(WORK_TASK_PREFIX + self.id) != token:
                 return
 
     async def before_recovery(self):
@@ -307,15 +307,15 @@
         with anyio.move_on_after(JOIN_S):
             while not self._live():
                 await anyio.sleep(0.05)
-        task = WORK + self.id
-        self.leases.want(task)
+        task = WORK_TASK_PREFIX + self.id
+        self.leases.contend(task)
         while True:
-            while not (token := self.leases.holds(task)):
+            while not (token := self.leases.fencing_token(task)):
                 await anyio.sleep(0.02)
             found = await self._fetch_all(self.id, token)
             # Danger: without its own journal, what it promised may be on a copy that does not answer yet.
             # Only who is granted its lease for the first time has promised nothing before.
-            if self._own()[1] or token == lease.FIRST or self._enough(self.id, found):
+            if self._own()[1] or token == lease.FIRST_TOKEN or self._enough(self.id, found):
                 gone, adopted, sure = await self._gone(found)
                 if sure:
                     break
@@ -337,20 +337,20 @@
         """After the lease of its own work was lost and is held anew: give up what others took over."""
         while True:
             await anyio.sleep(WATCH_S / 2)
-            token = self.leases.holds(WORK + self.id)
+            token = self.leases.fencing_token(WORK_TASK_PREFIX + self.id)
             if not token or token == self.sure or not self.engine.serving:
                 continue
             found = await self._fetch_all(self.id, token)
             gone, adopted, sure = await self._gone(found)
-            if not sure or self.leases.holds(WORK + self.id) != token:
+            if not sure or self.leases.fencing_token(WORK_TASK_PREFIX + self.id) != token:
                 continue
             try:
                 count = self.engine.release(gone)
             except JournalFullError as error:
-                log("copies_kept_on", id=self.id, error=str(error), mono_us=machine_us())
+                log("copies_kept_on", id=self.id, error=str(error), mono_us=monotonic_us())
                 continue
             self.sure = token
-            log("copies_gave_up", id=self.id, count=count, adopted=adopted, mono_us=machine_us())
+            log("copies_gave_up", id=self.id, count=count, adopted=adopted, mono_us=monotonic_us())
 
     async def _gone(self, found):
         """Ids that others owe by now, as the copies of this courier's work say; whether that is all of it.
@@ -380,7 +380,7 @@
                 why=why,
                 bytes=len(best[1]),
                 was=len(mine),
-                mono_us=machine_us(),
+                mono_us=monotonic_us(),
             )
             if not sound:
                 journal.path.with_name("journal.damaged").write_bytes(mine)
@@ -394,7 +394,7 @@
             old.drop(gone)
             old.begin()
             old.close()
-            log("copies_gave_up", id=self.id, count=len(gone), adopted=adopted, mono_us=machine_us())
+            log("copies_gave_up", id=self.id, count=len(gone), adopted=adopted, mono_us=monotonic_us())
 
     # --- asking others ------------------------------------------------------------------------------
 
@@ -406,10 +406,10 @@
             stream, frames = await self._dial(member)
             async with stream:
                 return await self._call(frames, message | {"from": self.id, "to": member})
-        except (*GONE, TimeoutError):
+        except OSError:
             return None
         except wire.DatagramError as why:
-            log("copies_refused", id=self.id, by=member, why=str(why), mono_us=machine_us())
+            log("copies_refused", id=self.id, by=member, why=str(why), mono_us=monotonic_us())
             return None
 
     async def _ask_all(self, message, but=()):
@@ -450,15 +450,15 @@
     # --- the keeper ---------------------------------------------------------------------------------
 
     async def _take(self, stream):
-        frames = Frames(stream, self.key, MAGIC, MOST_FRAME)
+        frames = FrameStream(stream, self.key, MAGIC, MOST_FRAME)
         try:
             async with stream:
                 while True:
-                    message = await frames.get()
-                    await frames.put(await self._answer(message))
+                    message = await frames.receive()
+                    await frames.send(await self._answer(message))
         except wire.DatagramError as why:
-            log("copies_refused", id=self.id, why=str(why), mono_us=machine_us())
-        except GONE:
+            log("copies_refused", id=self.id, why=str(why), mono_us=monotonic_us())
+        except OSError:
             pass
 
     async def _answer(self, message) -> dict:
@@ -466,7 +466,7 @@
         kind = message.get("t")
         if kind not in NEEDS:
             raise wire.DatagramError(f"kind {str(kind)[:64]!r}")
-        wire.need(message, {"from": str, "to": str, "owner": str} | NEEDS[kind])
+        wire.require_fields(message, {"from": str, "to": str, "owner": str} | NEEDS[kind])
         owner, sender = message["owner"], message["from"]
         known = self.membership.member.table
         if (
@@ -477,7 +477,7 @@
             why = "not a member of the fleet"
         elif kind in ("send", "data") and sender != owner:
             why = f"{sender} does not own the work of {owner}"
-        elif min([v for v in message.values() if wire.is_a(v, int)], default=0) < 0:
+        elif min([v for v in message.values() if wire.is_of_type(v, int)], default=0) < 0:
             why = "a figure below 0"
         else:
             try:
@@ -488,7 +488,7 @@
                     return await getattr(self, f"_on_{kind}")(shelf, message)
             except OSError as error:
                 why = f"disk: {error}"
-        log("copies_refused", id=self.id, source=sender, owner=owner, why=why, mono_us=machine_us())
+        log("copies_refused", id=self.id, source=sender, owner=owner, why=why, mono_us=monotonic_us())
         return {"t": "no", "why": why}
 
     def _shelf(self, owner):
@@ -497,7 +497,7 @@
         return self.shelves[owner]
 
     def _no(self, owner, why):
-        log("copies_refused", id=self.id, owner=owner, why=why, mono_us=machine_us())
+        log("copies_refused", id=self.id, owner=owner, why=why, mono_us=monotonic_us())
         return {"t": "no", "why": why}
 
     async def _on_send(self, shelf, message):
@@ -556,16 +556,16 @@
         if self.id in chosen or not self.shelves[owner].kept.generation:
             self.spare.pop(owner, None)
             return
-        ask_us = self.spare.setdefault(owner, machine_us() + self.plan.check_us)
-        if machine_us() < ask_us:
+        ask_us = self.spare.setdefault(owner, monotonic_us() + self.plan.check_us)
+        if monotonic_us() < ask_us:
             return
-        self.spare[owner] = machine_us() + self.plan.check_us
+        self.spare[owner] = monotonic_us() + self.plan.check_us
         answer = await self._ask(owner, {"t": "spare", "owner": owner})
         if answer and answer["t"] == "ack":
             shelf = self.shelves[owner]
             async with shelf.lock:
                 shelf.clear()
-            log("copies_let_go", id=self.id, owner=owner, mono_us=machine_us())
+            log("copies_let_go", id=self.id, owner=owner, mono_us=monotonic_us())
 
     # --- the successor ------------------------------------------------------------------------------
 
@@ -579,11 +579,11 @@
             for owner in list(self.shelves):
                 node, kept = table.get(owner), self.shelves[owner].kept
                 state = node.state if node else ""
-                if state in (swim.ALIVE, swim.SUSPECT):
+                if state in (MemberState.ALIVE, MemberState.SUSPECT):
                     self.away.pop(owner, None)
-                    if state == swim.ALIVE and owner != self.id:
+                    if state == MemberState.ALIVE and owner != self.id:
                         await self._let_go(owner)
-                away_us = machine_us() - self.away.setdefault(owner, machine_us())
+                away_us = monotonic_us() - self.away.setdefault(owner, monotonic_us())
                 lost = owner != self.id and copies.absent(state, away_us, self.plan.absent_us)
                 # Danger: the owner would send its next message of a key before this courier's last.
                 open_here = self.taken.get(owner, set()) & self.engine.ids.keys()
@@ -592,14 +592,14 @@
                     self.unsure.pop(("own", owner), None)
                     if owner != self.id and not open_here:
                         self.taken.pop(owner, None)
-                        await self.leases.unwant(WORK + owner)
+                        await self.leases.withdraw(WORK_TASK_PREFIX + owner)
                     continue
-                since = self.since.setdefault(owner, machine_us())
+                since = self.since.setdefault(owner, monotonic_us())
                 order = placement.order(owner, [*self._live(), self.id])
-                if machine_us() - since < self.plan.stagger_us * order.index(self.id):
+                if monotonic_us() - since < self.plan.stagger_us * order.index(self.id):
                     continue
-                self.leases.want(WORK + owner)
-                if token := self.leases.holds(WORK + owner):
+                self.leases.contend(WORK_TASK_PREFIX + owner)
+                if token := self.leases.fencing_token(WORK_TASK_PREFIX + owner):
                     try:
                         await self._take_over(owner, token)
                     except (JournalFullError, JournalFormatError, OSError) as error:
@@ -608,7 +608,7 @@
                             id=self.id,
                             owner=owner,
                             error=str(error),
-                            mono_us=machine_us(),
+                            mono_us=monotonic_us(),
                         )
 
     def _enough(self, owner, found, why="own") -> bool:
@@ -623,7 +623,7 @@
             self.unsure.pop((why, owner), None)
             return True
         first = (why, owner) not in self.unsure
-        late = machine_us() - self.unsure.setdefault((why, owner), machine_us()) >= self.plan.patience_us
+        late = monotonic_us() - self.unsure.setdefault((why, owner), monotonic_us()) >= self.plan.patience_us
         if first or late:
             log(
                 "copies_unsure" if late else "copies_awaited",
@@ -632,7 +632,7 @@
                 wanted=why,
                 answered=sorted(found),
                 of=keepers,
-                mono_us=machine_us(),
+                mono_us=monotonic_us(),
             )
         if late:
             del self.unsure[why, owner]
@@ -652,7 +652,7 @@
             return
         live, _ = replayed(best[1])
         # Danger: the lease may have ended while the others were asked; the owner or another may act by now.
-        if self.leases.holds(WORK + owner) != token or self.barred():
+        if self.leases.fencing_token(WORK_TASK_PREFIX + owner) != token or self.barred():
             return
         mine = [t for t in live if t.id not in named]
         count = self.engine.adopt(mine)
@@ -664,10 +664,10 @@
             token=token,
             count=count,
             held=len(live),
-            mono_us=machine_us(),
+            mono_us=monotonic_us(),
         )
         while not await self.settled():
-            if self.leases.holds(WORK + owner) != token:
+            if self.leases.fencing_token(WORK_TASK_PREFIX + owner) != token:
                 return
         await self._ask_all({"t": "done", "owner": owner, "token": token})
 
@@ -702,7 +702,7 @@
                 at=m,
                 place=len(f["bytes"]),
                 size=len(found[m]["bytes"]),
-                mono_us=machine_us(),
+                mono_us=monotonic_us(),
             )
     return cut
 
--- a/pinspread/testbed/processes.py
+++ b/pinspread/testbed/processes.py
@@ -319,7 +319,7 @@
                         data = rng.randbytes(rng.randrange(1, 200))
                     else:
                         ping = {"t": "ping", "from": "x", "from_at": f"{self.prefix}.250:1", "inc": 0}
-                        data = wire.pack(ping | {"up": [], "seq": n, "to": c.id}, b"another")
+                        data = wire.encode(ping | {"up": [], "seq": n, "to": c.id}, b"another")
                     transport.sendto(data, (c.real[0], event.get("port", PORT)))
         finally:
             transport.close()
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -19,6 +19,7 @@
 from pinspread.leases import state_machine as lease
 from pinspread.membership import codec as wire
 from pinspread.membership import swim
+from pinspread.membership.members import MemberRecord, MemberState
 from pinspread.replication import service as copying
 from pinspread.replication import store as shelf
 
@@ -33,29 +34,29 @@
     copying.MAGIC,
     quorum.MAGIC,
 )
-pack, unpack_member, unpack, DatagramError = wire.pack, wire.unpack, wire.whole, wire.DatagramError
+pack, unpack_member, unpack, DatagramError = wire.encode, wire.decode_message, wire.decode, wire.DatagramError
 
 
 def member(id_):
     """A member that draws the same every time, at time 0; `tick`, `heard`, `leave`, `view`, `events`."""
     seeds = [] if id_ == "a" else [ADDRESSES["a"]]
-    return swim.Member(id_, ADDRESSES[id_], seeds, swim.Tuning(), random.Random(id_), 0, 0)
+    return swim.SwimMember(id_, ADDRESSES[id_], seeds, swim.SwimConfig(), random.Random(id_), 0, 0)
 
 
 def membership(id_, now):
     """What leases and copies use of it."""
-    table = {n: swim.Node(n, at, 0, swim.ALIVE, 0) for n, at in ADDRESSES.items()}
-    plan = SimpleNamespace(id=id_, fleet=KEY, clock_rate=1.0)
+    table = {n: MemberRecord(n, at, 0, MemberState.ALIVE, 0) for n, at in ADDRESSES.items()}
+    config = SimpleNamespace(id=id_, fleet_key=KEY, clock_rate=1.0)
     others = SimpleNamespace(table=table, others=lambda *states: [n for n in table.values() if n.id != id_])
-    return SimpleNamespace(plan=plan, member=others, now=now)
+    return SimpleNamespace(config=config, member=others, now=now)
 
 
 def lease_holder(id_, now):
     """A member's leases, with one task of the fleet."""
-    told = leases.Plan(
-        "", ADDRESSES[id_], {"b": ADDRESSES["b"]}, (leases.Task("nightly"),), lease.Terms(), 1.0, ""
+    told = leases.LeaseConfig(
+        "", ADDRESSES[id_], {"b": ADDRESSES["b"]}, (leases.LeaseTask("nightly"),), lease.LeaseTerms(), 1.0, ""
     )
-    return leases.Leases(told, membership(id_, now), seed=1)
+    return leases.LeaseService(told, membership(id_, now), seed=1)
 
 
 class Agreed:
@@ -74,7 +75,7 @@
         return "b"
 
     def propose(self, task, command, done):
-        row, why = lease.apply(self.table.rows.get(task, lease.Row()), command)
+        row, why = lease.apply_command(self.table.rows.get(task, lease.LeaseRecord()), command)
         self.table.rows[task] = row
         self.on_change(task, row)
         done(row, why)
@@ -82,14 +83,18 @@
 
 def row(*words):
     """A lease's row from holder, token, version, number; and the reverse."""
-    return lease.Row(*words)
+    return lease.LeaseRecord(*words)
 
 
 def told_row(found):
     return {"holder": found.holder, "token": found.token, "version": found.version, "number": found.number}
 
 
-COMMANDS = {"grant": lease.GRANT, "renew": lease.RENEW, "release": lease.RELEASE}
+COMMANDS = {
+    "grant": lease.CommandKind.GRANT,
+    "renew": lease.CommandKind.RENEW,
+    "release": lease.CommandKind.RELEASE,
+}
 
 
 def command(kind, holder, arg, number=0):
@@ -99,7 +104,7 @@
 def copier(id_, folder, holds):
     """A member's copies; `holds(task)` is the token that it holds."""
     told = copying.Plan(ADDRESSES[id_], str(folder), check_us=10_000)
-    told_leases = SimpleNamespace(holds=holds)
+    told_leases = SimpleNamespace(fencing_token=holds)
     found = copying.ReplicationService(told, membership(id_, lambda: 0), told_leases)
     found.folder.mkdir(parents=True, exist_ok=True)
     return found
@@ -109,7 +114,7 @@
 def standing_clock():
     """Copies read this time of the machine and this Unix time."""
     with (
-        mock.patch.object(copying, "machine_us", lambda: 5_000_000),
+        mock.patch.object(copying, "monotonic_us", lambda: 5_000_000),
         mock.patch.object(copying, "machine_unix_us", lambda: 1_790_000_000_000_000),
     ):
         yield
@@ -246,7 +251,7 @@
         await parties[name]._turn("nightly")
         await settle()
     views |= {"holder": parties["a"].view(), "voter": voter_.view()}
-    await parties["a"].unwant("nightly")
+    await parties["a"].withdraw("nightly")
     await settle()
     views["voter after"] = voter_.view()
     return {"datagrams": taken, "views": views}
@@ -267,10 +272,10 @@
     async def __aexit__(self, *error):
         pass
 
-    async def put(self, message):
+    async def send(self, message):
         self.answer = await self.other._answer(self._seen(message))
 
-    async def get(self):
+    async def receive(self):
         return self._seen(self.answer)
 
     def _seen(self, message):
@@ -309,8 +314,8 @@
             half | {"t": "send", "keepers": ["b", "a"]},
             half | {"base": len(records[0]), "bytes": records[0][:20]},
         ):
-            await frames.put(message)
-            await frames.get()
+            await frames.send(message)
+            await frames.receive()
 
         async def dial(other):
             pipe = Pipe({"a": a, "b": b}[other], taken)
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -24,9 +24,9 @@
 from pinspread.core.messages import AttemptResult
 from pinspread.discovery import client as discovery
 from pinspread.hot_restart import transfer as succession
-from pinspread.leases.service import Leases
-from pinspread.membership.service import Membership, Plan
-from pinspread.membership.swim import Tuning
+from pinspread.leases.service import LeaseService
+from pinspread.membership.service import MembershipConfig, MembershipService
+from pinspread.membership.swim import SwimConfig
 from pinspread.policy.events import EndpointState, Outcome
 from pinspread.replication.service import ReplicationService
 from pinspread.simulation import losses, trace
@@ -76,15 +76,19 @@
 
         enable = disable
 
-    names = {"members": Membership.name, "leases": Leases.name, "copies": ReplicationService.name}
+    names = {
+        "members": MembershipService.name,
+        "leases": LeaseService.name,
+        "copies": ReplicationService.name,
+    }
     views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
     return admin.AdminServer(EndpointAdmin(), companions=views)
 
 
 def members_view():
     """A member's own view, as the door shows it, but for the time."""
-    plan = Plan("a", "127.0.0.1:7001", "127.0.0.1:7001", (), b"fleet-a", Tuning())
-    found = Membership(plan, seed=1).view()
+    plan = MembershipConfig("a", "127.0.0.1:7001", "127.0.0.1:7001", (), b"fleet-a", SwimConfig())
+    found = MembershipService(plan, seed=1).view()
     for one in found["members"]:
         one["since_us"] = 0
     return found
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -9,7 +9,7 @@
 
 
 def damaged(change):
-    data = bytearray(wire.pack(PING, KEY))
+    data = bytearray(wire.encode(PING, KEY))
     change(data)
     return bytes(data)
 
@@ -18,39 +18,39 @@
     ("data", "key", "why"),
     [
         (b"", KEY, "shorter"),
-        (b"PSX" + wire.pack(PING, KEY)[3:], KEY, "not a datagram"),
+        (b"PSX" + wire.encode(PING, KEY)[3:], KEY, "not a datagram"),
         (damaged(lambda d: d.__setitem__(3, 9)), KEY, "version 9"),
-        (wire.pack(PING, KEY)[:-1], KEY, "length"),
+        (wire.encode(PING, KEY)[:-1], KEY, "length"),
         (damaged(lambda d: d.__setitem__(-1, d[-1] ^ 1)), KEY, "checksum"),
-        (wire.pack(PING, KEY), b"fleet-b", "checksum"),
-        (wire.pack([1, 2], KEY), KEY, "not a map"),
-        (wire.pack(PING | {"t": "boom"}, KEY), KEY, "kind"),
-        (wire.pack(PING | {"seq": "1"}, KEY), KEY, "'seq'"),
-        (wire.pack(PING | {"inc": True}, KEY), KEY, "'inc'"),
-        (wire.pack(PING | {"inc": -1}, KEY), KEY, "update"),
-        (wire.pack(PING | {"up": [["b", "x", 0, "zombie", "a"]]}, KEY), KEY, "update"),
-        (wire.pack(PING | {"t": "sync", "reply": True, "table": [["b"]]}, KEY), KEY, "row of the table"),
-        (wire.pack(PING | {"t": "ask"}, KEY), KEY, "'to_at'"),
+        (wire.encode(PING, KEY), b"fleet-b", "checksum"),
+        (wire.encode([1, 2], KEY), KEY, "not a map"),
+        (wire.encode(PING | {"t": "boom"}, KEY), KEY, "kind"),
+        (wire.encode(PING | {"seq": "1"}, KEY), KEY, "'seq'"),
+        (wire.encode(PING | {"inc": True}, KEY), KEY, "'inc'"),
+        (wire.encode(PING | {"inc": -1}, KEY), KEY, "update"),
+        (wire.encode(PING | {"up": [["b", "x", 0, "zombie", "a"]]}, KEY), KEY, "update"),
+        (wire.encode(PING | {"t": "sync", "reply": True, "table": [["b"]]}, KEY), KEY, "row of the table"),
+        (wire.encode(PING | {"t": "ask"}, KEY), KEY, "'to_at'"),
     ],
 )
 def test_a_datagram_that_is_not_taken_says_why(data, key, why):
     with pytest.raises(wire.DatagramError, match=why):
-        wire.unpack(data, key)
+        wire.decode_message(data, key)
 
 
 def test_a_whole_datagram_comes_back_as_it_went():
-    assert wire.unpack(wire.pack(PING, KEY), KEY) == PING
+    assert wire.decode_message(wire.encode(PING, KEY), KEY) == PING
 
 
 def test_garbage_of_every_length_is_dropped_and_nothing_else_is_raised():
     import random
 
     rng = random.Random(5)
-    good = wire.pack(PING, KEY)
+    good = wire.encode(PING, KEY)
     for n in range(2000):
         data = bytearray(good[: rng.randrange(len(good))]) if n % 2 else bytearray(rng.randbytes(n % 90))
         with pytest.raises(wire.DatagramError):
-            wire.unpack(bytes(data), KEY)
+            wire.decode_message(bytes(data), KEY)
 
 
 def test_a_leave_while_the_turns_go_on_breaks_no_socket():
@@ -60,8 +60,8 @@
     from pinspread.membership import swim
 
     async def play():
-        plan = member.Plan("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, swim.Tuning())
-        one = member.Membership(plan)
+        plan = member.MembershipConfig("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, swim.SwimConfig())
+        one = member.MembershipService(plan)
         await one.open()
         out = [("127.0.0.1:9", PING)] * 20
         async with one.sock, anyio.create_task_group() as tasks:
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -14,8 +14,9 @@
 from pinspread.core.messages import FinalResult, FinalState, Message
 from pinspread.errors import JournalFullError
 from pinspread.membership import codec as wire
-from pinspread.membership.service import Membership, Plan
-from pinspread.membership.swim import ALIVE, Tuning
+from pinspread.membership.members import MemberState
+from pinspread.membership.service import MembershipConfig, MembershipService
+from pinspread.membership.swim import SwimConfig
 from pinspread.replication import log as copies
 from pinspread.replication import placement
 from pinspread.replication import service as copying
@@ -187,15 +188,17 @@
 
 
 class Held:
-    def holds(self, task):
+    def fencing_token(self, task):
         return 5
 
 
 @pytest.fixture
 def keeper(tmp_path):
-    membership = Membership(Plan("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", Tuning()))
-    membership.member.apply(["a", "127.0.0.2:1", 0, ALIVE, "a"], 0)
-    membership.member.apply(["b", "127.0.0.3:1", 0, ALIVE, "b"], 0)
+    membership = MembershipService(
+        MembershipConfig("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", SwimConfig())
+    )
+    membership.member.apply(["a", "127.0.0.2:1", 0, MemberState.ALIVE, "a"], 0)
+    membership.member.apply(["b", "127.0.0.3:1", 0, MemberState.ALIVE, "b"], 0)
     return copying.ReplicationService(copying.Plan("127.0.0.1:0", str(tmp_path)), membership, Held())
 
 
@@ -289,7 +292,7 @@
     assert keeper.barred() == ""
     monkeypatch.setattr(keeper, "plan", copying.Plan("127.0.0.1:0", ""))
     assert "copies" in keeper.barred()
-    monkeypatch.setattr(Held, "holds", lambda self, task: 0)
+    monkeypatch.setattr(Held, "fencing_token", lambda self, task: 0)
     assert "lease" in keeper.barred()
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -4,28 +4,43 @@
 
 from pinspread.leases import model_checker as modelcheck
 from pinspread.leases import state_machine as lease
-from pinspread.leases.state_machine import Answer, Claim, Command, Request, Row
+from pinspread.leases.state_machine import Answer, Claim, Command, LeaseRecord, Request
 
-TERMS = lease.Terms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
+TERMS = lease.LeaseTerms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
 
 
 @pytest.mark.parametrize(
     ("row", "command", "after", "why"),
     [
-        (Row(), Command("grant", "a", 0, 7), Row("a", 1, 1, 7), "ok"),
-        (Row("a", 1, 1, 7), Command("grant", "a", 0, 7), Row("a", 1, 1, 7), "ok"),  # asked twice
-        (Row("a", 1, 3, 7), Command("grant", "b", 3, 8), Row("b", 4, 4, 8), "ok"),
-        (Row("a", 1, 4, 7), Command("grant", "b", 3, 8), Row("a", 1, 4, 7), "changed meanwhile"),
-        (Row("a", 1, 1, 7), Command("renew", "a", 1), Row("a", 1, 2, 7), "ok"),
-        (Row("b", 4, 4, 8), Command("renew", "a", 1), Row("b", 4, 4, 8), "not the holder"),
-        (Row("a", 4, 4, 8), Command("renew", "a", 1), Row("a", 4, 4, 8), "stale token 1: it is 4"),
-        (Row("a", 1, 2, 7), Command("release", "a", 1), Row("", 1, 3, 0), "ok"),
-        (Row("", 1, 3, 0), Command("release", "a", 1), Row("", 1, 3, 0), "not the holder"),
-        (Row("", 1, 3, 0), Command("grant", "b", 3, 9), Row("b", 4, 4, 9), "ok"),
+        (LeaseRecord(), Command("grant", "a", 0, 7), LeaseRecord("a", 1, 1, 7), "ok"),
+        (
+            LeaseRecord("a", 1, 1, 7),
+            Command("grant", "a", 0, 7),
+            LeaseRecord("a", 1, 1, 7),
+            "ok",
+        ),  # asked twice
+        (LeaseRecord("a", 1, 3, 7), Command("grant", "b", 3, 8), LeaseRecord("b", 4, 4, 8), "ok"),
+        (
+            LeaseRecord("a", 1, 4, 7),
+            Command("grant", "b", 3, 8),
+            LeaseRecord("a", 1, 4, 7),
+            "changed meanwhile",
+        ),
+        (LeaseRecord("a", 1, 1, 7), Command("renew", "a", 1), LeaseRecord("a", 1, 2, 7), "ok"),
+        (LeaseRecord("b", 4, 4, 8), Command("renew", "a", 1), LeaseRecord("b", 4, 4, 8), "not the holder"),
+        (
+            LeaseRecord("a", 4, 4, 8),
+            Command("renew", "a", 1),
+            LeaseRecord("a", 4, 4, 8),
+            "stale token 1: it is 4",
+        ),
+        (LeaseRecord("a", 1, 2, 7), Command("release", "a", 1), LeaseRecord("", 1, 3, 0), "ok"),
+        (LeaseRecord("", 1, 3, 0), Command("release", "a", 1), LeaseRecord("", 1, 3, 0), "not the holder"),
+        (LeaseRecord("", 1, 3, 0), Command("grant", "b", 3, 9), LeaseRecord("b", 4, 4, 9), "ok"),
     ],
 )
 def test_a_row_after_each_command(row, command, after, why):
-    assert lease.apply(row, command) == (after, why)
+    assert lease.apply_command(row, command) == (after, why)
 
 
 @pytest.mark.parametrize(
@@ -42,7 +57,7 @@
     ],
 )
 def test_what_a_voter_makes_of_a_request(request_, now_us, said):
-    assert lease.judge(Row("a", 1, 2, 7), 0, request_, TERMS, now_us) == said
+    assert lease.evaluate_request(LeaseRecord("a", 1, 2, 7), 0, request_, TERMS, now_us) == said
 
 
 def test_a_claim_counts_from_before_it_asked_and_ends_when_a_renewal_is_refused():
@@ -51,15 +66,17 @@
     assert lease.tick(claim, TERMS, "t", "a", 150, 8) == (claim, None)
     claim, again = lease.tick(claim, TERMS, "t", "a", 200, 8)
     assert again == request  # the same number, so that it is granted once
-    claim = lease.heard(claim, Answer("t", 7, "ok", 5), TERMS, 600)
+    claim = lease.apply_answer(claim, Answer("t", 7, "ok", 5), TERMS, 600)
     assert claim.token == 5 and claim.expiry_us == 1100
     assert lease.may_act(claim, TERMS, 1029) and not lease.may_act(claim, TERMS, 1030)
     claim, renewal = lease.tick(claim, TERMS, "t", "a", 601, 9)
     assert renewal == Request("keep", "t", "a", 5, 9)
-    assert lease.heard(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim  # of another request
-    kept = lease.heard(claim, Answer("t", 9, "ok", 5), TERMS, 700)
+    assert (
+        lease.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
+    )  # of another request
+    kept = lease.apply_answer(claim, Answer("t", 9, "ok", 5), TERMS, 700)
     assert kept.expiry_us == 1601
-    lost = lease.heard(claim, Answer("t", 9, "not the holder"), TERMS, 700)
+    lost = lease.apply_answer(claim, Answer("t", 9, "not the holder"), TERMS, 700)
     assert not lease.may_act(lost, TERMS, 700)
     silent, _ = lease.tick(claim, TERMS, "t", "a", 1100, 10)
     assert silent.token == 0
@@ -70,16 +87,16 @@
 
 
 def without_drift_of_the_voter(row, applied_us, request, terms, now_us):
-    return lease.judge(row, applied_us, request, terms._replace(drift_us=0), now_us)
+    return lease.evaluate_request(row, applied_us, request, terms._replace(drift_us=0), now_us)
 
 
 def without_the_wait(row, applied_us, request, terms, now_us):
-    return lease.judge(row, applied_us, request, terms._replace(lease_us=0, drift_us=0), now_us)
+    return lease.evaluate_request(row, applied_us, request, terms._replace(lease_us=0, drift_us=0), now_us)
 
 
 def without_the_version(row, command):
-    arg = row.version if command.kind == lease.GRANT else command.arg
-    return lease.apply(row, command._replace(arg=arg))
+    arg = row.version if command.kind == lease.CommandKind.GRANT else command.arg
+    return lease.apply_command(row, command._replace(arg=arg))
 
 
 def test_no_order_of_events_within_six_steps_gives_two_holders():
@@ -92,9 +109,9 @@
     "rules",
     [
         modelcheck.Rules(may_act=without_drift_of_the_holder),
-        modelcheck.Rules(judge=without_drift_of_the_voter),
-        modelcheck.Rules(judge=without_the_wait),
-        modelcheck.Rules(apply=without_the_version),
+        modelcheck.Rules(evaluate_request=without_drift_of_the_voter),
+        modelcheck.Rules(evaluate_request=without_the_wait),
+        modelcheck.Rules(apply_command=without_the_version),
     ],
     ids=["holder's drift", "voter's drift", "the wait", "the version"],
 )
--- a/tests/test_raftlog.py
+++ b/tests/test_raftlog.py
@@ -119,7 +119,7 @@
         await leads(q)
         with anyio.fail_after(5):
             told = anyio.Event()
-            q.propose("t", lease.Command(lease.GRANT, "m", 0, 7), lambda row, why: told.set())
+            q.propose("t", lease.Command(lease.CommandKind.GRANT, "m", 0, 7), lambda row, why: told.set())
             await told.wait()
 
     rows = []
@@ -152,7 +152,7 @@
         await leads(q)
         with anyio.fail_after(5):
             no_space_for(q.raft_log, monkeypatch)
-            q.propose("t", lease.Command(lease.GRANT, "m", 0, 7), lambda row, why: None)
+            q.propose("t", lease.Command(lease.CommandKind.GRANT, "m", 0, 7), lambda row, why: None)
             while not q.raft_log.broken:
                 await anyio.sleep(0.01)
             monkeypatch.undo()
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -7,6 +7,7 @@
 
 from pinspread.membership import codec as wire
 from pinspread.membership import swim
+from pinspread.membership.members import PRECEDENCE, MemberRecord, MemberState
 
 MS = 1000
 
@@ -19,7 +20,7 @@
         self.loss, self.now, self.flying = loss, 0, []
         self.members = {}
         for i in range(n):
-            self.members[f"m{i}"] = swim.Member(
+            self.members[f"m{i}"] = swim.SwimMember(
                 f"m{i}", f"a{i}", seeds=["a0"], tuning=tuning, rng=random.Random(seed * 100 + i)
             )
         self.stopped, self.cut = set(), set()  # ids; (from, to) pairs
@@ -58,7 +59,7 @@
     net = Net(6)
     net.run(15_000 * MS)
     for m in net.members.values():
-        assert len(m.others(swim.ALIVE)) == 5, m.view()
+        assert len(m.others(MemberState.ALIVE)) == 5, m.view()
 
 
 def test_a_stopped_member_is_found_dead_by_all():
@@ -66,7 +67,7 @@
     net.run(15_000 * MS)
     net.stopped.add("m3")
     net.run(45_000 * MS)
-    assert net.states("m3") == {swim.DEAD}
+    assert net.states("m3") == {MemberState.DEAD}
 
 
 def test_a_short_pause_is_suspected_at_most_and_refuted():
@@ -76,9 +77,9 @@
     net.run(net.now + 1_500 * MS)  # past the probe time-out, well short of the suspicion time-out
     net.stopped.discard("m3")
     net.run(net.now + 20_000 * MS)
-    assert net.states("m3") == {swim.ALIVE}
+    assert net.states("m3") == {MemberState.ALIVE}
     seen = [e for m in net.members.values() for e in m.events if e.get("id") == "m3"]
-    assert not any(e["state"] == swim.DEAD for e in seen)
+    assert not any(e["state"] == MemberState.DEAD for e in seen)
 
 
 def test_a_long_pause_is_dead_then_back_with_a_higher_incarnation():
@@ -89,7 +90,7 @@
     dead_at = net.members["m0"].table["m3"].incarnation
     net.stopped.discard("m3")
     net.run(net.now + 30_000 * MS)
-    assert net.states("m3") == {swim.ALIVE}
+    assert net.states("m3") == {MemberState.ALIVE}
     assert net.members["m3"].incarnation > dead_at
 
 
@@ -98,32 +99,35 @@
     net.run(15_000 * MS)
     net.cut |= {("m0", "m3"), ("m3", "m0")}
     net.run(net.now + 60_000 * MS)
-    assert net.states("m3") == {swim.ALIVE}
+    assert net.states("m3") == {MemberState.ALIVE}
 
 
 def test_ten_percent_loss_kills_nobody():
     net = Net(8, loss=0.10, seed=4)
     net.run(90_000 * MS)
-    deaths = [e for m in net.members.values() for e in m.events if e.get("state") == swim.DEAD]
+    deaths = [e for m in net.members.values() for e in m.events if e.get("state") == MemberState.DEAD]
     assert deaths == []
 
 
 def test_a_suspicion_shrinks_with_confirmations():
-    m = swim.Member("a", "x")
+    m = swim.SwimMember("a", "x")
     for i in range(15):
-        m.table[f"b{i}"] = swim.Node(f"b{i}", f"y{i}", 0, swim.ALIVE, 0)
+        m.table[f"b{i}"] = MemberRecord(f"b{i}", f"y{i}", 0, MemberState.ALIVE, 0)
     times = [m.suspicion_us(c) for c in range(4)]
     assert times == sorted(times, reverse=True) and times[0] > times[-1]
     assert times[-1] == m.suspicion_us(10)  # no lower than the least
 
 
-rows = st.tuples(st.integers(0, 5), st.sampled_from([swim.ALIVE, swim.SUSPECT, swim.DEAD, swim.LEFT]))
+rows = st.tuples(
+    st.integers(0, 5),
+    st.sampled_from([MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT]),
+)
 
 
 @given(st.lists(rows, max_size=30))
 def test_no_rumour_of_an_older_incarnation_changes_a_row(updates):
     """The row after any order of updates: its incarnation only grows, and an equal one only ranks up."""
-    m = swim.Member("a", "x")
+    m = swim.SwimMember("a", "x")
     before = None
     for incarnation, state in updates:
         m.apply(["b", "y", incarnation, state, "c"], 0)
@@ -131,25 +135,29 @@
         if node is None:
             continue
         if before is not None:
-            assert (node.incarnation, swim.RANK[node.state]) >= before
-        before = (node.incarnation, swim.RANK[node.state])
+            assert (node.incarnation, PRECEDENCE[node.state]) >= before
+        before = (node.incarnation, PRECEDENCE[node.state])
 
 
-@given(st.lists(st.tuples(st.integers(0, 5), st.sampled_from([swim.SUSPECT, swim.DEAD])), max_size=20))
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 5), st.sampled_from([MemberState.SUSPECT, MemberState.DEAD])), max_size=20
+    )
+)
 def test_a_member_refutes_every_rumour_of_its_own_end(rumours):
-    m = swim.Member("a", "x")
+    m = swim.SwimMember("a", "x")
     for incarnation, state in rumours:
         m.apply(["a", "x", incarnation, state, "b"], 0)
-        assert m.incarnation > incarnation and m.table["a"].state == swim.ALIVE
+        assert m.incarnation > incarnation and m.table["a"].state == MemberState.ALIVE
 
 
 def test_a_failed_probe_of_a_suspect_confirms_the_suspicion_elsewhere():
-    a, b = swim.Member("a", "xa"), swim.Member("b", "xb")
+    a, b = swim.SwimMember("a", "xa"), swim.SwimMember("b", "xb")
     for m in (a, b):
-        m.apply(["x", "xx", 0, swim.ALIVE, "x"], 0)
-        m.apply(["a" if m is b else "b", "xa" if m is b else "xb", 0, swim.ALIVE, "a"], 0)
-    a.apply(["x", "xx", 0, swim.SUSPECT, "a"], 0)  # a's own suspicion
-    b.apply(["x", "xx", 0, swim.SUSPECT, "a"], 0)  # b heard of it
+        m.apply(["x", "xx", 0, MemberState.ALIVE, "x"], 0)
+        m.apply(["a" if m is b else "b", "xa" if m is b else "xb", 0, MemberState.ALIVE, "a"], 0)
+    a.apply(["x", "xx", 0, MemberState.SUSPECT, "a"], 0)  # a's own suspicion
+    b.apply(["x", "xx", 0, MemberState.SUSPECT, "a"], 0)  # b heard of it
     b._failed(swim.Probe("x", 1, 0, 1, 2, asked=1, nacks=1), 10)  # then b's own probe of x failed too
     (rows,) = [b._piggyback()]
     for row in rows:
@@ -159,26 +167,26 @@
 
 
 def test_copies_of_the_first_suspicion_confirm_nothing():
-    a = swim.Member("a", "xa")
-    a.apply(["x", "xx", 0, swim.ALIVE, "x"], 0)
-    a.apply(["x", "xx", 0, swim.SUSPECT, "b"], 0)
+    a = swim.SwimMember("a", "xa")
+    a.apply(["x", "xx", 0, MemberState.ALIVE, "x"], 0)
+    a.apply(["x", "xx", 0, MemberState.SUSPECT, "b"], 0)
     for _ in range(3):
-        a.apply(["x", "xx", 0, swim.SUSPECT, "b"], 1)  # the same rumour, by other ways
+        a.apply(["x", "xx", 0, MemberState.SUSPECT, "b"], 1)  # the same rumour, by other ways
     assert a.suspicions["x"].confirmers == set()
-    a.apply(["x", "xx", 0, swim.SUSPECT, "c"], 2)
+    a.apply(["x", "xx", 0, MemberState.SUSPECT, "c"], 2)
     assert a.suspicions["x"].confirmers == {"c"}
 
 
 def test_a_table_of_5000_rows_goes_in_messages_that_fit_a_datagram_and_a_newcomer_gets_all():
-    big = swim.Member("big", "10.0.0.1:7946", rng=random.Random(1))
+    big = swim.SwimMember("big", "10.0.0.1:7946", rng=random.Random(1))
     for n in range(5000):
-        big.apply([f"courier-{n}", f"10.1.{n // 250}.{n % 250}:7946", n % 3, swim.ALIVE, "x"], 0)
-    newcomer = swim.Member("new", "10.0.0.2:7946", seeds=["10.0.0.1:7946"], rng=random.Random(2))
+        big.apply([f"courier-{n}", f"10.1.{n // 250}.{n % 250}:7946", n % 3, MemberState.ALIVE, "x"], 0)
+    newcomer = swim.SwimMember("new", "10.0.0.2:7946", seeds=["10.0.0.1:7946"], rng=random.Random(2))
     (address, ask), *_ = newcomer.tick(0)
     assert address == "10.0.0.1:7946" and ask["t"] == swim.SYNC
     answers = [m for _, m in big.heard(ask, 1)]
     for message in [*answers, *(m for _, m in big.tick(1))]:
-        assert len(wire.pack(message, b"fleet")) <= 60_000
+        assert len(wire.encode(message, b"fleet")) <= 60_000
         newcomer.heard(message, 2)
     assert len(newcomer.table) == len(big.table) == 5002
     seen = set()
@@ -188,15 +196,15 @@
 
 
 def test_a_suspected_member_is_told_in_every_message_to_it_however_often_the_rumour_was_sent():
-    one, two = (swim.Member(f"m{i}", f"a{i}", rng=random.Random(i)) for i in (1, 2))
-    one.apply(["m2", "a2", 0, swim.ALIVE, "m2"], 0)
-    one.apply(["m2", "a2", 0, swim.SUSPECT, "m3"], 0)
+    one, two = (swim.SwimMember(f"m{i}", f"a{i}", rng=random.Random(i)) for i in (1, 2))
+    one.apply(["m2", "a2", 0, MemberState.ALIVE, "m2"], 0)
+    one.apply(["m2", "a2", 0, MemberState.SUSPECT, "m3"], 0)
     one.gossip.clear()  # sent its number of times, to others
-    two.apply(["m1", "a1", 0, swim.ALIVE, "m1"], 0)
+    two.apply(["m1", "a1", 0, MemberState.ALIVE, "m1"], 0)
     ping = next(m for _, m in two.tick(0) if m["t"] == swim.PING)
     ((_, ack),) = one.heard(ping, 1)
-    assert ack["up"] == [["m2", "a2", 0, swim.SUSPECT, "m3"]]  # by whoever raised it: no confirmation
+    assert ack["up"] == [["m2", "a2", 0, MemberState.SUSPECT, "m3"]]  # by whoever raised it: no confirmation
     two.heard(ack, 2)
     assert two.incarnation == 1
-    one.heard(next(m for _, m in two.tick(swim.Tuning().period_us) if m["t"] == swim.PING), 3)
-    assert one.table["m2"].state == swim.ALIVE
+    one.heard(next(m for _, m in two.tick(swim.SwimConfig().period_us) if m["t"] == swim.PING), 3)
+    assert one.table["m2"].state == MemberState.ALIVE
