--- a/pinspread/leases/model_checker.py
+++ b/pinspread/leases/model_checker.py
@@ -74,7 +74,7 @@
     first = World(0, (0,) * (n + m), (), ((0, 0),) * m, claims, 0, none, none, none, (0,) * n, 0)
     yield "nobody has asked", first
     log = (lease.Command(lease.CommandKind.GRANT, "c0", 0, 1),)
-    held = lease.Claim(1, terms.lease_us, next_us=terms.renew_us)
+    held = lease.Claim(1, terms.lease_us, next_request_us=terms.renew_us)
     asked = frozenset([lease.Request(lease.RequestKind.ACQUIRE, TASK, "c0", 0, 1)])
     for knew in range(1, m + 1):  # voters that have applied the grant by now
         applied = ((1, 0),) * knew + ((0, 0),) * (m - knew)
@@ -106,8 +106,8 @@
             yield f"tick, {p} slow", w._replace(real=w.real + 1, clocks=put(w.clocks, p, -bounds.drift))
     for c in range(n):
         now = w.real + w.clocks[c]
-        claim, request = lease.tick(w.claims[c], terms, TASK, f"c{c}", now, w.numbers + 1)
-        fresh = claim.number == w.numbers + 1
+        claim, request = lease.tick(w.claims[c], terms, lease.Contender(TASK, f"c{c}"), now, w.numbers + 1)
+        fresh = claim.request_id == w.numbers + 1
         if (claim != w.claims[c] or request) and (not fresh or w.numbers < bounds.numbers):
             requests = w.requests | {request} if request else w.requests
             asked = w._replace(claims=put(w.claims, c, claim), numbers=w.numbers + fresh, requests=requests)
@@ -145,7 +145,7 @@
     now = w.real + w.clocks[n + v]
     said = rules.evaluate_request(row_of(w.log, done, rules), at, request, terms, now)
     if isinstance(said, lease.Answer):
-        return w._replace(answers=w.answers | {(int(request.member[1:]), said._replace(wait_us=0))})
+        return w._replace(answers=w.answers | {(int(request.member[1:]), said._replace(retry_after_us=0))})
     return w._replace(log=w.log + (said,), owed=w.owed | {(v, len(w.log), request)})
 
 
@@ -157,7 +157,9 @@
         if item[0] == v and item[1] == done:
             request = item[2]
             token = row.token if why == lease.OK else 0
-            answers = answers | {(int(request.member[1:]), lease.Answer(TASK, request.number, why, token))}
+            answers = answers | {
+                (int(request.member[1:]), lease.Answer(TASK, request.request_id, why, token))
+            }
             owed = owed - {item}
     return w._replace(
         applied=put(w.applied, v, (done + 1, w.real + w.clocks[n + v])), answers=answers, owed=owed
--- a/pinspread/leases/raft_log.py
+++ b/pinspread/leases/raft_log.py
@@ -1,110 +1,147 @@
-"""A voter's log on disk, behind the library's interface (`pysyncobj.journal.Journal`).
-
-Append-only and checksummed.
-
-A record is its payload's length and CRC-32 and the CRC-32 of these two (little-endian u32 each), then the
-payload: a kind byte and
-    ENTRY  index u64, term u64, the command's bytes
-    CUT    u64: how many entries stay, from the front
-    VOTE   term u64, the id of who was voted for in UTF-8 (empty: nobody)
-    AGREED u64: the entries up to that index are agreed on; noted now and then
-A record that is cut short at the file's end was never acknowledged and is cut off. Anything else that does
-not fit is `Damaged`: whoever reads it must not vote by it.
+"""A voter's log on disk, behind the interface of the Raft library (`pysyncobj.journal.Journal`).
+
+The file is append-only and checksummed. A record is its payload's length and CRC-32 and the CRC-32 of these
+two (each a little-endian u32), then the payload: a byte for the kind of record and
+
+    ENTRY         index u64, term u64, the command's bytes
+    TRUNCATE      u64: how many entries stay, from the front
+    VOTE          term u64, the id of who was voted for in UTF-8 (empty: nobody)
+    COMMIT_INDEX  u64: the entries up to that index are committed; written now and then
+
+A record that is cut short at the file's end was never acknowledged, and is removed. Anything else that does
+not fit is a `RaftLogFormatError`: a voter must not vote by what it reads from such a file.
 """
 
 import os
 import struct
 import zlib
+from enum import IntEnum
 from pathlib import Path
+from typing import Any
 
 from pysyncobj.journal import Journal
 
-_HEAD = struct.Struct("<II")
-_SUM = struct.Struct("<I")
-HEAD_BYTES = _HEAD.size + _SUM.size
+from pinspread.errors import PinspreadError
+
+_LENGTH_AND_CHECKSUM = struct.Struct("<II")
+_HEAD_CHECKSUM = struct.Struct("<I")
+HEAD_BYTES = _LENGTH_AND_CHECKSUM.size + _HEAD_CHECKSUM.size
 _ENTRY = struct.Struct("<BQQ")
-_CUT = struct.Struct("<BQ")
-_VOTE = struct.Struct("<BQ")
-ENTRY, CUT, VOTE, AGREED = 1, 2, 3, 4
+_NUMBER = struct.Struct("<BQ")  # TRUNCATE, COMMIT_INDEX, and the front of VOTE
+_FIRST_INDEX = 1
+_FILE_MODE = 0o600
+
+Entry = tuple[bytes, int, int]  # as the library has it: command, index, term
+
+
+class RecordKind(IntEnum):
+    """The kinds of records in the file."""
+
+    ENTRY = 1
+    TRUNCATE = 2
+    VOTE = 3
+    COMMIT_INDEX = 4
+
+
+class RaftLogFormatError(PinspreadError):
+    """The file holds something that was not written in this form; the text says where."""
+
 
+class RaftLog(Journal):  # type: ignore[misc]  # the library comes without types
+    """The entries, the term and the vote of a voter; each change is written before its call returns.
 
-class RaftLogFormatError(Exception):
-    """The file holds something that was not written so; the text says where."""
+    Args:
+        path: The file; it is made if there is none.
+        sync: Whether a change is on the disk, not only with the system, before its call returns.
 
+    Attributes:
+        entries: The entries that are not compacted away.
+        term: The Raft term.
+        voted_for: The id that this voter has voted for in that term, if any.
+        commit_index: Up to where entries are known to be committed.
+        write_failed: Whether a write has failed: memory and disk may differ, so that nothing here counts.
 
-class RaftLog(Journal):
-    """Entries (command, index, term), the term and the vote; a change is written before its call returns."""
+    Raises:
+        RaftLogFormatError: The file cannot be trusted.
+        OSError: The file cannot be read or written.
+    """
 
-    def __init__(self, path: str, sync: bool = False):
-        """Read what is there; `Damaged` if it cannot be trusted, OSError if it cannot be read or written."""
-        self.path, self.sync = Path(path), sync
-        self.entries, self.term, self.voted = [], 0, None
-        self.agreed = self.noted = 1
-        self.broken = False  # a write has failed: what is in memory may not be on the disk, so nothing counts
-        self.path.with_name(self.path.name + ".new").unlink(
-            missing_ok=True
-        )  # never renamed: the old one is whole
+    def __init__(self, path: str | Path, sync: bool = False):
+        self.path = Path(path)
+        self.sync = sync
+        self.entries: list[Entry] = []
+        self.term = 0
+        self.voted_for: str | None = None
+        self.commit_index = _FIRST_INDEX
+        self.write_failed = False
+        self._new_path = self.path.with_name(self.path.name + ".new")
+        self._new_path.unlink(missing_ok=True)  # it was never renamed, so the old file is complete
         data = self.path.read_bytes() if self.path.exists() else b""
         size = self._read(data)
-        self.noted = self.agreed
-        self.fd = os.open(self.path, os.O_CREAT | os.O_WRONLY | os.O_APPEND, 0o600)
+        self._stored_commit_index = self.commit_index
+        self.fd = os.open(self.path, os.O_CREAT | os.O_WRONLY | os.O_APPEND, _FILE_MODE)
         os.ftruncate(self.fd, size)
 
-    def _read(self, data):
-        at = 0
-        while at + HEAD_BYTES <= len(data):
-            size, checksum = _HEAD.unpack_from(data, at)
-            # Danger: a flipped bit in a length would make all that is behind it look like a record cut short.
-            if _SUM.unpack_from(data, at + _HEAD.size)[0] != zlib.crc32(data[at : at + _HEAD.size]):
-                raise RaftLogFormatError(f"{self.path}: the head of the record at byte {at}")
-            payload = data[at + HEAD_BYTES : at + HEAD_BYTES + size]
-            if len(payload) < size:
+    def _read(self, data: bytes) -> int:
+        """Replay the file's records, and return where the last complete one ends."""
+        start = 0
+        while start + HEAD_BYTES <= len(data):
+            length, checksum = _LENGTH_AND_CHECKSUM.unpack_from(data, start)
+            (head_checksum,) = _HEAD_CHECKSUM.unpack_from(data, start + _LENGTH_AND_CHECKSUM.size)
+            # The head has a checksum of its own: a flipped bit in the length would otherwise make all records
+            # behind it look like one that was cut short.
+            if head_checksum != zlib.crc32(data[start : start + _LENGTH_AND_CHECKSUM.size]):
+                raise RaftLogFormatError(f"{self.path}: the head of the record at byte {start}")
+            payload = data[start + HEAD_BYTES : start + HEAD_BYTES + length]
+            if len(payload) < length:
                 break  # cut short
             if zlib.crc32(payload) != checksum:
-                raise RaftLogFormatError(f"{self.path}: the record at byte {at}")
-            self._replay(payload, at)
-            at += HEAD_BYTES + size
-        return at
+                raise RaftLogFormatError(f"{self.path}: the record at byte {start}")
+            self._replay(payload, start)
+            start += HEAD_BYTES + length
+        return start
 
-    def _replay(self, payload, at):
+    def _replay(self, payload: bytes, start: int) -> None:
+        """Apply one record that begins at byte `start` of the file."""
         kind = payload[0]
         try:
-            if kind == ENTRY:
-                _, idx, term = _ENTRY.unpack_from(payload)
-                self.entries.append((payload[_ENTRY.size :], idx, term))
-            elif kind == CUT:
-                del self.entries[_CUT.unpack(payload)[1] :]
-            elif kind == AGREED:
-                self.agreed = _CUT.unpack(payload)[1]
-            elif kind == VOTE:
-                _, self.term = _VOTE.unpack_from(payload)
-                self.voted = payload[_VOTE.size :].decode() or None
+            if kind == RecordKind.ENTRY:
+                _, index, term = _ENTRY.unpack_from(payload)
+                self.entries.append((payload[_ENTRY.size :], index, term))
+            elif kind == RecordKind.TRUNCATE:
+                del self.entries[_NUMBER.unpack(payload)[1] :]
+            elif kind == RecordKind.COMMIT_INDEX:
+                self.commit_index = _NUMBER.unpack(payload)[1]
+            elif kind == RecordKind.VOTE:
+                _, self.term = _NUMBER.unpack_from(payload)
+                self.voted_for = payload[_NUMBER.size :].decode() or None
             else:
-                raise RaftLogFormatError(f"{self.path}: a record of kind {kind} at byte {at}")
+                raise RaftLogFormatError(f"{self.path}: a record of kind {kind} at byte {start}")
         except (struct.error, UnicodeDecodeError) as error:
-            raise RaftLogFormatError(f"{self.path}: the record at byte {at}: {error}") from None
+            raise RaftLogFormatError(f"{self.path}: the record at byte {start}: {error}") from None
 
-    def _append(self, payload):
+    def _append(self, payload: bytes) -> None:
         self._write(self.fd, _record(payload))
 
-    def _write(self, fd, data):
-        # Danger: a vote or entry that is in memory alone would be spoken of, and be forgotten by a restart.
-        if self.broken:
+    def _write(self, fd: int, data: bytes) -> None:
+        # A vote or an entry that is in memory alone would be spoken of, and be forgotten by a restart. So no
+        # write is tried after one that failed.
+        if self.write_failed:
             raise OSError(f"{self.path}: an earlier write has failed")
-        self.broken = True
+        self.write_failed = True
         while data:
             data = data[os.write(fd, data) :]
         if self.sync:
             os.fdatasync(fd)
-        self.broken = False
-
-    def _rewrite(self):
-        """All anew in another file, which takes the old one's place at once."""
-        fresh = self.path.with_name(self.path.name + ".new")
-        fd = os.open(fresh, os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_APPEND, 0o600)
-        state = _record(_vote(self.term, self.voted)) + _record(_CUT.pack(AGREED, self.agreed))
-        self._write(fd, state + b"".join(_record(_entry(*e)) for e in self.entries))
-        os.rename(fresh, self.path)
+        self.write_failed = False
+
+    def _rewrite(self) -> None:
+        """Write everything to another file, which then takes the place of the old one at once."""
+        fd = os.open(self._new_path, os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_APPEND, _FILE_MODE)
+        state = _record(_vote_payload(self.term, self.voted_for))
+        state += _record(_NUMBER.pack(RecordKind.COMMIT_INDEX, self.commit_index))
+        self._write(fd, state + b"".join(_record(_entry_payload(*entry)) for entry in self.entries))
+        os.rename(self._new_path, self.path)
         if self.sync:
             folder = os.open(self.path.parent, os.O_RDONLY)
             os.fsync(folder)
@@ -112,73 +149,80 @@
         os.close(self.fd)
         self.fd = fd
 
-    # --- the library's interface ----------------------------------------------------------------------
+    # --- the library's interface, with its names ------------------------------------------------------
 
-    def add(self, command, idx, term):
+    def add(self, command: bytes, idx: int, term: int) -> None:
         """Append an entry."""
         entry = bytes(command), idx, term
-        self._append(_entry(*entry))
+        self._append(_entry_payload(*entry))
         self.entries.append(entry)
 
-    def clear(self):
-        """No entries; the term and the vote stay."""
+    def clear(self) -> None:
+        """Remove all entries; the term and the vote stay."""
         self.deleteEntriesFrom(0)
 
-    def deleteEntriesFrom(self, entryFrom):  # noqa: N802, N803  the library's names, here and below
-        """Cut the back of the log: the entry at that place and all behind it."""
-        self._append(_CUT.pack(CUT, entryFrom))
+    def deleteEntriesFrom(self, entryFrom: int) -> None:  # noqa: N802, N803  the library's names, here and below
+        """Remove the back of the log: the entry at that place and all behind it."""
+        self._append(_NUMBER.pack(RecordKind.TRUNCATE, entryFrom))
         del self.entries[entryFrom:]
 
-    def deleteEntriesTo(self, entryTo):  # noqa: N802, N803
-        """Cut the front of the log, up to that place."""
-        # Danger: cut in place, a kill between the two steps would forget what was acknowledged.
+    def deleteEntriesTo(self, entryTo: int) -> None:  # noqa: N802, N803
+        """Remove the front of the log, up to that place."""
+        # By a new file: if the old one were changed in place, a kill halfway would lose acknowledged entries.
         self.entries = self.entries[entryTo:]
         self._rewrite()
 
-    def __getitem__(self, item):
+    def __getitem__(self, item: Any) -> Any:
+        """Return an entry, or a slice of them."""
         return self.entries[item]
 
-    def __len__(self):
+    def __len__(self) -> int:
+        """Return how many entries there are."""
         return len(self.entries)
 
-    def setCurrentTerm(self, term, votedForNodeId):  # noqa: N802, N803
-        """Before any message speaks of them."""
-        self.term, self.voted = term, votedForNodeId
-        self._append(_vote(term, votedForNodeId))
+    def setCurrentTerm(self, term: int, votedForNodeId: str | None) -> None:  # noqa: N802, N803
+        """Set the term and the vote, before any message speaks of them."""
+        self.term = term
+        self.voted_for = votedForNodeId
+        self._append(_vote_payload(term, votedForNodeId))
 
-    def getCurrentTerm(self):  # noqa: N802
+    def getCurrentTerm(self) -> int:  # noqa: N802
+        """Return the term."""
         return self.term
 
-    def getVotedForNodeId(self):  # noqa: N802
-        return self.voted
+    def getVotedForNodeId(self) -> str | None:  # noqa: N802
+        """Return the id of who was voted for."""
+        return self.voted_for
 
-    def setRaftCommitIndex(self, raftCommitIndex):  # noqa: N802, N803
-        """Written at the next second: a leader says it anew anyhow."""
-        self.agreed = raftCommitIndex
+    def setRaftCommitIndex(self, raftCommitIndex: int) -> None:  # noqa: N802, N803
+        """Set the commit index; it is written within a second, since a leader repeats it anyhow."""
+        self.commit_index = raftCommitIndex
 
-    def getRaftCommitIndex(self):  # noqa: N802
-        return self.agreed
+    def getRaftCommitIndex(self) -> int:  # noqa: N802
+        """Return the commit index."""
+        return self.commit_index
 
-    def onOneSecondTimer(self):  # noqa: N802
-        """The library's turn for what may wait."""
-        if self.noted != self.agreed:
-            self.noted = self.agreed
-            self._append(_CUT.pack(AGREED, self.agreed))
+    def onOneSecondTimer(self) -> None:  # noqa: N802
+        """Write what may wait."""
+        if self._stored_commit_index != self.commit_index:
+            self._stored_commit_index = self.commit_index
+            self._append(_NUMBER.pack(RecordKind.COMMIT_INDEX, self.commit_index))
 
-    def _destroy(self):
+    def _destroy(self) -> None:
+        """Close the file."""
         if self.fd >= 0:
             os.close(self.fd)
             self.fd = -1
 
 
-def _record(payload):
-    head = _HEAD.pack(len(payload), zlib.crc32(payload))
-    return head + _SUM.pack(zlib.crc32(head)) + payload
+def _record(payload: bytes) -> bytes:
+    head = _LENGTH_AND_CHECKSUM.pack(len(payload), zlib.crc32(payload))
+    return head + _HEAD_CHECKSUM.pack(zlib.crc32(head)) + payload
 
 
-def _entry(command, idx, term):
-    return _ENTRY.pack(ENTRY, idx, term) + command
+def _entry_payload(command: bytes, index: int, term: int) -> bytes:
+    return _ENTRY.pack(RecordKind.ENTRY, index, term) + command
 
 
-def _vote(term, voted):
-    return _VOTE.pack(VOTE, term) + (voted or "").encode()
+def _vote_payload(term: int, voted_for: str | None) -> bytes:
+    return _NUMBER.pack(RecordKind.VOTE, term) + (voted_for or "").encode()
--- /dev/null
+++ b/pinspread/leases/raft_transport.py
@@ -0,0 +1,285 @@
+"""The streams between voters, as the transport of the Raft library.
+
+There is one simplex TCP stream for each directed pair of voters, opened by the sender from its own address: a
+hello, then frames as `membership.framing` has them. The library relies on the order within a stream, since it
+cuts a follower's log at what a message says; so a stream that is opened again ends the one before it. A
+message that is not well-formed, not from a voter, or holds a command that could call something is logged and
+refused, and ends its stream.
+
+A voter whose folder is empty may have forgotten votes and entries. It is a *learner* until all other voters
+have reported that their logs are empty too (the fleet's first start), or until it has applied an entry of a
+leader's own term, which got there without a vote of its own; until then it neither votes nor stands for
+election.
+"""
+
+import random
+from collections import Counter
+from collections.abc import Mapping
+from contextlib import suppress
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Protocol
+
+import anyio
+import anyio.abc
+from pysyncobj.node import Node
+from pysyncobj.transport import Transport
+
+from pinspread.core.log import log
+from pinspread.leases import raft_messages
+from pinspread.leases.raft_messages import MAX_FRAME_BYTES, Message
+from pinspread.membership import codec
+from pinspread.membership.codec import DatagramError
+from pinspread.membership.framing import FrameStream
+
+MAGIC = b"PSQ"
+FIRST_VOTE_DELAY_S = (
+    1.0  # from a learner's start to its first vote: votes from before its loss are over by then
+)
+_CONNECT_TIMEOUT_S = 1.0
+_RECONNECT_DELAY_S = (0.1, 0.3)  # between connections to one voter, drawn at random
+_HELLO_TIMEOUT_S = 2.0
+_MAX_BACKLOG_BYTES = 1 << 22  # that wait for one stream before it is ended
+_MAX_INCOMING = 64  # streams
+_MAX_ERROR_CHARS = 200  # in the log
+
+_STREAM_ERRORS = (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError)
+
+
+class RaftState(Protocol):
+    """What the transport uses of the Raft node."""
+
+    @property
+    def term(self) -> int:
+        """The Raft term."""
+
+    @property
+    def last_applied(self) -> int:
+        """The index of the last entry that this voter has applied."""
+
+    @property
+    def log_is_empty(self) -> bool:
+        """Whether this voter's log holds no entries."""
+
+    @property
+    def write_failed(self) -> bool:
+        """Whether this voter's log cannot be written."""
+
+    def wake(self) -> None:
+        """Run the library now."""
+
+
+@dataclass(frozen=True)
+class TransportConfig:
+    """The settings of the transport.
+
+    Attributes:
+        member_id: This voter.
+        local_host: The address to connect from.
+        others: The host and port of each other voter, by its id.
+        key: The fleet's key.
+        voted_marker: A file that exists once this voter may vote.
+    """
+
+    member_id: str
+    local_host: str
+    others: Mapping[str, tuple[str, int]]
+    key: bytes
+    voted_marker: Path
+
+
+class OutgoingStream:
+    """What waits for the stream to one voter.
+
+    Attributes:
+        connected: Whether the stream is open.
+    """
+
+    def __init__(self) -> None:
+        self.connected = False
+        self._waiting: list[bytes] = []
+        self._waiting_bytes = 0
+        self._data_available = anyio.Event()
+
+    def put(self, data: bytes) -> None:
+        """Queue data."""
+        self._waiting.append(data)
+        self._waiting_bytes += len(data)
+        self._data_available.set()
+
+    async def drain(self, stream: anyio.abc.ByteSendStream, scope: anyio.CancelScope) -> None:
+        """Send what is queued until the stream fails or too much waits; then end the scope."""
+        with suppress(*_STREAM_ERRORS):
+            while self._waiting_bytes <= _MAX_BACKLOG_BYTES:
+                await self._data_available.wait()
+                self._data_available = anyio.Event()
+                data = b"".join(self._waiting)
+                self._waiting = []
+                self._waiting_bytes = 0
+                await stream.send(data)
+        scope.cancel()
+
+
+class VoterTransport(Transport):  # type: ignore[misc]  # the library comes without types
+    """Sends the library's messages into the stream to each voter, and hands it those that are received.
+
+    Args:
+        node: The Raft node.
+        config: The settings.
+
+    Attributes:
+        is_learner: Whether this voter neither votes nor stands for election yet.
+        sent_counts: How many messages were sent, by kind; `entries` are `append_entries` that hold some.
+    """
+
+    def __init__(self, node: RaftState, config: TransportConfig):
+        super().__init__(None, None, [])
+        self.is_learner = not config.voted_marker.exists()
+        self.sent_counts: Counter[str] = Counter()
+        self._node = node
+        self._id = config.member_id
+        self._local_host = config.local_host
+        self._others = config.others
+        self._key = config.key
+        self._voted_marker = config.voted_marker
+        self._outgoing: dict[str, OutgoingStream] = {}
+        self._incoming: dict[str, anyio.CancelScope] = {}  # the stream from each voter
+        self._incoming_count = 0
+        self._reported_empty: dict[str, bool] = {}  # whether a voter's last hello said that its log is empty
+        self._started_at = anyio.current_time()
+        self._leader_term_index = 0  # of the newest entry from a leader in that leader's own term
+
+    # --- the learner ----------------------------------------------------------------------------------
+
+    def promote_if_safe(self) -> None:
+        """Vote and stand for election from now on, if it is safe."""
+        if not self.is_learner:
+            return
+        delay_is_over = anyio.current_time() - self._started_at >= FIRST_VOTE_DELAY_S
+        all_reported = len(self._reported_empty) == len(self._others)
+        first_start = delay_is_over and all_reported and all(self._reported_empty.values())
+        caught_up = 0 < self._leader_term_index <= self._node.last_applied
+        if not first_start and not caught_up:
+            return
+        self._voted_marker.touch()
+        self.is_learner = False
+        log("quorum_votes", id=self._id, why="first start" if first_start else "caught up")
+        for voter, outgoing in self._outgoing.items():
+            if outgoing.connected:
+                self._onNodeConnected(Node(voter))
+
+    def _note_leader_term(self, message: Message) -> None:
+        """Remember up to where the leader's log is known to hold all that was committed before."""
+        if message["type"] != "append_entries":
+            return
+        if message.get("prevLogTerm") == message["term"]:
+            self._leader_term_index = max(self._leader_term_index, message["prevLogIdx"])
+        for _, index, term in message.get("entries", ()):
+            if term == message["term"]:
+                self._leader_term_index = max(self._leader_term_index, index)
+
+    # --- sending --------------------------------------------------------------------------------------
+
+    def send(self, node: Node, message: Message) -> bool:
+        """Queue a message for a voter; return whether a stream to it is open."""
+        outgoing = self._outgoing.get(node.id)
+        if outgoing is None or not outgoing.connected:
+            return False
+        # A voter must not send what it could not write to its log.
+        if self._node.write_failed or (self.is_learner and message["type"] == "request_vote"):
+            return False
+        body = {"term": self._node.term, "message": message}
+        outgoing.put(codec.encode(body, self._key, MAGIC))
+        self.sent_counts["entries" if message.get("entries") else message["type"]] += 1
+        return True
+
+    async def stay_connected(self, voter: str) -> None:
+        """Connect to a voter, again whenever the stream ends, until cancelled."""
+        while True:
+            outgoing = self._outgoing[voter] = OutgoingStream()
+            with suppress(*_STREAM_ERRORS):
+                await self._send_to(voter, outgoing)
+            outgoing.connected = False
+            self._onNodeDisconnected(Node(voter))
+            await anyio.sleep(random.uniform(*_RECONNECT_DELAY_S))
+
+    async def _send_to(self, voter: str, outgoing: OutgoingStream) -> None:
+        """Connect to a voter, and send until the stream ends."""
+        host, port = self._others[voter]
+        with anyio.fail_after(_CONNECT_TIMEOUT_S):
+            stream = await anyio.connect_tcp(host, port, local_host=self._local_host)
+        async with stream:
+            hello = {"from": self._id, "to": voter, "empty": self._node.log_is_empty}
+            await stream.send(codec.encode(hello, self._key, MAGIC))
+            outgoing.connected = True
+            if not self.is_learner:
+                self._onNodeConnected(Node(voter))
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(_wait_closed, stream, tasks.cancel_scope)
+                tasks.start_soon(outgoing.drain, stream, tasks.cancel_scope)
+
+    # --- receiving ------------------------------------------------------------------------------------
+
+    async def serve(self, stream: anyio.abc.SocketStream) -> None:
+        """Receive on a stream that was accepted, until it ends or is refused."""
+        self._incoming_count += 1
+        source = ""
+        try:
+            async with stream:
+                frames = FrameStream(stream, self._key, MAGIC, MAX_FRAME_BYTES)
+                source = await self._receive_hello(frames)
+                await self._receive_messages(source, frames)
+        except (DatagramError, TimeoutError) as error:
+            log("quorum_refused", id=self._id, source=source, why=str(error) or "no hello in time")
+        except _STREAM_ERRORS:
+            pass
+        finally:
+            self._incoming_count -= 1
+
+    async def _receive_hello(self, frames: FrameStream) -> str:
+        """Return the voter that a stream is from."""
+        if self._incoming_count > _MAX_INCOMING:
+            raise DatagramError("too many streams")
+        with anyio.fail_after(_HELLO_TIMEOUT_S):
+            hello = await frames.receive()
+        raft_messages.check_hello(hello)
+        voter: str = hello["from"]
+        if voter not in self._others or hello["to"] != self._id:
+            raise DatagramError(f"{voter[:64]!r} to {hello['to'][:64]!r} is no stream of voters")
+        self._reported_empty[voter] = hello["empty"]
+        return voter
+
+    async def _receive_messages(self, voter: str, frames: FrameStream) -> None:
+        """Handle what a voter sends until the stream ends or the voter opens another."""
+        if voter in self._incoming:
+            self._incoming[voter].cancel()  # what is still under way in the older stream is out of date
+        with anyio.CancelScope() as scope:
+            self._incoming[voter] = scope
+            while True:
+                self._handle(Node(voter), await frames.receive())
+
+    def _handle(self, sender: Node, body: Message) -> None:
+        """Hand a message to the library, unless it is out of date."""
+        checked = raft_messages.check_body(body)
+        message = raft_messages.skip_applied_entries(checked, self._node.last_applied)
+        if message is None:
+            return
+        kind = message["type"]
+        if self.is_learner:
+            self._note_leader_term(message)
+            if kind in ("request_vote", "timeout_now"):
+                return
+        if kind == "next_node_idx" and body["term"] != self._node.term:
+            return  # it says what a log held in another term, which no longer counts
+        try:
+            self._onMessageReceived(sender, message)
+        except Exception as error:  # noqa: BLE001  whatever the library raises must not end the instance
+            raise DatagramError(f"{kind}: {error!r}"[:_MAX_ERROR_CHARS]) from None
+        self._node.wake()
+
+
+async def _wait_closed(stream: anyio.abc.ByteReceiveStream, scope: anyio.CancelScope) -> None:
+    """End the scope once the other side, which never sends anything, closes the stream."""
+    with suppress(anyio.EndOfStream, *_STREAM_ERRORS):
+        await stream.receive(1)
+    scope.cancel()
--- /dev/null
+++ b/pinspread/leases/request_handler.py
@@ -0,0 +1,169 @@
+"""A voter's side of leases: decides on the requests of members, and proposes what it grants."""
+
+from collections.abc import Callable, Coroutine, Mapping
+from functools import partial
+from typing import Any, Protocol
+
+from anyio.abc import TaskGroup
+
+from pinspread.core.log import log
+from pinspread.leases.state_machine import (
+    OK,
+    Answer,
+    Command,
+    CommandKind,
+    LeaseRecord,
+    LeaseTerms,
+    Request,
+    RequestKind,
+    binding_until_us,
+    evaluate_request,
+)
+from pinspread.membership.clock import monotonic_us
+
+_COMMITTED_EVENTS = {
+    CommandKind.GRANT: "lease_granted",
+    CommandKind.RENEW: "lease_renewed",
+    CommandKind.RELEASE: "lease_released",
+}
+_NO_RECORD = LeaseRecord()
+
+OnApplied = Callable[[LeaseRecord, str], None]
+SendAnswer = Callable[[str, Answer], Coroutine[Any, Any, None]]
+
+
+class ReplicatedRecords(Protocol):
+    """What a request handler uses of the voters' agreement: see `raft.RaftNode`."""
+
+    @property
+    def records(self) -> Mapping[str, LeaseRecord]:
+        """The record of each task, as this voter has applied it."""
+
+    @property
+    def term(self) -> int:
+        """The Raft term."""
+
+    @property
+    def sent_counts(self) -> Mapping[str, int]:
+        """How many messages of each kind were sent to other voters."""
+
+    def is_leader(self) -> bool:
+        """Return whether this voter takes itself for the leader."""
+
+    def leader_id(self) -> str:
+        """Return the leader as far as this voter knows, or empty."""
+
+    def propose(self, task: str, command: Command, on_applied: OnApplied) -> None:
+        """Append a command to the log, and call back once it is applied here."""
+
+
+class Fleet(Protocol):
+    """What a request handler uses of the fleet: see `service.LeaseService`."""
+
+    def is_member(self, member_id: str) -> bool:
+        """Return whether the fleet has a member of this id."""
+
+    def is_known_task(self, task: str) -> bool:
+        """Return whether a task may be contended for."""
+
+
+class RequestHandler:
+    """Answers the requests of members; a member without a vote refuses them all.
+
+    Args:
+        member_id: This member.
+        terms: The times that all parties share.
+        now: Reads this member's clock, in microseconds.
+        fleet: Who is a member, and which tasks there are.
+        send_answer: Sends an answer to an address.
+    """
+
+    def __init__(
+        self,
+        member_id: str,
+        terms: LeaseTerms,
+        *,
+        now: Callable[[], int],
+        fleet: Fleet,
+        send_answer: SendAnswer,
+    ):
+        self.member_id = member_id
+        self.terms = terms
+        self.raft: ReplicatedRecords | None = None  # where this member has a vote
+        self.applied_us: dict[str, int] = {}  # when each task's record was applied, by this member's clock
+        self.answer_tasks: TaskGroup | None = None  # sends the answers to what has been committed
+        self._now = now
+        self._fleet = fleet
+        self._send_answer = send_answer
+
+    def record_applied(self, task: str, record: LeaseRecord) -> None:
+        """Note that this voter has applied a task's record now."""
+        self.applied_us[task] = self._now()
+
+    def binding_for_us(self, task: str, now_us: int) -> int:
+        """Return for how long a task's record binds this voter from now on; negative once it does not."""
+        return binding_until_us(self.terms, self.applied_us.get(task, now_us)) - now_us
+
+    async def handle(self, request: Request, reply_address: str) -> None:
+        """Answer a request, at once or when the command that it leads to has been applied.
+
+        No answer is sent where this voter is not the leader and knows of none: the member asks another.
+        """
+        reason = self._refusal(request)
+        if reason or self.raft is None:
+            await self._refuse(request, reply_address, reason)
+            return
+        if not self.raft.is_leader():
+            leader = self.raft.leader_id()
+            if leader and leader != self.member_id:
+                answer = Answer(request.task, request.request_id, "not the leader", leader=leader)
+                await self._send_answer(reply_address, answer)
+            return
+        now_us = self._now()
+        record = self.raft.records.get(request.task, _NO_RECORD)
+        applied_us = self.applied_us.get(request.task, now_us)
+        decision = evaluate_request(record, applied_us, request, self.terms, now_us)
+        if isinstance(decision, Answer):
+            if request.kind != RequestKind.ACQUIRE:
+                self._log_refusal(request, decision.reason)
+            await self._send_answer(reply_address, decision)
+            return
+        on_applied = partial(self._command_applied, request, decision.kind, reply_address)
+        self.raft.propose(request.task, decision, on_applied)
+
+    def _refusal(self, request: Request) -> str:
+        """Return why a request is not for this member to decide on, or empty."""
+        if self.raft is None:
+            return "not a voter"
+        if request.kind == RequestKind.ACQUIRE and not self._fleet.is_member(request.member):
+            # A renewal is not refused for this: a voter that was just started knows of no member yet, and a
+            # refusal would end the claim of a lease holder that the record knows.
+            return "not a member of the fleet"
+        if not self._fleet.is_known_task(request.task):
+            return "no such task"
+        return ""
+
+    async def _refuse(self, request: Request, reply_address: str, reason: str) -> None:
+        self._log_refusal(request, reason)
+        await self._send_answer(reply_address, Answer(request.task, request.request_id, reason))
+
+    def _command_applied(
+        self, request: Request, kind: CommandKind, reply_address: str, record: LeaseRecord, outcome: str
+    ) -> None:
+        if outcome == OK:
+            token = record.token
+            event = _COMMITTED_EVENTS[kind]
+            self._log(event, request.task, token, member=request.member, version=record.version)
+        else:
+            token = 0
+            self._log_refusal(request, outcome)
+        answer = Answer(request.task, request.request_id, outcome, token)
+        if self.answer_tasks is None:
+            raise RuntimeError("a request was handled before the service runs")
+        self.answer_tasks.start_soon(self._send_answer, reply_address, answer)
+
+    def _log_refusal(self, request: Request, reason: str) -> None:
+        self._log("lease_refused", request.task, request.token, member=request.member, why=reason)
+
+    def _log(self, event: str, task: str, token: int, **fields: Any) -> None:
+        log(event, seer=self.member_id, task=task, token=token, mono_us=monotonic_us(), **fields)
--- a/pinspread/leases/service.py
+++ b/pinspread/leases/service.py
@@ -1,378 +1,349 @@
-"""Leases while the courier runs: this member's claims on tasks, its acts, and its vote if it has one.
+"""Leases in a running instance: this member's claims on tasks, its calls of them, and its vote if it has one.
 
-Requests and answers are datagrams as `wire` seals them; a voter that leads judges and proposes them
-(`lease.evaluate_request`, `quorum`), every member keeps its claims (`lease.tick`, `heard`, `may_act`). A task with an
-address is acted on while it is held: an HTTP POST every `every_us` with the fencing token, checked right
-before it is written.
+Requests and answers are datagrams (`codec`). Every member keeps its claims (`state_machine.tick`,
+`apply_answer`, `may_act`). A voter that leads decides on requests (`request_handler`) and has the voters
+agree (`raft`). A task with an address is called while its lease is held (`task_calls`).
 """
 
 import random
+from collections.abc import Mapping
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import anyio
+import anyio.abc
 
 from pinspread.core.log import log
-from pinspread.leases import state_machine as lease
-from pinspread.membership import codec as wire
+from pinspread.leases import codec
+from pinspread.leases.request_handler import RequestHandler
+from pinspread.leases.state_machine import (
+    Answer,
+    Claim,
+    Contender,
+    LeaseTerms,
+    Request,
+    apply_answer,
+    may_act,
+    release_claim,
+    tick,
+)
+from pinspread.leases.task_calls import LeaseTask, TaskCaller
 from pinspread.membership.clock import monotonic_us
+from pinspread.membership.codec import DatagramError
+from pinspread.membership.service import MembershipService
 from pinspread.sockets.connections import split_address
 
-MAGIC = b"PSL"
-TURN_S = 0.05  # claims are looked at, at least this often
-ACT_S = 1.0  # for one act: the connection, the call and its answer
-GIVE_S = 0.2  # what giving back may take of the 3.7 s of SIGTERM
-WORK_TASK_PREFIX = "work."  # and a member's id: who may act for what that courier took on (copying.py)
-ASKED, ANSWERED = "lease", "leased"
-MOST_TASK = 64  # characters of a name in a datagram
+__all__ = ["WORK_TASK_PREFIX", "LeaseConfig", "LeaseService", "LeaseTask"]
 
-
-@dataclass(frozen=True)
-class LeaseTask:
-    """A fleet-wide task; without an address it is held and nothing is called."""
-
-    name: str
-    address: str = ""
-    every_us: int = 1_000_000
+# Before a member's id: the task of acting for what that member has accepted (see `replication`).
+WORK_TASK_PREFIX = "work."
+_TICK_S = 0.05  # claims are checked at least this often
+_RELEASE_TIMEOUT_S = 0.2  # for giving leases back, of the 3.7 s that SIGTERM leaves
+_REQUEST_ID_BITS = 62
+_MAX_SHOWN_CHARS = 100  # of an address that was received, in the log
 
 
 @dataclass(frozen=True)
 class LeaseConfig:
-    """What the file's `[leases]` says; `voters` is {id: address}, `folder` lasts."""
+    """What the deploy file's `[leases]` table says.
+
+    Attributes:
+        listen: `host:port` that is bound, by UDP and, on a voter, by TCP.
+        advertise: `host:port` at which other members reach this one.
+        voters: The address of each voter by its id.
+        tasks: The tasks of the fleet that this member contends for.
+        terms: The times that all parties share.
+        election_s: The shortest election time-out of the voters, in seconds.
+        folder: Where a voter's log is kept over restarts.
+        sync: Whether a voter's log is on the disk before a message speaks of it.
+    """
 
     listen: str
     advertise: str
-    voters: dict
-    tasks: tuple
-    terms: lease.LeaseTerms
+    voters: dict[str, str]
+    tasks: tuple[LeaseTask, ...]
+    terms: LeaseTerms
     election_s: float
     folder: str
     sync: bool = False
 
 
 class LeaseService:
-    """A companion of the courier; `membership` gives the id, the fleet's key, the clock and who is known."""
+    """A background service of the instance.
+
+    Args:
+        config: What the deploy file says.
+        membership: Gives this member's id, the fleet's key, the clock and the known members.
+        seed: Of the random draws, for tests.
+    """
 
     name = "leases"
 
-    def __init__(self, config: LeaseConfig, membership, seed: int | None = None):
-        self.config, self.membership = config, membership
-        self.id, self.key = membership.config.id, membership.config.fleet_key
+    def __init__(self, config: LeaseConfig, membership: MembershipService, seed: int | None = None):
+        self.config = config
+        self.membership = membership
+        self.id = membership.config.id
+        self.key = membership.config.fleet_key
         self.rng = random.Random(seed)
-        self.claims = {t.name: lease.Claim() for t in config.tasks}
-        self.applied = {}  # task -> when this voter applied its row, by its own clock
-        self.asked = sorted(config.voters)  # whom to ask, the likely leader first
-        self.rng.shuffle(self.asked)
-        self.quorum = None
-        self.sock = self.listener = None
-        self.sending = anyio.Lock()
+        self.claims = {task.name: Claim() for task in config.tasks}
+        self.voter_order = sorted(config.voters)  # whom to send requests to, the likely leader first
+        self.rng.shuffle(self.voter_order)
         self.counts = {"requests": 0, "answers": 0, "dropped": 0}
+        self.handler = RequestHandler(
+            self.id,
+            config.terms,
+            now=self.now,
+            fleet=self,
+            send_answer=self._send_answer,
+        )
+        self._socket: anyio.abc.UDPSocket | None = None
+        self._send_lock = anyio.Lock()  # the socket takes one sender at a time
 
     def now(self) -> int:
+        """Return this member's time, in microseconds."""
         return self.membership.now()
 
-    # --- the door -------------------------------------------------------------------------------------
+    # --- for other parts of the instance --------------------------------------------------------------
 
     def fencing_token(self, task: str) -> int:
-        """The fencing token if this member may act on the task now, else 0."""
-        claim = self.claims.get(task, lease.Claim())
-        return claim.token if lease.may_act(claim, self.config.terms, self.now()) else 0
-
-    def view(self) -> dict:
-        """What this member holds, and as a voter the rows as it has applied them."""
-        now = self.now()
-        rows = {}
-        for name, claim in self.claims.items():
-            left = claim.expiry_us - self.config.terms.drift_us - self.config.terms.margin_us - now
-            rows[name] = {"task": name, "mine": self.fencing_token(name), "acts_for_ms": max(0, left) // 1000}
-            if not claim.token:
-                rows[name]["acts_for_ms"] = 0
-        found = {"id": self.id, "voter": self.quorum is not None, "counts": self.counts}
-        if self.quorum:
-            found |= {"leader": self.quorum.leader_id(), "term": self.quorum.sync.raftCurrentTerm}
-            found["sent"] = dict(self.quorum.streams.sent)
-            for name, row in self.quorum.table.rows.items():
-                rows.setdefault(name, {"task": name, "mine": 0, "acts_for_ms": 0})
-                if row.version:
-                    waits = lease.binding_until_us(self.config.terms, self.applied.get(name, now)) - now
-                    rows[name] |= row._asdict() | {"binds_for_ms": max(0, waits) // 1000 if row.holder else 0}
-        return found | {"tasks": [rows[n] for n in sorted(rows)]}
-
-    def attach(self, courier):
-        """It needs nothing of the core."""
-
-    async def before_recovery(self):
-        """Nothing that is owed depends on it."""
-
-    async def part(self):
-        """Likewise."""
-
-    def contend(self, task: str):
-        """Contend for a task beside those of the file: the work of a member, `work.ID`."""
-        self.claims.setdefault(task, lease.Claim())
-
-    async def withdraw(self, task: str):
-        """Contend no longer; what is held is given back."""
-        claim = self.claims.pop(task, None)
-        _, request = lease.release_claim(claim or lease.Claim(), task, self.id, self._number())
+        """Return the fencing token of a task that this member may act on now, else 0."""
+        claim = self.claims.get(task, Claim())
+        return claim.token if may_act(claim, self.config.terms, self.now()) else 0
+
+    def contend(self, task: str) -> None:
+        """Contend for a task beside those of the deploy file, from now on."""
+        self.claims.setdefault(task, Claim())
+
+    async def withdraw(self, task: str) -> None:
+        """Contend for a task no longer, and give its lease back if it is held."""
+        claim = self.claims.pop(task, Claim())
+        _, request = release_claim(claim, Contender(task, self.id), self._new_request_id())
         if request:
-            self._note("lease_given_back", task, claim.token)
-            with anyio.move_on_after(GIVE_S):
-                for voter in self.asked:
-                    await self._ask(voter, request)
-
-    def _known(self, task):
-        if any(task == t.name for t in self.config.tasks):
-            return True
-        # Danger: a voter that was started again hears nothing of who was lost before, whose work goes on.
-        granted = self.quorum is not None and task in self.quorum.table.rows
-        return task.startswith(WORK_TASK_PREFIX) and (
-            granted or task.removeprefix(WORK_TASK_PREFIX) in self.membership.member.table
-        )
-
-    # --- running --------------------------------------------------------------------------------------
-
-    async def open(self):
-        """Bind the sockets; OSError if the address cannot be had."""
+            self._log("lease_given_back", task, claim.token)
+            with anyio.move_on_after(_RELEASE_TIMEOUT_S):
+                for voter in self.voter_order:
+                    await self._send_request(voter, request)
+
+    async def flush_proposals(self) -> None:
+        """Let commands that this voter has proposed as the leader be committed before it ends."""
+        raft = self.handler.raft
+        await anyio.sleep(_RELEASE_TIMEOUT_S if raft and raft.is_leader() else 0)
+
+    def view(self) -> dict[str, Any]:
+        """Return what this member holds and, on a voter, the records as it has applied them."""
+        now_us = self.now()
+        rows = {name: self._claim_view(name, claim, now_us) for name, claim in self.claims.items()}
+        raft = self.handler.raft
+        view: dict[str, Any] = {"id": self.id, "voter": raft is not None, "counts": self.counts}
+        if raft:
+            view |= {"leader": raft.leader_id(), "term": raft.term, "sent": dict(raft.sent_counts)}
+            for name, record in raft.records.items():
+                row = rows.setdefault(name, {"task": name, "mine": 0, "acts_for_ms": 0})
+                if record.version:
+                    binding_us = self.handler.binding_for_us(name, now_us)
+                    row |= codec.record_to_json(record)
+                    row["binds_for_ms"] = max(0, binding_us) // 1000 if record.holder else 0
+        return view | {"tasks": [rows[name] for name in sorted(rows)]}
+
+    def _claim_view(self, task: str, claim: Claim, now_us: int) -> dict[str, Any]:
+        remaining_us = self._remaining_us(claim, now_us) if claim.token else 0
+        return {
+            "task": task,
+            "mine": self.fencing_token(task),
+            "acts_for_ms": max(0, remaining_us) // 1000,
+        }
+
+    # --- life cycle -----------------------------------------------------------------------------------
+
+    def attach(self, engine: object) -> None:
+        """Do nothing: leases need nothing of the delivery engine."""
+
+    async def before_recovery(self) -> None:
+        """Do nothing: no recovered message depends on leases."""
+
+    async def part(self) -> None:
+        """Do nothing: leases have nothing to close."""
+
+    async def open(self) -> None:
+        """Bind the sockets.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
         host, port = split_address(self.config.listen)
-        self.sock = await anyio.create_udp_socket(local_host=host, local_port=port)
+        self._socket = await anyio.create_udp_socket(local_host=host, local_port=port)
         if self.id in self.config.voters:
-            from pinspread.leases.raft import Quorum  # Danger: what is no voter must not load the library
-
-            self.listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
-            self.quorum = Quorum(
-                self.id,
-                self.config.listen,
-                self.config.voters,
-                self.key,
-                Path(self.config.folder),
-                self.config.election_s,
-                self._applied,
-                self.config.sync,
-            )
-        log("leases_up", id=self.id, listen=self.config.listen, voter=self.quorum is not None)
-
-    async def run(self):
-        """Claim and act until cancelled; `open` first."""
-        async with self.sock, anyio.create_task_group() as tasks:
-            if self.quorum:
-                tasks.start_soon(self.quorum.run, self.listener)
-            tasks.start_soon(self._hear)
+            await self._open_vote(host, port)
+        log("leases_up", id=self.id, listen=self.config.listen, voter=self.handler.raft is not None)
+
+    async def _open_vote(self, host: str, port: int) -> None:
+        # Imported here so that a member without a vote does not load the library of the agreement.
+        from pinspread.leases.raft import RaftConfig, RaftNode
+
+        self._listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
+        raft_config = RaftConfig(
+            id=self.id,
+            listen=self.config.listen,
+            voters=self.config.voters,
+            key=self.key,
+            folder=Path(self.config.folder),
+            election_s=self.config.election_s,
+            sync=self.config.sync,
+        )
+        self._raft_node = RaftNode(raft_config, self.handler.record_applied)
+        self.handler.raft = self._raft_node
+
+    async def run(self) -> None:
+        """Claim and act until cancelled; `open` comes first."""
+        async with self._open_socket(), anyio.create_task_group() as tasks:
+            if self.handler.raft:
+                tasks.start_soon(self._raft_node.run, self._listener)
+            tasks.start_soon(self._receive)
             for task in self.config.tasks:
                 if task.address:
-                    tasks.start_soon(self._work, task)
+                    tasks.start_soon(self._caller(task).run)
             while True:
                 for name in list(self.claims):
-                    await self._turn(name)
-                await anyio.sleep(TURN_S)
+                    await self._update_claim(name)
+                await anyio.sleep(_TICK_S)
 
-    async def leave(self):
-        """Give back what is held, as SIGTERM asks; this courier's own work is given back by who copies it."""
-        if self.sock is None:
+    async def leave(self) -> None:
+        """Give back what is held, as SIGTERM asks; replication gives back the member's own work."""
+        if self._socket is None:
             return
-        for name in [n for n in self.claims if n != WORK_TASK_PREFIX + self.id]:
+        for name in [name for name in self.claims if name != WORK_TASK_PREFIX + self.id]:
             await self.withdraw(name)
         await self.flush_proposals()
 
-    async def flush_proposals(self):
-        """Let entries that this voter leads, and that it proposed itself, be agreed on before its end."""
-        await anyio.sleep(GIVE_S if self.quorum and self.quorum.is_leader() else 0)
-
-    def _note(self, event, task, token, **more):
-        log(event, seer=self.id, task=task, token=token, mono_us=monotonic_us(), **more)
+    # --- claims ---------------------------------------------------------------------------------------
 
-    def _number(self):
-        return self.rng.getrandbits(62) + 1
+    def _new_request_id(self) -> int:
+        return self.rng.getrandbits(_REQUEST_ID_BITS) + 1
 
-    # --- the claims -----------------------------------------------------------------------------------
+    def _remaining_us(self, claim: Claim, now_us: int) -> int:
+        """For how long this member may act on a claim from now on."""
+        return claim.expiry_us - self.config.terms.drift_us - self.config.terms.margin_us - now_us
 
-    def _stops_us(self, claim):
-        """When this claim's acts end, in the machine's time, for the log alone."""
-        left = claim.expiry_us - self.config.terms.drift_us - self.config.terms.margin_us - self.now()
-        return monotonic_us() + int(left / self.membership.config.clock_rate)
+    def _acts_end_us(self, claim: Claim) -> int:
+        """When this member's acts on a claim end, in the machine's time, for the log alone."""
+        remaining_us = self._remaining_us(claim, self.now())
+        return monotonic_us() + int(remaining_us / self.membership.config.clock_rate)
 
-    async def _turn(self, name):
-        before = self.claims.get(name)
+    async def _update_claim(self, task: str) -> None:
+        before = self.claims.get(task)
         if before is None:
-            return  # given up while another was asked for
-        claim, request = lease.tick(before, self.config.terms, name, self.id, self.now(), self._number())
-        self.claims[name] = claim
+            return  # withdrawn while a request for another task was sent
+        contender = Contender(task, self.id)
+        claim, request = tick(before, self.config.terms, contender, self.now(), self._new_request_id())
+        self.claims[task] = claim
         if before.token and not claim.token:
-            self._note("lease_lost", name, before.token, why="not renewed in time")
+            self._log("lease_lost", task, before.token, why="not renewed in time")
         if request:
-            # Danger: rotated after a hint as well, the leader that was just named would be asked last.
-            if request.number == before.number and before.sent_us:  # in vain: another may lead by now
-                self.asked.append(self.asked.pop(0))
-            await self._ask(self.asked[0], request)
+            # Only where an unanswered request is sent again: another voter may lead by now. After a hint,
+            # which clears `sent_us`, the voter that was just named would come last.
+            if request.request_id == before.request_id and before.sent_us:
+                self.voter_order.append(self.voter_order.pop(0))
+            await self._send_request(self.voter_order[0], request)
 
-    async def _ask(self, voter, request):
-        message = {"t": ASKED, **request._asdict(), "at": self.config.advertise}
-        await self._send(message, self.config.voters[voter])
-
-    def _answered(self, message):
-        answer = lease.Answer(*(message[n] for n in ("task", "number", "why", "token", "wait_us", "leader")))
+    def _handle_answer(self, answer: Answer) -> None:
         before = self.claims.get(answer.task)
-        if before is None or not before.number or answer.number != before.number:
+        if before is None or not before.request_id or answer.request_id != before.request_id:
             return
         if answer.leader in self.config.voters:
-            self.asked.remove(answer.leader)
-            self.asked.insert(0, answer.leader)
-            self.claims[answer.task] = before._replace(sent_us=0)  # at once, to whom it says
+            self.voter_order.remove(answer.leader)
+            self.voter_order.insert(0, answer.leader)
+            self.claims[answer.task] = before._replace(sent_us=0)  # to be sent at once, to that voter
             return
-        claim = self.claims[answer.task] = lease.apply_answer(before, answer, self.config.terms, self.now())
+        claim = self.claims[answer.task] = apply_answer(before, answer, self.config.terms, self.now())
         if claim.token and not before.token:
-            self._note("lease_held", answer.task, claim.token, stops_us=self._stops_us(claim))
+            self._log("lease_held", answer.task, claim.token, stops_us=self._acts_end_us(claim))
         elif claim.token and claim.expiry_us > before.expiry_us:
-            self._note("lease_kept", answer.task, claim.token, stops_us=self._stops_us(claim))
+            self._log("lease_kept", answer.task, claim.token, stops_us=self._acts_end_us(claim))
         elif before.token and not claim.token:
-            self._note("lease_lost", answer.task, before.token, why=answer.why)
-
-    # --- the voter ------------------------------------------------------------------------------------
-
-    def _applied(self, task, row):
-        self.applied[task] = self.now()
-
-    async def _judged(self, message):
-        request = lease.Request(*(message[n] for n in ("kind", "task", "member", "token", "number")))
-        at, task = message["at"], request.task
-        why, leader = "", ""
-        if not self.quorum:
-            why = "not a voter"
-        elif request.kind == lease.RequestKind.ACQUIRE and request.member not in self.membership.member.table:
-            # Only of who asks anew: a voter that was just started knows nobody yet, and a refusal would end
-            # the claim of a holder that the row knows.
-            why = "not a member of the fleet"
-        elif not self._known(task):
-            why = "no such task"
-        elif not self.quorum.is_leader():
-            leader = self.quorum.leader_id()
-            if not leader or leader == self.id:
-                return  # nobody to name: the member asks another
-            why = "not the leader"
-        if why:
-            if not leader:
-                self._note("lease_refused", task, request.token, member=request.member, why=why)
-            await self._answer(at, lease.Answer(task, request.number, why, leader=leader))
-            return
-        row = self.quorum.table.rows.get(task, lease.LeaseRecord())
-        now = self.now()
-        said = lease.evaluate_request(row, self.applied.get(task, now), request, self.config.terms, now)
-        if isinstance(said, lease.Answer):
-            if request.kind != lease.RequestKind.ACQUIRE:
-                self._note("lease_refused", task, request.token, member=request.member, why=said.why)
-            await self._answer(at, said)
-            return
+            self._log("lease_lost", answer.task, before.token, why=answer.reason)
+
+    def _caller(self, task: LeaseTask) -> TaskCaller:
+        return TaskCaller(
+            task,
+            self.id,
+            fencing_token=self.fencing_token,
+            on_newer_token=self._newer_token_seen,
+            log_event=self._log,
+        )
+
+    def _newer_token_seen(self, task: str, token: int) -> None:
+        """End a claim: another member holds the lease by now, whatever our clock says."""
+        self.claims[task] = Claim(next_request_us=self.now() + self.config.terms.retry_us)
+        self._log("lease_lost", task, token, why="the resource has seen a newer token")
+
+    # --- the voter's view of the fleet ----------------------------------------------------------------
+
+    @property
+    def _records(self) -> Mapping[str, object]:
+        return self.handler.raft.records if self.handler.raft else {}
 
-        def done(row, outcome):
-            if outcome != lease.OK:
-                self._note("lease_refused", task, request.token, member=request.member, why=outcome)
-            else:
-                event = {lease.CommandKind.GRANT: "lease_granted", lease.CommandKind.RENEW: "lease_renewed"}
-                self._note(
-                    event.get(said.kind, "lease_released"),
-                    task,
-                    row.token,
-                    member=request.member,
-                    version=row.version,
-                )
-            token = row.token if outcome == lease.OK else 0
-            self.answers.start_soon(self._answer, at, lease.Answer(task, request.number, outcome, token))
-
-        self.quorum.propose(task, said, done)
-
-    async def _answer(self, at, answer):
-        await self._send({"t": ANSWERED, **answer._asdict()}, at)
+    def is_member(self, member_id: str) -> bool:
+        """Return whether the fleet has a member of this id."""
+        return member_id in self.membership.member.table
+
+    def is_known_task(self, task: str) -> bool:
+        """Return whether a task may be contended for."""
+        if any(task == known.name for known in self.config.tasks):
+            return True
+        if not task.startswith(WORK_TASK_PREFIX):
+            return False
+        # A voter that was restarted does not know members lost before, whose work goes on all the same.
+        return task in self._records or self.is_member(task.removeprefix(WORK_TASK_PREFIX))
 
     # --- datagrams ------------------------------------------------------------------------------------
 
-    async def _send(self, message, address):
+    def _open_socket(self) -> anyio.abc.UDPSocket:
+        if self._socket is None:
+            raise RuntimeError("the service is not open")
+        return self._socket
+
+    async def _send_request(self, voter: str, request: Request) -> None:
+        data = codec.encode_request(request, self.config.advertise, self.key)
+        await self._send(data, self.config.voters[voter])
+
+    async def _send_answer(self, address: str, answer: Answer) -> None:
+        await self._send(codec.encode_answer(answer, self.key), address)
+
+    async def _send(self, data: bytes, address: str) -> None:
         try:
             host, port = split_address(address)
-            async with self.sending:  # the socket takes one sender at a time
-                await self.sock.sendto(wire.encode(message, self.key, MAGIC), host, port)
+            async with self._send_lock:
+                await self._open_socket().sendto(data, host, port)
         except (OSError, ValueError, anyio.ClosedResourceError, anyio.BrokenResourceError) as error:
-            # Danger: a lease that cannot be asked for must never end the courier that serves.
-            log("lease_unsent", to=str(address)[:100], error=repr(error), mono_us=monotonic_us())
+            # Only logged: a lease that cannot be requested must not end an instance that serves.
+            shown = str(address)[:_MAX_SHOWN_CHARS]
+            log("lease_send_failed", to=shown, error=repr(error), mono_us=monotonic_us())
 
-    async def _hear(self):
-        async with anyio.create_task_group() as self.answers:
+    async def _receive(self) -> None:
+        async with anyio.create_task_group() as answer_tasks:
+            self.handler.answer_tasks = answer_tasks
             while True:
                 try:
-                    data, (source, _) = await self.sock.receive()
+                    data, (source, _) = await self._open_socket().receive()
                 except OSError as error:
-                    log("lease_unheard", error=str(error), mono_us=monotonic_us())
-                    continue
-                try:
-                    message = checked(wire.decode(data, self.key, MAGIC))
-                except wire.DatagramError as why:
-                    self.counts["dropped"] += 1
-                    log("lease_dropped", source=source, why=str(why), mono_us=monotonic_us())
+                    log("lease_receive_failed", error=str(error), mono_us=monotonic_us())
                     continue
-                if message["t"] == ANSWERED:
-                    self.counts["answers"] += 1
-                    self._answered(message)
-                else:
-                    self.counts["requests"] += 1
-                    await self._judged(message)
-
-    # --- acts -----------------------------------------------------------------------------------------
-
-    async def _work(self, task):
-        """Act on a held task every `every_us` until cancelled."""
-        while True:
-            await anyio.sleep(task.every_us / 1e6)
-            if not self.fencing_token(task.name):
-                continue
-            try:
-                with anyio.fail_after(ACT_S):
-                    await self._act(task)
-            except (OSError, TimeoutError, ValueError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
-                self._note(
-                    "lease_act_failed", task.name, self.fencing_token(task.name), error=repr(error)[:200]
-                )
-
-    async def _act(self, task):
-        host, port = split_address(task.address)
-        async with await anyio.connect_tcp(host, port) as stream:
-            # Danger: the lease may have ended while the connection was made.
-            token = self.fencing_token(task.name)
-            if not token:
-                return
-            head = f"POST /{task.name} HTTP/1.1\r\nHost: {task.address}\r\nFencing-Token: {token}\r\n"
-            head += f"Holder: {self.id}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-            await stream.send(head.encode())
-            status = (await stream.receive(256)).split(b" ")[1:2]
-        if status == [b"200"]:
+                await self._handle_datagram(data, source)
+
+    async def _handle_datagram(self, data: bytes, source: str) -> None:
+        try:
+            message = codec.decode(data, self.key)
+        except DatagramError as error:
+            self.counts["dropped"] += 1
+            log("lease_dropped", source=source, why=str(error), mono_us=monotonic_us())
             return
-        self._note(
-            "lease_act_refused",
-            task.name,
-            token,
-            status=status[0].decode("ascii", "replace") if status else "",
-        )
-        if status == [b"409"] and self.fencing_token(task.name) == token:
-            # A newer token was seen: somebody else holds it by now, whatever our clock says.
-            self.claims[task.name] = lease.Claim(next_us=self.now() + self.config.terms.retry_us)
-            self._note("lease_lost", task.name, token, why="the resource has seen a newer token")
-
-
-REQUEST = {"kind": str, "task": str, "member": str, "token": int, "number": int, "at": str}
-ANSWER = {"task": str, "number": int, "why": str, "token": int, "wait_us": int, "leader": str}
-
-
-def checked(message: dict) -> dict:
-    """A request or an answer that is well-formed; `Dropped` with the reason otherwise."""
-    kind = message.get("t")
-    if kind not in (ASKED, ANSWERED):
-        raise wire.DatagramError(f"kind {str(kind)[:64]!r}")
-    wire.require_fields(message, REQUEST if kind == ASKED else ANSWER)
-    if kind == ASKED and message["kind"] not in (
-        lease.RequestKind.ACQUIRE,
-        lease.RequestKind.RENEW,
-        lease.RequestKind.RELEASE,
-    ):
-        raise wire.DatagramError(f"a request to {message['kind'][:64]!r}")
-    numbers = [message[n] for n in ("token", "number", "wait_us") if n in message]
-    if min(numbers) < 0 or max(numbers) >= 1 << 63 or len(message["task"]) > MOST_TASK:
-        raise wire.DatagramError(f"{kind}: a figure or name out of range")
-    return message
+        if isinstance(message, Answer):
+            self.counts["answers"] += 1
+            self._handle_answer(message)
+        else:
+            self.counts["requests"] += 1
+            await self.handler.handle(*message)
+
+    def _log(self, event: str, task: str, token: int, **fields: Any) -> None:
+        log(event, seer=self.id, task=task, token=token, mono_us=monotonic_us(), **fields)
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -13,7 +13,8 @@
 import anyio
 import msgpack
 
-from pinspread.leases import raft as quorum
+from pinspread.leases import codec as lease_codec
+from pinspread.leases import raft, raft_transport
 from pinspread.leases import raft_log as raftlog
 from pinspread.leases import service as leases
 from pinspread.leases import state_machine as lease
@@ -30,9 +31,9 @@
 
 MEMBERS_MAGIC, LEASES_MAGIC, COPIES_MAGIC, VOTERS_MAGIC = (
     wire.MAGIC,
-    leases.MAGIC,
+    lease_codec.MAGIC,
     copying.MAGIC,
-    quorum.MAGIC,
+    raft_transport.MAGIC,
 )
 pack, unpack_member, unpack, DatagramError = wire.encode, wire.decode_message, wire.decode, wire.DatagramError
 
@@ -63,9 +64,9 @@
     """A voter's agreement that agrees at once."""
 
     def __init__(self):
-        self.table = SimpleNamespace(rows={})
-        self.sync = SimpleNamespace(raftCurrentTerm=3)
-        self.streams = SimpleNamespace(sent={"entries": 1})
+        self.records = {}
+        self.term = 3
+        self.sent_counts = {"entries": 1}
         self.on_change = None
 
     def is_leader(self):
@@ -75,8 +76,8 @@
         return "b"
 
     def propose(self, task, command, done):
-        row, why = lease.apply_command(self.table.rows.get(task, lease.LeaseRecord()), command)
-        self.table.rows[task] = row
+        row, why = lease.apply_command(self.records.get(task, lease.LeaseRecord()), command)
+        self.records[task] = row
         self.on_change(task, row)
         done(row, why)
 
@@ -87,7 +88,12 @@
 
 
 def told_row(found):
-    return {"holder": found.holder, "token": found.token, "version": found.version, "number": found.number}
+    return {
+        "holder": found.holder,
+        "token": found.token,
+        "version": found.version,
+        "number": found.request_id,
+    }
 
 
 COMMANDS = {
@@ -152,9 +158,8 @@
 def voter(folder, voters=("a",), election_s=0.05, id_="a", rows=None):
     """A voter's agreement; `rows` is told of each row."""
     addresses = {v: ADDRESSES[v] for v in voters}
-    return quorum.Quorum(
-        id_, addresses[id_], addresses, KEY, Path(folder), election_s, rows or (lambda *_: None)
-    )
+    config = raft.RaftConfig(id_, addresses[id_], addresses, KEY, Path(folder), election_s)
+    return raft.RaftNode(config, rows or (lambda *_: None))
 
 
 def voter_log(path):
@@ -164,15 +169,19 @@
 def told_log(path):
     """What a voter's log is read to."""
     log = raftlog.RaftLog(path)
-    found = {"entries": [[c.hex(), i, t] for c, i, t in log.entries], "term": log.term, "voted": log.voted}
-    found["agreed"] = log.agreed
+    found = {
+        "entries": [[c.hex(), i, t] for c, i, t in log.entries],
+        "term": log.term,
+        "voted": log.voted_for,
+    }
+    found["agreed"] = log.commit_index
     log._destroy()
     return found
 
 
 def no_wait():
     """A voter that is fresh needs no wait before it votes."""
-    return mock.patch.object(quorum, "FIRST_S", 0)
+    return mock.patch.object(raft_transport, "FIRST_VOTE_DELAY_S", 0)
 
 
 # --- membership's datagrams -------------------------------------------------------------------------
@@ -219,15 +228,15 @@
     clock, sent, tasks = SimpleNamespace(us=1_000_000), [], []
     parties = {n: lease_holder(n, lambda: clock.us) for n in ADDRESSES}
     voter_ = parties["b"]
-    voter_.quorum = Agreed()
-    voter_.quorum.on_change = voter_._applied
-    voter_.answers = SimpleNamespace(start_soon=lambda *call: tasks.append(call))
+    voter_.handler.raft = Agreed()
+    voter_.handler.raft.on_change = voter_.handler.record_applied
+    voter_.handler.answer_tasks = SimpleNamespace(start_soon=lambda *call: tasks.append(call))
 
     async def sendto(data, host, port):
         sent.append((f"{host}:{port}", data))
 
     for one in parties.values():
-        one.sock = SimpleNamespace(sendto=sendto)
+        one._socket = SimpleNamespace(sendto=sendto)
     taken = []
 
     async def settle():
@@ -237,18 +246,19 @@
                 await run(*words)
             while sent:
                 address, data = sent.pop(0)
-                message = leases.checked(unpack(data, KEY, LEASES_MAGIC))
+                message = lease_codec.check_message(unpack(data, KEY, LEASES_MAGIC))
                 taken.append({"to": address, "message": message, "bytes": data.hex()})
                 party = next(p for n, p in parties.items() if ADDRESSES[n] == address)
+                received = lease_codec.decode(data, KEY)
                 if message["t"] == "lease":
-                    await party._judged(message)
+                    await party.handler.handle(*received)
                 else:
-                    party._answered(message)
+                    party._handle_answer(received)
 
     views = {}
     for name, us in (("a", 0), ("c", 100_000), ("a", 4_000_000)):
         clock.us = 1_000_000 + us
-        await parties[name]._turn("nightly")
+        await parties[name]._update_claim("nightly")
         await settle()
     views |= {"holder": parties["a"].view(), "voter": voter_.view()}
     await parties["a"].withdraw("nightly")
@@ -378,7 +388,7 @@
     with no_wait():
         q = voter(folder, rows=lambda task, found: rows.append([task, told_row(found)]))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(q._ticks)
+            tasks.start_soon(q._run_library)
             await leads(q)
             for step in STEPS:
                 done = anyio.Event()
@@ -386,7 +396,7 @@
                 with anyio.fail_after(5):
                     await done.wait()
             tasks.cancel_scope.cancel()
-        q.sync.destroy()
+        q.sync_object.destroy()
     return without_notes((Path(folder) / "log").read_bytes()), rows
 
 
@@ -405,15 +415,15 @@
     rows = []
     with no_wait():
         q = voter(folder, rows=lambda task, found: rows.append([task, told_row(found)]))
-        fresh = q.streams.fresh
+        fresh = q.transport.is_learner
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(q._ticks)
+            tasks.start_soon(q._run_library)
             await leads(q)
             with anyio.move_on_after(5):
                 while len(rows) < len(STEPS):
                     await anyio.sleep(0.005)
             tasks.cancel_scope.cancel()
-        q.sync.destroy()
+        q.sync_object.destroy()
     return rows, fresh
 
 
@@ -421,18 +431,18 @@
     """What a voter stores of its table, as the library asks it to."""
     with no_wait():
         q = voter(folder)
-        q.table.rows.update({task: row(*words) for task, words in ROWS.items()})
-        q._dump(path, ((b"\x01", 9, 4), (b"", 8, 4), []))
-        q.sync.destroy()
+        q.table.records.update({task: row(*words) for task, words in ROWS.items()})
+        q._write_dump(path, ((b"\x01", 9, 4), (b"", 8, 4), []))
+        q.sync_object.destroy()
     return Path(path).read_bytes()
 
 
 async def undumped(folder, path):
     """What a voter reads of it: rows, and the library's two entries."""
     q = voter(folder)
-    after, before, _ = q._undump(path)
-    rows = {task: told_row(found) for task, found in q.table.rows.items()}
-    q.sync.destroy()
+    after, before, _ = q._read_dump(path)
+    rows = {task: told_row(found) for task, found in q.table.records.items()}
+    q.sync_object.destroy()
     return {"rows": rows, "after": [after[0].hex(), *after[1:]], "before": [before[0].hex(), *before[1:]]}
 
 
@@ -491,9 +501,9 @@
                 await stream.send(said[-1])
                 await until(n + 1)
             with anyio.fail_after(5):
-                while not q.table.rows:
+                while not q.table.records:
                     await anyio.sleep(0.005)
-        rows = {task: told_row(found) for task, found in q.table.rows.items()}
+        rows = {task: told_row(found) for task, found in q.table.records.items()}
         tasks.cancel_scope.cancel()
     await listener.aclose()
     return {"said": [d.hex() for d in said], "heard": [d.hex() for d in heard[:3]], "rows": rows}
--- a/tests/test_lease.py
+++ b/tests/test_leases.py
@@ -7,6 +7,7 @@
 from pinspread.leases.state_machine import Answer, Claim, Command, LeaseRecord, Request
 
 TERMS = lease.LeaseTerms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
+A = lease.Contender("t", "a")
 
 
 @pytest.mark.parametrize(
@@ -61,15 +62,15 @@
 
 
 def test_a_claim_counts_from_before_it_asked_and_ends_when_a_renewal_is_refused():
-    claim, request = lease.tick(Claim(), TERMS, "t", "a", 100, 7)
+    claim, request = lease.tick(Claim(), TERMS, A, 100, 7)
     assert request == Request("ask", "t", "a", 0, 7)
-    assert lease.tick(claim, TERMS, "t", "a", 150, 8) == (claim, None)
-    claim, again = lease.tick(claim, TERMS, "t", "a", 200, 8)
+    assert lease.tick(claim, TERMS, A, 150, 8) == (claim, None)
+    claim, again = lease.tick(claim, TERMS, A, 200, 8)
     assert again == request  # the same number, so that it is granted once
     claim = lease.apply_answer(claim, Answer("t", 7, "ok", 5), TERMS, 600)
     assert claim.token == 5 and claim.expiry_us == 1100
     assert lease.may_act(claim, TERMS, 1029) and not lease.may_act(claim, TERMS, 1030)
-    claim, renewal = lease.tick(claim, TERMS, "t", "a", 601, 9)
+    claim, renewal = lease.tick(claim, TERMS, A, 601, 9)
     assert renewal == Request("keep", "t", "a", 5, 9)
     assert (
         lease.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
@@ -78,7 +79,7 @@
     assert kept.expiry_us == 1601
     lost = lease.apply_answer(claim, Answer("t", 9, "not the holder"), TERMS, 700)
     assert not lease.may_act(lost, TERMS, 700)
-    silent, _ = lease.tick(claim, TERMS, "t", "a", 1100, 10)
+    silent, _ = lease.tick(claim, TERMS, A, 1100, 10)
     assert silent.token == 0
 
 
@@ -95,8 +96,8 @@
 
 
 def without_the_version(row, command):
-    arg = row.version if command.kind == lease.CommandKind.GRANT else command.arg
-    return lease.apply_command(row, command._replace(arg=arg))
+    expected = row.version if command.kind == lease.CommandKind.GRANT else command.expected
+    return lease.apply_command(row, command._replace(expected=expected))
 
 
 def test_no_order_of_events_within_six_steps_gives_two_holders():
--- a/tests/test_leases_stage.py
+++ b/tests/test_leases_stage.py
@@ -2,8 +2,7 @@
 
 import pytest
 
-from pinspread.leases import raft as quorum
-from pinspread.leases import service as leases
+from pinspread.leases import codec, raft_messages
 from pinspread.membership import codec as wire
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed import lease_checker as judge_leases
@@ -153,9 +152,9 @@
     ],
 )
 def test_a_request_that_is_not_well_formed_is_dropped_with_a_reason(change, why):
-    assert leases.checked(ASK) == ASK
+    assert codec.check_message(ASK) == ASK
     with pytest.raises(wire.DatagramError, match=why):
-        leases.checked(ASK | change)
+        codec.check_message(ASK | change)
 
 
 class Evil:
@@ -169,7 +168,10 @@
     good = {"type": "append_entries", "term": 1, "commit_index": 1, "prevLogIdx": 1, "prevLogTerm": 0}
     call = b"\0" + pickle.dumps((0, ("sweep", "grant", "m0", 0, 5)))
     entries = [[call, 2, 1], [b"\1", 3, 1]]
-    assert quorum.checked(good | {"entries": entries})["entries"] == [(call, 2, 1), (b"\1", 3, 1)]
+    assert raft_messages.check_message(good | {"entries": entries})["entries"] == [
+        (call, 2, 1),
+        (b"\1", 3, 1),
+    ]
     evil = b"\0" + pickle.dumps((0, (Evil(),)))
     for bad, why in (
         ({"type": "status"}, "message"),
@@ -184,18 +186,20 @@
         ({"type": "apply_command", "command": b"\0garbage"}, "not plain"),
     ):
         with pytest.raises(wire.DatagramError, match=why):
-            quorum.checked(bad)
+            raft_messages.check_message(bad)
 
 
 def test_a_repeated_message_cuts_nothing_that_is_applied():
     entries = [(b"\1", n, 2) for n in (5, 6, 7, 8)]
     message = {"type": "append_entries", "term": 3, "prevLogIdx": 4, "prevLogTerm": 1, "entries": entries}
-    assert quorum.beyond(message, 4) == message  # all of it is new
-    after = quorum.beyond(message, 6)
+    assert raft_messages.skip_applied_entries(message, 4) == message  # all of it is new
+    after = raft_messages.skip_applied_entries(message, 6)
     assert (after["prevLogIdx"], after["prevLogTerm"], after["entries"]) == (6, 2, entries[2:])
-    assert quorum.beyond(message, 8)["entries"] == []  # a heartbeat is left
-    assert quorum.beyond(message | {"entries": entries[:1]}, 8) is None  # would have cut three of them
-    assert quorum.beyond({"type": "request_vote"}, 8) == {"type": "request_vote"}
+    assert raft_messages.skip_applied_entries(message, 8)["entries"] == []  # a heartbeat is left
+    assert (
+        raft_messages.skip_applied_entries(message | {"entries": entries[:1]}, 8) is None
+    )  # would have cut three of them
+    assert raft_messages.skip_applied_entries({"type": "request_vote"}, 8) == {"type": "request_vote"}
 
 
 def test_the_judge_finds_two_holders_and_tokens_that_fall():
--- a/tests/test_raftlog.py
+++ b/tests/test_raft_log.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from pysyncobj.journal import MemoryJournal
 
-from pinspread.leases import raft as quorum
+from pinspread.leases import raft, raft_transport
 from pinspread.leases import raft_log as raftlog
 from pinspread.leases import state_machine as lease
 
@@ -89,7 +89,7 @@
     monkeypatch.undo()
     with pytest.raises(OSError, match="earlier write"):
         log.add(b"x", 1, 4)
-    assert log.broken
+    assert log.write_failed
 
 
 async def leads(q):
@@ -100,20 +100,19 @@
 
 def voter(folder, rows):
     async def run(use):
-        found = quorum.Quorum(
-            "a", "127.0.0.1:9", {"a": "127.0.0.1:9"}, b"key", folder, 0.1, lambda task, row: rows.append(row)
-        )
+        config = raft.RaftConfig("a", "127.0.0.1:9", {"a": "127.0.0.1:9"}, b"key", folder, 0.1)
+        found = raft.RaftNode(config, lambda task, row: rows.append(row))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(found._ticks)
+            tasks.start_soon(found._run_library)
             await use(found)
             tasks.cancel_scope.cancel()
-        found.sync.destroy()
+        found.sync_object.destroy()
 
     return run
 
 
 def test_a_voter_keeps_its_entries_there_and_is_fresh_when_they_are_damaged(tmp_path, monkeypatch):
-    monkeypatch.setattr(quorum, "FIRST_S", 0)
+    monkeypatch.setattr(raft_transport, "FIRST_VOTE_DELAY_S", 0)
 
     async def grant(q):
         await leads(q)
@@ -127,7 +126,7 @@
     assert rows[-1].holder == "m"
 
     async def look(q):
-        assert not q.streams.fresh
+        assert not q.transport.is_learner
         with anyio.fail_after(5):
             while not rows or rows[-1].holder != "m":
                 await anyio.sleep(0.01)
@@ -139,23 +138,29 @@
     (tmp_path / "log").write_bytes(data)
 
     async def damaged(q):
-        assert q.streams.fresh and (tmp_path / "damaged-log").exists() and not q.mark.exists()
+        assert (
+            q.transport.is_learner
+            and (tmp_path / "damaged-log").exists()
+            and not (tmp_path / "votes").exists()
+        )
 
-    monkeypatch.setattr(quorum.Streams, "grow_up", lambda self: None)
+    monkeypatch.setattr(raft_transport.VoterTransport, "promote_if_safe", lambda self: None)
     anyio.run(voter(tmp_path, []), damaged)
 
 
 def test_a_voter_whose_log_cannot_be_written_says_nothing_and_the_courier_goes_on(tmp_path, monkeypatch):
-    monkeypatch.setattr(quorum, "FIRST_S", 0)
+    monkeypatch.setattr(raft_transport, "FIRST_VOTE_DELAY_S", 0)
 
     async def fail(q):
         await leads(q)
         with anyio.fail_after(5):
             no_space_for(q.raft_log, monkeypatch)
             q.propose("t", lease.Command(lease.CommandKind.GRANT, "m", 0, 7), lambda row, why: None)
-            while not q.raft_log.broken:
+            while not q.raft_log.write_failed:
                 await anyio.sleep(0.01)
             monkeypatch.undo()
-        assert not q.is_leader() and q.leader_id() == "" and not q.streams.send(quorum.Node("b"), {})
+        assert (
+            not q.is_leader() and q.leader_id() == "" and not q.transport.send(raft_transport.Node("b"), {})
+        )
 
     anyio.run(voter(tmp_path, []), fail)
