--- a/benchmarks/members_model.py
+++ b/benchmarks/members_model.py
@@ -21,15 +21,13 @@
 
 def fleet(n, seed):
     tuning = swim.SwimConfig()
-    members = [
-        swim.SwimMember(f"m{i}", f"a{i}", (), tuning, random.Random(seed * 7919 + i)) for i in range(n)
-    ]
+    members = [swim.SwimMember(f"m{i}", f"a{i}", tuning, random.Random(seed * 7919 + i)) for i in range(n)]
     rows = {m.id: m.table[m.id] for m in members}
     for m in members:
-        m.table = ChainMap({m.id: rows[m.id]}, rows)
-        m.order = [i for i in rows if i != m.id]
-        m.rng.shuffle(m.order)
-        m.live = n - 1
+        m.members.records = ChainMap({m.id: rows[m.id]}, rows)
+        m.members.probe_order = [i for i in rows if i != m.id]
+        m.rng.shuffle(m.members.probe_order)
+        m.members.live_count = n - 1
         m.next_probe_us = m.rng.randrange(tuning.period_us)  # not all in step
         m.next_sync_us = m.rng.randrange(tuning.sync_us)
     return members
@@ -62,15 +60,15 @@
                 continue  # a wake that was moved
             out = m.tick(now)
         else:
-            out = m.heard(message, now)
+            out = m.receive(message, now)
         for address, sent in out:
             order += 1
             heapq.heappush(heap, (now + rng.randrange(1 * MS, 3 * MS), order, by_address[address], sent))
         for event in m.events:
-            if stopped and event.get("id") == members[victim].id:
-                if event["state"] == MemberState.SUSPECT and first_suspect is None:
+            if stopped and getattr(event, "id", None) == members[victim].id:
+                if event.state == MemberState.SUSPECT and first_suspect is None:
                     first_suspect = now
-                if event["state"] == MemberState.DEAD:
+                if event.state == MemberState.DEAD:
                     told.add(k)
         m.events.clear()
         if len(told) == n - 1:
--- a/pinspread/membership/members.py
+++ b/pinspread/membership/members.py
@@ -1,7 +1,13 @@
-"""What is known of each member of the cluster: its state, and which of two claims about it prevails."""
+"""The member table: what is known of each member of the cluster, and the order in which they are probed."""
 
+import random
+from collections.abc import Collection, Iterable
 from dataclasses import dataclass
 from enum import StrEnum
+from typing import Any
+
+_SMALL_TABLE = 64  # up to so many members a choice goes over all of them
+_DRAWS_PER_PICK = 8  # in a larger table
 
 
 class MemberState(StrEnum):
@@ -13,6 +19,8 @@
     LEFT = "left"
 
 
+LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
+
 # Of two claims with the same incarnation the one of the higher precedence prevails.
 PRECEDENCE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2, MemberState.LEFT: 2}
 
@@ -37,6 +45,128 @@
     state: MemberState
     since_us: int
 
-    def row(self) -> list[str | int]:
-        """Return the record as it is sent to other members."""
-        return [self.id, self.address, self.incarnation, self.state.value]
+    @property
+    def is_live(self) -> bool:
+        """Whether the member takes part, as far as is known: it is alive or suspected."""
+        return self.state in LIVE_STATES
+
+    def to_json(self) -> dict[str, Any]:
+        """Return the record as operators see it."""
+        return {
+            "id": self.id,
+            "address": self.address,
+            "state": self.state.value,
+            "incarnation": self.incarnation,
+            "since_us": self.since_us,
+        }
+
+
+class MemberTable:
+    """All members that one member knows, itself included.
+
+    Args:
+        own: The record of the table's owner.
+        rng: Draws the probe order and the members that are picked.
+
+    Attributes:
+        records: The record of each member by its id.
+        live_count: How many other members are alive or suspected.
+        down: The ids of other members that are dead or have left.
+        probe_order: The ids of this round of probes, shuffled.
+        probe_position: Where in `probe_order` the next probe is.
+    """
+
+    def __init__(self, own: MemberRecord, rng: random.Random):
+        self.own_id = own.id
+        self.records = {own.id: own}
+        self.live_count = 0
+        self.down: set[str] = set()
+        self.probe_order: list[str] = []
+        self.probe_position = 0
+        self._rng = rng
+
+    @property
+    def size(self) -> int:
+        """How many members are alive or suspected, this one included."""
+        return 1 + self.live_count
+
+    def others(self, *states: MemberState) -> list[MemberRecord]:
+        """Return the other members in any of the states."""
+        return [
+            record for record in self.records.values() if record.id != self.own_id and record.state in states
+        ]
+
+    def put(self, record: MemberRecord, was_live: bool) -> None:
+        """Put another member's record in the place of the one that it had, if any."""
+        self.records[record.id] = record
+        self.live_count += record.is_live - was_live
+        if not record.is_live:
+            self.down.add(record.id)
+            return
+        self.down.discard(record.id)
+        if not was_live:  # it gets a place in the round at random, as SWIM's round-robin asks
+            position = self._rng.randrange(len(self.probe_order) + 1)
+            self.probe_order.insert(position, record.id)
+            self.probe_position += position < self.probe_position
+
+    def put_own(self, record: MemberRecord) -> None:
+        """Replace the record of the table's owner."""
+        self.records[record.id] = record
+
+    def remove(self, ids: Iterable[str]) -> None:
+        """Forget members that are down."""
+        for id_ in ids:
+            del self.records[id_]
+            self.down.discard(id_)
+
+    def next_probe_target(self) -> MemberRecord:
+        """Return the next member of the round, and begin another round after the last; one must be live."""
+        for _ in range(2):
+            while self._at_departed_member():
+                self.probe_position += 1
+            if self.probe_position < len(self.probe_order):
+                break
+            self.probe_order = [record.id for record in self.others(*LIVE_STATES)]
+            self._rng.shuffle(self.probe_order)
+            self.probe_position = 0
+        target = self.probe_order[self.probe_position]
+        self.probe_position += 1
+        return self.records[target]
+
+    def _at_departed_member(self) -> bool:
+        """Whether the next member of the round is no longer live."""
+        if self.probe_position >= len(self.probe_order):
+            return False
+        record = self.records.get(self.probe_order[self.probe_position])
+        return record is None or not record.is_live
+
+    def pick(
+        self, count: int, avoid: Collection[str] = (), states: Collection[MemberState] = (MemberState.ALIVE,)
+    ) -> list[MemberRecord]:
+        """Return up to `count` other members in any of the states, drawn at random, none of `avoid`."""
+        if len(self.probe_order) <= _SMALL_TABLE:
+            candidates = [record for record in self.others(*states) if record.id not in avoid]
+            return self._rng.sample(candidates, min(count, len(candidates)))
+        chosen: dict[str, MemberRecord] = {}
+        for _ in range(count * _DRAWS_PER_PICK):
+            record = self.records.get(self.probe_order[self._rng.randrange(len(self.probe_order))])
+            if record is not None and record.state in states and record.id not in avoid:
+                chosen[record.id] = record
+                if len(chosen) == count:
+                    break
+        return list(chosen.values())
+
+    def sample(self, max_count: int) -> list[MemberRecord]:
+        """Return all records or, if there are more than `max_count`, some.
+
+        Those are the owner, members that are down, up to a quarter of `max_count`, and a run of the others,
+        so that several samples cover the table.
+        """
+        if len(self.records) <= max_count:
+            return list(self.records.values())
+        down = self._rng.sample(sorted(self.down), min(len(self.down), max_count // 4))
+        ids = [self.own_id, *down]
+        start = self._rng.randrange(len(self.probe_order))
+        run = self.probe_order[start : start + max_count - len(ids)]
+        run += self.probe_order[: max_count - len(ids) - len(run)]
+        return [self.records[id_] for id_ in dict.fromkeys(ids + run) if id_ in self.records]
--- /dev/null
+++ b/pinspread/membership/message_codec.py
@@ -0,0 +1,138 @@
+"""Membership's messages as datagrams. Only this module knows their keys and the order of the keys."""
+
+from collections.abc import Sequence
+from typing import Any
+
+from pinspread.membership import codec
+from pinspread.membership.codec import DatagramError, is_of_type
+from pinspread.membership.members import MemberState
+from pinspread.membership.messages import Ack, Leave, Message, Nack, Ping, PingRequest, Sync, Update
+
+_PING = "ping"
+_ACK = "ack"
+_NACK = "nack"
+_PING_REQUEST = "ask"
+_SYNC = "sync"
+
+_COMMON_FIELDS = {"from": str, "from_at": str, "inc": int, "up": list}
+_FIELDS: dict[str, dict[str, type]] = {
+    _PING: {"seq": int, "to": str},
+    _ACK: {"seq": int},
+    _NACK: {"seq": int},
+    _PING_REQUEST: {"seq": int, "to": str, "to_at": str},
+    _SYNC: {"table": list, "reply": bool},
+}
+_STATES = frozenset(state.value for state in MemberState)
+_TABLE_COLUMNS = 4  # id, address, incarnation, state
+_UPDATE_COLUMNS = 5  # and who reported it
+
+
+def encode_message(message: Message, key: bytes) -> bytes:
+    """Return the datagram of a message."""
+    return codec.encode(to_map(message), key)
+
+
+def decode_message(data: bytes, key: bytes) -> Message:
+    """Return the message of a datagram.
+
+    Raises:
+        DatagramError: It is damaged, of another fleet or protocol, or not well-formed.
+    """
+    return from_map(codec.decode(data, key))
+
+
+def to_map(message: Message) -> dict[str, Any]:
+    """Return the map that a datagram packs."""
+    kind, fields = _kind_and_fields(message)
+    head = {"t": kind, "from": message.sender, "from_at": message.sender_address, "inc": message.incarnation}
+    updates = {"up": [_update_row(update) for update in message.updates]}
+    if isinstance(message, Leave):
+        return {**head, **updates, **fields}
+    return {**head, **fields, **updates}
+
+
+def _kind_and_fields(message: Message) -> tuple[str, dict[str, Any]]:
+    """Return the kind of a message, and the fields that only this kind has."""
+    match message:
+        case Ping():
+            return _PING, {"seq": message.sequence, "to": message.target}
+        case Ack():
+            return _ACK, {"seq": message.sequence}
+        case Nack():
+            return _NACK, {"seq": message.sequence}
+        case PingRequest():
+            fields = {"seq": message.sequence, "to": message.target, "to_at": message.target_address}
+            return _PING_REQUEST, fields
+        case Sync():
+            return _SYNC, {"table": [_table_row(row) for row in message.table], "reply": message.reply}
+        case Leave():
+            return _SYNC, {"table": [], "reply": False}
+        case _:
+            raise TypeError(f"no message of membership: {message!r}")
+
+
+def _table_row(update: Update) -> list[str | int]:
+    return [update.id, update.address, update.incarnation, update.state.value]
+
+
+def _update_row(update: Update) -> list[str | int]:
+    return [*_table_row(update), update.reported_by]
+
+
+def from_map(fields: dict[str, Any]) -> Message:
+    """Return the message that a datagram's map holds.
+
+    Raises:
+        DatagramError: It is not well-formed; the text says why.
+    """
+    _check(fields)
+    common = {
+        "sender": fields["from"],
+        "sender_address": fields["from_at"],
+        "incarnation": fields["inc"],
+        "updates": tuple(_update(row, row[4]) for row in fields["up"]),
+    }
+    kind = fields["t"]
+    if kind == _PING:
+        return Ping(**common, sequence=fields["seq"], target=fields["to"])
+    if kind == _ACK:
+        return Ack(**common, sequence=fields["seq"])
+    if kind == _NACK:
+        return Nack(**common, sequence=fields["seq"])
+    if kind == _PING_REQUEST:
+        target, address = fields["to"], fields["to_at"]
+        return PingRequest(**common, sequence=fields["seq"], target=target, target_address=address)
+    table = tuple(_update(row, fields["from"]) for row in fields["table"])
+    return Sync(**common, table=table, reply=fields["reply"])
+
+
+def _update(row: Sequence[Any], reported_by: str) -> Update:
+    id_, address, incarnation, state = row[:_TABLE_COLUMNS]
+    return Update(id_, address, incarnation, MemberState(state), reported_by)
+
+
+def _check(fields: dict[str, Any]) -> None:
+    kind = fields.get("t")
+    if not isinstance(kind, str) or kind not in _FIELDS:
+        raise DatagramError(f"kind {kind!r}")
+    codec.require_fields(fields, _COMMON_FIELDS | _FIELDS[kind])
+    if fields["inc"] < 0 or not all(_is_row(row, _UPDATE_COLUMNS) for row in fields["up"]):
+        raise DatagramError(f"{kind}: an update is not well-formed")
+    if kind == _SYNC and not all(_is_row(row, _TABLE_COLUMNS) for row in fields["table"]):
+        raise DatagramError("sync: a row of the table is not well-formed")
+
+
+def _is_row(row: object, columns: int) -> bool:
+    """Whether it is a row of a table, or of updates, with so many columns."""
+    if not isinstance(row, list) or len(row) != columns:
+        return False
+    id_, address, incarnation, state = row[:_TABLE_COLUMNS]
+    return (
+        is_of_type(id_, str)
+        and is_of_type(address, str)
+        and is_of_type(incarnation, int)
+        and incarnation >= 0
+        and isinstance(state, str)
+        and state in _STATES
+        and all(is_of_type(reporter, str) for reporter in row[_TABLE_COLUMNS:])
+    )
--- a/pinspread/membership/service.py
+++ b/pinspread/membership/service.py
@@ -1,143 +1,210 @@
-"""Membership on a UDP socket: the clock, the datagrams and the log around `swim.SwimMember`.
+"""Membership in a running instance: the clock, the UDP socket and the log around `swim.SwimMember`.
 
-One turn: read the monotonic clock once (plus the configured offset), take what came, do what is due,
-send. Every change of the table is a log line `member` with the machine's monotonic microseconds (`mono_us`),
-so that lines of several processes on one machine can be put in one order.
+One turn does what is due, sends, and handles what is received meanwhile. Every change of the member table is
+a log line `member` with the machine's monotonic microseconds (`mono_us`), so that lines of several processes
+on one machine can be put in one order.
 """
 
 import random
 from dataclasses import dataclass
+from typing import Any
 
 import anyio
+import anyio.abc
 import anyio.to_thread
 
 from pinspread.core.log import log
-from pinspread.membership import codec as wire
-from pinspread.membership import seeds, swim
+from pinspread.membership import message_codec
 from pinspread.membership.clock import monotonic_us
+from pinspread.membership.codec import DatagramError
+from pinspread.membership.config import SwimConfig
+from pinspread.membership.messages import Outgoing
+from pinspread.membership.seeds import Records, find_seeds_or_none
+from pinspread.membership.swim import MemberChanged, RumorRefuted, SwimMember
 from pinspread.sockets.connections import split_address
 
-MOST_WAIT_S = 0.05  # a turn at least this often, whatever is due
-SEEDS_S = 1.0  # between questions for seeds by DNS-SD, while this member knows nobody
-LEAVE_S = 0.2  # what a leave may take of the 3.7 s of SIGTERM
+_MAX_WAIT_S = 0.05  # a turn comes at least this often, whatever is due
+_SEED_SEARCH_PERIOD_S = 1.0  # while this member knows no other
+_LEAVE_TIMEOUT_S = 0.2  # of the 3.7 s that SIGTERM leaves
 
 
 @dataclass(frozen=True)
 class MembershipConfig:
-    """What the file's `[members]` says: `listen` is bound, `advertise` is where others reach us."""
+    """What the deploy file's `[members]` table says.
+
+    Attributes:
+        id: This member's id.
+        listen: `host:port` that is bound.
+        advertise: `host:port` at which other members reach this one.
+        seeds: Addresses of members to join by.
+        fleet_key: Datagrams of another fleet fail their checksum.
+        tuning: The settings of the protocol.
+        clock_offset_us: Added to this member's clock, for tests.
+        clock_rate: How fast this member's clock runs, for tests.
+        service: The DNS-SD service under which seeds are looked for as well, if any.
+    """
 
     id: str
     listen: str
     advertise: str
-    seeds: tuple
+    seeds: tuple[str, ...]
     fleet_key: bytes
-    tuning: swim.SwimConfig
+    tuning: SwimConfig
     clock_offset_us: int = 0
-    clock_rate: float = 1.0  # for the fault stage: a clock that runs fast or slow
-    service: str = ""  # seeds are also looked for under this DNS-SD service
+    clock_rate: float = 1.0
+    service: str = ""
 
 
 class MembershipService:
-    """A member of the fleet while the courier runs; `view()` for the door."""
+    """A background service of the instance: its member of the fleet.
+
+    Args:
+        config: What the deploy file says.
+        records: The DNS records in which `config.service` is looked for.
+        seed: Of the random draws, for tests.
+
+    Attributes:
+        member: The state of the protocol, with the member table.
+        dropped: How many datagrams were not accepted.
+    """
 
     name = "members"
 
-    def __init__(self, config: MembershipConfig, records=None, seed: int | None = None):
+    def __init__(self, config: MembershipConfig, records: Records | None = None, seed: int | None = None):
         self.config = config
-        self.records = records  # where `config.service` is asked for, as config.dnssd.Records
-        self.member = swim.SwimMember(
-            config.id, config.advertise, config.seeds, config.tuning, random.Random(seed), self.now(), 0
-        )
-        self.sock = None
-        self.sending = anyio.Lock()
+        self.member = SwimMember(config.id, config.advertise, config.tuning, random.Random(seed), self.now())
+        self.member.set_seeds(config.seeds)
         self.dropped = 0
+        self._records = records
+        self._socket: anyio.abc.UDPSocket | None = None
+        self._send_lock = anyio.Lock()
 
     def now(self) -> int:
-        """Monotonic microseconds as this member sees them, offset and fast or slow as configured."""
+        """Return this member's monotonic time in microseconds, by its configured offset and rate."""
         return self.config.clock_offset_us + int(monotonic_us() * self.config.clock_rate)
 
-    def attach(self, courier):
-        """It needs nothing of the core."""
+    def view(self) -> dict[str, Any]:
+        """Return the member table and this member's health, as operators see them."""
+        member = self.member
+        return {
+            "id": member.id,
+            "incarnation": member.incarnation,
+            "health": member.health,
+            "members": member.view(),
+        }
+
+    # --- life cycle -----------------------------------------------------------------------------------
+
+    def attach(self, engine: object) -> None:
+        """Do nothing: membership needs nothing of the delivery engine."""
 
-    async def before_recovery(self):
-        """Nothing that is owed depends on it."""
+    async def before_recovery(self) -> None:
+        """Do nothing: no recovered message depends on membership."""
 
-    async def part(self):
-        """Likewise."""
+    async def part(self) -> None:
+        """Do nothing: membership has nothing to close."""
 
-    def view(self) -> dict:
-        """The table and this member's health."""
-        m = self.member
-        return {"id": m.id, "incarnation": m.incarnation, "health": m.health, "members": m.view()}
+    async def open(self) -> None:
+        """Bind the socket.
 
-    async def open(self):
-        """Bind the socket; OSError if the address cannot be had."""
+        Raises:
+            OSError: The address cannot be bound.
+        """
         host, port = split_address(self.config.listen)
-        self.sock = await anyio.create_udp_socket(local_host=host, local_port=port)
+        self._socket = await anyio.create_udp_socket(local_host=host, local_port=port)
         log("members_up", id=self.config.id, listen=self.config.listen, advertise=self.config.advertise)
 
-    async def run(self):
-        """Take part until cancelled; `open` first."""
+    async def run(self) -> None:
+        """Take part until cancelled; `open` comes first."""
         try:
-            async with self.sock, anyio.create_task_group() as tasks:
-                if self.config.service:
-                    tasks.start_soon(self._look_for_seeds)
-                await self._turns()
+            async with self._open_socket(), anyio.create_task_group() as tasks:
+                if self.config.service and self._records:
+                    tasks.start_soon(self._search_seeds, self._records)
+                while True:
+                    await self._turn()
         finally:
             log("members_ended", id=self.config.id, mono_us=monotonic_us())
 
-    async def _look_for_seeds(self):
-        """While nobody is known, ask DNS-SD who could be."""
+    async def leave(self) -> None:
+        """Notify the other members that this one leaves, as SIGTERM asks."""
+        if self._socket is None:
+            return
+        with anyio.move_on_after(_LEAVE_TIMEOUT_S):
+            await self._send(self.member.leave())
+        log("members_left", id=self.config.id, mono_us=monotonic_us())
+
+    def _open_socket(self) -> anyio.abc.UDPSocket:
+        if self._socket is None:
+            raise RuntimeError("the service is not open")
+        return self._socket
+
+    # --- running --------------------------------------------------------------------------------------
+
+    async def _search_seeds(self, records: Records) -> None:
+        """Look for seeds by DNS-SD while no other member is known."""
         while True:
-            if not self.member.live:
+            if not self.member.members.live_count:
                 found = await anyio.to_thread.run_sync(
-                    seeds.found_or_none, self.records, self.config.service, abandon_on_cancel=True
+                    find_seeds_or_none, records, self.config.service, abandon_on_cancel=True
                 )
                 if found:
-                    known = [*self.config.seeds, *found]
-                    self.member.seeds = [a for a in dict.fromkeys(known) if a != self.config.advertise]
-            await anyio.sleep(SEEDS_S)
-
-    async def _turns(self):
-        while True:
-            now = self.now()
-            await self._send(self.member.tick(now), now)
-            wait_s = min(MOST_WAIT_S, max(0, self.member.due_us() - now) / 1e6)
-            with anyio.move_on_after(wait_s):
-                try:
-                    data, (source, _) = await self.sock.receive()
-                except OSError as error:
-                    # Danger: a refusal that the kernel tells of an earlier datagram would end membership.
-                    log("member_unheard", error=str(error), mono_us=monotonic_us())
-                    continue
-                now = self.now()
-                try:
-                    message = wire.decode_message(data, self.config.fleet_key)
-                except wire.DatagramError as why:
-                    self.dropped += 1
-                    log("member_dropped", source=source, why=str(why), mono_us=monotonic_us())
-                    continue
-                await self._send(self.member.heard(message, now), now)
-
-    async def leave(self):
-        """Say that we leave, as SIGTERM asks."""
-        if self.sock is None:
+                    self.member.set_seeds(dict.fromkeys([*self.config.seeds, *found]))
+            await anyio.sleep(_SEED_SEARCH_PERIOD_S)
+
+    async def _turn(self) -> None:
+        """Do what is due, and handle a datagram if one is received before something else is due."""
+        now_us = self.now()
+        await self._send(self.member.tick(now_us))
+        wait_s = min(_MAX_WAIT_S, max(0, self.member.due_us() - now_us) / 1e6)
+        with anyio.move_on_after(wait_s):
+            try:
+                data, (source, _) = await self._open_socket().receive()
+            except OSError as error:
+                # Only logged: the kernel reports here that an earlier datagram was refused by its receiver,
+                # which must not end membership.
+                log("member_receive_failed", error=str(error), mono_us=monotonic_us())
+                return
+            await self._handle_datagram(data, source)
+
+    async def _handle_datagram(self, data: bytes, source: str) -> None:
+        now_us = self.now()
+        try:
+            message = message_codec.decode_message(data, self.config.fleet_key)
+        except DatagramError as error:
+            self.dropped += 1
+            log("member_dropped", source=source, why=str(error), mono_us=monotonic_us())
             return
-        now = self.now()
-        with anyio.move_on_after(LEAVE_S):
-            await self._send(self.member.leave(), now)
-        log("members_left", id=self.config.id, mono_us=monotonic_us())
+        await self._send(self.member.receive(message, now_us))
 
-    async def _send(self, out, now):
-        for address, message in out:
+    async def _send(self, outgoing: Outgoing) -> None:
+        """Send messages, and log what has changed in the table."""
+        for address, message in outgoing:
             host, port = split_address(address)
+            data = message_codec.encode_message(message, self.config.fleet_key)
             try:
-                # Danger: the socket takes one sender at a time, and a leave comes while the turns go on.
-                async with self.sending:
-                    await self.sock.sendto(wire.encode(message, self.config.fleet_key), host, port)
+                # The socket takes one sender at a time, and `leave` is called while turns go on.
+                async with self._send_lock:
+                    await self._open_socket().sendto(data, host, port)
             except (OSError, anyio.ClosedResourceError, anyio.BrokenResourceError) as error:
-                # Danger: membership that cannot send must never end the courier that serves.
-                log("member_unsent", to=address, error=repr(error), mono_us=monotonic_us())
+                # Only logged: membership that cannot send must not end an instance that serves.
+                log("member_send_failed", to=address, error=repr(error), mono_us=monotonic_us())
         for event in self.member.events:
-            log(event.pop("event"), seer=self.config.id, mono_us=monotonic_us(), **event)
+            name, fields = event_fields(event)
+            log(name, seer=self.config.id, mono_us=monotonic_us(), **fields)
         self.member.events.clear()
+
+
+def event_fields(event: MemberChanged | RumorRefuted) -> tuple[str, dict[str, str | int]]:
+    """Return the name and the fields under which an event is logged."""
+    if isinstance(event, MemberChanged):
+        return "member", {
+            "id": event.id,
+            "state": event.state.value,
+            "incarnation": event.incarnation,
+            "by": event.reported_by,
+        }
+    return "refuted", {
+        "of": event.claimed_state.value,
+        "by": event.reported_by,
+        "incarnation": event.incarnation,
+    }
--- a/pinspread/membership/swim.py
+++ b/pinspread/membership/swim.py
@@ -1,427 +1,408 @@
 """SWIM membership with the Lifeguard refinements: the decisions alone, with no I/O and no clock.
 
-A `SwimMember` is told of time (`tick(now_us)`) and of messages (`heard(message, now_us)`), and gives what to
-send as `(address, message)` pairs; `events` gathers changes of the table for the log. Messages are dicts of
-short keys that `pinspread.membership.codec` packs. Times are whole monotonic microseconds.
+A `SwimMember` is called when time has passed (`tick`) and when a message has been received (`receive`), and
+returns what to send, as pairs of an address and a message. `events` collects changes of the table for the
+log. Times are whole microseconds of the member's monotonic clock.
+
+Its parts: `members` has the table, `failure_detector` the probes, `suspicion` the time-out of suspected
+members, `gossip` what rides on messages.
 
 Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2017).
 """
 
-import math
 import random
-from dataclasses import dataclass, field, replace
-
-from pinspread.membership.members import PRECEDENCE, MemberRecord, MemberState
-
-PING, ACK, NACK, ASK, SYNC = "ping", "ack", "nack", "ask", "sync"
-MOST_UPDATES = 12  # a message's piggyback; a datagram of 16 members' updates stays under 1,400 bytes
-MOST_ROWS = 400  # of the table in one message: some 50 bytes a row, so that it fits a datagram
-NACK_SHARE = 0.8  # of the probe time-out, after which a go-between says nack (Lifeguard)
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, replace
+from typing import Any
+
+from pinspread.membership.config import SwimConfig
+from pinspread.membership.failure_detector import FailureDetector, Probe
+from pinspread.membership.gossip import GossipQueue
+from pinspread.membership.members import (
+    LIVE_STATES,
+    PRECEDENCE,
+    MemberRecord,
+    MemberState,
+    MemberTable,
+)
+from pinspread.membership.messages import (
+    Ack,
+    Leave,
+    Message,
+    Nack,
+    Outgoing,
+    Ping,
+    PingRequest,
+    Sync,
+    Update,
+)
+from pinspread.membership.suspicion import Suspicion, suspicion_timeout_us
+
+__all__ = ["MemberChanged", "RumorRefuted", "SwimConfig", "SwimMember"]
+
+MAX_TABLE_ROWS = 400  # in one message: some 50 bytes a row, so that it fits a datagram
+_SYNC_WITH_DEAD_PROBABILITY = 0.5  # where there are dead members
 
 
 @dataclass(frozen=True)
-class SwimConfig:
-    """The figures of a member, in microseconds where they are times."""
-
-    period_us: int = 1_000_000  # between probes, at full health
-    timeout_us: int = 400_000  # for a direct ack
-    indirect_probes: int = 3  # go-betweens of an indirect probe
-    suspicion_alpha: float = 4.0  # the least suspicion is alpha * log10(n) probe periods
-    suspicion_beta: float = 6.0  # the most is beta times the least
-    gossip_lambda: float = 4.0  # an update rides on lam * log10(n + 1) messages, rounded up
-    sync_us: int = 5_000_000  # between full exchanges of the table
-    max_health: int = 8  # Lifeguard's awareness: periods and time-outs scale by health + 1
-    forget_us: int = 120_000_000  # how long the dead and those that left stay in the table
-
+class MemberChanged:
+    """The state of a member has changed in this member's table; `reported_by` has caused it."""
 
-@dataclass
-class Probe:
-    """A probe of ours that is out."""
+    id: str
+    state: MemberState
+    incarnation: int
+    reported_by: str
 
-    target: str
-    seq: int
-    began_us: int
-    direct_until_us: int
-    ends_us: int
-    asked: int = 0  # go-betweens asked
-    nacks: int = 0
-    acked: bool = False
-
-
-@dataclass
-class Relay:
-    """A probe that we make for another member."""
-
-    asker: str  # address
-    seq: int  # the asker's
-    nack_us: int
-    done: bool = False
 
+@dataclass(frozen=True)
+class RumorRefuted:
+    """This member has refuted a claim that it is in `claimed_state`, by a higher incarnation."""
 
-@dataclass
-class Suspicion:
-    began_us: int
-    first: str  # who raised it; its copies are no confirmation
-    confirmers: set = field(default_factory=set)
+    claimed_state: MemberState
+    reported_by: str
+    incarnation: int
 
 
 class SwimMember:
-    """One member's view of the fleet."""
-
-    def __init__(self, id_, address, seeds=(), tuning=None, rng=None, now_us=0, incarnation=0):
-        self.id, self.address, self.tuning = id_, address, tuning or SwimConfig()
-        self.seeds = [s for s in seeds if s != address]
+    """One member's view of the cluster.
+
+    Args:
+        id_: This member's id.
+        address: `host:port` at which it receives datagrams.
+        config: The settings of the protocol.
+        rng: The source of all random draws.
+        now_us: The time.
+
+    Attributes:
+        members: The member table.
+        seeds: Addresses of members to join by.
+        events: What has changed since the events were last cleared.
+        counts: How many messages were sent and received.
+    """
+
+    def __init__(
+        self,
+        id_: str,
+        address: str,
+        config: SwimConfig | None = None,
+        rng: random.Random | None = None,
+        now_us: int = 0,
+    ):
+        self.id = id_
+        self.address = address
+        self.seeds: list[str] = []
+        self.config = config or SwimConfig()
+        self.incarnation = 0
         self.rng = rng or random.Random()
-        self.incarnation = incarnation
-        self.health = 0
-        self.table = {id_: MemberRecord(id_, address, incarnation, MemberState.ALIVE, now_us)}
-        self.gossip = {}  # id -> [row, by, sends left]
-        self.order, self.turn = [], 0  # ids of the probe round, shuffled
-        self.live = 0  # others alive or suspect
-        self.down = set()  # ids of others dead or left
-        self.probes = {}  # seq -> Probe
-        self.relays = {}  # our seq -> Relay
-        self.suspicions = {}  # id -> Suspicion
-        self.seq = 0
+        own = MemberRecord(id_, address, self.incarnation, MemberState.ALIVE, now_us)
+        self.members = MemberTable(own, self.rng)
+        self.detector = FailureDetector(self.config)
+        self.gossip = GossipQueue(self.config.gossip_lambda)
+        self.suspicions: dict[str, Suspicion] = {}
         self.next_probe_us = now_us
         self.next_sync_us = now_us
-        self.events = []
-        self.leaving = False
+        self.events: list[MemberChanged | RumorRefuted] = []
         self.counts = {"sent": 0, "heard": 0}
+        self._leaving = False
 
-    # --- what the table says ------------------------------------------------------------------------
-
-    def others(self, *states):
-        return [n for n in self.table.values() if n.id != self.id and n.state in states]
-
-    def size(self):
-        return 1 + self.live
-
-    def _pick(self, count, avoid=(), states=(MemberState.ALIVE,)):
-        """Up to `count` other members in `states`, drawn at random, none of `avoid`."""
-        if len(self.order) <= 64:
-            found = [n for n in self.others(*states) if n.id not in avoid]
-            return self.rng.sample(found, min(count, len(found)))
-        chosen = {}
-        for _ in range(count * 8):
-            node = self.table.get(self.order[self.rng.randrange(len(self.order))])
-            if node is not None and node.state in states and node.id not in avoid:
-                chosen[node.id] = node
-                if len(chosen) == count:
-                    break
-        return list(chosen.values())
-
-    def view(self):
-        """The table as rows: id, address, state, incarnation, since."""
-        return sorted(
-            (
-                {
-                    "id": n.id,
-                    "address": n.address,
-                    "state": n.state,
-                    "incarnation": n.incarnation,
-                    "since_us": n.since_us,
-                }
-                for n in self.table.values()
-            ),
-            key=lambda row: row["id"],
-        )
+    # --- the table ----------------------------------------------------------------------------------
+
+    @property
+    def table(self) -> Mapping[str, MemberRecord]:
+        """The record of each member by its id, this one included."""
+        return self.members.records
+
+    @property
+    def health(self) -> int:
+        """Lifeguard's local health: 0 is well."""
+        return self.detector.health
+
+    def set_seeds(self, addresses: Iterable[str]) -> None:
+        """Replace the seeds; this member's own address is left out."""
+        self.seeds = [address for address in addresses if address != self.address]
 
-    def scaled(self, us):
-        return us * (self.health + 1)
+    def others(self, *states: MemberState) -> list[MemberRecord]:
+        """Return the other members in any of the states."""
+        return self.members.others(*states)
 
-    def suspicion_us(self, confirmations):
-        """Lifeguard's time-out: from the most down to the least as independent confirmations come."""
-        t = self.tuning
-        least = t.suspicion_alpha * max(1.0, math.log10(self.size())) * t.period_us
-        most = t.suspicion_beta * least
-        expected = max(1, min(t.suspicion_alpha - 2, self.size() - 2))
-        fall = (most - least) * math.log(confirmations + 1) / math.log(expected + 1)
-        return int(max(least, most - fall))
+    def view(self) -> list[dict[str, Any]]:
+        """Return the table as operators see it, by id."""
+        return [record.to_json() for record in sorted(self.table.values(), key=lambda record: record.id)]
 
     # --- time ---------------------------------------------------------------------------------------
 
-    def due_us(self):
-        """When `tick` has something to do next."""
-        times = [self.next_probe_us, self.next_sync_us]
-        for p in self.probes.values():
-            times.append(p.ends_us if p.asked or p.acked else p.direct_until_us)
-        times += [r.nack_us for r in self.relays.values() if not r.done]
-        times += [s.began_us + self.suspicion_us(len(s.confirmers)) for s in self.suspicions.values()]
+    def due_us(self) -> int:
+        """Return when `tick` has something to do next."""
+        times = [self.next_probe_us, self.next_sync_us, *self.detector.due_times_us()]
+        times += [self._suspicion_ends_us(suspicion) for suspicion in self.suspicions.values()]
         return min(times)
 
-    def tick(self, now_us):
-        """What is due by now; the messages to send."""
-        out = []
-        for seq, probe in list(self.probes.items()):
-            if probe.acked:
-                del self.probes[seq]
-            elif now_us >= probe.ends_us:
-                del self.probes[seq]
-                self._failed(probe, now_us)
-            elif not probe.asked and now_us >= probe.direct_until_us:
-                out += self._ask_others(probe, now_us)
-        for seq, relay in list(self.relays.items()):
-            if not relay.done and now_us >= relay.nack_us:
-                relay.done = True
-                out.append((relay.asker, self._message(NACK, seq=relay.seq)))
-            if now_us >= relay.nack_us + self.tuning.timeout_us:
-                del self.relays[seq]
-        for id_, suspicion in list(self.suspicions.items()):
-            if now_us >= suspicion.began_us + self.suspicion_us(len(suspicion.confirmers)):
-                node = self.table[id_]
-                self._set(node, MemberState.DEAD, node.incarnation, now_us, self.id)
+    def tick(self, now_us: int) -> Outgoing:
+        """Do what is due by now; return the messages to send."""
+        outgoing = self._check_probes(now_us)
+        for relay in self.detector.take_due_nacks(now_us):
+            nack = Nack(**self._header(), sequence=relay.sequence)
+            outgoing.append((relay.requester_address, nack))
+        self._check_suspicions(now_us)
         if now_us >= self.next_probe_us:
-            self.next_probe_us = now_us + self.scaled(self.tuning.period_us)
-            out += self._probe(now_us)
+            self.next_probe_us = now_us + self.detector.scaled_us(self.config.period_us)
+            outgoing += self._probe(now_us)
         if now_us >= self.next_sync_us:
-            alone = not self.live
-            self.next_sync_us = now_us + (self.tuning.period_us if alone else self.tuning.sync_us)
-            out += self._sync(now_us)
+            is_alone = not self.members.live_count
+            self.next_sync_us = now_us + (self.config.period_us if is_alone else self.config.sync_us)
+            outgoing += self._sync()
         self._forget(now_us)
-        self.counts["sent"] += len(out)
-        return out
-
-    def _probe(self, now_us):
-        if not self.live:
+        self.counts["sent"] += len(outgoing)
+        return outgoing
+
+    def _check_probes(self, now_us: int) -> Outgoing:
+        """End the probes that are over, and ask others where a direct one was not answered."""
+        outgoing: Outgoing = []
+        for sequence, probe in list(self.detector.probes.items()):
+            if probe.acknowledged:
+                del self.detector.probes[sequence]
+            elif now_us >= probe.ends_us:
+                del self.detector.probes[sequence]
+                self.probe_failed(probe, now_us)
+            elif not probe.indirect_requested and now_us >= probe.direct_until_us:
+                outgoing += self._request_indirect_probes(probe)
+        return outgoing
+
+    def _check_suspicions(self, now_us: int) -> None:
+        """Take members for dead that were suspected for long enough."""
+        for id_, suspicion in list(self.suspicions.items()):
+            if now_us >= self._suspicion_ends_us(suspicion):
+                record = self.table[id_]
+                self._change(record, MemberState.DEAD, record.incarnation, now_us, self.id)
+
+    def _suspicion_ends_us(self, suspicion: Suspicion) -> int:
+        confirmations = len(suspicion.confirmers)
+        return suspicion.began_us + suspicion_timeout_us(self.config, self.members.size, confirmations)
+
+    def _forget(self, now_us: int) -> None:
+        """Forget members that have been down for long."""
+        forget_us = self.config.forget_us
+        ids = [id_ for id_ in self.members.down if now_us - self.table[id_].since_us > forget_us]
+        self.members.remove(ids)
+        for id_ in ids:
+            self.gossip.discard(id_)
+
+    # --- probes -------------------------------------------------------------------------------------
+
+    def _probe(self, now_us: int) -> Outgoing:
+        """Probe the next member of the round."""
+        if not self.members.live_count:
             return []
-        for _ in range(2):
-            while self.turn < len(self.order) and not self._live(self.order[self.turn]):
-                self.turn += 1  # gone since the round was drawn
-            if self.turn < len(self.order):
-                break
-            self.order = [n.id for n in self.others(MemberState.ALIVE, MemberState.SUSPECT)]
-            self.rng.shuffle(self.order)
-            self.turn = 0
-        target = self.order[self.turn]
-        self.turn += 1
-        node = self.table[target]
-        self.seq += 1
-        timeout = self.scaled(self.tuning.timeout_us)
-        ends = now_us + self.scaled(self.tuning.period_us)
-        self.probes[self.seq] = Probe(target, self.seq, now_us, now_us + timeout, ends)
-        return [(node.address, self._message(PING, seq=self.seq, to=target, first=target))]
-
-    def _ask_others(self, probe, now_us):
-        probe.asked = -1  # none to ask still counts as asked
+        target = self.members.next_probe_target()
+        probe = self.detector.begin_probe(target.id, now_us)
+        ping = Ping(**self._header(first=target.id), sequence=probe.sequence, target=target.id)
+        return [(target.address, ping)]
+
+    def _request_indirect_probes(self, probe: Probe) -> Outgoing:
+        probe.indirect_requested = True
         target = self.table.get(probe.target)
-        chosen = self._pick(self.tuning.indirect_probes, avoid=(probe.target,))
-        if not target or not chosen:
-            return []
-        probe.asked = len(chosen)
-        ask = self._message(ASK, seq=probe.seq, to=target.id, to_at=target.address)
-        return [(n.address, ask) for n in chosen]
-
-    def _failed(self, probe, now_us):
-        """No ack within the period: suspect; Lifeguard counts missed nacks against our own health."""
-        if probe.asked > 0:
-            self._health(max(0, probe.asked - probe.nacks))
-        else:
-            self._health(1)
-        node = self.table.get(probe.target)
-        if node and node.state == MemberState.ALIVE:
-            self._set(node, MemberState.SUSPECT, node.incarnation, now_us, self.id)
-        elif node and node.state == MemberState.SUSPECT:
-            self._spread(node, self.id)  # our own failed probe: an independent confirmation for the others
-
-    def _sync(self, now_us):
-        """The whole table to one member; to seeds while we know nobody; now and then to one that is dead."""
-        dead = [i for i in self.down if self.table[i].state == MemberState.DEAD]
-        if not self.live and self.seeds:
-            addresses = self.seeds
-        elif dead and (not self.live or self.rng.random() < 0.5):
-            addresses = [self.table[self.rng.choice(dead)].address]  # how two sides of a healed cut meet
-        elif self.live:
-            addresses = [n.address for n in self._pick(1, states=(MemberState.ALIVE, MemberState.SUSPECT))]
-        else:
+        helpers = self.members.pick(self.config.indirect_probes, avoid=(probe.target,))
+        if not target or not helpers:
             return []
-        return [(a, self._message(SYNC, table=self._rows(), reply=True)) for a in addresses]
-
-    def _rows(self):
-        """The table for a message; of one that would not fit, those that are down and a run of the others."""
-        if len(self.table) <= MOST_ROWS:
-            return [n.row() for n in self.table.values()]
-        ids = [self.id] + self.rng.sample(sorted(self.down), min(len(self.down), MOST_ROWS // 4))
-        start = self.rng.randrange(len(self.order))
-        run = self.order[start : start + MOST_ROWS - len(ids)]
-        run += self.order[: MOST_ROWS - len(ids) - len(run)]
-        return [self.table[i].row() for i in dict.fromkeys(ids + run) if i in self.table]
-
-    def _whole(self):
-        """The whole table in as many parts as it takes, for a member that has just joined."""
-        rows = [n.row() for n in self.table.values()]
-        return [rows[n : n + MOST_ROWS] for n in range(0, len(rows), MOST_ROWS)]
-
-    def _forget(self, now_us):
-        for id_ in [i for i in self.down if now_us - self.table[i].since_us > self.tuning.forget_us]:
-            del self.table[id_]
-            self.gossip.pop(id_, None)
-            self.down.discard(id_)
-
-    def _live(self, id_):
-        node = self.table.get(id_)
-        return node is not None and node.state in (MemberState.ALIVE, MemberState.SUSPECT)
-
-    def _health(self, delta):
-        self.health = max(0, min(self.tuning.max_health, self.health + delta))
+        probe.indirect_count = len(helpers)
+        request = PingRequest(
+            **self._header(), sequence=probe.sequence, target=target.id, target_address=target.address
+        )
+        return [(helper.address, request) for helper in helpers]
+
+    def probe_failed(self, probe: Probe, now_us: int) -> None:
+        """Suspect a member that has not answered a probe, directly or indirectly."""
+        self.detector.probe_failed(probe)
+        record = self.table.get(probe.target)
+        if record and record.state == MemberState.ALIVE:
+            self._change(record, MemberState.SUSPECT, record.incarnation, now_us, self.id)
+        elif record and record.state == MemberState.SUSPECT:
+            self._spread(record, self.id)  # an independent confirmation for the others
+
+    # --- exchange of tables -------------------------------------------------------------------------
+
+    def _sync(self) -> Outgoing:
+        """Send the table to one member; to the seeds while nobody is known; sometimes to a dead member."""
+        addresses = self._sync_addresses()
+        return [(address, self._sync_message(self._table_sample(), reply=True)) for address in addresses]
+
+    def _sync_addresses(self) -> list[str]:
+        alone = not self.members.live_count
+        if alone and self.seeds:
+            return self.seeds
+        dead = [id_ for id_ in self.members.down if self.table[id_].state == MemberState.DEAD]
+        if dead and (alone or self.rng.random() < _SYNC_WITH_DEAD_PROBABILITY):
+            return [self.table[self.rng.choice(dead)].address]  # how the sides of a healed partition meet
+        return [record.address for record in self.members.pick(1, states=LIVE_STATES)] if not alone else []
+
+    def _sync_message(self, records: Iterable[MemberRecord], reply: bool) -> Sync:
+        table = tuple(Update.from_record(record, self.id) for record in records)
+        return Sync(**self._header(), table=table, reply=reply)
+
+    def _table_sample(self) -> list[MemberRecord]:
+        """Return the table, or as much of it as fits a message."""
+        return self.members.sample(MAX_TABLE_ROWS)
+
+    def _table_chunks(self) -> list[list[MemberRecord]]:
+        """Return the complete table in parts that fit a message each, for a member that has just joined."""
+        records = list(self.table.values())
+        return [records[n : n + MAX_TABLE_ROWS] for n in range(0, len(records), MAX_TABLE_ROWS)]
 
     # --- messages -----------------------------------------------------------------------------------
 
-    def _message(self, kind, first=None, **fields):
-        message = {"t": kind, "from": self.id, "from_at": self.address, "inc": self.incarnation, **fields}
-        message["up"] = self._piggyback(first)
-        return message
-
-    def _piggyback(self, first=None):
-        """The updates that have been sent least, at most MOST_UPDATES; a suspicion of the target first."""
-        chosen = sorted(self.gossip.items(), key=lambda item: (item[0] != first, -item[1][2]))[:MOST_UPDATES]
-        rows = []
-        if first in self.suspicions and first not in self.gossip:
-            # Lifeguard's buddy system: whoever is suspected is told in every message to it, so that it
-            # can refute though the rumour has been sent its number of times, none of them to it.
-            rows.append(self.table[first].row() + [self.suspicions[first].first])
-        for id_, entry in chosen:
-            rows.append(entry[0] + [entry[1]])
-            entry[2] -= 1
-            if entry[2] <= 0:
-                del self.gossip[id_]
-        return rows
-
-    def heard(self, message, now_us):
-        """A message from another member; the messages to send in answer."""
+    def _header(self, first: str | None = None) -> dict[str, Any]:
+        """Return what all messages hold; updates about the member `first` come before all others."""
+        return {
+            "sender": self.id,
+            "sender_address": self.address,
+            "incarnation": self.incarnation,
+            "updates": self.take_updates(first),
+        }
+
+    def take_updates(self, first: str | None = None) -> tuple[Update, ...]:
+        """Return the updates for one message, which count as sent."""
+        updates = []
+        suspicion = self.suspicions.get(first) if first is not None else None
+        if first is not None and suspicion and first not in self.gossip:
+            # Lifeguard's buddy system: a suspected member is informed in every message to it, so that it can
+            # refute even though the update has been sent its number of times, none of them to it.
+            updates.append(Update.from_record(self.table[first], suspicion.raised_by))
+        return (*updates, *self.gossip.take(first))
+
+    def receive(self, message: Message, now_us: int) -> Outgoing:
+        """Handle a message from another member; return the messages to send in answer."""
         self.counts["heard"] += 1
-        kind, sender = message["t"], message["from"]
-        if sender == self.id:
+        if message.sender == self.id:
+            return []
+        known = self.table.get(message.sender)
+        if known and not known.is_live and message.incarnation <= known.incarnation:
+            self._spread(known, self.id)  # so that it is informed of its own end at once, and refutes
+        self._apply_message(message, now_us)
+        outgoing = self._answer(message, now_us, joins=known is None)
+        self.counts["sent"] += len(outgoing)
+        return outgoing
+
+    def _apply_message(self, message: Message, now_us: int) -> None:
+        sender = message.sender
+        own_claim = Update(
+            sender, message.sender_address, message.incarnation, MemberState.ALIVE, reported_by=sender
+        )
+        self.apply(own_claim, now_us)
+        for update in message.updates:
+            self.apply(update, now_us)
+
+    def _answer(self, message: Message, now_us: int, joins: bool) -> Outgoing:
+        address = message.sender_address
+        match message:
+            case Ping() if message.target == self.id:
+                return [(address, Ack(**self._header(first=message.sender), sequence=message.sequence))]
+            case Ack():
+                relay = self.detector.acknowledge(message.sequence)
+                if relay:
+                    return [(relay.requester_address, Ack(**self._header(), sequence=relay.sequence))]
+            case Nack():
+                self.detector.count_nack(message.sequence)
+            case PingRequest():
+                sequence = self.detector.begin_relay(address, message.sequence, now_us)
+                ping = Ping(**self._header(), sequence=sequence, target=message.target)
+                return [(message.target_address, ping)]
+            case Sync():
+                return self._answer_sync(message, now_us, joins)
+        return []
+
+    def _answer_sync(self, message: Sync, now_us: int, joins: bool) -> Outgoing:
+        for row in message.table:
+            self.apply(row, now_us, from_table=True)
+        if not message.reply:
             return []
-        known = self.table.get(sender)
-        joins = known is None
-        if (
-            known
-            and known.state in (MemberState.DEAD, MemberState.LEFT)
-            and message["inc"] <= known.incarnation
-        ):
-            self._spread(known, self.id)  # so that it hears of its end at once, and refutes
-        self.apply([sender, message["from_at"], message["inc"], MemberState.ALIVE, sender], now_us)
-        for row in message.get("up", ()):
-            self.apply(row, now_us)
-        out = []
-        if kind == PING:
-            if message.get("to") == self.id:
-                out.append((message["from_at"], self._message(ACK, seq=message["seq"], first=sender)))
-        elif kind == ACK:
-            probe = self.probes.get(message["seq"])
-            relay = self.relays.pop(message["seq"], None)
-            if probe and not probe.acked:
-                probe.acked = True
-                if not probe.asked:
-                    self._health(-1)
-            elif relay:
-                out.append((relay.asker, self._message(ACK, seq=relay.seq)))
-        elif kind == NACK:
-            probe = self.probes.get(message["seq"])
-            if probe:
-                probe.nacks += 1
-        elif kind == ASK:
-            self.seq += 1
-            nack_us = now_us + int(self.tuning.timeout_us * NACK_SHARE)
-            self.relays[self.seq] = Relay(message["from_at"], message["seq"], nack_us)
-            out.append((message["to_at"], self._message(PING, seq=self.seq, to=message["to"])))
-        elif kind == SYNC:
-            for row in message["table"]:
-                self.apply(list(row[:4]) + [sender], now_us, whole=True)
-            if message.get("reply"):
-                for table in self._whole() if joins else [self._rows()]:
-                    out.append((message["from_at"], self._message(SYNC, table=table, reply=False)))
-        self.counts["sent"] += len(out)
-        return out
-
-    def apply(self, row, now_us, whole=False):
-        """One update `[id, address, incarnation, state, by]`, by SWIM's order of precedence."""
-        id_, address, incarnation, state, by = row
-        state = MemberState(state)
-        if id_ == self.id:
-            if (
-                state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT)
-                and incarnation >= self.incarnation
-                and not self.leaving
-            ):
-                self.incarnation = incarnation + 1  # refute: a higher incarnation wins over any rumour
-                self.table[self.id] = replace(self.table[self.id], incarnation=self.incarnation)
-                self._health(1)
-                self._spread(self.table[self.id], self.id)
-                self.events.append(
-                    {"event": "refuted", "of": state, "by": by, "incarnation": self.incarnation}
-                )
+        parts = self._table_chunks() if joins else [self._table_sample()]
+        return [(message.sender_address, self._sync_message(part, reply=False)) for part in parts]
+
+    # --- claims about members -----------------------------------------------------------------------
+
+    def apply(self, update: Update, now_us: int, from_table: bool = False) -> None:
+        """Apply a claim about a member, by SWIM's order of precedence.
+
+        Args:
+            update: The claim.
+            now_us: The time.
+            from_table: Whether it is a row of another member's table, which confirms no suspicion.
+        """
+        if update.id == self.id:
+            self._refute(update)
             return
-        node = self.table.get(id_)
-        if node is None:
-            if state in (MemberState.ALIVE, MemberState.SUSPECT):
-                self._set(
-                    MemberRecord(id_, address, incarnation, MemberState.DEAD, now_us),
-                    state,
-                    incarnation,
-                    now_us,
-                    by,
-                )
+        record = self.table.get(update.id)
+        if record is None:
+            if update.state in LIVE_STATES:
+                new = MemberRecord(update.id, update.address, update.incarnation, MemberState.DEAD, now_us)
+                self._change(new, update.state, update.incarnation, now_us, update.reported_by)
+        elif _prevails(update, record):
+            moved = replace(record, address=update.address)
+            self._change(moved, update.state, update.incarnation, now_us, update.reported_by)
+        elif not from_table and _agrees_on_suspicion(update, record):
+            self._confirm(update)
+
+    def _refute(self, update: Update) -> None:
+        """Answer a claim that this member is not alive by a higher incarnation, which wins over any claim."""
+        if update.state == MemberState.ALIVE or update.incarnation < self.incarnation or self._leaving:
             return
-        if incarnation > node.incarnation or (
-            incarnation == node.incarnation and PRECEDENCE[state] > PRECEDENCE[node.state]
-        ):
-            if (
-                node.state in (MemberState.DEAD, MemberState.LEFT)
-                and state == MemberState.SUSPECT
-                and incarnation == node.incarnation
-            ):
-                return
-            self._set(replace(node, address=address), state, incarnation, now_us, by)
-        elif (
-            state == MemberState.SUSPECT
-            and node.state == MemberState.SUSPECT
-            and incarnation == node.incarnation
-            and not whole
-        ):
-            suspicion = self.suspicions.get(id_)
-            if suspicion is not None and by not in suspicion.confirmers | {suspicion.first, self.id}:
-                suspicion.confirmers.add(by)  # an independent confirmation shortens the time-out
-
-    def _set(self, node, state, incarnation, now_us, by):
-        changed = node.state != state
-        was = node.state in (MemberState.ALIVE, MemberState.SUSPECT)
-        since = now_us if changed else node.since_us
-        node = self.table[node.id] = MemberRecord(node.id, node.address, incarnation, state, since)
-        now = state in (MemberState.ALIVE, MemberState.SUSPECT)
-        self.live += now - was
-        if now:
-            self.down.discard(node.id)
-            if not was:  # a place in the round, at random, as SWIM's round-robin asks
-                place = self.rng.randrange(len(self.order) + 1)
-                self.order.insert(place, node.id)
-                self.turn += place < self.turn
-        else:
-            self.down.add(node.id)
+        self.incarnation = update.incarnation + 1
+        own = replace(self.table[self.id], incarnation=self.incarnation)
+        self.members.put_own(own)
+        self.detector.adjust_health(1)
+        self._spread(own, self.id)
+        self.events.append(RumorRefuted(update.state, update.reported_by, self.incarnation))
+
+    def _confirm(self, update: Update) -> None:
+        """Count an independent confirmation of a suspicion, which shortens its time-out."""
+        suspicion = self.suspicions.get(update.id)
+        if suspicion is None or update.reported_by in (suspicion.raised_by, self.id):
+            return
+        suspicion.confirmers.add(update.reported_by)
+
+    def _change(
+        self, record: MemberRecord, state: MemberState, incarnation: int, now_us: int, reported_by: str
+    ) -> None:
+        """Put a member into a state, and pass that on."""
+        changed = record.state != state
+        since_us = now_us if changed else record.since_us
+        new = MemberRecord(record.id, record.address, incarnation, state, since_us)
+        self.members.put(new, was_live=record.is_live)
         if changed:
-            self.events.append(
-                {"event": "member", "id": node.id, "state": state, "incarnation": incarnation, "by": by}
-            )
+            self.events.append(MemberChanged(record.id, state, incarnation, reported_by))
         if state == MemberState.SUSPECT:
-            self.suspicions.setdefault(node.id, Suspicion(now_us, by))
+            self.suspicions.setdefault(record.id, Suspicion(now_us, reported_by))
         else:
-            self.suspicions.pop(node.id, None)
-        self._spread(node, by)
+            self.suspicions.pop(record.id, None)
+        self._spread(new, reported_by)
 
-    def _spread(self, node, by):
-        sends = math.ceil(self.tuning.gossip_lambda * math.log10(self.size() + 1))
-        self.gossip[node.id] = [node.row(), by, max(1, sends)]
+    def _spread(self, record: MemberRecord, reported_by: str) -> None:
+        self.gossip.add(Update.from_record(record, reported_by), self.members.size)
 
-    def leave(self):
-        """Say that we leave, to every member that lives; the messages."""
-        self.leaving = True
+    def leave(self) -> Outgoing:
+        """Leave; return the messages that say so to every live member."""
+        self._leaving = True
         self.incarnation += 1
-        me = self.table[self.id] = replace(
-            self.table[self.id], state=MemberState.LEFT, incarnation=self.incarnation
+        own = replace(self.table[self.id], state=MemberState.LEFT, incarnation=self.incarnation)
+        self.members.put_own(own)
+        self._spread(own, self.id)
+        message = Leave(
+            sender=self.id,
+            sender_address=self.address,
+            incarnation=self.incarnation,
+            updates=(Update.from_record(own, self.id),),
         )
-        self._spread(me, self.id)
-        rows = [me.row() + [self.id]]
-        message = {"t": SYNC, "from": self.id, "from_at": self.address, "inc": self.incarnation}
-        message |= {"up": rows, "table": [], "reply": False}
-        return [(n.address, message) for n in self.others(MemberState.ALIVE, MemberState.SUSPECT)]
+        return [(record.address, message) for record in self.others(*LIVE_STATES)]
+
+
+def _prevails(update: Update, record: MemberRecord) -> bool:
+    """Return whether a claim changes what is known of a member."""
+    if update.incarnation != record.incarnation:
+        return update.incarnation > record.incarnation
+    return PRECEDENCE[update.state] > PRECEDENCE[record.state]
+
+
+def _agrees_on_suspicion(update: Update, record: MemberRecord) -> bool:
+    """Return whether a claim is that a suspected member is suspected."""
+    both_suspect = update.state == record.state == MemberState.SUSPECT
+    return both_suspect and update.incarnation == record.incarnation
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -19,7 +19,8 @@
 from pinspread.leases import service as leases
 from pinspread.leases import state_machine as lease
 from pinspread.membership import codec as wire
-from pinspread.membership import swim
+from pinspread.membership import message_codec, swim
+from pinspread.membership import service as member_service
 from pinspread.membership.members import MemberRecord, MemberState
 from pinspread.replication import service as copying
 from pinspread.replication import store as shelf
@@ -35,13 +36,41 @@
     copying.MAGIC,
     raft_transport.MAGIC,
 )
-pack, unpack_member, unpack, DatagramError = wire.encode, wire.decode_message, wire.decode, wire.DatagramError
+pack, unpack, DatagramError = wire.encode, wire.decode, wire.DatagramError
 
 
-def member(id_):
-    """A member that draws the same every time, at time 0; `tick`, `heard`, `leave`, `view`, `events`."""
-    seeds = [] if id_ == "a" else [ADDRESSES["a"]]
-    return swim.SwimMember(id_, ADDRESSES[id_], seeds, swim.SwimConfig(), random.Random(id_), 0, 0)
+def unpack_member(data, key):
+    """What a member reads of a datagram, as the wire has it."""
+    return message_codec.to_map(message_codec.decode_message(data, key))
+
+
+class Member:
+    """A member that draws the same every time, at time 0; what it sends is given as the wire has it."""
+
+    def __init__(self, id_):
+        self.one = swim.SwimMember(id_, ADDRESSES[id_], swim.SwimConfig(), random.Random(id_), 0)
+        self.one.set_seeds([] if id_ == "a" else [ADDRESSES["a"]])
+        self.view = self.one.view
+
+    def tick(self, now):
+        return self._on_wire(self.one.tick(now))
+
+    def heard(self, message, now):
+        return self._on_wire(self.one.receive(message_codec.from_map(message), now))
+
+    def leave(self):
+        return self._on_wire(self.one.leave())
+
+    @property
+    def events(self):
+        named = (member_service.event_fields(event) for event in self.one.events)
+        return [{"event": name, **fields} for name, fields in named]
+
+    def _on_wire(self, out):
+        return [(address, message_codec.to_map(message)) for address, message in out]
+
+
+member = Member
 
 
 def membership(id_, now):
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -3,6 +3,7 @@
 import pytest
 
 from pinspread.membership import codec as wire
+from pinspread.membership import message_codec
 
 KEY = b"fleet-a"
 PING = {"t": "ping", "from": "a", "from_at": "127.0.0.1:1", "inc": 0, "up": [], "seq": 1, "to": "b"}
@@ -35,11 +36,11 @@
 )
 def test_a_datagram_that_is_not_taken_says_why(data, key, why):
     with pytest.raises(wire.DatagramError, match=why):
-        wire.decode_message(data, key)
+        message_codec.decode_message(data, key)
 
 
 def test_a_whole_datagram_comes_back_as_it_went():
-    assert wire.decode_message(wire.encode(PING, KEY), KEY) == PING
+    assert message_codec.to_map(message_codec.decode_message(wire.encode(PING, KEY), KEY)) == PING
 
 
 def test_garbage_of_every_length_is_dropped_and_nothing_else_is_raised():
@@ -50,7 +51,7 @@
     for n in range(2000):
         data = bytearray(good[: rng.randrange(len(good))]) if n % 2 else bytearray(rng.randbytes(n % 90))
         with pytest.raises(wire.DatagramError):
-            wire.decode_message(bytes(data), KEY)
+            message_codec.decode_message(bytes(data), KEY)
 
 
 def test_a_leave_while_the_turns_go_on_breaks_no_socket():
@@ -63,9 +64,9 @@
         plan = member.MembershipConfig("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, swim.SwimConfig())
         one = member.MembershipService(plan)
         await one.open()
-        out = [("127.0.0.1:9", PING)] * 20
-        async with one.sock, anyio.create_task_group() as tasks:
+        out = [("127.0.0.1:9", message_codec.from_map(PING))] * 20
+        async with one._socket, anyio.create_task_group() as tasks:
             for _ in range(3):
-                tasks.start_soon(one._send, out, 0)  # the library refuses a second sender at a time
+                tasks.start_soon(one._send, out)  # the library refuses a second sender at a time
 
     anyio.run(play)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -122,9 +122,9 @@
     assert main(["config", "records", str(path)]) == 0
     (tmp_path / "zone").write_text(capsys.readouterr().out)
     records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "zone"))
-    assert seeds.find(records, "_pinspread-swim._udp") == ["127.0.0.7:7946"]
+    assert seeds.find_seeds(records, "_pinspread-swim._udp") == ["127.0.0.7:7946"]
     records.zone_file = str(tmp_path / "none")
-    assert seeds.found_or_none(records, "_pinspread-swim._udp") is None
+    assert seeds.find_seeds_or_none(records, "_pinspread-swim._udp") is None
     told = application.told(application.load(str(path)))
     assert told.passed is None  # so no second process ever binds membership's port beside the first
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -15,6 +15,7 @@
 from pinspread.errors import JournalFullError
 from pinspread.membership import codec as wire
 from pinspread.membership.members import MemberState
+from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
 from pinspread.replication import log as copies
@@ -197,8 +198,8 @@
     membership = MembershipService(
         MembershipConfig("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", SwimConfig())
     )
-    membership.member.apply(["a", "127.0.0.2:1", 0, MemberState.ALIVE, "a"], 0)
-    membership.member.apply(["b", "127.0.0.3:1", 0, MemberState.ALIVE, "b"], 0)
+    membership.member.apply(Update("a", "127.0.0.2:1", 0, MemberState.ALIVE, "a"), 0)
+    membership.member.apply(Update("b", "127.0.0.3:1", 0, MemberState.ALIVE, "b"), 0)
     return copying.ReplicationService(copying.Plan("127.0.0.1:0", str(tmp_path)), membership, Held())
 
 
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -5,13 +5,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pinspread.membership import codec as wire
-from pinspread.membership import swim
+from pinspread.membership import message_codec, swim
+from pinspread.membership.failure_detector import Probe
 from pinspread.membership.members import PRECEDENCE, MemberRecord, MemberState
+from pinspread.membership.messages import Ping, Sync, Update
+from pinspread.membership.suspicion import suspicion_timeout_us
 
 MS = 1000
 
 
+def timeout_us(member, confirmations):
+    return suspicion_timeout_us(member.config, member.members.size, confirmations)
+
+
 class Net:
     """Members that hear each other after `delay_us`, with a share lost and some members stopped."""
 
@@ -21,8 +27,9 @@
         self.members = {}
         for i in range(n):
             self.members[f"m{i}"] = swim.SwimMember(
-                f"m{i}", f"a{i}", seeds=["a0"], tuning=tuning, rng=random.Random(seed * 100 + i)
+                f"m{i}", f"a{i}", config=tuning, rng=random.Random(seed * 100 + i)
             )
+            self.members[f"m{i}"].set_seeds(["a0"])
         self.stopped, self.cut = set(), set()  # ids; (from, to) pairs
 
     def at(self, address):
@@ -42,7 +49,7 @@
             self.flying = [f for f in self.flying if f[0] > self.now]
             for _, to, message in due:
                 if to not in self.stopped:
-                    self.send(self.members[to], self.members[to].heard(message, self.now))
+                    self.send(self.members[to], self.members[to].receive(message, self.now))
             for m in self.members.values():
                 if m.id not in self.stopped:
                     self.send(m, m.tick(self.now))
@@ -78,8 +85,8 @@
     net.stopped.discard("m3")
     net.run(net.now + 20_000 * MS)
     assert net.states("m3") == {MemberState.ALIVE}
-    seen = [e for m in net.members.values() for e in m.events if e.get("id") == "m3"]
-    assert not any(e["state"] == MemberState.DEAD for e in seen)
+    seen = [e for m in net.members.values() for e in m.events if getattr(e, "id", None) == "m3"]
+    assert not any(e.state == MemberState.DEAD for e in seen)
 
 
 def test_a_long_pause_is_dead_then_back_with_a_higher_incarnation():
@@ -105,17 +112,19 @@
 def test_ten_percent_loss_kills_nobody():
     net = Net(8, loss=0.10, seed=4)
     net.run(90_000 * MS)
-    deaths = [e for m in net.members.values() for e in m.events if e.get("state") == MemberState.DEAD]
+    deaths = [
+        e for m in net.members.values() for e in m.events if getattr(e, "state", None) == MemberState.DEAD
+    ]
     assert deaths == []
 
 
 def test_a_suspicion_shrinks_with_confirmations():
     m = swim.SwimMember("a", "x")
     for i in range(15):
-        m.table[f"b{i}"] = MemberRecord(f"b{i}", f"y{i}", 0, MemberState.ALIVE, 0)
-    times = [m.suspicion_us(c) for c in range(4)]
+        m.members.records[f"b{i}"] = MemberRecord(f"b{i}", f"y{i}", 0, MemberState.ALIVE, 0)
+    times = [timeout_us(m, c) for c in range(4)]
     assert times == sorted(times, reverse=True) and times[0] > times[-1]
-    assert times[-1] == m.suspicion_us(10)  # no lower than the least
+    assert times[-1] == timeout_us(m, 10)  # no lower than the least
 
 
 rows = st.tuples(
@@ -130,7 +139,7 @@
     m = swim.SwimMember("a", "x")
     before = None
     for incarnation, state in updates:
-        m.apply(["b", "y", incarnation, state, "c"], 0)
+        m.apply(Update("b", "y", incarnation, state, "c"), 0)
         node = m.table.get("b")
         if node is None:
             continue
@@ -147,64 +156,66 @@
 def test_a_member_refutes_every_rumour_of_its_own_end(rumours):
     m = swim.SwimMember("a", "x")
     for incarnation, state in rumours:
-        m.apply(["a", "x", incarnation, state, "b"], 0)
+        m.apply(Update("a", "x", incarnation, state, "b"), 0)
         assert m.incarnation > incarnation and m.table["a"].state == MemberState.ALIVE
 
 
 def test_a_failed_probe_of_a_suspect_confirms_the_suspicion_elsewhere():
     a, b = swim.SwimMember("a", "xa"), swim.SwimMember("b", "xb")
     for m in (a, b):
-        m.apply(["x", "xx", 0, MemberState.ALIVE, "x"], 0)
-        m.apply(["a" if m is b else "b", "xa" if m is b else "xb", 0, MemberState.ALIVE, "a"], 0)
-    a.apply(["x", "xx", 0, MemberState.SUSPECT, "a"], 0)  # a's own suspicion
-    b.apply(["x", "xx", 0, MemberState.SUSPECT, "a"], 0)  # b heard of it
-    b._failed(swim.Probe("x", 1, 0, 1, 2, asked=1, nacks=1), 10)  # then b's own probe of x failed too
-    (rows,) = [b._piggyback()]
-    for row in rows:
-        a.apply(row, 20)
+        m.apply(Update("x", "xx", 0, MemberState.ALIVE, "x"), 0)
+        m.apply(Update("a" if m is b else "b", "xa" if m is b else "xb", 0, MemberState.ALIVE, "a"), 0)
+    a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "a"), 0)  # a's own suspicion
+    b.apply(Update("x", "xx", 0, MemberState.SUSPECT, "a"), 0)  # b heard of it
+    b.probe_failed(Probe("x", 1, 1, 2, True, 1, nacks=1), 10)  # then b's own probe of x failed too
+    for update in b.take_updates():
+        a.apply(update, 20)
     assert a.suspicions["x"].confirmers == {"b"}
-    assert a.suspicion_us(1) < a.suspicion_us(0)
+    assert timeout_us(a, 1) < timeout_us(a, 0)
 
 
 def test_copies_of_the_first_suspicion_confirm_nothing():
     a = swim.SwimMember("a", "xa")
-    a.apply(["x", "xx", 0, MemberState.ALIVE, "x"], 0)
-    a.apply(["x", "xx", 0, MemberState.SUSPECT, "b"], 0)
+    a.apply(Update("x", "xx", 0, MemberState.ALIVE, "x"), 0)
+    a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "b"), 0)
     for _ in range(3):
-        a.apply(["x", "xx", 0, MemberState.SUSPECT, "b"], 1)  # the same rumour, by other ways
+        a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "b"), 1)  # the same rumour, by other ways
     assert a.suspicions["x"].confirmers == set()
-    a.apply(["x", "xx", 0, MemberState.SUSPECT, "c"], 2)
+    a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "c"), 2)
     assert a.suspicions["x"].confirmers == {"c"}
 
 
 def test_a_table_of_5000_rows_goes_in_messages_that_fit_a_datagram_and_a_newcomer_gets_all():
     big = swim.SwimMember("big", "10.0.0.1:7946", rng=random.Random(1))
     for n in range(5000):
-        big.apply([f"courier-{n}", f"10.1.{n // 250}.{n % 250}:7946", n % 3, MemberState.ALIVE, "x"], 0)
-    newcomer = swim.SwimMember("new", "10.0.0.2:7946", seeds=["10.0.0.1:7946"], rng=random.Random(2))
+        big.apply(Update(f"courier-{n}", f"10.1.{n // 250}.{n % 250}:7946", n % 3, MemberState.ALIVE, "x"), 0)
+    newcomer = swim.SwimMember("new", "10.0.0.2:7946", rng=random.Random(2))
+    newcomer.set_seeds(["10.0.0.1:7946"])
     (address, ask), *_ = newcomer.tick(0)
-    assert address == "10.0.0.1:7946" and ask["t"] == swim.SYNC
-    answers = [m for _, m in big.heard(ask, 1)]
+    assert address == "10.0.0.1:7946" and isinstance(ask, Sync)
+    answers = [m for _, m in big.receive(ask, 1)]
     for message in [*answers, *(m for _, m in big.tick(1))]:
-        assert len(wire.encode(message, b"fleet")) <= 60_000
-        newcomer.heard(message, 2)
+        assert len(message_codec.encode_message(message, b"fleet")) <= 60_000
+        newcomer.receive(message, 2)
     assert len(newcomer.table) == len(big.table) == 5002
     seen = set()
     for _ in range(200):  # those that know each other exchange runs, which cover all in time
-        seen |= {row[0] for row in big._rows()}
+        seen |= {record.id for record in big._table_sample()}
     assert len(seen) == len(big.table)
 
 
 def test_a_suspected_member_is_told_in_every_message_to_it_however_often_the_rumour_was_sent():
     one, two = (swim.SwimMember(f"m{i}", f"a{i}", rng=random.Random(i)) for i in (1, 2))
-    one.apply(["m2", "a2", 0, MemberState.ALIVE, "m2"], 0)
-    one.apply(["m2", "a2", 0, MemberState.SUSPECT, "m3"], 0)
+    one.apply(Update("m2", "a2", 0, MemberState.ALIVE, "m2"), 0)
+    one.apply(Update("m2", "a2", 0, MemberState.SUSPECT, "m3"), 0)
     one.gossip.clear()  # sent its number of times, to others
-    two.apply(["m1", "a1", 0, MemberState.ALIVE, "m1"], 0)
-    ping = next(m for _, m in two.tick(0) if m["t"] == swim.PING)
-    ((_, ack),) = one.heard(ping, 1)
-    assert ack["up"] == [["m2", "a2", 0, MemberState.SUSPECT, "m3"]]  # by whoever raised it: no confirmation
-    two.heard(ack, 2)
+    two.apply(Update("m1", "a1", 0, MemberState.ALIVE, "m1"), 0)
+    ping = next(m for _, m in two.tick(0) if isinstance(m, Ping))
+    ((_, ack),) = one.receive(ping, 1)
+    assert ack.updates == (
+        Update("m2", "a2", 0, MemberState.SUSPECT, "m3"),
+    )  # by whoever raised it: no confirmation
+    two.receive(ack, 2)
     assert two.incarnation == 1
-    one.heard(next(m for _, m in two.tick(swim.SwimConfig().period_us) if m["t"] == swim.PING), 3)
+    one.receive(next(m for _, m in two.tick(swim.SwimConfig().period_us) if isinstance(m, Ping)), 3)
     assert one.table["m2"].state == MemberState.ALIVE
