--- a/pinspread/simulation/variants.py
+++ b/pinspread/simulation/variants.py
@@ -105,11 +105,12 @@
     """Have this process use a version's texts; only before the model has been loaded."""
     if found is None:
         return
-    if "decide" in found:
-        raise VariantError("a version from before the policy became a package does not fit this model")
     loaded = [name for name in USERS if f"pinspread.simulation.{name}" in sys.modules]
     if loaded:
         raise VariantError(f"pinspread.simulation.{loaded[0]} is loaded already")
+    if "decide" in found:
+        importlib.import_module("pinspread.simulation.legacy_policy").install(found)
+        return
     # The package itself has loaded today's version; nothing else that uses it has been loaded yet.
     for name in [name for name in sys.modules if name.startswith("pinspread.policy")]:
         del sys.modules[name]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -461,6 +461,17 @@
     assert decide.BUCKET_CAP == 10
 
 
+def test_a_version_from_before_the_policy_was_a_package_runs_and_decides_alike(tmp_path):
+    if subprocess.run(["git", "-C", str(ROOT), "cat-file", "-e", "957e6f8"], capture_output=True).returncode:
+        pytest.skip("a checkout without its history")
+    more = '\n[[variant]]\nname = "old"\nrevision = "957e6f8"\n'
+    file = tmp_path / "x.toml"
+    file.write_text(SMALL + more)
+    found = runs.run(experiment.load(str(file)), str(tmp_path / "out"), 2, quiet=True)
+    by_name = {p["variant"]: p["runs"] for p in found["points"]}
+    assert by_name["as is"] == by_name["old"] != by_name["few slots"]
+
+
 @pytest.mark.parametrize(
     ("old", "new", "place"),
     [
