--- a/pinspread/simulation/legacy_policy.py
+++ b/pinspread/simulation/legacy_policy.py
@@ -1,8 +1,8 @@
 """Runs versions of the decision module from before it was the package `pinspread.policy`.
 
 Experiments name such versions by git revision. Their three modules (interface, state, decide) are executed
-under their old names, and `LegacyPolicy` stands between them and the model: it turns present events into theirs
-and their actions into present ones. What an old version has no field for is left out.
+under their old names, and `LegacyPolicy` stands between them and the model: it turns present events into
+theirs and their actions into present ones. What an old version has no field for is left out.
 """
 
 import dataclasses
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -466,7 +466,8 @@
         pytest.skip("a checkout without its history")
     more = '\n[[variant]]\nname = "old"\nrevision = "957e6f8"\n'
     file = tmp_path / "x.toml"
-    file.write_text(SMALL + more)
+    trouble = 'length_s = 8\n[[world.trouble]]\nkind = "crash"\nat_s = 1\nlength_s = 2\nshare = 1.0'
+    file.write_text(SMALL.replace("length_s = 4", trouble) + more)
     found = runs.run(experiment.load(str(file)), str(tmp_path / "out"), 2, quiet=True)
     by_name = {p["variant"]: p["runs"] for p in found["points"]}
     assert by_name["as is"] == by_name["old"] != by_name["few slots"]
