--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -19,7 +19,7 @@
 import anyio
 import orjson
 
-from pinspread.sockets import connections as sockets
+from pinspread import sockets
 from pinspread.testbed.stand_ins import Client, HttpStandIn, configuration, host, listener, standing
 
 
--- a/pinspread/admin/server.py
+++ b/pinspread/admin/server.py
@@ -9,7 +9,7 @@
 from pinspread.core.log import log
 from pinspread.core.ports import EndpointAdmin
 from pinspread.errors import JournalFullError, RejectedError
-from pinspread.sockets.connections import accept_forever
+from pinspread.sockets import accept_forever
 
 CALL_S = 5.0  # how long a caller may take to say its call
 MOST_HEAD = 8 * 1024
--- a/pinspread/admin/status_client.py
+++ b/pinspread/admin/status_client.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 CALL_S = 5.0
 
--- a/pinspread/amqp/broker.py
+++ b/pinspread/amqp/broker.py
@@ -11,7 +11,7 @@
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
 from pinspread.policy.events import Outcome
-from pinspread.sockets.connections import dial
+from pinspread.sockets import dial
 
 HEARTBEAT_S = 10
 BLOCKED_WAIT_US = 1_000_000  # a broker that blocks publishers tells no time: look again after this
--- a/pinspread/amqp/frames.py
+++ b/pinspread/amqp/frames.py
@@ -5,7 +5,7 @@
 import anyio
 from pamqp import base, body, commands, exceptions, frame, header, heartbeat
 
-from pinspread.sockets.connections import ReadBuffer
+from pinspread.sockets import ReadBuffer
 
 GREETING = b"AMQP\x00\x00\x09\x01"
 FRAME_HEAD = struct.Struct(">BHI")
--- a/pinspread/amqp/front.py
+++ b/pinspread/amqp/front.py
@@ -22,7 +22,7 @@
 from pinspread.core.messages import FinalResult, Message
 from pinspread.errors import RejectedError
 from pinspread.resp import parser as resp
-from pinspread.sockets.connections import ConnectionLimiter, accept_forever
+from pinspread.sockets import ConnectionLimiter, accept_forever
 
 NAME = "amqp"
 CHANNEL_MAX = 64
--- a/pinspread/config/application.py
+++ b/pinspread/config/application.py
@@ -10,7 +10,7 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, ValidationError
 
 from pinspread.config import settings
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 SECOND = 1_000_000_000
 
--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -18,7 +18,7 @@
 from pinspread.core.messages import Endpoint
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.resp.parser import MOST_DEST
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 QUERY_S = 2.0
 ROUTE = ("exchange", "routing_key", "vhost")
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -12,7 +12,7 @@
 from pinspread.core.messages import Endpoint
 from pinspread.http.transport import Exchange
 from pinspread.policy.events import EndpointState, UpdateScope
-from pinspread.sockets.connections import dial, split_address
+from pinspread.sockets import dial, split_address
 
 # What a silent watch misses counts as told 6 s after it fell silent. An empty line comes every 2 s, so this
 # leaves time for a second watch that is silent as well.
--- a/pinspread/hot_restart/transfer.py
+++ b/pinspread/hot_restart/transfer.py
@@ -27,7 +27,7 @@
 from pinspread.policy import actions, events, settings, state
 from pinspread.policy import delivery_policy as decide
 from pinspread.policy.events import Outcome
-from pinspread.sockets.connections import Connection, IdleConnection
+from pinspread.sockets import Connection, IdleConnection
 
 NAME = "handover"  # of the socket, in the folder that lasts
 HELLO, NO, LEAVE, STATE, LEG, IDLE, SOCKET, YOURS, TAKEN, ENDED, HEED, PROBED, BAN, BANNED = range(14)
--- a/pinspread/http/transport.py
+++ b/pinspread/http/transport.py
@@ -10,7 +10,7 @@
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
 from pinspread.http import bundle
 from pinspread.policy.events import Outcome
-from pinspread.sockets.connections import Connection, dial
+from pinspread.sockets import Connection, dial
 
 IDLE_SHARE = (
     0.8  # of the time after which a next hop closes idle connections: written to later, a call is lost
--- a/pinspread/leases/raft.py
+++ b/pinspread/leases/raft.py
@@ -29,7 +29,7 @@
 from pinspread.leases import raft_log as raftlog
 from pinspread.leases import state_machine as lease
 from pinspread.membership import codec as wire
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 MAGIC = b"PSQ"
 TICK_S = 0.02  # the library's turn, at least this often
--- a/pinspread/leases/service.py
+++ b/pinspread/leases/service.py
@@ -16,7 +16,7 @@
 from pinspread.leases import state_machine as lease
 from pinspread.membership import codec as wire
 from pinspread.membership.service import machine_us
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 MAGIC = b"PSL"
 TURN_S = 0.05  # claims are looked at, at least this often
--- a/pinspread/membership/service.py
+++ b/pinspread/membership/service.py
@@ -15,7 +15,7 @@
 from pinspread.core.log import log
 from pinspread.membership import codec as wire
 from pinspread.membership import seeds, swim
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 MOST_WAIT_S = 0.05  # a turn at least this often, whatever is due
 SEEDS_S = 1.0  # between questions for seeds by DNS-SD, while this member knows nobody
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -24,7 +24,7 @@
 from pinspread.replication import log as copies
 from pinspread.replication import placement
 from pinspread.replication.store import ReplicaStore
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 MAGIC = b"PSC"
 MOST_FRAME = 64 << 20  # a whole journal; [journal] disk_mb bounds it in fact
--- a/pinspread/resp/front.py
+++ b/pinspread/resp/front.py
@@ -9,7 +9,7 @@
 from pinspread.errors import RejectedError
 from pinspread.http.transport import Exchange
 from pinspread.resp import parser as resp
-from pinspread.sockets.connections import (
+from pinspread.sockets import (
     ConnectionLimiter,
     IdleConnection,
     ReadBuffer,
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -8,6 +8,7 @@
 
 import anyio
 
+from pinspread import sockets
 from pinspread.amqp.broker import GUEST, BrokerTransport
 from pinspread.amqp.front import NAME as AMQP
 from pinspread.amqp.front import AmqpFront
@@ -22,7 +23,6 @@
 from pinspread.http.transport import HttpTransport, Pool
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.resp import front
-from pinspread.sockets import connections as sockets
 
 BOUND_S, BOUND_TRIES = 0.05, 40  # between tries to listen where another process still does
 OWNER_S = 5.0  # how long a start waits for a process that still owns the folder
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -21,6 +21,7 @@
 import numpy as np
 import orjson
 
+from pinspread import sockets
 from pinspread.policy.events import Outcome
 from pinspread.simulation import metrics as accounts
 from pinspread.simulation.clients import Habits
@@ -29,7 +30,6 @@
 from pinspread.simulation.random_streams import stream, whole
 from pinspread.simulation.rules import Checker
 from pinspread.simulation.simulate import REPLACED_NS, STATE_OF, module_settings
-from pinspread.sockets import connections as sockets
 from pinspread.testbed.stand_ins import Client, HttpStandIn, until
 
 CLIENT_WAITS_S = 0.4
--- a/pinspread/testbed/stand_ins.py
+++ b/pinspread/testbed/stand_ins.py
@@ -11,9 +11,9 @@
 import orjson
 from pamqp import base, commands
 
+from pinspread import sockets
 from pinspread.amqp import frames
 from pinspread.core.clock import Clock
-from pinspread.sockets import connections as sockets
 
 SECOND = 1_000_000_000
 
--- a/pinspread/testbed/traffic.py
+++ b/pinspread/testbed/traffic.py
@@ -11,7 +11,7 @@
 import orjson
 from pamqp import commands
 
-from pinspread.sockets import connections as sockets
+from pinspread import sockets
 from pinspread.testbed.stand_ins import AmqpClient, Client, HttpStandIn
 
 PARTNER, PLATFORM = ("201", 8080), ("202", 8500)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -11,6 +11,7 @@
 import orjson
 from pamqp import base, commands, frame
 
+from pinspread import sockets
 from pinspread.amqp import frames
 from pinspread.amqp.broker import BrokerTransport
 from pinspread.amqp.front import AmqpFront
@@ -25,7 +26,6 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.resp import front
-from pinspread.sockets import connections as sockets
 from pinspread.testbed.stand_ins import (
     AmqpClient,
     Client,
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -19,6 +19,7 @@
 import orjson
 from standins import Client, HttpStandIn, configuration, host, own_address, standing, until
 
+from pinspread import sockets
 from pinspread.admin import server as admin
 from pinspread.config import settings
 from pinspread.core.messages import AttemptResult
@@ -30,7 +31,6 @@
 from pinspread.policy.events import EndpointState, Outcome
 from pinspread.replication.service import ReplicationService
 from pinspread.simulation import losses, trace
-from pinspread.sockets import connections as sockets
 
 DATA = Path(__file__).parent / "data" / "stored"
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 from standins import Client, HttpStandIn, engine, listener, standing, until
 
+from pinspread import sockets
 from pinspread.admin import server as admin
 from pinspread.core.endpoint_blocklist import EndpointBlocklist
 from pinspread.errors import JournalFullError
@@ -22,7 +23,6 @@
     UpdateScope,
 )
 from pinspread.policy.settings import DestinationKind, Settings, TrafficClass
-from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 PUT = "PUT /-/endpoints/%s HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -6,7 +6,7 @@
 from standins import AmqpClient, Client, HttpStandIn, engine, malformed, standing, until
 
 from pinspread.amqp import frames
-from pinspread.sockets.connections import dial
+from pinspread.sockets import dial
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,13 +9,13 @@
 import pytest
 from standins import Client, Gate, HttpStandIn, engine, host, listener, standing, until
 
+from pinspread import sockets
 from pinspread.core.messages import DeliveryRules, Endpoint
 from pinspread.discovery import client as discovery
 from pinspread.http import transport as http
 from pinspread.policy import delivery_policy as decide
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.policy.settings import DeduplicationScope
-from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,7 +10,7 @@
 from pinspread.http import transport as http
 from pinspread.http.transport import retry_after_us
 from pinspread.resp import parser as resp
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 
 def command(*words):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,9 +22,10 @@
     until,
 )
 
+from pinspread import sockets
 from pinspread.discovery.client import Discovery
 from pinspread.policy.events import AttemptCompleted, EndpointState, UpdateScope
-from pinspread.sockets import connections as sockets
+from pinspread.sockets import limiter
 
 pytestmark = pytest.mark.anyio
 OK = (200, [], b"")
@@ -118,7 +119,7 @@
 
 
 async def test_newcomers_are_served_though_silent_or_idle_callers_fill_the_room(tmp_path, monkeypatch):
-    monkeypatch.setattr(sockets, "IDLE_US", 300_000)
+    monkeypatch.setattr(limiter, "IDLE_US", 300_000)
     async with engine(tmp_path, legs=4) as rig:
         usual = [Client(rig.address) for _ in range(2)]
         silent = [await sockets.dial(rig.address) for _ in range(10)]
@@ -150,8 +151,8 @@
     "said", [b"", b"*5\r\n$7\r\nENQ", b"*1\r\n$4\r\nPING\r\n*5\r\n$7\r\nENQ", b"*1\r\n$4\r\nPING\r\n"]
 )
 async def test_who_keeps_a_command_waiting_or_is_idle_for_long_is_ended_in_time(tmp_path, monkeypatch, said):
-    monkeypatch.setattr(sockets, "FIRST_US", 200_000)
-    monkeypatch.setattr(sockets, "LONG_IDLE_US", 800_000)
+    monkeypatch.setattr(limiter, "FIRST_US", 200_000)
+    monkeypatch.setattr(limiter, "LONG_IDLE_US", 800_000)
     async with engine(tmp_path) as rig:
         start = time.monotonic()
         heard = await ends(rig.address, said)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -9,12 +9,13 @@
 from standins import Client, HttpStandIn, configuration, engine, listener, own_address, standing, until
 
 from pinspread import service as platform_module
+from pinspread import sockets
 from pinspread.amqp.broker import GUEST
 from pinspread.config import settings
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
 from pinspread.service import Service
-from pinspread.sockets import connections as sockets
+from pinspread.sockets import limiter
 
 pytestmark = pytest.mark.anyio
 
@@ -139,7 +140,7 @@
         await leg.write(command(b"PING"))
         assert await leg.read() == b"+PONG\r\n"
         room = rig.engine.fronts["resp"].room
-        monkeypatch.setattr(sockets, "LONG_IDLE_US", -1)  # it has been idle for too long just now
+        monkeypatch.setattr(limiter, "LONG_IDLE_US", -1)  # it has been idle for too long just now
         leg.sock.send(ENQUEUE)
         room.sweep()
         assert await leg.read() == b"+OK\r\n"
@@ -152,7 +153,7 @@
         await until(lambda: room.legs)
         (ours,) = room.legs.values()
         leg.sock.send(ENQUEUE)
-        ours.since_us -= sockets.FIRST_US + 1  # nothing ran for so long
+        ours.since_us -= limiter.FIRST_US + 1  # nothing ran for so long
         room.sweep()
         assert await leg.read() == b"+OK\r\n"
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,9 +14,9 @@
 import pytest
 from standins import Client, HttpStandIn, configuration, host, listener, own_address, standing, until
 
+from pinspread import sockets
 from pinspread.core import journal
 from pinspread.hot_restart import transfer as succession
-from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 
