--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -655,7 +655,7 @@
         if self.leases.holds(WORK + owner) != token or self.barred():
             return
         mine = [t for t in live if t.id not in named]
-        count = self.engine.adopt(mine)
+        count = self.engine.take_over(mine)
         self.taken[owner] = {t.id for t in mine}
         log(
             "copies_taken_over",
