--- a/pinspread/config/application.py
+++ b/pinspread/config/application.py
@@ -210,7 +210,7 @@
         from pinspread.replication import service as copying
 
         us = 1_000_000
-        return copying.Plan(
+        return copying.ReplicationConfig(
             self.listen,
             self.folder or os.path.join(folder, "copies"),
             self.count,
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -111,7 +111,7 @@
 
     def accept(self, message: Message):
         """Take a transaction on: it is in the journal when this returns. Raises Busy."""
-        if self.copies and (why := self.copies.barred()):
+        if self.copies and (why := self.copies.blocked_reason()):
             raise RejectedError(
                 BUSY_MS, why
             )  # of what is known as well: it may have been taken over meanwhile
@@ -148,7 +148,7 @@
 
     async def wait_committed(self) -> bool:
         """Whether what was taken on by now may be promised: at once, or once it is copied."""
-        return self.copies is None or await self.copies.settled()
+        return self.copies is None or await self.copies.wait_replicated()
 
     def take_over(self, messages) -> int:
         """Owe what another courier took on, from where it stands; how many were new here. JournalFull."""
@@ -417,9 +417,9 @@
         # Danger: each refusal counts as an attempt; what is not ours, or not copied, for a while would be
         # given up. So the wait is bound by the messages' time, and the partner's time begins behind it.
         until_us = min(self.clock.monotonic(attempt.message.deadline_unix_us) for attempt in attempts)
-        while self.copies.barred() and self.clock.now() < until_us and not self.stopping:
+        while self.copies.blocked_reason() and self.clock.now() < until_us and not self.stopping:
             await anyio.sleep(WAIT_S)
-        if self.copies.barred():
+        if self.copies.blocked_reason():
             return False
         unix_us = self.clock.unix(self.clock.now())
         for attempt in attempts:
@@ -432,7 +432,7 @@
             except JournalFullError:
                 return False
             attempt.recorded = True
-        while not await self.copies.settled():
+        while not await self.copies.wait_replicated():
             if self.clock.now() >= until_us or self.stopping:
                 return False
             await anyio.sleep(WAIT_S)
@@ -461,7 +461,7 @@
             why = "a repeat may take effect there"
         if not why and self.copies:
             # Danger: the lease of this work may have ended while the branch was copied or dialled.
-            why = self.copies.barred() or ("" if attempt.recorded else "not copied")
+            why = self.copies.blocked_reason() or ("" if attempt.recorded else "not copied")
         if not why and not attempt.recorded:
             try:
                 message.zone = message.zone if message.may_have_run_unix_us else endpoint.zone
@@ -592,7 +592,7 @@
         front = self.fronts[message.front]
         if self.copies:
             # Danger: a successor that finds no end in its copy, or took the work over, would give another.
-            while self.copies.barred() or not await self.copies.settled():
+            while self.copies.blocked_reason() or not await self.copies.wait_replicated():
                 await anyio.sleep(WAIT_S)
             if self.ids.get(message.id) is not message:
                 return  # disowned meanwhile: who took it over tells its end
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -93,10 +93,10 @@
 class ReplicationService(Protocol):
     """Keeps what is owed on further couriers; the core asks it before it promises anything."""
 
-    def barred(self) -> str:
+    def blocked_reason(self) -> str:
         """Why nothing may be promised or sent just now; empty if all is well."""
 
-    async def settled(self) -> bool:
+    async def wait_replicated(self) -> bool:
         """Wait, within bounds, until all that the journal holds by now is copied; whether it is."""
 
 
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class ReplicationConfig:
     """What the file's `[copies]` says."""
 
     listen: str
@@ -58,7 +58,7 @@
 
     name = "copies"
 
-    def __init__(self, plan: Plan, membership, leases):
+    def __init__(self, plan: ReplicationConfig, membership, leases):
         self.plan, self.membership, self.leases = plan, membership, leases
         self.id, self.key = membership.plan.id, membership.plan.fleet
         self.host, self.port = split_address(plan.listen)
@@ -88,7 +88,7 @@
         self.engine = engine
         engine.copies = engine.journal.tap = self
 
-    def barred(self) -> str:
+    def blocked_reason(self) -> str:
         """Why nothing may be promised or sent just now; empty if all is well."""
         token = self.leases.holds(WORK + self.id)
         if not token:
@@ -100,7 +100,7 @@
             return f"{up} copies, {self.plan.need} are needed"
         return ""
 
-    async def settled(self) -> bool:
+    async def wait_replicated(self) -> bool:
         """Wait until all that the journal holds by now is on enough copies; whether it is."""
         mark = self.source.mark()
         with anyio.move_on_after(self.plan.ack_us / 1e6):
@@ -166,7 +166,7 @@
         ]
         found = {"id": self.id, "generation": mark[0], "bytes": mark[1], "need": self.plan.need}
         found |= {"records": len(self.source.ends), "sent_bytes": self.sent_bytes}
-        return found | {"barred": self.barred(), "copies": mine, "keeps": kept}
+        return found | {"barred": self.blocked_reason(), "copies": mine, "keeps": kept}
 
     # --- running ------------------------------------------------------------------------------------
 
@@ -196,7 +196,7 @@
         """All that was out has ended: have it copied, then give the work back."""
         if self.leases.holds(WORK + self.id):
             with anyio.move_on_after(PART_S):
-                await self.settled()
+                await self.wait_replicated()
             await self.leases.unwant(WORK + self.id)
             await self.leases.settle()
 
@@ -546,7 +546,7 @@
 
     def _on_spare(self, owner, message):
         """A member that this courier chose once asks whether its copy may go."""
-        if owner != self.id or self.barred() or not self.source.spared(message["from"], self.targets):
+        if owner != self.id or self.blocked_reason() or not self.source.spared(message["from"], self.targets):
             return {"t": "no", "why": "not yet"}
         return {"t": "ack"}
 
@@ -652,7 +652,7 @@
             return
         live, _ = replayed(best[1])
         # Danger: the lease may have ended while the others were asked; the owner or another may act by now.
-        if self.leases.holds(WORK + owner) != token or self.barred():
+        if self.leases.holds(WORK + owner) != token or self.blocked_reason():
             return
         mine = [t for t in live if t.id not in named]
         count = self.engine.take_over(mine)
@@ -666,7 +666,7 @@
             held=len(live),
             mono_us=machine_us(),
         )
-        while not await self.settled():
+        while not await self.wait_replicated():
             if self.leases.holds(WORK + owner) != token:
                 return
         await self._ask_all({"t": "done", "owner": owner, "token": token})
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -98,7 +98,7 @@
 
 def copier(id_, folder, holds):
     """A member's copies; `holds(task)` is the token that it holds."""
-    told = copying.Plan(ADDRESSES[id_], str(folder), check_us=10_000)
+    told = copying.ReplicationConfig(ADDRESSES[id_], str(folder), check_us=10_000)
     told_leases = SimpleNamespace(holds=holds)
     found = copying.ReplicationService(told, membership(id_, lambda: 0), told_leases)
     found.folder.mkdir(parents=True, exist_ok=True)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -196,7 +196,9 @@
     membership = Membership(Plan("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", Tuning()))
     membership.member.apply(["a", "127.0.0.2:1", 0, ALIVE, "a"], 0)
     membership.member.apply(["b", "127.0.0.3:1", 0, ALIVE, "b"], 0)
-    return copying.ReplicationService(copying.Plan("127.0.0.1:0", str(tmp_path)), membership, Held())
+    return copying.ReplicationService(
+        copying.ReplicationConfig("127.0.0.1:0", str(tmp_path)), membership, Held()
+    )
 
 
 def answer(keeper, message):
@@ -274,23 +276,25 @@
     keeper.source.rewritten(b"x", 1)
 
     async def play():
-        assert not await keeper.settled()
+        assert not await keeper.wait_replicated()
         keeper.source.held = {"b": (1, 1)}
-        assert not await keeper.settled()  # it has not been told who else keeps copies
+        assert not await keeper.wait_replicated()  # it has not been told who else keeps copies
         keeper.source.held = {"a": (1, 1)}
-        assert await keeper.settled()
+        assert await keeper.wait_replicated()
         keeper.source.appended(b"y")
-        monkeypatch.setattr(keeper, "plan", copying.Plan("127.0.0.1:0", "", ack_us=1000, alone=True))
-        assert await keeper.settled()
+        monkeypatch.setattr(
+            keeper, "plan", copying.ReplicationConfig("127.0.0.1:0", "", ack_us=1000, alone=True)
+        )
+        assert await keeper.wait_replicated()
 
     anyio.run(play)
-    assert "not known yet" in keeper.barred()
+    assert "not known yet" in keeper.blocked_reason()
     keeper.sure = 5
-    assert keeper.barred() == ""
-    monkeypatch.setattr(keeper, "plan", copying.Plan("127.0.0.1:0", ""))
-    assert "copies" in keeper.barred()
+    assert keeper.blocked_reason() == ""
+    monkeypatch.setattr(keeper, "plan", copying.ReplicationConfig("127.0.0.1:0", ""))
+    assert "copies" in keeper.blocked_reason()
     monkeypatch.setattr(Held, "holds", lambda self, task: 0)
-    assert "lease" in keeper.barred()
+    assert "lease" in keeper.blocked_reason()
 
 
 def test_the_commands_show_leases_and_copies_as_aligned_text(keeper):
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -24,10 +24,10 @@
         self.why, self.open, self.ok = "", anyio.Event(), True
         self.waited = 0
 
-    def barred(self):
+    def blocked_reason(self):
         return self.why
 
-    async def settled(self):
+    async def wait_replicated(self):
         self.waited += 1
         await self.open.wait()
         return self.ok
