--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,7 @@
 import dns.rrset
 import dns.zone
 import pytest
-from standins import AmqpClient, Broker, HttpStandIn, courier, standing, until
+from standins import AmqpClient, Broker, HttpStandIn, engine, standing, until
 
 from pinspread.__main__ import main
 from pinspread.config import application, dnssd, settings
@@ -189,11 +189,11 @@
 @pytest.mark.anyio
 async def test_a_courier_off_the_platform_delivers_by_http_and_to_a_broker(tmp_path):
     hop, broker = HttpStandIn(), Broker()
-    async with standing(hop) as http, standing(broker) as amqp, courier(tmp_path) as rig:
+    async with standing(hop) as http, standing(broker) as amqp, engine(tmp_path) as rig:
         ports = {"http": http.split(":")[1], "amqp": amqp.split(":")[1]}
         (tmp_path / "z").write_text(ZONE.format(**ports))
         records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "z"))
-        discovery = dnssd.DnsSd(rig.courier, records, ["_http._tcp", "_amqp._tcp"], 0.05)
+        discovery = dnssd.DnsSd(rig.engine, records, ["_http._tcp", "_amqp._tcp"], 0.05)
         rig.tasks.start_soon(discovery.run)
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
@@ -202,8 +202,8 @@
         states = dict([((await client.end())[0]["id"], n) for n in range(2)])
         assert set(states) == {"h1", "b1"} and broker.effects == ["b1"] and len(hop.requests) == 1
         (tmp_path / "z").write_text("not a zone")  # the list stays as it was
-        await until(lambda: rig.courier.endpoints)
-        assert rig.courier.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
+        await until(lambda: rig.engine.endpoints)
+        assert rig.engine.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
 
 
 def test_an_applications_file_becomes_settings_for_the_module(tmp_path):
