--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -187,22 +187,24 @@
         file = application.load(path)
         return application.told(file), records(file), file.notices.address if file.notices else ""
 
-    companions = []
+    background_services = []
     if file.members:  # Danger: serving loads membership only where a file turns it on
         from pinspread.membership.service import Membership
 
-        companions.append(Membership(file.members.plan(), records(file)))
+        background_services.append(Membership(file.members.plan(), records(file)))
     if file.leases:
         from pinspread.leases.service import Leases
 
-        companions.append(Leases(file.leases.plan(file.journal.folder), companions[0]))
+        background_services.append(Leases(file.leases.plan(file.journal.folder), background_services[0]))
     if file.copies:
         from pinspread.replication.service import ReplicationService
 
-        companions.append(ReplicationService(file.copies.plan(file.journal.folder), *companions[:2]))
+        background_services.append(
+            ReplicationService(file.copies.plan(file.journal.folder), *background_services[:2])
+        )
     told = application.told(file)
     serve = partial(platform.serve, early=early)
-    anyio.run(serve, told, amqp, again, discover, file.brokers.login(), companions)
+    anyio.run(serve, told, amqp, again, discover, file.brokers.login(), background_services)
 
 
 if __name__ == "__main__":
--- a/pinspread/admin/server.py
+++ b/pinspread/admin/server.py
@@ -22,9 +22,9 @@
 class AdminServer:
     """The listener and its callers."""
 
-    def __init__(self, operable: EndpointAdmin, sockets=1024, companions=()):
+    def __init__(self, operable: EndpointAdmin, sockets=1024, background_services=()):
         self.operable = operable
-        self.companions = {f"/-/{c.name}": c for c in companions}
+        self.background_services = {f"/-/{c.name}": c for c in background_services}
         self.most = max(LEAST_CALLS, min(MOST_CALLS, sockets // 24))
         self.callers = {}  # connections, oldest first
 
@@ -105,10 +105,10 @@
             if method != "GET":
                 return 405, f"{READY} takes GET"
             return (200, "ready") if self.operable.ready() else (503, "not ready: ask again soon")
-        if path in self.companions:
+        if path in self.background_services:
             if method != "GET":
                 return 405, f"{path} takes GET"
-            return 200, orjson.dumps(self.companions[path].view()).decode()
+            return 200, orjson.dumps(self.background_services[path].view()).decode()
         name, _, word = path.removeprefix(ENDPOINTS).rpartition("/")
         if not path.startswith(ENDPOINTS) or not name or "/" in name or word not in ("disable", "enable"):
             return 404, f"unknown path: try {READY}, or {ENDPOINTS}ID/disable and {ENDPOINTS}ID/enable"
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -117,10 +117,10 @@
     async def run(self) -> None:
         """Run until cancelled."""
 
-    async def leave(self) -> None:
+    async def announce_departure(self) -> None:
         """SIGTERM came: say goodbye, beside the core's end."""
 
-    async def part(self) -> None:
+    async def close(self) -> None:
         """All that was out has ended: what could not go before, briefly."""
 
     def view(self) -> dict:
--- a/pinspread/leases/service.py
+++ b/pinspread/leases/service.py
@@ -104,7 +104,7 @@
     async def before_recovery(self):
         """Nothing that is owed depends on it."""
 
-    async def part(self):
+    async def close(self):
         """Likewise."""
 
     def want(self, task: str):
@@ -164,7 +164,7 @@
                     await self._turn(name)
                 await anyio.sleep(TURN_S)
 
-    async def leave(self):
+    async def announce_departure(self):
         """Give back what is held, as SIGTERM asks; this courier's own work is given back by who copies it."""
         if self.sock is None:
             return
--- a/pinspread/membership/service.py
+++ b/pinspread/membership/service.py
@@ -67,7 +67,7 @@
     async def before_recovery(self):
         """Nothing that is owed depends on it."""
 
-    async def part(self):
+    async def close(self):
         """Likewise."""
 
     def view(self) -> dict:
@@ -124,7 +124,7 @@
                     continue
                 await self._send(self.member.heard(message, now), now)
 
-    async def leave(self):
+    async def announce_departure(self):
         """Say that we leave, as SIGTERM asks."""
         if self.sock is None:
             return
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -189,10 +189,10 @@
                 self._retarget(tasks)
                 await anyio.sleep(WATCH_S)
 
-    async def leave(self):
+    async def announce_departure(self):
         """Nothing to say: what is out still ends, and that is copied."""
 
-    async def part(self):
+    async def close(self):
         """All that was out has ended: have it copied, then give the work back."""
         if self.leases.holds(WORK + self.id):
             with anyio.move_on_after(PART_S):
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -37,23 +37,23 @@
     reread,
     discover=None,
     login=GUEST,
-    companions=(),
+    background_services=(),
     early=(),
 ):
     """Serve until SIGTERM or SIGINT; on SIGHUP, `reread(told)` tells what counts from now on.
 
-    `discover(courier)` makes another discovery than the platform's; `companions` run beside serving;
+    `discover(courier)` makes another discovery than the platform's; `background_services` run beside serving;
     `early` is not empty if SIGHUP came since before the configuration was read.
     """
-    await Service(told, amqp, reread, discover, login, companions, early).run()
+    await Service(told, amqp, reread, discover, login, background_services, early).run()
 
 
 class Service:
     """One process: its parts, and how they begin, rest and end."""
 
-    def __init__(self, told, amqp, reread, discover, login, companions=(), early=()):
+    def __init__(self, told, amqp, reread, discover, login, background_services=(), early=()):
         self.told, self.amqp, self.login = told, amqp, login
-        self.companions = list(companions)
+        self.background_services = list(background_services)
         self.clock = clock = Clock()
         use(clock)
         self.owner = FolderLock(told.state)
@@ -67,8 +67,8 @@
         engine.fronts[AMQP] = self.second = AmqpFront(engine, amqp.heartbeat_s, self.room)
         self.discovery = discover(engine) if discover else Discovery(told.discovery, engine, told)
         engine.subscribe = self.discovery.ask
-        for companion in self.companions:
-            companion.attach(engine)
+        for background in self.background_services:
+            background.attach(engine)
         self.change = partial(change, engine, reread, self.pool, self.room, self.discovery, self.notices)
         self.listening = {}  # name of a front -> its socket
         self.tasks = None
@@ -91,7 +91,9 @@
             self.again = bool(self.early)
             async with anyio.create_task_group() as self.tasks:
                 for sock in doors:
-                    self.tasks.start_soon(door(self.engine, self.told.sockets, self.companions).run, sock)
+                    self.tasks.start_soon(
+                        door(self.engine, self.told.sockets, self.background_services).run, sock
+                    )
                 # Danger: SIGTERM may come while another process still owns the folder, for seconds.
                 self.tasks.start_soon(self._follow_signals)
                 try:
@@ -109,18 +111,18 @@
     async def _leave(self):
         """Say so to the fleet, finish what is out, and part with what depends on that."""
         async with anyio.create_task_group() as tasks:  # beside each other: both count in the 3.7 s
-            for companion in self.companions:
-                tasks.start_soon(companion.leave)
+            for background in self.background_services:
+                tasks.start_soon(background.announce_departure)
             if self.engine.serving:
                 await self._end()
-        for companion in self.companions:
-            await companion.part()
+        for background in self.background_services:
+            await background.close()
 
     async def _begin(self):
         told, engine, tasks = self.told, self.engine, self.tasks
-        for companion in self.companions:
-            await companion.open()
-            tasks.start_soon(companion.run)
+        for background in self.background_services:
+            await background.open()
+            tasks.start_soon(background.run)
         engine.transports["amqp"] = BrokerTransport(self.clock, tasks, told.dial_us, self.login)
         before = await self._take_over()
         if self.leaving.is_set() and not before:
@@ -162,7 +164,7 @@
             before = await succession.inherit(told.state, self.owner, engine.journal, engine.sender)
         else:
             await self._own()
-            if self.companions and not self.leaving.is_set():
+            if self.background_services and not self.leaving.is_set():
                 await self._before_recovery()
             if self.leaving.is_set():
                 return None  # Danger: it may not own the folder, and must not write there
@@ -176,7 +178,7 @@
         return before
 
     async def _before_recovery(self):
-        """Have companions know what is owed, which takes others that answer; SIGTERM ends that."""
+        """Have background_services know what is owed, which takes others that answer; SIGTERM ends that."""
 
         async def follow(scope):
             await self.leaving.wait()
@@ -184,8 +186,8 @@
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(follow, tasks.cancel_scope)
-            for companion in self.companions:
-                await companion.before_recovery()
+            for background in self.background_services:
+                await background.before_recovery()
             tasks.cancel_scope.cancel()
 
     async def _own(self):
@@ -320,11 +322,11 @@
         return None
 
 
-def door(engine, most, companions=()):
+def door(engine, most, background_services=()):
     """The operators' door; it is loaded only where it is on."""
     from pinspread.admin.server import AdminServer
 
-    return AdminServer(engine, most, companions)
+    return AdminServer(engine, most, background_services)
 
 
 def change(engine, reread, pool, room, discovery, notices):
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -78,7 +78,7 @@
 
     names = {"members": Membership.name, "leases": Leases.name, "copies": ReplicationService.name}
     views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
-    return admin.AdminServer(EndpointAdmin(), companions=views)
+    return admin.AdminServer(EndpointAdmin(), background_services=views)
 
 
 def members_view():
