--- a/pinspread/amqp/front.py
+++ b/pinspread/amqp/front.py
@@ -512,7 +512,7 @@
             idempotency = str(headers.get("idempotency-key") or "")
             if idempotency:
                 resp.name(idempotency.encode(), "idempotency-key")
-            deadline_ms = self.engine.settings.rules[cls].cls.deadline_ns // 1_000_000
+            deadline_ms = self.engine.settings.delivery_rules[cls].cls.deadline_ns // 1_000_000
             expiration = properties.expiration or str(deadline_ms)
             for_ms = resp.number(expiration, "expiration", resp.MOST_FOR_MS)
             key = key_number(str(headers.get("key") or "0"))
--- a/pinspread/config/settings.py
+++ b/pinspread/config/settings.py
@@ -35,23 +35,25 @@
     disk_bytes: int
     sockets: int
     memory_bytes: int
-    known: dict
-    module: Settings
-    rules: dict  # name of a class -> the rules of what is taken on under it
+    cached_endpoints: dict
+    policy_settings: Settings
+    delivery_rules: dict  # name of a class -> the rules of what is taken on under it
     tenants: dict  # name -> place in the module's settings; so are kinds and zones
     kinds: dict
     zones: dict
-    dial_us: int
+    connect_timeout_us: int
     keepalive_us: int
     admin: str = ""  # where the operators' door listens; empty: it is off
-    reports: bool = False  # answers tell what is left of a limit, and the limit
-    passed: int | None = None  # the descriptor of a listening socket that the platform holds
-    parts: frozenset = frozenset()  # paths of the settings' parts that are no lists
+    load_reports_enabled: bool = False  # answers tell what is left of a limit, and the limit
+    inherited_listener_descriptor: int | None = (
+        None  # the descriptor of a listening socket that the platform holds
+    )
+    setting_paths: frozenset = frozenset()  # paths of the settings' parts that are no lists
     raw: bytes = b""  # the file as it was read
 
     @property
     def max_retry_after_ms(self):
-        return self.module.max_retry_after_ns // 1_000_000
+        return self.policy_settings.max_retry_after_ns // 1_000_000
 
 
 def flatten(value, path=""):
@@ -108,7 +110,7 @@
         told = read(orjson.loads(raw), env)
     except (OSError, orjson.JSONDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from None
-    lacks = sorted(last.parts - told.parts) if last else ()
+    lacks = sorted(last.setting_paths - told.setting_paths) if last else ()
     if lacks:
         # Danger: many parts have a default, and a file that lost one would put that in force unseen.
         raise SettingsError(f"{path}: {', '.join(lacks)} is missing; the settings in force have it")
@@ -166,18 +168,18 @@
             disk_bytes=int(told["limits"]["disk_mb"] * 1_000_000),
             sockets=told["limits"].get("sockets", 1024),
             memory_bytes=int(told["limits"].get("memory_mb", 192) * 1_000_000),
-            known=told["known"],
-            module=module,
-            rules=_rules(settings["lanes"], module),
+            cached_endpoints=told["known"],
+            policy_settings=module,
+            delivery_rules=_rules(settings["lanes"], module),
             tenants=_places(settings.get("projects") or [{"name": ""}]),
             kinds={name: n for n, name in enumerate(settings["shapes"])},
             zones={name: n for n, name in enumerate(settings["zones"])},
-            dial_us=limits["dialTimeoutNs"] // 1000,
+            connect_timeout_us=limits["dialTimeoutNs"] // 1000,
             keepalive_us=limits["keepaliveNs"] // 1000,
             admin=env.get("RELAY_ADMIN_ADDR") or told.get("admin_addr") or "",
-            reports={"x0", "x1"} <= set(fields),
-            passed=_descriptor(env.get("RELAY_PASSED_SOCKET")),
-            parts=frozenset(_parts(settings)),
+            load_reports_enabled={"x0", "x1"} <= set(fields),
+            inherited_listener_descriptor=_descriptor(env.get("RELAY_PASSED_SOCKET")),
+            setting_paths=frozenset(_parts(settings)),
         )
     except KeyError as error:
         raise SettingsError(f"configuration: {error.args[0]} is missing") from None
@@ -187,8 +189,8 @@
 
 def summary(told: EffectiveSettings):
     """What the courier will go by, a line each, for whoever checks a deployment before it is served."""
-    s, ms = told.module, 1_000_000
-    for name, rules in told.rules.items():
+    s, ms = told.policy_settings, 1_000_000
+    for name, rules in told.delivery_rules.items():
         c = rules.cls
         window = (
             f", repeats dropped for {c.deduplication_window_ns // ms} ms" if c.deduplication_window_ns else ""
@@ -206,7 +208,7 @@
     yield f"rules: nothing new {s.drain_grace_ns // ms} ms after a drain; cold for {s.slow_start_ns // ms} ms"
     asked = f"asked, at least every {s.max_poll_interval_ns // ms} ms" if s.polled_discovery else "pushed"
     yield f"list: {asked}; limits {'listed' if s.weights_known else 'not listed'}"
-    probes, reports = ("yes" if on else "no" for on in (s.health_checks_allowed, told.reports))
+    probes, reports = ("yes" if on else "no" for on in (s.health_checks_allowed, told.load_reports_enabled))
     yield f"probes: {probes}; reports of limits in answers: {reports}; door: {told.admin or 'off'}"
 
 
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -88,7 +88,7 @@
                 # Danger: it was out when the process ended, and may have run or still run.
                 t.may_have_run_unix_us = t.may_have_run_unix_us or t.in_flight_since_unix_us
                 t.in_flight_since_unix_us = 0
-            t.rules = t.rules or self.settings.rules.get(t.cls)
+            t.rules = t.rules or self.settings.delivery_rules.get(t.cls)
             if t.final is None and t.rules is None:
                 t.final = FinalResult(
                     FinalState.FAILED
@@ -102,7 +102,7 @@
 
     def unknown(self, cls, tenant, dest) -> str:
         """What of a message nothing can be decided for; empty if all is known."""
-        if cls not in self.settings.rules or tenant not in self.settings.tenants:
+        if cls not in self.settings.delivery_rules or tenant not in self.settings.tenants:
             return f"unknown class or tenant: {cls[:32]!r}, {tenant[:32]!r}"
         # Danger: taken on for a partner that does not exist, a message fills a place until its time is up.
         if self.dests and dest not in self.dests:
@@ -122,10 +122,10 @@
             return  # sent once more on a new connection: it is taken on already
         if self.stopping:
             raise RejectedError(self.settings.max_retry_after_ms, "shutting down")
-        if len(self.open) >= self.settings.module.max_held_messages:
+        if len(self.open) >= self.settings.policy_settings.max_held_messages:
             raise RejectedError(BUSY_MS, "holds all it may")
         message.number = next(self.numbers)
-        message.rules = self.settings.rules[message.cls]
+        message.rules = self.settings.delivery_rules[message.cls]
         if not message.rules.cls.in_order:
             message.key = 0
         try:
@@ -161,7 +161,7 @@
                 t.may_have_run_unix_us or t.in_flight_since_unix_us,
                 0,
             )  # Danger: it may have run, or still run
-            t.rules = t.rules or self.settings.rules.get(t.cls)
+            t.rules = t.rules or self.settings.delivery_rules.get(t.cls)
             if t.final is None and t.rules is None:
                 t.final = FinalResult(FinalState.FAILED)
             self.journal.adopted(t)
@@ -191,7 +191,7 @@
     def apply_settings(self, told):
         """Other settings count from now on; what is open keeps the rules that it was taken on under."""
         self.settings = told
-        self.post(SettingsChanged(told.module))
+        self.post(SettingsChanged(told.policy_settings))
 
     def withdraw(self, message: Message):
         """Nobody wants it any more, and nothing is owed for it."""
@@ -368,7 +368,9 @@
         for attempts in sending.values():
             endpoint = attempts[0].endpoint
             most = (
-                self.settings.module.kind(endpoint.kind).max_bundle_size if endpoint.scheme == "http" else 1
+                self.settings.policy_settings.kind(endpoint.kind).max_bundle_size
+                if endpoint.scheme == "http"
+                else 1
             )
             for call in bundles(attempts, most):
                 if len(call) > 1:
@@ -550,7 +552,11 @@
 
     def _line(self, endpoint):
         """What a told wait binds: a partner, or the one next hop where its routes are apart."""
-        return endpoint.id if self.settings.module.kind(endpoint.kind).limits_per_endpoint else endpoint.dest
+        return (
+            endpoint.id
+            if self.settings.policy_settings.kind(endpoint.kind).limits_per_endpoint
+            else endpoint.dest
+        )
 
     async def _probe(self, endpoint, started_us):
         self.probes[endpoint.id] = started_us
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -156,7 +156,7 @@
         # Danger: the configuration's list may be old, and an agent that is away tells no newer one: what the
         # process before was told of drains would be forgotten, and what is owed would go there.
         self.left.read()
-        known = self.told.known
+        known = self.told.cached_endpoints
         well = isinstance(known, dict) and isinstance(known.get("hosts"), list)
         self._learn(self.left.over(known) if well else known, UpdateScope.CACHED)
 
@@ -214,7 +214,9 @@
         if speaks and now_us < watch.silent_us:
             return watch.silent_us - now_us
         if len(self.trying) >= (
-            len({self.address, self.before} - {""}) if self.told.module.polled_discovery else MOST_TRYING
+            len({self.address, self.before} - {""})
+            if self.told.policy_settings.polled_discovery
+            else MOST_TRYING
         ):
             return SECOND_US  # the end of one wakes
         return self.again_us - now_us
@@ -251,13 +253,15 @@
         if self.failed < MOST_LOGGED:
             log("watch_broke", address=watch.address, error=str(error) or type(error).__name__)
         self.first.set()
-        alone = not self.told.module.polled_discovery  # an agent of its own, which is no burden to others
+        alone = (
+            not self.told.policy_settings.polled_discovery
+        )  # an agent of its own, which is no burden to others
         if alone and isinstance(error, TimeoutError):
             self.failed += 1
             return  # the next is open already
         # One that turns callers away is asked by turns; the first after one that broke comes soon.
         soon = alone and (watch.up or isinstance(error, ConnectionRefusedError))
-        again = again_s(self.failed, 1 if soon else self.told.module.senders, self.random.random())
+        again = again_s(self.failed, 1 if soon else self.told.policy_settings.senders, self.random.random())
         self.again_us = self.engine.clock.now() + int(again * SECOND_US)
         self.failed += 1
 
@@ -278,7 +282,7 @@
 
     async def _watch(self, watch):
         address = watch.address
-        asked = self.told.module.polled_discovery
+        asked = self.told.policy_settings.polled_discovery
         connection = None
         try:
             with anyio.fail_after(ASKED_S if asked else HEAD_S):
@@ -313,7 +317,7 @@
     def _spoke(self, watch, next_s):
         # Danger: half a line, or one that trickles in, says no more than silence; only whole ones count.
         # Where all ask one service, watches that fall silent in one instant are opened anew by chance.
-        if self.told.module.polled_discovery and self.told.module.senders > FEW:
+        if self.told.policy_settings.polled_discovery and self.told.policy_settings.senders > FEW:
             next_s += SPREAD_S * self.random.random()
         watch.silent_us = self.engine.clock.now() + int(next_s * SECOND_US)
 
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -58,10 +58,14 @@
         use(clock)
         self.owner = FolderLock(told.state)
         journal = Journal(told.state, told.disk_bytes)
-        self.engine = engine = DeliveryEngine(DeliveryPolicy(told.module, told.seed), told, clock, journal)
+        self.engine = engine = DeliveryEngine(
+            DeliveryPolicy(told.policy_settings, told.seed), told, clock, journal
+        )
         self.pool = Pool(clock, told.keepalive_us)
         self.notices = front.NotificationSender(told.discovery)
-        engine.transports["http"] = HttpTransport(clock, self.pool, told.dial_us, told.reports)
+        engine.transports["http"] = HttpTransport(
+            clock, self.pool, told.connect_timeout_us, told.load_reports_enabled
+        )
         self.room = sockets.ConnectionLimiter(clock, *_legs(told))
         engine.fronts[front.NAME] = self.first = front.RespFront(engine, self.notices, self.room)
         engine.fronts[AMQP] = self.second = AmqpFront(engine, amqp.heartbeat_s, self.room)
@@ -123,14 +127,16 @@
         for background in self.background_services:
             await background.open()
             tasks.start_soon(background.run)
-        engine.transports["amqp"] = BrokerTransport(self.clock, tasks, told.dial_us, self.login)
+        engine.transports["amqp"] = BrokerTransport(self.clock, tasks, told.connect_timeout_us, self.login)
         before = await self._take_over()
         if self.leaving.is_set() and not before:
             return  # all that is owed is in the journal
         legs, sockets_ = (before.legs, before.sockets) if before else ((), {})
         # From here on PING is answered: all that is owed is known again.
         if told.listen:
-            self.listening[front.NAME] = inherited(told.passed) or await self._listen(told.listen)
+            self.listening[front.NAME] = inherited(told.inherited_listener_descriptor) or await self._listen(
+                told.listen
+            )
         if self.amqp.listen:
             self.listening[AMQP] = sockets_.get(AMQP) or await self._listen(self.amqp.listen)
         settings.keep_good(told)
@@ -147,7 +153,7 @@
         if self.again and not engine.successor:
             self.change()
         log("serving", name=told.name, listen=told.listen, amqp=self.amqp.listen, admin=told.admin)
-        if told.passed is not None:
+        if told.inherited_listener_descriptor is not None:
             from pinspread.hot_restart import transfer as succession
 
             if before:
@@ -158,7 +164,7 @@
         """Own the folder and all that is owed; gives what a process before has handed over, or None."""
         told, engine = self.told, self.engine
         before = None
-        if told.passed is not None:
+        if told.inherited_listener_descriptor is not None:
             from pinspread.hot_restart import transfer as succession
 
             before = await succession.inherit(told.state, self.owner, engine.journal, engine.sender)
@@ -339,8 +345,8 @@
         return
     fixed = [n for n in ("name", "listen", "state", "admin") if getattr(told, n) != getattr(old, n)]
     engine.apply_settings(told)
-    engine.transports["http"].dial_us = told.dial_us
-    engine.transports["http"].reports = told.reports
+    engine.transports["http"].dial_us = told.connect_timeout_us
+    engine.transports["http"].reports = told.load_reports_enabled
     pool.keep_for(told.keepalive_us)
     room.resize(*_legs(told))
     engine.journal.resize(told.disk_bytes)
@@ -348,8 +354,14 @@
     discovery.move(where)
     notices.move(heard)
     settings.keep_good(told)
-    classes = {name: rules.cls.effect.value for name, rules in told.rules.items()}
-    log("configuration", notices=heard, classes=classes, attempts=told.module.max_attempts, at_restart=fixed)
+    classes = {name: rules.cls.effect.value for name, rules in told.delivery_rules.items()}
+    log(
+        "configuration",
+        notices=heard,
+        classes=classes,
+        attempts=told.policy_settings.max_attempts,
+        at_restart=fixed,
+    )
 
 
 def _legs(told):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -69,16 +69,16 @@
     told = settings.read(configuration(state, **limits), {})
     clock = Clock()
     journal = Journal(told.state, told.disk_bytes)
-    core = DeliveryEngine(DeliveryPolicy(told.module, told.seed), told, clock, journal)
+    core = DeliveryEngine(DeliveryPolicy(told.policy_settings, told.seed), told, clock, journal)
     pool = Pool(clock, told.keepalive_us)
     notices = front.NotificationSender(platform)
     room = sockets.ConnectionLimiter(clock, legs, leg_bytes)
-    core.transports["http"] = HttpTransport(clock, pool, told.dial_us)
+    core.transports["http"] = HttpTransport(clock, pool, told.connect_timeout_us)
     core.fronts["resp"] = resp = front.RespFront(core, notices, room)
     core.fronts["amqp"] = amqp = AmqpFront(core, room=room)
     core.subscribe = Discovery(platform, core, told).ask
     async with anyio.create_task_group() as tasks:
-        core.transports["amqp"] = BrokerTransport(clock, tasks, told.dial_us)
+        core.transports["amqp"] = BrokerTransport(clock, tasks, told.connect_timeout_us)
         (resp_sock, address), (amqp_sock, amqp_address) = listener(), listener()
         rig = Rig(core, address, amqp_address, tasks)
         for endpoint in endpoints:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -126,7 +126,9 @@
     records.zone_file = str(tmp_path / "none")
     assert seeds.found_or_none(records, "_pinspread-swim._udp") is None
     told = application.told(application.load(str(path)))
-    assert told.passed is None  # so no second process ever binds membership's port beside the first
+    assert (
+        told.inherited_listener_descriptor is None
+    )  # so no second process ever binds membership's port beside the first
 
 
 def test_the_couriers_own_records_are_a_zone_that_leads_to_it(tmp_path, capsys):
@@ -208,8 +210,10 @@
 
 def test_an_applications_file_becomes_settings_for_the_module(tmp_path):
     told = application.told(application.File.model_validate(__import__("tomllib").loads(GOOD)), seed=1)
-    assert told.listen == "127.0.0.1:6379" and told.module.classes[0].in_order
-    assert told.rules["booking-change"].cls.in_order and not told.rules["payment"].cls.in_order
+    assert told.listen == "127.0.0.1:6379" and told.policy_settings.classes[0].in_order
+    assert (
+        told.delivery_rules["booking-change"].cls.in_order and not told.delivery_rules["payment"].cls.in_order
+    )
 
 
 def test_the_amqp_front_is_off_unless_its_file_gives_an_address(tmp_path):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -91,9 +91,11 @@
         for n in range(2):
             async with engine(tmp_path) as rig:
                 if n == 0:
-                    lane = rig.engine.settings.rules["booking-change"]
+                    lane = rig.engine.settings.delivery_rules["booking-change"]
                     by_zone = dataclasses.replace(lane.cls, group=DeduplicationScope.ZONE)
-                    rig.engine.settings.rules["booking-change"] = DeliveryRules(by_zone, lane.max_attempts)
+                    rig.engine.settings.delivery_rules["booking-change"] = DeliveryRules(
+                        by_zone, lane.max_attempts
+                    )
                 rig.engine.update_endpoints(
                     UpdateScope.FULL, [(Endpoint("far", far, 1, zone=1), EndpointState.READY)]
                 )
@@ -267,7 +269,9 @@
     endpoint = HttpStandIn(lambda request: (200, [], b"") if request[3]["request-id"] == "second" else untold)
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         core = rig.engine
-        core.settings.rules["booking-change"] = DeliveryRules(core.settings.rules["booking-change"].cls, 2)
+        core.settings.delivery_rules["booking-change"] = DeliveryRules(
+            core.settings.delivery_rules["booking-change"].cls, 2
+        )
         if bar == "notice":
             core.notified[0x77] = 1  # an earlier message of the key, whose notice is not answered
         else:
@@ -320,7 +324,7 @@
         async with engine(tmp_path, heard) as rig:
             rig.tasks.start_soon(agent.run)
             old = {"seq": 5, "whole": True, "hosts": [ready]}  # as the configuration has it
-            settings_ = dataclasses.replace(rig.engine.settings, known=old)
+            settings_ = dataclasses.replace(rig.engine.settings, cached_endpoints=old)
             watch = discovery.Discovery(agent.address, rig.engine, settings_)
             watch.start()
             rig.tasks.start_soon(watch.run)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -71,7 +71,7 @@
     scene = stage.Stage(world, day.draw(world, 3), tmp_path)
     scene.platforms.append(stage.Platform(scene, 0))
     told = orjson.loads(orjson.dumps(stage.configured(scene, 0, "127.0.0.1:1", str(tmp_path))))
-    assert settings.read(told, {}).module == scene.settings
+    assert settings.read(told, {}).policy_settings == scene.settings
     assert scene.settings.weights_exact == (weights == 0)
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -612,7 +612,7 @@
 ):
     overbooked = HttpStandIn(lambda request: (503, [], b""))
     async with standing(overbooked) as address, engine(tmp_path) as rig:
-        rig.engine.settings.module.senders = couriers
+        rig.engine.settings.policy_settings.senders = couriers
         rig.tasks.start_soon(Discovery(address, rig.engine, rig.engine.settings).run)
         await until(lambda: overbooked.requests)
         await anyio.sleep(0.95)  # one of 40 waits for a second at least
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -44,7 +44,7 @@
         with pytest.raises(settings.SettingsError):
             settings.from_environment(env, last)
     file.write_bytes(whole)
-    assert settings.from_environment(env, last).rules == last.rules
+    assert settings.from_environment(env, last).delivery_rules == last.delivery_rules
 
 
 def without(path):
