--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,6 +17,7 @@
 from pinspread.config import settings
 from pinspread.core.journal import Journal
 from pinspread.core.messages import DeliveryRules, Message
+from pinspread.errors import JournalFullError
 from pinspread.policy.settings import Idempotency, TrafficClass
 
 pytestmark = pytest.mark.anyio
@@ -162,8 +163,12 @@
         for n, (step, what) in enumerate(steps, 1):
             if step == "take":
                 t = Message(n, f"id{n}", "c", "", 1, 0, "", 10**15, b"x" * 300, rules=what)
-                journal.taken(t)
-                wanted[n] = what
+                try:
+                    journal.taken(t)
+                except JournalFullError:
+                    assert len(wanted) > 14  # so many of this size fill the room for what is owed
+                else:
+                    wanted[n] = what
             elif step == "end" and wanted:
                 number = sorted(wanted)[what % len(wanted)]
                 del wanted[number]
