--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -157,7 +157,7 @@
     else:
         found = dnssd.browse(records(file), file.discovery.services, {k: n for n, k in enumerate(file.kinds)})
         for hop, state in found:
-            print(f"{hop.dest}\t{hop.scheme}\t{hop.address}\t{state.name.lower()}\t{hop.id}")
+            print(f"{hop.destination}\t{hop.scheme}\t{hop.address}\t{state.name.lower()}\t{hop.id}")
     return 0
 
 
--- a/pinspread/amqp/broker.py
+++ b/pinspread/amqp/broker.py
@@ -50,9 +50,9 @@
             verdict = Outcome.RESET if waiter.written else Outcome.CONNECT_FAILED
             return AttemptResult(verdict, note=str(error))
 
-    async def probe(self, endpoint: Endpoint, clear) -> AttemptResult:
+    async def check_health(self, endpoint: Endpoint, check_before_write) -> AttemptResult:
         """Whether its connection is up and not blocked."""
-        why = clear()
+        why = check_before_write()
         if why:
             return AttemptResult(Outcome.NOT_SENT, note=why)
         try:
@@ -165,7 +165,7 @@
                 raise ConnectionError(self.lost)
             if not self.unblocked.is_set():
                 return AttemptResult(Outcome.OVERLOADED, BLOCKED_WAIT_US, note="the broker blocks publishers")
-            why = attempt.clear()
+            why = attempt.check_before_write()
             if why:
                 return AttemptResult(Outcome.NOT_SENT, note=why)
             self.published += 1
@@ -188,7 +188,7 @@
     def _publish(self, attempt):
         t = attempt.message
         left_us = t.deadline_unix_us - self.clock.unix(self.clock.now())
-        headers = {"class": t.cls, "tenant": t.tenant, "attempt": attempt.number}
+        headers = {"class": t.class_name, "tenant": t.tenant, "attempt": attempt.number}
         if t.idempotency_key:
             headers["idempotency-key"] = t.idempotency_key
         if t.key:
@@ -200,7 +200,7 @@
             expiration=str(max(1, left_us // 1000)),
         )
         method = commands.Basic.Publish(
-            0, self.route.get("exchange", ""), self.route.get("routing_key", f"partner.{t.dest}"), True
+            0, self.route.get("exchange", ""), self.route.get("routing_key", f"partner.{t.destination}"), True
         )
         return frames.content(method, properties, t.body, 1, self.wire.frame_max)
 
--- a/pinspread/amqp/front.py
+++ b/pinspread/amqp/front.py
@@ -47,7 +47,7 @@
 class AmqpFront:
     """Connections of publishers and consumers, and the queues of ends."""
 
-    tells_delivery = True
+    reports_delivery = True
     ordered_by_notice = False  # a key goes on once the end is in the journal: consumers may be away for long
 
     def __init__(self, engine, heartbeat_s=HEARTBEAT_S, room=None):
@@ -488,7 +488,7 @@
             self.post_content(channel.number, back, properties, body)
             self.post(channel.number, commands.Basic.Nack(tag, False, False))
             return
-        if self.engine.copies is None:
+        if self.engine.replication is None:
             self.post(channel.number, commands.Basic.Ack(tag, False))
         else:
             self.engine.tasks.start_soon(self._confirm, channel, tag)
@@ -503,7 +503,7 @@
         try:
             cls, tenant = str(headers.get("class") or ""), str(headers.get("tenant") or "")
             dest = resp.number(str(headers.get("dest", "")), "dest", resp.MOST_DEST)
-            unknown = self.engine.unknown(cls, tenant, dest)
+            unknown = self.engine.unknown_reason(cls, tenant, dest)
             if unknown:
                 raise resp.CommandError(unknown)
             id_ = resp.name(str(properties.message_id or "").encode(), "message-id")
@@ -512,7 +512,7 @@
             idempotency = str(headers.get("idempotency-key") or "")
             if idempotency:
                 resp.name(idempotency.encode(), "idempotency-key")
-            deadline_ms = self.engine.settings.rules[cls].cls.deadline_ns // 1_000_000
+            deadline_ms = self.engine.settings.rules[cls].traffic_class.deadline_ns // 1_000_000
             expiration = properties.expiration or str(deadline_ms)
             for_ms = resp.number(expiration, "expiration", resp.MOST_FOR_MS)
             key = key_number(str(headers.get("key") or "0"))
@@ -522,9 +522,9 @@
         return Message(
             number=0,
             id=id_,
-            cls=cls,
+            class_name=cls,
             tenant=tenant,
-            dest=dest,
+            destination=dest,
             key=key,
             idempotency_key=idempotency,
             deadline_unix_us=clock.unix(clock.now()) + for_ms * 1000,
--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -101,7 +101,7 @@
     endpoint = Endpoint(
         id=str(name),
         address=f"{addresses[0].address}:{service.port}",
-        dest=int(dest),
+        destination=int(dest),
         scheme="amqp" if scheme == "amqp" else "http",
         route={key: pairs[key] for key in ROUTE if key in pairs},
         weight=rate,
@@ -119,26 +119,26 @@
         self.services = services
         self.refresh_s = refresh_s
         self.last = None
-        self.first = anyio.Event()
+        self.first_answer = anyio.Event()
 
     def start(self):
         """Nothing is known before the first answer."""
 
-    def rest(self) -> dict:
+    def snapshot(self) -> dict:
         """What another process needs beside the list: nothing, it reads the records itself."""
         return {}
 
     def resume(self, found: dict):
         """Another process has handed over its list."""
 
-    def ask(self):
+    def poll(self):
         """The module asks for the list's changes: they come with the next refresh."""
         self.engine.update_endpoints(UpdateScope.DELTA, [])
 
     def apply_settings(self, told):
         """The core has other settings: kinds are read by them at the next refresh."""
 
-    def move(self, records):
+    def change_address(self, records):
         """The records are to be had elsewhere from now on."""
         self.records = records
 
@@ -158,7 +158,7 @@
                     log("list", scope="FULL", hops=len(found))
             except (OSError, ValueError, dns.exception.DNSException) as error:
                 log("discovery_failed", error=str(error) or type(error).__name__)
-            self.first.set()
+            self.first_answer.set()
             await anyio.sleep(self.refresh_s)
 
 
--- a/pinspread/config/settings.py
+++ b/pinspread/config/settings.py
@@ -189,7 +189,7 @@
     """What the courier will go by, a line each, for whoever checks a deployment before it is served."""
     s, ms = told.module, 1_000_000
     for name, rules in told.rules.items():
-        c = rules.cls
+        c = rules.traffic_class
         window = (
             f", repeats dropped for {c.deduplication_window_ns // ms} ms" if c.deduplication_window_ns else ""
         )
--- a/pinspread/core/folder_lock.py
+++ b/pinspread/core/folder_lock.py
@@ -16,7 +16,7 @@
         self.folder = folder
         self.fd = -1
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Whether this process owns the folder now; OSError if it can't be told."""
         fd = os.open(Path(self.folder) / NAME, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
@@ -26,15 +26,15 @@
             if error.errno in BUSY:
                 return False
             raise
-        self.adopt(fd)
+        self.adopt_descriptor(fd)
         return True
 
-    def adopt(self, fd: int):
+    def adopt_descriptor(self, fd: int):
         """Hold the lock by a descriptor that the process before has passed on."""
-        self.leave()
+        self.release()
         self.fd = fd
 
-    def leave(self):
+    def release(self):
         """Hold it no longer; another process that was passed the descriptor still does."""
         if self.fd >= 0:
             os.close(self.fd)
--- a/pinspread/core/journal.py
+++ b/pinspread/core/journal.py
@@ -6,17 +6,15 @@
 
 import os
 import struct
-import zlib
 from pathlib import Path
 
 import orjson
 
+from pinspread.core.journal_records import HEADER_BYTES, frame, payloads
 from pinspread.core.messages import DeliveryRules, FinalResult, FinalState, Message
 from pinspread.errors import JournalFormatError, JournalFullError
 from pinspread.policy.settings import DeduplicationScope, Idempotency, TrafficClass
 
-_HEAD = struct.Struct("<II")
-HEAD_BYTES = _HEAD.size
 _NUMBER = struct.Struct("<BQ")
 _BRANCH = struct.Struct("<BQBQ")  # number, when it was written (Unix microseconds)
 _BRANCH_END = struct.Struct("<BQBB")  # number, whether it may have run
@@ -27,14 +25,13 @@
 TAKEN, BRANCH, BRANCH_END, FINAL, ENDED, SUMMARY, PAST, BAN, UNBAN, RULES, ZONE = range(1, 12)
 
 # What a live transaction adds to its TAKEN record.
-SMALL = 3 * _HEAD.size + _SUMMARY.size + _FINAL.size + _ZONE.size
-MOST_RECORD = 1 << 20
+SMALL = 3 * HEADER_BYTES + _SUMMARY.size + _FINAL.size + _ZONE.size
 # The stored keys of an accepted message, and the fields of `Message` that hold them.
 STORED_FIELDS = {
     "id": "id",
-    "cls": "cls",
+    "cls": "class_name",
     "tenant": "tenant",
-    "dest": "dest",
+    "dest": "destination",
     "key": "key",
     "idempotency": "idempotency_key",
     "until_unix_us": "deadline_unix_us",
@@ -62,17 +59,19 @@
         self.fresh = Path(folder) / "journal.new"
         self.resize(limit_bytes)
         self.fd = -1
-        self.tap = None  # hears every byte that is written: `appended(record)`, `rewritten(data)`
+        self.observer = None  # hears every byte that is written: `appended(record)`, `rewritten(data)`
         self._forget()
 
     def _forget(self):
-        self.size = 0
+        self.size_bytes = 0
         self.live_bytes = 0
-        self.live: dict[int, Message] = {}
+        self.open_messages: dict[int, Message] = {}
         self.sizes: dict[int, int] = {}
-        self.past: dict[str, int] = {}  # ids that are over, oldest first, and the sizes of their records
+        self.finished_ids: dict[
+            str, int
+        ] = {}  # ids that are over, oldest first, and the sizes of their records
         self.past_bytes = 0
-        self.bans: dict[str, None] = {}  # endpoints that operators have taken out
+        self.blocked_endpoints: dict[str, None] = {}  # endpoints that operators have taken out
         self.rules: dict[DeliveryRules, int] = {}  # those that records name, and their numbers
         self.latest: DeliveryRules | None = None
         self.numbered: dict[int, DeliveryRules] = {}  # number -> rules, while the file is read
@@ -80,21 +79,23 @@
     def resize(self, limit_bytes: int):
         """Another bound counts from now on; a file that is over it is rewritten at its next record."""
         # Danger: while it is rewritten both files count, each in whole blocks; the sum must stay under.
-        self.most = limit_bytes * 48 // 100
-        self.most_live = self.most * 85 // 100
-        self.most_past = self.most * 5 // 100  # the rest is for branches and ends, which are never refused
+        self.limit_bytes = limit_bytes * 48 // 100
+        self.most_live = self.limit_bytes * 85 // 100
+        self.most_past = (
+            self.limit_bytes * 5 // 100
+        )  # the rest is for branches and ends, which are never refused
 
-    def open(self) -> list[Message]:
+    def recover(self) -> list[Message]:
         """Recover what is owed, in the order taken, and start a fresh file with it."""
         self.read()
         self.begin()
-        return list(self.live.values())
+        return list(self.open_messages.values())
 
     def read(self):
         """Recover what is owed; nothing is written."""
         data = self.path.read_bytes() if self.path.exists() else b""
         self._forget()
-        for payload in records(data):
+        for payload in payloads(data):
             self._replay(payload)
 
     def begin(self):
@@ -109,7 +110,7 @@
 
     # --- records ----------------------------------------------------------------------------------
 
-    def taken(self, message: Message):
+    def message_accepted(self, message: Message):
         """Before the caller is told that it was taken on."""
         record = self._taken(message)
         need = len(record) + SMALL
@@ -118,7 +119,7 @@
         self._append(record)
         self._hold(message, need)
 
-    def adopted(self, message: Message):
+    def message_taken_over(self, message: Message):
         """What another courier took on and this one takes over, with what is known of its branches."""
         t, record = message, self._taken(message)
         need = len(record) + SMALL
@@ -127,13 +128,13 @@
         self._append(record + (_summary(t) if t.attempts or t.may_have_run_unix_us else b""))
         self._hold(t, need)
         if t.final:
-            self.final(t, t.final)
+            self.final_result(t, t.final)
 
-    def drop(self, messages):
+    def release(self, messages):
         """Owe these no longer: another courier does. Their ids are over; the next rewrite has it so."""
         for t in messages:
             self.live_bytes -= self.sizes.pop(t.number)
-            del self.live[t.number]
+            del self.open_messages[t.number]
             self._past_id(t.id)
 
     def attempt_started(self, message: Message, number: int, unix_us: int):
@@ -142,43 +143,43 @@
         message.attempts = max(message.attempts, number + 1)
         if _by_zone(message):
             self._append(_zone(message))
-        self._append(_record(_BRANCH.pack(BRANCH, message.number, number, unix_us)))
+        self._append(frame(_BRANCH.pack(BRANCH, message.number, number, unix_us)))
 
     def attempt_ended(self, message: Message, number: int, may_have_run: bool):
         """When a branch that was written has an outcome that does not end its transaction."""
         _end_branch(message, may_have_run)
-        self._append(_record(_BRANCH_END.pack(BRANCH_END, message.number, number, may_have_run)))
+        self._append(frame(_BRANCH_END.pack(BRANCH_END, message.number, number, may_have_run)))
 
-    def final(self, message: Message, final: FinalResult):
+    def final_result(self, message: Message, final: FinalResult):
         """When the final answer is decided and still has to be heard."""
         message.final = final
-        self._append(_record(_FINAL.pack(FINAL, message.number, final.state, final.retry_after_ms)))
+        self._append(frame(_FINAL.pack(FINAL, message.number, final.state, final.retry_after_ms)))
 
-    def ended(self, message: Message):
+    def message_ended(self, message: Message):
         """When nothing is owed any more."""
-        if self.live.pop(message.number, None) is None:
+        if self.open_messages.pop(message.number, None) is None:
             return
         self.live_bytes -= self.sizes.pop(message.number)
         self._remember(message)
-        self._append(_record(_NUMBER.pack(ENDED, message.number)))
+        self._append(frame(_NUMBER.pack(ENDED, message.number)))
 
-    def banned(self, id_: str, out: bool):
+    def endpoint_blocked(self, id_: str, out: bool):
         """Before an operator is told that an endpoint is out, or back."""
         self._append(_named(BAN if out else UNBAN, id_))
         self._ban(id_, out)
 
     def _ban(self, id_, out):
         if out:
-            self.bans[id_] = None
+            self.blocked_endpoints[id_] = None
         else:
-            self.bans.pop(id_, None)
+            self.blocked_endpoints.pop(id_, None)
 
     def _taken(self, t):
         told = {key: getattr(t, field) for key, field in STORED_FIELDS.items()}
         if t.rules:
             told["rules"] = self._number(t.rules)
         text = orjson.dumps(told)
-        return _record(_TAKEN.pack(TAKEN, t.number, len(text)) + text + t.body)
+        return frame(_TAKEN.pack(TAKEN, t.number, len(text)) + text + t.body)
 
     def _number(self, rules):
         """The number of these rules, which stand in the file before it is used."""
@@ -192,7 +193,7 @@
     # --- the file ---------------------------------------------------------------------------------
 
     def _hold(self, message, need):
-        self.live[message.number] = message
+        self.open_messages[message.number] = message
         self.sizes[message.number] = need
         self.live_bytes += need
 
@@ -204,13 +205,13 @@
             self._past_id(message.id)
 
     def _past_id(self, id_):
-        self.past[id_] = size = len(_past(id_))
+        self.finished_ids[id_] = size = len(_past(id_))
         self.past_bytes += size
         while self.past_bytes > self.most_past:
-            self.past_bytes -= self.past.pop(next(iter(self.past)))
+            self.past_bytes -= self.finished_ids.pop(next(iter(self.finished_ids)))
 
     def _append(self, record):
-        if self.size + len(record) > self.most:
+        if self.size_bytes + len(record) > self.limit_bytes:
             self._rewrite()
         try:
             written = os.write(self.fd, record)
@@ -218,29 +219,31 @@
             raise JournalFullError(str(error)) from None
         if written < len(record):
             # Danger: replay ends at a torn record, and all that was appended behind it would be lost.
-            os.ftruncate(self.fd, self.size)
+            os.ftruncate(self.fd, self.size_bytes)
             raise JournalFullError("a record was cut short")
-        self.size += written
-        if self.tap is not None:
-            self.tap.appended(record)
+        self.size_bytes += written
+        if self.observer is not None:
+            self.observer.appended(record)
 
     def _rewrite(self):
-        parts = [_past(id_) for id_ in self.past] + [_named(BAN, id_) for id_ in self.bans]
+        parts = [_past(id_) for id_ in self.finished_ids] + [
+            _named(BAN, id_) for id_ in self.blocked_endpoints
+        ]
         # Danger: settings change all day; rules that nothing goes by any more would fill the file.
         # The latest stay, for the record that is about to name them may be what made the file too long.
-        used = {t.rules for t in self.live.values()} | {self.latest}
+        used = {t.rules for t in self.open_messages.values()} | {self.latest}
         self.rules = {rules: n for rules, n in self.rules.items() if rules in used}
         # Danger: what an older version took has its rules from the settings; a number given only while
         # this file is being written would be named in it and told nowhere.
         for rules in used - self.rules.keys() - {None}:
             self.rules[rules] = max(self.rules.values(), default=0) + 1
         parts += [_rules(n, rules) for rules, n in self.rules.items()]
-        for t in self.live.values():
+        for t in self.open_messages.values():
             parts.append(self._taken(t))
             if t.attempts:
                 parts.append(_summary(t))
             if t.final:
-                parts.append(_record(_FINAL.pack(FINAL, t.number, t.final.state, t.final.retry_after_ms)))
+                parts.append(frame(_FINAL.pack(FINAL, t.number, t.final.state, t.final.retry_after_ms)))
         data = b"".join(parts)
         fd = -1
         try:
@@ -256,9 +259,9 @@
         if self.fd >= 0:
             os.close(self.fd)
         self.fd = fd
-        self.size = len(data)
-        if self.tap is not None:
-            self.tap.rewritten(data)
+        self.size_bytes = len(data)
+        if self.observer is not None:
+            self.observer.rewritten(data)
 
     def _replay(self, payload):
         kind = payload[0]
@@ -273,7 +276,7 @@
             told = orjson.loads(payload[at : at + size])
             message = Message(number, body=bytes(payload[at + size :]), **_message_fields(told))
             message.rules = self.numbered.get(told.get("rules", 0))
-            self._hold(message, _HEAD.size + len(payload) + SMALL)
+            self._hold(message, HEADER_BYTES + len(payload) + SMALL)
             return
         _, number = _NUMBER.unpack_from(payload)
         if kind == PAST:
@@ -286,7 +289,7 @@
         if kind in (BAN, UNBAN):
             self._ban(str(payload[_NUMBER.size :], "utf-8"), kind == BAN)
             return
-        message = self.live.get(number)
+        message = self.open_messages.get(number)
         if message is None:
             return
         if kind == BRANCH:
@@ -310,69 +313,37 @@
         elif kind == ZONE:
             *_, message.zone = _ZONE.unpack(payload)
         elif kind == ENDED:
-            del self.live[number]
+            del self.open_messages[number]
             self.live_bytes -= self.sizes.pop(number)
             self._remember(message)
 
 
-def records(data):
-    """The payloads of the whole records at the start of the data; a torn tail ends them."""
-    view = memoryview(data)
-    at = 0
-    while at + _HEAD.size <= len(view):
-        size, checksum = _HEAD.unpack_from(view, at)
-        payload = view[at + _HEAD.size : at + _HEAD.size + size]
-        if not 0 < size <= MOST_RECORD or len(payload) < size or zlib.crc32(payload) != checksum:
-            return
-        yield payload
-        at += _HEAD.size + size
-
-
-def whole(data) -> int:
-    """How many bytes at the start of the data are whole records."""
-    return sum(_HEAD.size + len(payload) for payload in records(data))
-
-
-def cut(data, at) -> bool:
-    """Whether what is behind the last whole record looks like one that was cut short."""
-    if len(data) - at < _HEAD.size:
-        return True
-    size, _ = _HEAD.unpack_from(data, at)
-    return 0 < size <= MOST_RECORD and at + _HEAD.size + size > len(data)
-
-
 def _summary(t):
-    told = _record(
+    told = frame(
         _SUMMARY.pack(SUMMARY, t.number, t.attempts, t.may_have_run_unix_us, t.in_flight_since_unix_us)
     )
     return told + (_zone(t) if _by_zone(t) else b"")
 
 
 def _zone(t):
-    return _record(_ZONE.pack(ZONE, t.number, t.zone))
+    return frame(_ZONE.pack(ZONE, t.number, t.zone))
 
 
 def _by_zone(t):
     return (
         t.rules is not None
-        and t.rules.cls.effect is Idempotency.WITH_KEY
-        and t.rules.cls.group is DeduplicationScope.ZONE
+        and t.rules.traffic_class.effect is Idempotency.WITH_KEY
+        and t.rules.traffic_class.group is DeduplicationScope.ZONE
     )
 
 
-def _record(payload):
-    return _HEAD.pack(len(payload), zlib.crc32(payload)) + payload
-
-
 def _message_fields(stored):
     return {field: stored[key] for key, field in STORED_FIELDS.items() if key in stored}
 
 
 def _rules(number, rules):
-    cls = {key: getattr(rules.cls, field) for key, field in STORED_CLASS_FIELDS.items()}
-    return _record(
-        _NUMBER.pack(RULES, number) + orjson.dumps({"cls": cls, "max_attempts": rules.max_attempts})
-    )
+    cls = {key: getattr(rules.traffic_class, field) for key, field in STORED_CLASS_FIELDS.items()}
+    return frame(_NUMBER.pack(RULES, number) + orjson.dumps({"cls": cls, "max_attempts": rules.max_attempts}))
 
 
 def _read_rules(payload):
@@ -387,7 +358,7 @@
 
 
 def _named(kind, id_):
-    return _record(_NUMBER.pack(kind, 0) + id_.encode())
+    return frame(_NUMBER.pack(kind, 0) + id_.encode())
 
 
 def _end_branch(message, may_have_run):
--- a/pinspread/core/messages.py
+++ b/pinspread/core/messages.py
@@ -27,7 +27,7 @@
 class DeliveryRules:
     """What a transaction was taken on under: its class as the settings had it then, and its attempts."""
 
-    cls: TrafficClass
+    traffic_class: TrafficClass
     max_attempts: int
 
 
@@ -37,9 +37,9 @@
 
     number: int  # the module's name for it: the order in which it was taken
     id: str
-    cls: str
+    class_name: str
     tenant: str
-    dest: int
+    destination: int
     key: int  # 0: none
     idempotency_key: str
     deadline_unix_us: int
@@ -60,7 +60,7 @@
 
     id: str
     address: str  # host:port
-    dest: int
+    destination: int
     usable: bool = True
     scheme: str = "http"  # the transport that reaches it
     route: dict = field(default_factory=dict)  # what that transport needs beyond the address
@@ -85,12 +85,12 @@
 
     outcome: Outcome
     retry_after_us: int = 0  # told with a busy answer
-    over: bool = False  # the next hop says that nothing is owed any more
+    no_longer_wanted: bool = False  # the next hop says that nothing is owed any more
     note: str = ""
     idle_us: int = -1  # how long its connection had been idle; -1: it was new
     opened: bool = False  # a connection was opened for it, and came up
-    left: float = 0.0  # told share of the limit that is left
-    limit: float = 0.0  # the told limit in calls a second; 0: not told
+    limit_remaining: float = 0.0  # told share of the limit that is left
+    limit_per_s: float = 0.0  # the told limit in calls a second; 0: not told
 
 
 NEVER_RAN = (
@@ -102,14 +102,14 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt. The transport calls `clear` right before its first byte and obeys a reason not to."""
+    """One attempt. Its transport asks `check_before_write` right before the first byte and obeys it."""
 
     message: Message
     number: int
     endpoint: Endpoint
     started_us: int
     timeout_us: int
-    clear: object = None  # () -> str: empty, or why nothing may be written any more
+    check_before_write: object = None  # () -> str: empty, or why nothing may be written any more
     recorded: bool = False  # it is in the journal as started before its transport was called
     apply_retry_after: object = None  # (wait_us): a wait was told, whatever else becomes of the branch
 
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -9,12 +9,12 @@
     """Reaches next hops of one scheme."""
 
     async def send(self, attempt: Attempt) -> AttemptResult:
-        """Run one branch, once; `branch.clear()` is asked right before the first byte is written."""
+        """Run one attempt, once; `attempt.check_before_write()` is asked right before the first byte."""
 
     async def send_many(self, attempts: list[Attempt]) -> list[AttemptResult]:
         """Run several branches to one next hop as one call; only for kinds whose settings allow it."""
 
-    async def probe(self, endpoint: Endpoint, clear) -> AttemptResult:
+    async def check_health(self, endpoint: Endpoint, check_before_write) -> AttemptResult:
         """Ask a next hop how it is."""
 
     def disconnect(self, endpoint: Endpoint) -> None:
@@ -25,26 +25,26 @@
 
 
 class Discovery(Protocol):
-    """Tells the core of next hops, by its `learn`; `first` is set once it has asked."""
+    """Tells the core of next hops, by its `learn`; `first_answer` is set once it has asked."""
 
-    first: object  # anyio.Event
+    first_answer: object  # anyio.Event
 
     def start(self) -> None:
         """Tell what is known without asking."""
 
-    def rest(self) -> dict:
+    def snapshot(self) -> dict:
         """What the next process needs to follow on from here, beside the list itself."""
 
     def resume(self, found: dict) -> None:
         """Follow on from where the process before was, in place of `start`."""
 
-    def ask(self) -> None:
+    def poll(self) -> None:
         """The module wants the list's changes; one `learn` answers."""
 
     def apply_settings(self, told) -> None:
         """Other settings count from now on."""
 
-    def move(self, where) -> None:
+    def change_address(self, address) -> None:
         """Discovery is elsewhere from now on."""
 
     async def run(self) -> None:
@@ -54,7 +54,7 @@
 class Front(Protocol):
     """Takes transactions and tells their callers how they ended."""
 
-    tells_delivery: bool  # whether DELIVERED is told too
+    reports_delivery: bool  # whether DELIVERED is told too
     ordered_by_notice: bool  # whether a key's next message waits until an end has been heard
 
     async def notify(self, message: Message, final: FinalResult) -> None:
@@ -77,26 +77,26 @@
 class Successor(Protocol):
     """The process that owns all once this one has handed over, as this one reaches it."""
 
-    def ended(self, number: int, attempt: int, outcome: AttemptResult) -> None:
+    def attempt_ended(self, number: int, attempt: int, outcome: AttemptResult) -> None:
         """A branch that was out here has ended."""
 
     def apply_retry_after(self, id_: str, wait_us: int) -> None:
         """A next hop told to wait."""
 
-    def probed(self, id_: str, outcome: AttemptResult) -> None:
+    def health_check_ended(self, id_: str, outcome: AttemptResult) -> None:
         """A probe that was out here has ended."""
 
-    async def ban(self, id_: str, out: bool) -> bool:
+    async def set_blocked(self, id_: str, out: bool) -> bool:
         """Pass on what an operator asks here; false if the id is unknown there."""
 
 
 class ReplicationService(Protocol):
     """Keeps what is owed on further couriers; the core asks it before it promises anything."""
 
-    def barred(self) -> str:
+    def blocked_reason(self) -> str:
         """Why nothing may be promised or sent just now; empty if all is well."""
 
-    async def settled(self) -> bool:
+    async def wait_replicated(self) -> bool:
         """Wait, within bounds, until all that the journal holds by now is copied; whether it is."""
 
 
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -143,7 +143,7 @@
         self.failed = 0  # watches in a row that did not come up
         self.random = random.Random(told.seed)
         self.tasks = None
-        self.first = anyio.Event()  # the list as it is now has been read, or can't be had
+        self.first_answer = anyio.Event()  # the list as it is now has been read, or can't be had
         self.current = None  # the watch that is followed
         self.before = ""  # where the last one was up
         self.trying = []  # those that are not up yet
@@ -160,7 +160,7 @@
         well = isinstance(known, dict) and isinstance(known.get("hosts"), list)
         self._learn(self.left.over(known) if well else known, UpdateScope.CACHED)
 
-    def rest(self) -> dict:
+    def snapshot(self) -> dict:
         """What another process needs to follow on from here."""
         return {"address": self.address, "seq": self.seq}
 
@@ -170,7 +170,7 @@
         if found.get("address") == self.address:
             self.seq = found["seq"]
 
-    def ask(self):
+    def poll(self):
         """The module asks for the list's changes: the watch brings them anyhow."""
         self.engine.update_endpoints(UpdateScope.DELTA, [])
 
@@ -180,7 +180,7 @@
         if (old.kinds, old.zones) != (told.kinds, told.zones):
             self._anew()
 
-    def move(self, address):
+    def change_address(self, address):
         """Discovery is at another address from now on; the old watch goes on until the new one is up."""
         if address != self.address:
             self.address = address
@@ -250,7 +250,7 @@
             return  # another one has taken its place, or will
         if self.failed < MOST_LOGGED:
             log("watch_broke", address=watch.address, error=str(error) or type(error).__name__)
-        self.first.set()
+        self.first_answer.set()
         alone = not self.told.module.polled_discovery  # an agent of its own, which is no burden to others
         if alone and isinstance(error, TimeoutError):
             self.failed += 1
@@ -304,7 +304,7 @@
                 for news in lines.fed(piece):
                     if news is not None:
                         self._learn(news, moved=address != self.address)
-                    self.first.set()  # None, an empty line: nothing has changed
+                    self.first_answer.set()  # None, an empty line: nothing has changed
                     self._spoke(watch, LINE_S)
         finally:
             if connection is not None:
--- a/pinspread/hot_restart/transfer.py
+++ b/pinspread/hot_restart/transfer.py
@@ -20,7 +20,7 @@
 import anyio.lowlevel
 import orjson
 
-from pinspread.core.handover import HandoverSource, HandoverStep, HandoverTarget
+from pinspread.core.handover import HandoverSource, HandoverStep, HandoverTarget, SourceState, TargetState
 from pinspread.core.log import log
 from pinspread.core.messages import AttemptResult, Endpoint
 from pinspread.errors import JournalFormatError
@@ -208,8 +208,8 @@
     This one owns it on return. Raises JournalUnreadable; the old process serves on then.
     """
     taker = HandoverTarget()
-    while not owner.take():
-        if taker.state != "waiting for the lock":
+    while not owner.acquire():
+        if taker.state is not TargetState.WAITING_FOR_LOCK:
             try:
                 link = _connect(folder)
             except OSError:
@@ -228,7 +228,7 @@
     try:
         with anyio.fail_after(STEP_S):
             await link.send(HELLO, own_shape.encode())
-        taker.state = "collecting"
+        taker.request_sent()
         while True:
             with anyio.fail_after(STEP_S):
                 kind, data, fd = await link.receive()
@@ -241,26 +241,26 @@
                 lock = fd
                 break
             _gather(found, kind, data, fd)
-        if lock is not None and taker.collected(found.state is not None) is HandoverStep.TAKE:
+        if lock is not None and taker.received(found.state is not None) is HandoverStep.TAKE_OVER:
             journal.read()
-            taker.locked(True)
-            owner.adopt(lock)
+            taker.lock_received(True)
+            owner.adopt_descriptor(lock)
             lock = None
             await link.send(TAKEN)
             taken, found = found, TransferredState()
             return taken
     except JournalFormatError as error:
-        taker.locked(False)
+        taker.lock_received(False)
         with suppress(OSError):
             await link.send(NO, orjson.dumps({"why": str(error), "busy": False}))
         raise
     except (OSError, ValueError, TimeoutError, KeyError) as error:
-        log("handover_broke", error=str(error) or type(error).__name__, state=taker.state)
+        log("handover_broke", error=str(error) or type(error).__name__, state=taker.state.value)
         # Danger: without its *taken* heard, the old process serves on, or is gone and the lock free.
-        owner.leave()
+        owner.release()
         if isinstance(error, ValueError):
-            taker.collected(False)  # garbled: it would be garbled again
-        taker.broke()
+            taker.received(False)  # garbled: it would be garbled again
+        taker.exchange_failed()
         again_s = BROKEN_S
     finally:
         if lock is not None:
@@ -269,7 +269,7 @@
             found.close()
             link.close()
     await anyio.sleep(again_s)
-    if taker.state == "waiting for the lock":
+    if taker.state is TargetState.WAITING_FOR_LOCK:
         await _ask_to_leave(owner.folder)
     return None
 
@@ -317,12 +317,14 @@
 async def follow(link, engine, clock):
     """Hear how what the process before still has out ends, and pass on what its door is asked."""
     left = list(engine.attempts)
-    probes = list(engine.probes)
+    probes = list(engine.health_checks)
 
     async def late(key, attempt):
         # Danger: a process that hangs would tell nothing, and a message would never have its answer.
         await anyio.sleep(max(0, attempt.ends_us() + GRACE_US - clock.now()) / 1e6)
-        engine.reported(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
+        engine.predecessor_attempt_ended(
+            *key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell")
+        )
 
     async with anyio.create_task_group() as tasks:
         for key in left:
@@ -335,7 +337,7 @@
                 await _report(link, engine, kind, orjson.loads(data))
         except (OSError, ValueError, KeyError, TypeError) as error:
             log("predecessor_gone", why=str(error) or type(error).__name__)
-            engine.bereft(left, probes)
+            engine.predecessor_lost(left, probes)
         tasks.cancel_scope.cancel()
     link.close()
 
@@ -343,12 +345,12 @@
 async def _report(link, engine, kind, told):
     if kind == ENDED:
         number, n, outcome = told
-        engine.reported(number, n, _outcome(outcome))
+        engine.predecessor_attempt_ended(number, n, _outcome(outcome))
     elif kind == HEED:
-        engine.reported_wait(*told)
+        engine.predecessor_retry_after(*told)
     elif kind == PROBED:
         id_, outcome = told
-        engine.reported_probe(id_, _outcome(outcome))
+        engine.predecessor_health_check_ended(id_, _outcome(outcome))
     elif kind == BAN:
         id_, out, n = told
         known = await (engine.disable(id_) if out else engine.enable(id_))
@@ -361,12 +363,12 @@
 RESULT_FIELDS = {
     "verdict": "outcome",
     "wait_us": "retry_after_us",
-    "over": "over",
+    "over": "no_longer_wanted",
     "note": "note",
     "idle_us": "idle_us",
     "opened": "opened",
-    "left": "left",
-    "limit": "limit",
+    "left": "limit_remaining",
+    "limit": "limit_per_s",
 }
 
 
@@ -397,7 +399,7 @@
         self.queue.append((kind, orjson.dumps(told)))
         self.wake.set()
 
-    def ended(self, number, attempt, outcome):
+    def attempt_ended(self, number, attempt, outcome):
         """A branch that was out here has ended."""
         self._put(ENDED, number, attempt, _packed_result(outcome))
 
@@ -405,11 +407,11 @@
         """A next hop told to wait."""
         self._put(HEED, id_, retry_after_us)
 
-    def probed(self, id_, outcome):
+    def health_check_ended(self, id_, outcome):
         """A probe that was out here has ended."""
         self._put(PROBED, id_, _packed_result(outcome))
 
-    async def ban(self, id_, out):
+    async def set_blocked(self, id_, out):
         """Pass on what an operator asks here; TimeoutError without an answer in time."""
         n, heard, answers = len(self.asked), anyio.Event(), []
         self.asked[n] = heard, answers
@@ -484,21 +486,21 @@
             os.close(fd)
 
     async def _serve(self, link):
-        self.giver.shape = shape(self.service.engine.sender)
+        self.giver.shape = shape(self.service.engine.policy)
         try:
             with anyio.fail_after(STEP_S):
                 kind, data, _ = await link.receive()
-                do = self.giver.hello(data.decode()) if kind == HELLO else HandoverStep.DECLINE
+                do = self.giver.requested(data.decode()) if kind == HELLO else HandoverStep.DECLINE
                 if kind == HELLO and do is HandoverStep.DECLINE:
-                    busy = self.giver.state != "serving"
-                    await link.send(NO, orjson.dumps({"why": self.giver.why, "busy": busy}))
-            if kind == LEAVE and self.giver.asked_to_leave() is HandoverStep.LEAVE:
+                    busy = self.giver.state is not SourceState.SERVING
+                    await link.send(NO, orjson.dumps({"why": self.giver.decline_reason, "busy": busy}))
+            if kind == LEAVE and self.giver.shutdown_requested() is HandoverStep.SHUT_DOWN:
                 log("asked_to_leave")
                 self.service.leave()
-            if do is not HandoverStep.GIVE:
+            if do is not HandoverStep.TRANSFER:
                 return
         except (OSError, ValueError, TimeoutError) as error:
-            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state)
+            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value)
             return
         successor = Successor(link)
         given = await self.service.rest(successor)
@@ -508,13 +510,13 @@
                 kind, data, _ = await link.receive()
             if kind == NO:
                 log("handover_declined", why=orjson.loads(data)["why"])
-            do = self.giver.taken() if kind == TAKEN else self.giver.broke()
+            do = self.giver.taken_over() if kind == TAKEN else self.giver.exchange_failed()
         except (OSError, ValueError, TimeoutError, KeyError) as error:
-            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state)
-            do = self.giver.broke()
-        if do is HandoverStep.RETAKE:
+            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value)
+            do = self.giver.exchange_failed()
+        if do is HandoverStep.REACQUIRE_LOCK:
             link.close()
-            do = self.giver.retaken(await self._retaken())
+            do = self.giver.lock_result(await self._retaken())
         if do is HandoverStep.RESUME:
             self.service.resume(given)
             return
@@ -525,9 +527,9 @@
     async def _retaken(self):
         """Whether the lock is this process's again: the other lets it go at once if it does not own all."""
         owner = self.service.owner
-        owner.leave()
+        owner.release()
         with anyio.move_on_after(STEP_S):
-            while not owner.take():
+            while not owner.acquire():
                 await anyio.sleep(AGAIN_S)
             return True
         return False
--- a/pinspread/http/bundle.py
+++ b/pinspread/http/bundle.py
@@ -12,7 +12,9 @@
     "ok": lambda retry_after_us: AttemptResult(Outcome.OK),
     "error": lambda retry_after_us: AttemptResult(Outcome.ERROR, retry_after_us, note="error"),
     "later": lambda retry_after_us: AttemptResult(Outcome.OVERLOADED, retry_after_us),
-    "gone": lambda retry_after_us: AttemptResult(Outcome.NOT_SENT, retry_after_us, over=True, note="over"),
+    "gone": lambda retry_after_us: AttemptResult(
+        Outcome.NOT_SENT, retry_after_us, no_longer_wanted=True, note="over"
+    ),
     "exhausted": lambda retry_after_us: AttemptResult(
         Outcome.NOT_SENT, retry_after_us, note="all attempts used"
     ),
--- a/pinspread/http/transport.py
+++ b/pinspread/http/transport.py
@@ -277,7 +277,7 @@
             await self._open(endpoint, state)
         except TimeoutError:
             return AttemptResult(Outcome.CONNECT_FAILED, note="dial timed out")
-        why = attempt.clear()
+        why = attempt.check_before_write()
         if why:
             self.pool.keep(endpoint, state.connection)
             state.connection = None
@@ -302,7 +302,7 @@
             raise MalformedResponseError("its length does not fit")  # or noise, which cannot be told from it
         state.proven = outcome
         self._keep(exchange, endpoint, state)
-        if outcome.outcome is Outcome.NOT_SENT and not outcome.over:
+        if outcome.outcome is Outcome.NOT_SENT and not outcome.no_longer_wanted:
             # Danger: a call that was given up holds its slot there until its end is seen; tried again at
             # once, one message would spend all its attempts on the slot of another.
             await anyio.sleep(SLOT_S)
@@ -317,7 +317,7 @@
             return AttemptResult(Outcome.CONNECT_FAILED, note="dial timed out")
         written = []
         for attempt in attempts:
-            why = attempt.clear()
+            why = attempt.check_before_write()
             if why:
                 told[attempt.message.id] = AttemptResult(Outcome.NOT_SENT, note=why)
             else:
@@ -384,12 +384,12 @@
             self.pool.keep(endpoint, state.connection)
             state.connection = None
 
-    async def probe(self, endpoint: Endpoint, clear) -> AttemptResult:
+    async def check_health(self, endpoint: Endpoint, check_before_write) -> AttemptResult:
         """`GET /-/healthy`."""
         state = _Call()
         try:
             await self._open(endpoint, state)
-            why = clear()
+            why = check_before_write()
             if why:
                 return AttemptResult(Outcome.NOT_SENT, note=why)
             exchange = Exchange(state.connection)
@@ -444,7 +444,7 @@
     def marked(self, outcome):
         """An outcome with what its call has shown."""
         outcome.idle_us, outcome.opened = self.idle_us, self.opened
-        outcome.left, outcome.limit = self.left, self.limit
+        outcome.limit_remaining, outcome.limit_per_s = self.left, self.limit
         return outcome
 
     def heard(self, now_us):
@@ -469,7 +469,7 @@
     if status == 504:
         return AttemptResult(Outcome.NOT_SENT, note="all attempts used")
     if status == 410:
-        return AttemptResult(Outcome.NOT_SENT, over=True, note="over")
+        return AttemptResult(Outcome.NOT_SENT, no_longer_wanted=True, note="over")
     if status != 500:
         log("odd_status", status=status)
     return AttemptResult(Outcome.ERROR, note=str(status))
--- a/pinspread/replication/log.py
+++ b/pinspread/replication/log.py
@@ -10,7 +10,7 @@
 
 import xxhash
 
-from pinspread.core import journal
+from pinspread.core import journal_records
 from pinspread.membership.swim import DEAD, LEFT
 
 RANGE = 64 * 1024  # bytes that are compared by one sum
@@ -57,8 +57,8 @@
         """One record, or several."""
         at = len(self.data)
         self.data += data
-        for payload in journal.records(data):
-            at += journal.HEAD_BYTES + len(payload)
+        for payload in journal_records.payloads(data):
+            at += journal_records.HEADER_BYTES + len(payload)
             self.ends.append(at)
             self.times.append(now_us)
 
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from pinspread.core import journal as journals
+from pinspread.core import journal_records
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
 from pinspread.errors import JournalFormatError, JournalFullError
@@ -86,9 +86,9 @@
     def attach(self, engine):
         """The core is there; from now on its journal is copied."""
         self.engine = engine
-        engine.copies = engine.journal.tap = self
+        engine.replication = engine.journal.observer = self
 
-    def barred(self) -> str:
+    def blocked_reason(self) -> str:
         """Why nothing may be promised or sent just now; empty if all is well."""
         token = self.leases.holds(WORK + self.id)
         if not token:
@@ -100,7 +100,7 @@
             return f"{up} copies, {self.plan.need} are needed"
         return ""
 
-    async def settled(self) -> bool:
+    async def wait_replicated(self) -> bool:
         """Wait until all that the journal holds by now is on enough copies; whether it is."""
         mark = self.source.mark()
         with anyio.move_on_after(self.plan.ack_us / 1e6):
@@ -159,14 +159,14 @@
                 "owner": o,
                 "generation": s.kept.generation,
                 "bytes": s.kept.size,
-                "records": sum(1 for _ in journals.records(s.data())),
+                "records": sum(1 for _ in journal_records.payloads(s.data())),
                 "adopted": s.kept.adopted,
             }
             for o, s in sorted(self.shelves.items())
         ]
         found = {"id": self.id, "generation": mark[0], "bytes": mark[1], "need": self.plan.need}
         found |= {"records": len(self.source.ends), "sent_bytes": self.sent_bytes}
-        return found | {"barred": self.barred(), "copies": mine, "keeps": kept}
+        return found | {"barred": self.blocked_reason(), "copies": mine, "keeps": kept}
 
     # --- running ------------------------------------------------------------------------------------
 
@@ -196,7 +196,7 @@
         """All that was out has ended: have it copied, then give the work back."""
         if self.leases.holds(WORK + self.id):
             with anyio.move_on_after(PART_S):
-                await self.settled()
+                await self.wait_replicated()
             await self.leases.unwant(WORK + self.id)
             await self.leases.settle()
 
@@ -330,8 +330,8 @@
         if not path.exists():
             return b"", False
         data = path.read_bytes()
-        whole = journals.whole(data)
-        return data, whole == len(data) or journals.cut(data, whole)
+        whole = journal_records.complete_bytes(data)
+        return data, whole == len(data) or journal_records.is_truncated(data, whole)
 
     async def _stay_sure(self):
         """After the lease of its own work was lost and is held anew: give up what others took over."""
@@ -370,7 +370,7 @@
         stamp = journal.path.parent / GENERATION
         mine, there = self._own()
         generation = int(stamp.read_text()) if stamp.exists() and stamp.read_text().isdigit() else 0
-        whole, sound = journals.whole(mine), there or not mine
+        whole, sound = journal_records.complete_bytes(mine), there or not mine
         best = best_of(found)
         if best and (not there or (best[0], len(best[1])) > (generation, whole)):
             why = "missing" if not journal.path.exists() else "older" if sound else "damaged"
@@ -546,7 +546,7 @@
 
     def _on_spare(self, owner, message):
         """A member that this courier chose once asks whether its copy may go."""
-        if owner != self.id or self.barred() or not self.source.spared(message["from"], self.targets):
+        if owner != self.id or self.blocked_reason() or not self.source.spared(message["from"], self.targets):
             return {"t": "no", "why": "not yet"}
         return {"t": "ack"}
 
@@ -586,7 +586,7 @@
                 away_us = machine_us() - self.away.setdefault(owner, machine_us())
                 lost = owner != self.id and copies.absent(state, away_us, self.plan.absent_us)
                 # Danger: the owner would send its next message of a key before this courier's last.
-                open_here = self.taken.get(owner, set()) & self.engine.ids.keys()
+                open_here = self.taken.get(owner, set()) & self.engine.messages_by_id.keys()
                 if not lost or not kept.generation or kept.adopted:
                     self.since.pop(owner, None)
                     self.unsure.pop(("own", owner), None)
@@ -652,7 +652,7 @@
             return
         live, _ = replayed(best[1])
         # Danger: the lease may have ended while the others were asked; the owner or another may act by now.
-        if self.leases.holds(WORK + owner) != token or self.barred():
+        if self.leases.holds(WORK + owner) != token or self.blocked_reason():
             return
         mine = [t for t in live if t.id not in named]
         count = self.engine.adopt(mine)
@@ -666,7 +666,7 @@
             held=len(live),
             mono_us=machine_us(),
         )
-        while not await self.settled():
+        while not await self.wait_replicated():
             if self.leases.holds(WORK + owner) != token:
                 return
         await self._ask_all({"t": "done", "owner": owner, "token": token})
@@ -694,7 +694,9 @@
 
 def whole_ones(found: dict) -> dict:
     """Those answers, each up to its last whole record."""
-    cut = {m: f | {"bytes": f["bytes"][: journals.whole(f["bytes"])]} for m, f in found.items()}
+    cut = {
+        m: f | {"bytes": f["bytes"][: journal_records.complete_bytes(f["bytes"])]} for m, f in found.items()
+    }
     for m, f in cut.items():
         if len(f["bytes"]) < len(found[m]["bytes"]):
             log(
@@ -713,4 +715,4 @@
         old = Journal(folder, 1 << 30)
         old.path.write_bytes(data)
         old.read()
-        return list(old.live.values()), set(old.past)
+        return list(old.open_messages.values()), set(old.finished_ids)
--- a/pinspread/resp/front.py
+++ b/pinspread/resp/front.py
@@ -33,7 +33,7 @@
 class RespFront:
     """Caller legs on a listening socket."""
 
-    tells_delivery = False  # the platform sees a delivery by itself
+    reports_delivery = False  # the platform sees a delivery by itself
     ordered_by_notice = True
 
     def __init__(self, engine, notices, room=None):
@@ -192,7 +192,7 @@
     def _enqueue(self, connection, key, id_, options, body):
         engine = self.engine
         cls, tenant = options["c"], options.get("t", "")
-        unknown = engine.unknown(cls, tenant, options["dest"])
+        unknown = engine.unknown_reason(cls, tenant, options["dest"])
         if unknown:
             raise resp.CommandError(unknown)
         if connection.ended():
@@ -202,9 +202,9 @@
             Message(
                 number=0,
                 id=id_,
-                cls=cls,
+                class_name=cls,
                 tenant=tenant,
-                dest=options["dest"],
+                destination=options["dest"],
                 key=key,
                 idempotency_key=options.get("k", ""),
                 deadline_unix_us=engine.clock.unix(engine.clock.now()) + options["d"] * 1000,
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -66,7 +66,7 @@
         engine.fronts[front.NAME] = self.first = front.RespFront(engine, self.notices, self.room)
         engine.fronts[AMQP] = self.second = AmqpFront(engine, amqp.heartbeat_s, self.room)
         self.discovery = discover(engine) if discover else Discovery(told.discovery, engine, told)
-        engine.subscribe = self.discovery.ask
+        engine.subscribe = self.discovery.poll
         for companion in self.companions:
             companion.attach(engine)
         self.change = partial(change, engine, reread, self.pool, self.room, self.discovery, self.notices)
@@ -137,7 +137,7 @@
             # Danger: what the list says by now counts as told. What is owed would go out by the last list of
             # before the end, to endpoints that drain or are gone, until the first answer has come.
             with anyio.move_on_after(FIRST_LIST_S):
-                await self.discovery.first.wait()
+                await self.discovery.first_answer.wait()
         for run in (engine.run, self.pool.run, self.room.run):
             tasks.start_soon(run)
         self._hear(legs)
@@ -159,7 +159,7 @@
         if told.passed is not None:
             from pinspread.hot_restart import transfer as succession
 
-            before = await succession.inherit(told.state, self.owner, engine.journal, engine.sender)
+            before = await succession.inherit(told.state, self.owner, engine.journal, engine.policy)
         else:
             await self._own()
             if self.companions and not self.leaving.is_set():
@@ -170,7 +170,7 @@
             self.discovery.start()
             engine.recover()
             return None
-        engine.inherit(before.state)
+        engine.resume_from_handover(before.state)
         self.discovery.resume(before.state["discovery"])
         self.pool.adopt(before.idle)
         return before
@@ -192,7 +192,7 @@
         # Danger: a process that is ending may still write to the journal; two would tear it.
         try:
             with anyio.fail_after(OWNER_S):
-                while not self.owner.take() and not self.leaving.is_set():
+                while not self.owner.acquire() and not self.leaving.is_set():
                     await anyio.sleep(0.02)
         except TimeoutError:
             raise OSError(f"{self.told.state}: another process owns it; end that one first") from None
@@ -248,7 +248,7 @@
             await self.first.close()
             return
         with anyio.move_on_after(FINISH_S):
-            while self.engine.attempts or self.engine.probes or self.engine.successor.queue:
+            while self.engine.attempts or self.engine.health_checks or self.engine.successor.queue:
                 await anyio.sleep(0.01)
 
     # --- what an upgrade asks of the old process ------------------------------------------------------
@@ -262,7 +262,7 @@
         for scope in scopes:
             scope.cancel()
         legs = await self.first.part()
-        state = self.engine.rest(successor) | {"discovery": self.discovery.rest()}
+        state = self.engine.pause_for_handover(successor) | {"discovery": self.discovery.snapshot()}
         return {
             "blob": succession.packed(state),
             "state": state,
@@ -275,7 +275,7 @@
     def resume(self, given):
         """The other process did not take over: serve on."""
         self.pool.adopt(given["idle"])
-        self.engine.resume()
+        self.engine.cancel_handover()
         self._follow()
         self._hear(given["legs"])
         log("resumed", legs=len(given["legs"]))
@@ -284,7 +284,7 @@
         """The other process owns all."""
         for connection in [k.connection for k in given["legs"]] + [idle[3] for idle in given["idle"]]:
             connection.close()
-        self.owner.leave()
+        self.owner.release()
         self.tasks.start_soon(self._leave_in_time)
 
     async def _leave_in_time(self):
@@ -343,10 +343,10 @@
     room.resize(*_legs(told))
     engine.journal.resize(told.disk_bytes)
     discovery.apply_settings(told)
-    discovery.move(where)
+    discovery.change_address(where)
     notices.move(heard)
     settings.keep_good(told)
-    classes = {name: rules.cls.effect.value for name, rules in told.rules.items()}
+    classes = {name: rules.traffic_class.effect.value for name, rules in told.rules.items()}
     log("configuration", notices=heard, classes=classes, attempts=told.module.max_attempts, at_restart=fixed)
 
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -76,7 +76,7 @@
     core.transports["http"] = HttpTransport(clock, pool, told.dial_us)
     core.fronts["resp"] = resp = front.RespFront(core, notices, room)
     core.fronts["amqp"] = amqp = AmqpFront(core, room=room)
-    core.subscribe = Discovery(platform, core, told).ask
+    core.subscribe = Discovery(platform, core, told).poll
     async with anyio.create_task_group() as tasks:
         core.transports["amqp"] = BrokerTransport(clock, tasks, told.dial_us)
         (resp_sock, address), (amqp_sock, amqp_address) = listener(), listener()
--- a/tests/stored.py
+++ b/tests/stored.py
@@ -20,9 +20,9 @@
 
 TRANSACTION = {
     "id": "id",
-    "cls": "cls",
+    "cls": "class_name",
     "tenant": "tenant",
-    "dest": "dest",
+    "dest": "destination",
     "key": "key",
     "idempotency": "idempotency_key",
     "until_unix_us": "deadline_unix_us",
@@ -61,7 +61,7 @@
     """The reverse."""
     if found is None:
         return None
-    fields = {name: getattr(found.cls, at) for name, at in CLASS.items()}
+    fields = {name: getattr(found.traffic_class, at) for name, at in CLASS.items()}
     fields |= {"effect": fields["effect"].value, "group": fields["group"].value}
     return {"cls": fields, "max_attempts": found.max_attempts}
 
@@ -86,16 +86,16 @@
 
     def __init__(self, folder, limit_bytes=1 << 20):
         self.journal = Journal(str(folder), limit_bytes)
-        self.known = {t.number: t for t in self.journal.open()}
+        self.known = {t.number: t for t in self.journal.recover()}
 
     def taken(self, number, told, body, of):
         self.known[number] = message(number, told, body, of)
-        self.journal.taken(self.known[number])
+        self.journal.message_accepted(self.known[number])
 
     def adopted(self, number, told, body, of, progress, final):
         self.known[number] = t = message(number, told, body, of, **progress)
         t.final = FinalResult(FinalState(final[0]), final[1]) if final else None
-        self.journal.adopted(t)
+        self.journal.message_taken_over(t)
 
     def attempt_started(self, number, attempt, unix_us, zone):
         self.known[number].zone = zone
@@ -105,13 +105,13 @@
         self.journal.attempt_ended(self.known[number], attempt, may_have_run)
 
     def final(self, number, state, retry_after_ms):
-        self.journal.final(self.known[number], FinalResult(FinalState(state), retry_after_ms))
+        self.journal.final_result(self.known[number], FinalResult(FinalState(state), retry_after_ms))
 
     def ended(self, number):
-        self.journal.ended(self.known[number])
+        self.journal.message_ended(self.known[number])
 
     def banned(self, id_, out):
-        self.journal.banned(id_, out)
+        self.journal.endpoint_blocked(id_, out)
 
     def close(self):
         self.journal.close()
@@ -122,9 +122,9 @@
     journal = Journal(str(folder), 1 << 20)
     journal.read()
     return {
-        "open": [told_transaction(t) for t in journal.live.values()],
-        "over": list(journal.past),
-        "bans": list(journal.bans),
+        "open": [told_transaction(t) for t in journal.open_messages.values()],
+        "over": list(journal.finished_ids),
+        "bans": list(journal.blocked_endpoints),
     }
 
 
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -120,12 +120,12 @@
 
 RESULT = {
     "wait_us": "retry_after_us",
-    "over": "over",
+    "over": "no_longer_wanted",
     "note": "note",
     "idle_us": "idle_us",
     "opened": "opened",
-    "left": "left",
-    "limit": "limit",
+    "left": "limit_remaining",
+    "limit": "limit_per_s",
 }
 
 
@@ -158,14 +158,14 @@
     link = succession.Link(link_socket)
     await succession.Succession(SimpleNamespace(), "")._give(link, given)
     successor = succession.Successor(link)
-    successor.ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
+    successor.attempt_ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
     successor.apply_retry_after("s-1", 1500)
-    successor.probed("s-2", outcome("OK", opened=True))
+    successor.health_check_ended("s-2", outcome("OK", opened=True))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(successor.run)
         try:
             with anyio.fail_after(0.2):
-                await successor.ban("s-3", True)
+                await successor.set_blocked("s-3", True)
         except TimeoutError:
             pass
         tasks.cancel_scope.cancel()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -126,7 +126,7 @@
     ):
         client = Client(rig.address)
         await client.enqueue()
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
         for _ in range(2):  # twice out is out once
             assert await status(door, PUT % "s-1/disable") == 200
         assert await client.enqueue(id_="held") == "+OK\r\n"
@@ -140,9 +140,9 @@
         await anyio.sleep(0.05)
         rig.update_endpoints(where)
         await anyio.sleep(0.1)
-        assert len(endpoint.requests) == 1 and "held" in rig.engine.ids
+        assert len(endpoint.requests) == 1 and "held" in rig.engine.messages_by_id
         assert await status(door, PUT % "s-1/enable") == 200
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
         assert len(endpoint.requests) == 2
         assert await status(door, PUT % "s-1/enable") == 200  # back without out
 
@@ -185,7 +185,7 @@
         def full(*_):
             raise JournalFullError("no room")
 
-        rig.engine.journal.banned = full
+        rig.engine.journal.endpoint_blocked = full
         assert await status(door, PUT % "s-1/disable") == 503
         assert rig.engine.endpoints["s-1"].usable
 
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -57,14 +57,14 @@
             await until(lambda: broker.effects == ["p1"])
             await broker.say(commands.Connection.Blocked("disk"))
             await client.enqueue(id_="p2", for_ms=500)
-            await until(lambda: not rig.engine.attempts and not rig.engine.open)
-            assert rig.engine.told_us[1] > rig.engine.clock.now() and broker.effects == ["p1"]
-            rig.engine.told_us.clear()
+            await until(lambda: not rig.engine.attempts and not rig.engine.open_messages)
+            assert rig.engine.retry_after_until_us[1] > rig.engine.clock.now() and broker.effects == ["p1"]
+            rig.engine.retry_after_until_us.clear()
             broker.kill()
         await anyio.sleep(1.1)
         await client.enqueue(id_="p3", for_ms=500)
-        await until(lambda: not rig.engine.open)
-        assert not rig.engine.told_us
+        await until(lambda: not rig.engine.open_messages)
+        assert not rig.engine.retry_after_until_us
 
 
 async def test_a_broker_that_is_gone_is_forgotten_with_the_last_publish_that_is_out(tmp_path):
@@ -78,7 +78,7 @@
         assert not transport.links and not transport.dialling and broker.links
         for wire in broker.links:
             await wire.send(commands.Basic.Ack(1, False), 1)
-        await until(lambda: not rig.engine.ids and not broker.links)
+        await until(lambda: not rig.engine.messages_by_id and not broker.links)
 
 
 async def test_a_payment_cut_short_before_its_last_byte_never_ran_and_goes_again(tmp_path):
@@ -146,10 +146,10 @@
                     if moments.random() < 0.005:
                         broker.kill()
                         kills += 1
-                    await until(lambda rig=rig: len(rig.engine.open) < 80, 20)
+                    await until(lambda rig=rig: len(rig.engine.open_messages) < 80, 20)
                 # the courier is killed here, with whatever is out or held
         async with engine(tmp_path, notices, endpoints=endpoints) as rig:
-            await until(lambda: not rig.engine.ids, 30)
+            await until(lambda: not rig.engine.messages_by_id, 30)
     ended = {line["id"] for line in platform.lines}
     assert restarts > 5 and kills > 8 and breaks > 20
     assert len(broker.effects) == len(set(broker.effects))  # zero doubles
@@ -174,10 +174,10 @@
                     await client.publish(f"{key}/{sent}", "booking-change", for_ms=20_000, key=key)
                     assert isinstance((await client.next())[0], commands.Basic.Ack)
                     sent += 1
-                    await until(lambda rig=rig: len(rig.engine.open) < 40, 20)
+                    await until(lambda rig=rig: len(rig.engine.open_messages) < 40, 20)
                 # killed here, with what is held
         async with engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
-            await until(lambda: not rig.engine.open, 30)
+            await until(lambda: not rig.engine.open_messages, 30)
     for key in range(keys):
         first = list(dict.fromkeys(int(e.split("/")[1]) for e in broker.effects if f"-{key}/" in e))
         assert len(first) > 20 and first == sorted(first)
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -30,7 +30,7 @@
         assert isinstance(method, commands.Basic.Ack) and method.delivery_tag == 1
         told, _ = await client.end()
         assert (told["id"], told["state"]) == ("m1", state)
-        await until(lambda: not rig.engine.ids)  # acknowledged: nothing is owed any more
+        await until(lambda: not rig.engine.messages_by_id)  # acknowledged: nothing is owed any more
         with pytest.raises(TimeoutError), anyio.fail_after(0.2):
             await client.end()
         assert endpoint.requests[0][3]["request-id"] == "m1"
@@ -65,9 +65,9 @@
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
         assert (await client.end())[0] == told
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
     async with engine(tmp_path) as rig:
-        assert not rig.engine.ids
+        assert not rig.engine.messages_by_id
 
 
 async def test_prefetch_bounds_what_is_out_and_requeued_ends_come_first(tmp_path):
@@ -118,7 +118,9 @@
         if code < 500:  # a soft error: the connection goes on with another channel
             await client.wire.send(commands.Channel.CloseOk(), 1)
             assert isinstance((await client.ask(commands.Channel.Open()))[0], commands.Channel.OpenOk)
-        assert not rig.engine.ids and len((await AmqpClient.open(rig.amqp)).wire.buffer.view()) == 0
+        assert (
+            not rig.engine.messages_by_id and len((await AmqpClient.open(rig.amqp)).wire.buffer.view()) == 0
+        )
 
 
 async def test_publishing_without_confirms_is_refused(tmp_path):
@@ -191,18 +193,18 @@
             client = await AmqpClient.open(rig.amqp)
             await client.publish("m1", for_ms=100)
             assert (await client.next())[0].name == "Basic.Ack"
-            await until(lambda: not rig.engine.open)
+            await until(lambda: not rig.engine.open_messages)
             await client.publish("m1")  # before its end was heard
             methods = [(await client.next())[0].name for _ in range(2 if again else 1)]
             assert methods == (["Basic.Return", "Basic.Nack"] if again else ["Basic.Ack"])
             await client.consume()
             await client.end()
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
         async with engine(tmp_path) as rig:  # and over a restart: its publisher missed the confirm
             client = await AmqpClient.open(rig.amqp)
             await client.publish("m1")
             assert isinstance((await client.next())[0], commands.Basic.Ack)
-            assert ("m1" in rig.engine.ids) is again
+            assert ("m1" in rig.engine.messages_by_id) is again
 
 
 async def test_a_silent_client_is_closed_in_time_and_one_that_does_not_read_is_ended(tmp_path, monkeypatch):
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -74,7 +74,7 @@
 def test_states_of_an_answer(state, verdict, over):
     raw = orjson.dumps([{"id": "m", "state": state}, {"id": "invented", "state": "ok"}])
     outcome = bundle.ends(raw, ["m"], 7)["m"]
-    assert (outcome.outcome, outcome.over) == (verdict, over)
+    assert (outcome.outcome, outcome.no_longer_wanted) == (verdict, over)
     assert outcome.retry_after_us == (0 if state == "ok" else 7)
 
 
@@ -160,7 +160,7 @@
                 await client.enqueue(cls, f"m{n}", for_ms=24_000, body=bytes([n]) * 9)
             tasks.cancel_scope.cancel()
         if wait:
-            await until(lambda: not rig.engine.ids, 8)
+            await until(lambda: not rig.engine.messages_by_id, 8)
         else:
             await until(lambda: len(partner.calls) > 1)
     return {line["id"]: line["state"] for line in platform.lines}
@@ -217,7 +217,7 @@
     platform, after = HttpStandIn(lambda request: HEARD), Partner()
     async with standing(platform) as address, standing(after) as where:
         async with engine(tmp_path, address, endpoints=[(where,)]) as rig:
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
     assert {line["id"]: line["state"] for line in platform.lines} == {f"m{n}": "failed" for n in (1, 2, 3)}
     assert not after.calls
 
@@ -234,7 +234,7 @@
         post = rig.engine.post
         rig.engine.post = lambda event: (heard.append(event), post(event))
         assert await Client(rig.address).enqueue() == "+OK\r\n"
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
     ended = [e for e in heard if type(e) is AttemptCompleted]
     assert [e.outcome for e in ended] == [Outcome.OVERLOADED, Outcome.OK]
     assert [e.limit_per_s for e in ended] == [limit, limit]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -178,7 +178,7 @@
         (tmp_path / "z").write_text(text)
         records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "z"))
     found = dnssd.browse(records, ["_http._tcp", "_amqp._tcp"], {})
-    lodge, park, pay = sorted(found, key=lambda f: f[0].dest)
+    lodge, park, pay = sorted(found, key=lambda f: f[0].destination)
     assert (lodge[0].address, lodge[0].weight, lodge[1]) == ("127.0.0.1:8080", 12.5, EndpointState.READY)
     assert park[1] is EndpointState.DRAINING
     assert (pay[0].scheme, pay[0].route) == ("amqp", {"exchange": "pay", "routing_key": "in"})
@@ -209,7 +209,10 @@
 def test_an_applications_file_becomes_settings_for_the_module(tmp_path):
     told = application.told(application.File.model_validate(__import__("tomllib").loads(GOOD)), seed=1)
     assert told.listen == "127.0.0.1:6379" and told.module.classes[0].in_order
-    assert told.rules["booking-change"].cls.in_order and not told.rules["payment"].cls.in_order
+    assert (
+        told.rules["booking-change"].traffic_class.in_order
+        and not told.rules["payment"].traffic_class.in_order
+    )
 
 
 def test_the_amqp_front_is_off_unless_its_file_gives_an_address(tmp_path):
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pinspread.core import journal as journals
+from pinspread.core import journal_records
 from pinspread.core.journal import Journal
 from pinspread.core.messages import FinalResult, FinalState, Message
 from pinspread.errors import JournalFullError
@@ -56,7 +56,7 @@
 
 
 def test_lag_counts_the_records_that_a_copy_lacks_and_since_when():
-    source, record = ReplicationLog(need=1), journals._record(b"x" * 12)
+    source, record = ReplicationLog(need=1), journal_records.frame(b"x" * 12)
     source.rewritten(record * 3, 10, 1000)
     source.appended(record, 5000)
     source.held = {"a": (10, 80), "b": (10, 59), "c": (9, 80)}
@@ -157,33 +157,39 @@
             self[:] = data
 
     journal, tap = Journal(str(tmp_path), 3_000_000), Tap()
-    journal.tap = tap
-    journal.open()
+    journal.observer = tap
+    journal.recover()
     for n in range(1, 6):
-        journal.taken(message(n))
-    journal.attempt_started(journal.live[2], 0, 77)
-    journal.adopted(message(9, attempts=2, may_have_run_unix_us=55, final=FinalResult(FinalState.FAILED, 3)))
-    journal.ended(journal.live[1])
+        journal.message_accepted(message(n))
+    journal.attempt_started(journal.open_messages[2], 0, 77)
+    journal.message_taken_over(
+        message(9, attempts=2, may_have_run_unix_us=55, final=FinalResult(FinalState.FAILED, 3))
+    )
+    journal.message_ended(journal.open_messages[1])
     assert bytes(tap) == journal.path.read_bytes()
     live, past = copying.replayed(bytes(tap))
     assert [t.number for t in live] == [2, 3, 4, 5, 9] and past == {"id1"}
     assert live[0].in_flight_since_unix_us == 77 and live[-1].final == FinalResult(FinalState.FAILED, 3)
     assert (live[-1].attempts, live[-1].may_have_run_unix_us) == (2, 55)
     tap[200] ^= 1
-    assert journals.whole(tap) < 200 and not journals.cut(tap, journals.whole(tap))
+    assert journal_records.complete_bytes(tap) < 200 and not journal_records.is_truncated(
+        tap, journal_records.complete_bytes(tap)
+    )
     cut = journal.path.read_bytes()[:-3]
-    assert journals.whole(cut) < len(cut) and journals.cut(cut, journals.whole(cut))
-    journal.drop([journal.live[3]])
-    assert "id3" in journal.past and 3 not in journal.live
+    assert journal_records.complete_bytes(cut) < len(cut) and journal_records.is_truncated(
+        cut, journal_records.complete_bytes(cut)
+    )
+    journal.release([journal.open_messages[3]])
+    assert "id3" in journal.finished_ids and 3 not in journal.open_messages
 
 
 def test_what_is_taken_over_stays_within_the_journals_room(tmp_path):
     journal = Journal(str(tmp_path), 3000)
-    journal.open()
+    journal.recover()
     with pytest.raises(JournalFullError):
         for n in range(1, 100):
-            journal.adopted(message(n))
-    assert 1 < len(journal.live) < 20 and journal.path.stat().st_size <= 1440
+            journal.message_taken_over(message(n))
+    assert 1 < len(journal.open_messages) < 20 and journal.path.stat().st_size <= 1440
 
 
 class Held:
@@ -274,23 +280,23 @@
     keeper.source.rewritten(b"x", 1)
 
     async def play():
-        assert not await keeper.settled()
+        assert not await keeper.wait_replicated()
         keeper.source.held = {"b": (1, 1)}
-        assert not await keeper.settled()  # it has not been told who else keeps copies
+        assert not await keeper.wait_replicated()  # it has not been told who else keeps copies
         keeper.source.held = {"a": (1, 1)}
-        assert await keeper.settled()
+        assert await keeper.wait_replicated()
         keeper.source.appended(b"y")
         monkeypatch.setattr(keeper, "plan", copying.Plan("127.0.0.1:0", "", ack_us=1000, alone=True))
-        assert await keeper.settled()
+        assert await keeper.wait_replicated()
 
     anyio.run(play)
-    assert "not known yet" in keeper.barred()
+    assert "not known yet" in keeper.blocked_reason()
     keeper.sure = 5
-    assert keeper.barred() == ""
+    assert keeper.blocked_reason() == ""
     monkeypatch.setattr(keeper, "plan", copying.Plan("127.0.0.1:0", ""))
-    assert "copies" in keeper.barred()
+    assert "copies" in keeper.blocked_reason()
     monkeypatch.setattr(Held, "holds", lambda self, task: 0)
-    assert "lease" in keeper.barred()
+    assert "lease" in keeper.blocked_reason()
 
 
 def test_the_commands_show_leases_and_copies_as_aligned_text(keeper):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -65,7 +65,7 @@
     async with standing(told) as heard, standing(endpoint) as address:
         async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:
             assert await Client(rig.address).enqueue("payment", for_ms=300) == "+OK\r\n"
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
     assert len(endpoint.requests) == 1
     assert [line["state"] for line in told.lines] == ends
 
@@ -77,8 +77,10 @@
         await Client(rig.address).enqueue("booking-change", "keyed", for_ms=60_000)
         gate = Gate(monkeypatch)
         await until(lambda: len(endpoint.requests) == 1 and gate.waiting)
-        rules = core.ids["keyed"].rules
-        core.clock.offset_us += rules.cls.deduplication_window_ns // 1000  # the repeat's dial takes so long
+        rules = core.messages_by_id["keyed"].rules
+        core.clock.offset_us += (
+            rules.traffic_class.deduplication_window_ns // 1000
+        )  # the repeat's dial takes so long
         gate.open.set()
         await until(lambda: not core.attempts)
         assert len(endpoint.requests) == 1
@@ -92,7 +94,7 @@
             async with engine(tmp_path) as rig:
                 if n == 0:
                     lane = rig.engine.settings.rules["booking-change"]
-                    by_zone = dataclasses.replace(lane.cls, group=DeduplicationScope.ZONE)
+                    by_zone = dataclasses.replace(lane.traffic_class, group=DeduplicationScope.ZONE)
                     rig.engine.settings.rules["booking-change"] = DeliveryRules(by_zone, lane.max_attempts)
                 rig.engine.update_endpoints(
                     UpdateScope.FULL, [(Endpoint("far", far, 1, zone=1), EndpointState.READY)]
@@ -104,7 +106,7 @@
                 rig.engine.update_endpoints(
                     UpdateScope.DELTA, [(Endpoint("near", near, 1, zone=0), EndpointState.READY)]
                 )
-                await until(lambda: not rig.engine.ids)
+                await until(lambda: not rig.engine.messages_by_id)
     assert not endpoints[1].requests and len(endpoints[0].requests) == 2
 
 
@@ -205,7 +207,7 @@
         if how == "moved":
             new, at = Agent(), 0
             rig.tasks.start_soon(new.run)
-            watch.move(new.address)
+            watch.change_address(new.address)
         await until(lambda: len(new.watches) > at)
         # Both are there before the courier reads either; the newer one's are first.
         new.say(at, told(9, S1 | {"health": "draining"}) + b"\n", head=True)
@@ -267,12 +269,18 @@
     endpoint = HttpStandIn(lambda request: (200, [], b"") if request[3]["request-id"] == "second" else untold)
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         core = rig.engine
-        core.settings.rules["booking-change"] = DeliveryRules(core.settings.rules["booking-change"].cls, 2)
+        core.settings.rules["booking-change"] = DeliveryRules(
+            core.settings.rules["booking-change"].traffic_class, 2
+        )
         if bar == "notice":
-            core.notified[0x77] = 1  # an earlier message of the key, whose notice is not answered
+            core.pending_notifications[0x77] = (
+                1  # an earlier message of the key, whose notice is not answered
+            )
         else:
             await Client(rig.address).enqueue("status-update", "first", for_ms=1500)
-            await until(lambda: core.told_us)  # heard by the transport; the module hears of it at its end
+            await until(
+                lambda: core.retry_after_until_us
+            )  # heard by the transport; the module hears of it at its end
         ended = []
         attempt_ended = core._attempt_ended
         core._attempt_ended = lambda attempt, outcome: (
@@ -280,9 +288,9 @@
             attempt_ended(attempt, outcome),
         )
         assert await Client(rig.address).enqueue("booking-change", "second", key="77") == "+OK\r\n"
-        await until(lambda: len([o for o in ended if o.note]) >= 3 or "second" not in core.ids, 20)
-        core.notified.pop(0x77, None)
-        core.told_us.clear()
+        await until(lambda: len([o for o in ended if o.note]) >= 3 or "second" not in core.messages_by_id, 20)
+        core.pending_notifications.pop(0x77, None)
+        core.retry_after_until_us.clear()
         await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests), 20)
 
 
@@ -300,7 +308,7 @@
         with suppress(ConnectionResetError):
             assert await leg.read() == b""
         await until(lambda: ours.connection.sock.fileno() < 0)  # all of it has been read
-        assert not rig.engine.ids
+        assert not rig.engine.messages_by_id
 
 
 @pytest.mark.parametrize("way", ["draining", "gone", "left out"])
@@ -324,10 +332,10 @@
             watch = discovery.Discovery(agent.address, rig.engine, settings_)
             watch.start()
             rig.tasks.start_soon(watch.run)
-            await until(lambda: agent.watches and not rig.engine.ids)  # its time is over
+            await until(lambda: agent.watches and not rig.engine.messages_by_id)  # its time is over
             assert not endpoint.requests
             assert await Client(rig.address).enqueue("status-update", "later") == "+OK\r\n"
             agent.say(len(agent.watches) - 1, told(7, ready) + b"\n", head=True)
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
             assert [r[3]["request-id"] for r in endpoint.requests] == ["later"]
         agent.sock.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -58,7 +58,7 @@
         assert await client.say("PING") == "+PONG\r\n"
         for n in range(4):
             assert await client.enqueue(id_=f"m{n}", body=body) == "+OK\r\n"
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
         assert endpoint.connections == 1
         _, method, target, headers, sent = endpoint.requests[0]
         assert (method, target, sent, headers["idempotency-key"]) == ("POST", "/events", body, "ab12")
@@ -79,7 +79,7 @@
         client = Client(rig.address)
         assert (await client.say(*words)).startswith(answer)
         assert await client.say("ping") == "+PONG\r\n"
-        assert not rig.engine.ids
+        assert not rig.engine.messages_by_id
 
 
 async def test_a_stream_that_cannot_be_followed_hears_why_and_ends(tmp_path):
@@ -94,9 +94,9 @@
 @pytest.mark.parametrize("full", [{"disk_mb": 0.0004}, {"mostHeld": 1}])
 async def test_without_room_the_answer_is_busy_with_a_time_and_nothing_is_owed(tmp_path, full):
     async with engine(tmp_path, **full) as rig:
-        rig.engine.open[0] = None  # one place is taken
+        rig.engine.open_messages[0] = None  # one place is taken
         assert await Client(rig.address).enqueue() == "-BUSY 1000\r\n"
-        assert not rig.engine.ids
+        assert not rig.engine.messages_by_id
 
 
 async def test_a_message_for_a_partner_that_does_not_exist_is_an_error(tmp_path):
@@ -196,7 +196,7 @@
         client = Client(rig.address)
         for _ in range(3):
             assert await client.enqueue(id_="same") == "+OK\r\n"
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
         assert len(endpoint.requests) == 1
 
 
@@ -217,7 +217,7 @@
     async with standing(endpoint) as address, standing(told) as notices:
         async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue()
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
             assert len(endpoint.requests) == payments
             assert [line["state"] for line in told.lines] == ([state] if state else [])
 
@@ -247,7 +247,7 @@
     async with standing(endpoint) as address, standing(told) as notices:
         async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue(for_ms=1500)
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
             assert len(endpoint.requests) == calls
             assert [line["state"] for line in told.lines] == ([state] if state else [])
 
@@ -259,8 +259,8 @@
         client = Client(rig.address)
         for n in range(2):
             await client.enqueue(id_=f"m{n}")
-            await until(lambda: not rig.engine.open)
-        assert endpoint.connections == 2 and rig.engine.ids["m1"].final.state.name == "FAILED"
+            await until(lambda: not rig.engine.open_messages)
+        assert endpoint.connections == 2 and rig.engine.messages_by_id["m1"].final.state.name == "FAILED"
 
 
 async def test_a_wait_told_in_a_spoilt_answer_binds_from_its_head_on(tmp_path):
@@ -344,11 +344,11 @@
         if change == "drain":
             rig.update_endpoints(address, state=EndpointState.DRAINING)
         elif change == "wait":
-            core.told_us[1] = core.clock.now() + 10**9
+            core.retry_after_until_us[1] = core.clock.now() + 10**9
         elif change == "withdrawn":
-            core.withdraw(core.ids["id1"])
+            core.withdraw(core.messages_by_id["id1"])
         else:
-            await until(lambda: core.ids["id1"].final)
+            await until(lambda: core.messages_by_id["id1"].final)
         gate.open.set()
         await until(lambda: not core.attempts)
         assert not endpoint.requests
@@ -373,7 +373,7 @@
     async with standing(endpoint) as address, standing(told) as notices:
         async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue(for_ms=20_000)
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
             first, *_, last = told.requests
             assert first[0] - endpoint.requests[0][0] < 0.1 and last[0] - first[0] < 1
             assert len(told.requests) == 3 and first[4] == last[4]
@@ -397,7 +397,7 @@
     async with standing(endpoint) as address, standing(told) as notices:
         for _ in range(8):
             async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
-                if not rig.engine.ids and not told.lines:
+                if not rig.engine.messages_by_id and not told.lines:
                     await Client(rig.address).enqueue("status-update", for_ms=20_000)
                 before = len(endpoint.requests)
                 await until(lambda before=before: len(endpoint.requests) > before or told.lines)
@@ -410,7 +410,7 @@
         client = Client(rig.address)
         for _ in range(2):
             await client.enqueue()
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
             for connection in list(endpoint.open):
                 connection.sock.shutdown(2)
         assert len(endpoint.requests) == endpoint.connections == 2
@@ -421,7 +421,7 @@
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         await Client(rig.address).enqueue()
-        await until(lambda: not rig.engine.ids and endpoint.open)
+        await until(lambda: not rig.engine.messages_by_id and endpoint.open)
         if how == "drains":
             rig.update_endpoints(address, state=EndpointState.DRAINING)
         else:
@@ -474,20 +474,20 @@
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, coldNs=0) as rig:
         core, client = rig.engine, Client(rig.address)
-        core.sender.settings.slow_start_ns = 0
+        core.policy.settings.slow_start_ns = 0
         for n in range(6):  # each at the address of the one before
             rig.update_endpoints(address, f"s-{n}")
             await client.enqueue(id_=f"m{n}")
-            await until(lambda: not core.ids and endpoint.open)
-            core.told_us[f"s-{n}"] = core.clock.now()
+            await until(lambda: not core.messages_by_id and endpoint.open)
+            core.retry_after_until_us[f"s-{n}"] = core.clock.now()
             rig.update_endpoints(address, f"s-{n}", state=EndpointState.REMOVED)
             await until(lambda: not endpoint.open)
-        core.told_us[1] = waits = core.clock.now() + 10**9
+        core.retry_after_until_us[1] = waits = core.clock.now() + 10**9
         rig.update_endpoints(address, "last")
         await until(lambda: not core.inbox)
-        assert list(core.endpoints) == list(core.sender.endpoints) == ["last"]
-        assert list(core.sender.destinations[1].endpoints) == ["last"]
-        assert core.told_us == {1: waits}  # what still binds is kept
+        assert list(core.endpoints) == list(core.policy.endpoints) == ["last"]
+        assert list(core.policy.destinations[1].endpoints) == ["last"]
+        assert core.retry_after_until_us == {1: waits}  # what still binds is kept
         assert not core.transports["http"].pool.idle and endpoint.connections == 6
 
 
@@ -625,7 +625,7 @@
         post = rig.engine.post
         monkeypatch.setattr(rig.engine, "post", lambda event: (heard.append(event), post(event)))
         await Client(rig.address).enqueue()
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
     assert [event.opened for event in heard if type(event) is AttemptCompleted] == [True, False, False]
 
 
@@ -655,12 +655,12 @@
         watch = Discovery(address, rig.engine, rig.engine.settings)
         rig.tasks.start_soon(watch.run)
         await until(lambda: "s-1" in rig.engine.endpoints)
-        watch.move("127.0.0.1:1")  # nobody is there
+        watch.change_address("127.0.0.1:1")  # nobody is there
         before = len(stays.requests)
         await until(lambda: len(stays.requests) > before + 1)
         moved = HttpStandIn(lambda request: (200, [], news.replace(b"s-1", b"s-2")))
         async with standing(moved) as there:
-            watch.move(there)
+            watch.change_address(there)
             await until(lambda: "s-2" in rig.engine.endpoints)
             before = len(stays.requests)
             await anyio.sleep(0.5)
@@ -703,7 +703,7 @@
     partner = HttpStandIn(answer)
     async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client, turns = Client(rig.address), []
-        found = rig.engine.sender
+        found = rig.engine.policy
         await until(lambda: "s-1" in found.endpoints)
         found.endpoints["s-1"].doubt = 0.4
         handle = found.handle
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -31,11 +31,11 @@
         async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed with the first branch out
             await Client(rig.address).enqueue("booking-change", for_ms=60_000)
             await until(lambda: endpoint.requests)
-            written_us = rig.engine.ids["id1"].in_flight_since_unix_us
+            written_us = rig.engine.messages_by_id["id1"].in_flight_since_unix_us
         async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed after one that surely never ran
             await until(lambda: len(endpoint.requests) == 2 and not rig.engine.attempts)
         async with engine(tmp_path) as rig:
-            t = rig.engine.ids["id1"]
+            t = rig.engine.messages_by_id["id1"]
             assert (t.may_have_run_unix_us, t.attempts) == (written_us, 2)
 
 
@@ -47,7 +47,7 @@
             await Client(rig.address).enqueue("payment")
             await until(lambda: unheard.requests)  # and killed, with the notice out
         async with engine(tmp_path, second, endpoints=[(address,)]) as rig:
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
         assert [r[4] for r in heard.requests] == [unheard.requests[0][4]] and len(endpoint.requests) == 1
 
 
@@ -105,7 +105,7 @@
                 heard += piece
             assert heard == b"-BUSY 2000\r\n"
             assert await idle.read() == b""
-    assert not list(Journal(str(tmp_path), 3_000_000).open())  # neither it nor the half one was taken on
+    assert not list(Journal(str(tmp_path), 3_000_000).recover())  # neither it nor the half one was taken on
 
 
 async def test_the_end_of_the_process_comes_only_after_its_legs_have_seen_their_ends(tmp_path):
@@ -160,7 +160,7 @@
 async def test_sigterm_is_heard_while_another_process_owns_the_folder(tmp_path):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         other = FolderLock(str(tmp_path))
-        assert other.take()
+        assert other.acquire()
         parts = service(tmp_path, platform)
         async with running(parts) as done:
             await until(lambda: parts.signals)
@@ -168,7 +168,7 @@
             with anyio.fail_after(1):
                 await done.wait()
         assert not (tmp_path / "journal").exists()  # it never wrote there
-        other.leave()
+        other.release()
 
 
 async def test_sighup_between_the_reading_of_the_file_and_the_receiver_is_heeded(tmp_path):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -119,7 +119,7 @@
             core.apply_settings(settings.read(new, {}))
             assert (await client.enqueue("payment")).startswith("-ERR unknown class")
             assert await client.enqueue("refund", "new", dest=2) == "+OK\r\n"
-            await until(lambda: not core.ids)
+            await until(lambda: not core.messages_by_id)
         by_id = [r[3]["request-id"] for r in down.requests if r[1] == "POST"]
         assert 1 < by_id.count("old") <= 6 and by_id.count("new") == 1
 
@@ -135,7 +135,7 @@
             rig.update_endpoints(address, state=0)
             assert await Client(rig.address).enqueue("refund", "kept") == "+OK\r\n"
         async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:  # whose settings know no refund
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
     assert len(endpoint.requests) == 1  # an error may have run, and the class must not repeat
 
 
@@ -158,26 +158,26 @@
 def test_each_open_message_keeps_its_rules_over_rewrites_and_restarts(steps):
     with tempfile.TemporaryDirectory() as folder:
         journal, wanted = Journal(folder, 20_000), {}
-        journal.open()
+        journal.recover()
         for n, (step, what) in enumerate(steps, 1):
             if step == "take":
                 t = Message(n, f"id{n}", "c", "", 1, 0, "", 10**15, b"x" * 300, rules=what)
-                journal.taken(t)
+                journal.message_accepted(t)
                 wanted[n] = what
             elif step == "end" and wanted:
                 number = sorted(wanted)[what % len(wanted)]
                 del wanted[number]
-                journal.ended(journal.live[number])
+                journal.message_ended(journal.open_messages[number])
             elif step == "rewrite":
                 journal._rewrite()
             elif step == "fill":  # up to where the next record makes the file too long
-                while journal.size < journal.most - 30 * (what + 1):
-                    journal.banned("e", bool(journal.size % 2))
+                while journal.size_bytes < journal.limit_bytes - 30 * (what + 1):
+                    journal.endpoint_blocked("e", bool(journal.size_bytes % 2))
             elif step == "restart":
                 journal.close()
                 journal = Journal(folder, 20_000)
-                journal.open()
-            assert {n: t.rules for n, t in journal.live.items()} == wanted
+                journal.recover()
+            assert {n: t.rules for n, t in journal.open_messages.items()} == wanted
         journal.close()
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,7 @@
 import pytest
 from standins import Client, HttpStandIn, configuration, host, listener, own_address, standing, until
 
-from pinspread.core import journal
+from pinspread.core import journal_records
 from pinspread.hot_restart import transfer as succession
 from pinspread.sockets import connections as sockets
 
@@ -312,7 +312,7 @@
     async with deployed(tmp_path, clients=2) as (made, ledger):
         await anyio.sleep(0.3)
         with open(tmp_path / "state" / "journal", "ab") as file:
-            file.write(journal._record(bytes([99]) + bytes(8)))
+            file.write(journal_records.frame(bytes([99]) + bytes(8)))
         new = made.start()
         assert await anyio.to_thread.run_sync(new.wait) == 1
         said = (tmp_path / "log1").read_bytes().splitlines()[-1]
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -24,10 +24,10 @@
         self.why, self.open, self.ok = "", anyio.Event(), True
         self.waited = 0
 
-    def barred(self):
+    def blocked_reason(self):
         return self.why
 
-    async def settled(self):
+    async def wait_replicated(self):
         self.waited += 1
         await self.open.wait()
         return self.ok
@@ -36,7 +36,7 @@
 async def test_ok_waits_for_copies_and_so_does_the_first_byte_of_a_branch(tmp_path):
     partner = HttpStandIn()
     async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        copies = rig.engine.copies = ReplicationService()
+        copies = rig.engine.replication = ReplicationService()
         said = []
         async with anyio.create_task_group() as tasks:
 
@@ -47,18 +47,18 @@
             await until(lambda: copies.waited >= 2)  # the answer, and the branch
             await anyio.sleep(0.1)
             assert said == [] and partner.requests == []
-            (held,) = rig.engine.journal.live.values()
+            (held,) = rig.engine.journal.open_messages.values()
             assert held.in_flight_since_unix_us  # the copies hear of the branch before the partner does
             copies.open.set()
         assert said == ["+OK\r\n"]
         await until(lambda: len(partner.requests) == 1)
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
 
 
 async def test_waiting_for_copies_costs_no_attempt_and_is_not_taken_for_the_partners_time(tmp_path):
     partner, ended = HttpStandIn(), []
     async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        copies, handle = ReplicationService(), rig.engine.sender.handle
+        copies, handle = ReplicationService(), rig.engine.policy.handle
 
         def heard(now_ns, events):
             ended.extend(e for e in events if type(e) is AttemptCompleted)
@@ -68,13 +68,13 @@
             with suppress(anyio.EndOfStream):  # a caller does not wait so long
                 await Client(rig.address).enqueue(for_ms=9000)
 
-        rig.engine.copies, rig.engine.sender.handle = copies, heard
+        rig.engine.replication, rig.engine.policy.handle = copies, heard
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(hand_in)
             await until(lambda: copies.waited >= 2)  # the answer, and the branch
             await anyio.sleep(3.5)  # longer than a call may take
             copies.open.set()
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
     (only,) = ended
     assert only.outcome is Outcome.OK and only.elapsed_ns < 1_000_000_000
 
@@ -82,7 +82,7 @@
 async def test_what_is_not_copied_is_neither_promised_nor_sent(tmp_path):
     partner = HttpStandIn()
     async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        copies = rig.engine.copies = ReplicationService()
+        copies = rig.engine.replication = ReplicationService()
         copies.ok = False
         copies.open.set()
         with pytest.raises(anyio.EndOfStream):
@@ -92,19 +92,19 @@
         assert (await Client(rig.address).enqueue(id_="b")).startswith("-BUSY ")
         assert (await Client(rig.address).enqueue(id_="a")).startswith("-BUSY ")  # known, but not promised
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
-        assert "b" not in rig.engine.ids and partner.requests == []
+        assert "b" not in rig.engine.messages_by_id and partner.requests == []
 
 
 async def test_a_notice_waits_for_copies_and_what_was_taken_over_meanwhile_has_none(tmp_path):
     platform = HttpStandIn(lambda request: (204, [], b""))
     async with standing(platform) as heard, engine(tmp_path, platform=heard) as rig:
-        copies = rig.engine.copies = ReplicationService()
+        copies = rig.engine.replication = ReplicationService()
         copies.open.set()
         client = Client(rig.address)
         for id_ in ("kept", "gone"):
             assert await client.enqueue(id_=id_, for_ms=400) == "+OK\r\n"
         copies.why = "the lease of its own work is lost"
-        await until(lambda: all(t.final for t in rig.engine.ids.values()))
+        await until(lambda: all(t.final for t in rig.engine.messages_by_id.values()))
         await anyio.sleep(0.1)
         assert platform.requests == []
         assert rig.engine.release({"gone"}) == 1
@@ -112,12 +112,12 @@
         await until(lambda: platform.lines)
         await anyio.sleep(0.1)
         assert [line["id"] for line in platform.lines] == ["kept"]
-        assert set(rig.engine.journal.past) >= {"gone"} and not rig.engine.ids
+        assert set(rig.engine.journal.finished_ids) >= {"gone"} and not rig.engine.messages_by_id
 
 
 async def test_a_confirm_waits_for_copies_and_never_comes_without_them(tmp_path):
     async with engine(tmp_path) as rig:
-        copies = rig.engine.copies = ReplicationService()
+        copies = rig.engine.replication = ReplicationService()
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1")
         with pytest.raises(TimeoutError), anyio.fail_after(0.2):
