--- /dev/null
+++ b/pinspread/amqp/errors.py
@@ -0,0 +1,51 @@
+"""Breaches of AMQP 0-9-1, with the reply codes of the specification."""
+
+from enum import IntEnum
+
+from pamqp import base
+
+from pinspread.errors import PinspreadError
+
+MAX_REPLY_TEXT = 200  # characters: a short string on the wire holds 255 bytes
+FIRST_CONNECTION_ERROR = 500  # codes from here on close the connection, lower ones only a channel
+
+
+class ReplyCode(IntEnum):
+    """Why a channel or a connection is closed, or a message returned, by the names of the specification."""
+
+    CONTENT_TOO_LARGE = 311
+    CONNECTION_FORCED = 320
+    NOT_FOUND = 404
+    PRECONDITION_FAILED = 406
+    FRAME_ERROR = 501
+    SYNTAX_ERROR = 502
+    COMMAND_INVALID = 503
+    CHANNEL_ERROR = 504
+    UNEXPECTED_FRAME = 505
+    RESOURCE_ERROR = 506
+    NOT_ALLOWED = 530
+    NOT_IMPLEMENTED = 540
+
+
+class AmqpError(PinspreadError):
+    """A breach of the protocol, or a request that cannot be met.
+
+    Attributes:
+        code: The reply code that the other side is told.
+        text: What went wrong, short enough for the wire.
+        class_id: Class of the method that caused it; 0 if none did.
+        method_id: The method within its class; 0 if none did.
+    """
+
+    def __init__(self, code: ReplyCode, text: str, method: base.Frame | None = None):
+        super().__init__(text)
+        self.code = code
+        self.text = text[:MAX_REPLY_TEXT]
+        index = method.index if method is not None else 0
+        self.class_id = index >> 16
+        self.method_id = index & 0xFFFF
+
+    @property
+    def closes_connection(self) -> bool:
+        """Whether the whole connection ends, and not only the channel."""
+        return self.code == ReplyCode.CONNECTION_FORCED or self.code >= FIRST_CONNECTION_ERROR
--- a/pinspread/amqp/frames.py
+++ b/pinspread/amqp/frames.py
@@ -5,34 +5,18 @@
 import anyio
 from pamqp import base, body, commands, exceptions, frame, header, heartbeat
 
+from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.sockets.connections import ReadBuffer
 
-GREETING = b"AMQP\x00\x00\x09\x01"
+PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"
 FRAME_HEAD = struct.Struct(">BHI")
 FRAME_END = 0xCE
 METHOD, HEADER, BODY, HEARTBEAT = 1, 2, 3, 8
-LEAST_FRAME_MAX = 4096
+MIN_FRAME_MAX = 4096
 FRAME_MAX = 65_536
 
-# Reply codes of the specification, by its names.
-CONTENT_TOO_LARGE, CONNECTION_FORCED, NOT_FOUND, PRECONDITION_FAILED = 311, 320, 404, 406
-FRAME_ERROR, SYNTAX_ERROR, COMMAND_INVALID, CHANNEL_ERROR = 501, 502, 503, 504
-UNEXPECTED_FRAME, RESOURCE_ERROR, NOT_ALLOWED, NOT_IMPLEMENTED = 505, 506, 530, 540
 
-
-class AmqpError(Exception):
-    """A breach of the protocol, with the specification's reply code; `hard` ones end the connection."""
-
-    def __init__(self, code: int, text: str, method=None):
-        super().__init__(text)
-        self.code = code
-        self.text = text[:200]
-        self.hard = code == CONNECTION_FORCED or code >= 500
-        index = getattr(method, "index", 0)
-        self.class_id, self.method_id = index >> 16, index & 0xFFFF
-
-
-def parse(view, frame_max=FRAME_MAX):
+def parse_frame(view, frame_max=FRAME_MAX):
     """The frame that a view starts with: channel, frame and length; None if it is not whole.
 
     A body frame comes as the slice of its payload, all others as pamqp's objects.
@@ -41,14 +25,14 @@
         return None
     kind, channel, size = FRAME_HEAD.unpack_from(view)
     if kind not in (METHOD, HEADER, BODY, HEARTBEAT):
-        raise AmqpError(FRAME_ERROR, f"unknown frame type {kind}")
+        raise AmqpError(ReplyCode.FRAME_ERROR, f"unknown frame type {kind}")
     if size + 8 > frame_max:
-        raise AmqpError(FRAME_ERROR, f"a frame of {size + 8} bytes is over {frame_max}")
+        raise AmqpError(ReplyCode.FRAME_ERROR, f"a frame of {size + 8} bytes is over {frame_max}")
     whole = FRAME_HEAD.size + size + 1
     if len(view) < whole:
         return None
     if view[whole - 1] != FRAME_END:
-        raise AmqpError(FRAME_ERROR, "a frame does not end where its length says")
+        raise AmqpError(ReplyCode.FRAME_ERROR, "a frame does not end where its length says")
     payload = view[FRAME_HEAD.size : whole - 1]
     if kind == HEARTBEAT:
         return channel, heartbeat.Heartbeat(), whole
@@ -57,13 +41,13 @@
     try:
         _, _, found = frame.unmarshal(bytes(view[:whole]))
     except exceptions.UnmarshalingException as error:
-        raise AmqpError(SYNTAX_ERROR, f"a frame that cannot be decoded: {error}") from None
+        raise AmqpError(ReplyCode.SYNTAX_ERROR, f"a frame that cannot be decoded: {error}") from None
     except Exception as error:  # pamqp lets others through on hostile input
-        raise AmqpError(SYNTAX_ERROR, f"a malformed frame: {type(error).__name__}") from None
+        raise AmqpError(ReplyCode.SYNTAX_ERROR, f"a malformed frame: {type(error).__name__}") from None
     return channel, found, whole
 
 
-def content(method, properties, data: bytes, channel: int, frame_max=FRAME_MAX) -> bytes:
+def marshal_content(method, properties, data: bytes, channel: int, frame_max=FRAME_MAX) -> bytes:
     """A method with its content, as frames."""
     parts = [
         frame.marshal(method, channel),
@@ -76,7 +60,7 @@
     return b"".join(parts)
 
 
-class Contents:
+class ContentAssembler:
     """Assembles the contents of one channel; oversized ones are read to their end but not kept."""
 
     def __init__(self, most=None):
@@ -93,23 +77,23 @@
         """
         if isinstance(found, base.Frame):
             if self.method is not None:
-                raise AmqpError(UNEXPECTED_FRAME, "a method inside a content", found)
+                raise AmqpError(ReplyCode.UNEXPECTED_FRAME, "a method inside a content", found)
             if found.name not in ("Basic.Publish", "Basic.Return", "Basic.Deliver", "Basic.GetOk"):
                 return found, None, None
             self.method = found
             return None
         if self.method is None:
-            raise AmqpError(UNEXPECTED_FRAME, "a content without its method")
+            raise AmqpError(ReplyCode.UNEXPECTED_FRAME, "a content without its method")
         if isinstance(found, header.ContentHeader):
             if self.header is not None:
-                raise AmqpError(UNEXPECTED_FRAME, "a second content header", self.method)
+                raise AmqpError(ReplyCode.UNEXPECTED_FRAME, "a second content header", self.method)
             self.header = found
             return self._whole()
         if self.header is None:
-            raise AmqpError(UNEXPECTED_FRAME, "a body before its header", self.method)
+            raise AmqpError(ReplyCode.UNEXPECTED_FRAME, "a body before its header", self.method)
         self.size += len(found)
         if self.size > self.header.body_size:
-            raise AmqpError(FRAME_ERROR, "a body longer than its header says", self.method)
+            raise AmqpError(ReplyCode.FRAME_ERROR, "a body longer than its header says", self.method)
         if not self._too_long():
             self.body += found
         return self._whole()
@@ -125,7 +109,7 @@
         return whole
 
 
-class Wire:
+class FrameStream:
     """Frames on one connection: read by one task, written by any."""
 
     def __init__(self, connection, clock):
@@ -147,7 +131,7 @@
 
     async def frame(self):
         """The next frame as (channel, frame); OSError at the end. A body is good until the next call."""
-        while (found := parse(self.buffer.view(), self.frame_max)) is None:
+        while (found := parse_frame(self.buffer.view(), self.frame_max)) is None:
             if not await self.buffer.fill(self.connection):
                 raise ConnectionResetError("the other side has closed")
             self.heard_us = self.clock.now()
@@ -165,7 +149,7 @@
                 return found
             if isinstance(found, commands.Connection.Close):
                 raise ConnectionResetError(f"closed by the other side: {found.reply_text}")
-            raise AmqpError(COMMAND_INVALID, f"expected {' or '.join(names)}", found)
+            raise AmqpError(ReplyCode.COMMAND_INVALID, f"expected {' or '.join(names)}", found)
 
     async def send(self, method, channel=0):
         """Write one method."""
--- a/pinspread/amqp/front.py
+++ b/pinspread/amqp/server.py
@@ -17,14 +17,14 @@
 from pamqp import base, commands, frame, heartbeat
 
 from pinspread.amqp import frames
-from pinspread.amqp.frames import AmqpError
+from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.core.log import log
 from pinspread.core.messages import FinalResult, Message
 from pinspread.errors import RejectedError
 from pinspread.resp import parser as resp
 from pinspread.sockets.connections import ConnectionLimiter, accept_forever
 
-NAME = "amqp"
+FRONT_NAME = "amqp"
 CHANNEL_MAX = 64
 HEARTBEAT_S = 30
 GREET_S = 2.0
@@ -78,25 +78,25 @@
     async def close(self):
         """The process ends: say so on all connections."""
         for session in list(self.sessions):
-            session.post(0, commands.Connection.Close(frames.CONNECTION_FORCED, "shutting down", 0, 0))
+            session.post(0, commands.Connection.Close(ReplyCode.CONNECTION_FORCED, "shutting down", 0, 0))
         await anyio.sleep(0.05)
 
     def queue(self, name):
         """The queue of that name, made at first sight."""
         queue = self.queues.get(name)
         if queue is None:
-            queue = self.queues[name] = EndQueue(name)
+            queue = self.queues[name] = FinalResultQueue(name)
         return queue
 
     async def notify(self, message: Message, final: FinalResult):
         """Queue the end; returns when a consumer has acknowledged it."""
-        end = End(message.id, final)
+        end = PendingResult(message.id, final)
         queue = self.queue(message.reply["to"])
         queue.put(end)
         await end.heard.wait()
 
 
-class End:
+class PendingResult:
     """One final answer on its way to a consumer."""
 
     def __init__(self, id_, final):
@@ -121,7 +121,7 @@
         return properties, orjson.dumps(told)
 
 
-class EndQueue:
+class FinalResultQueue:
     """Ends that wait for a consumer, in order."""
 
     def __init__(self, name):
@@ -184,7 +184,7 @@
     def __init__(self, session, number):
         self.session = session
         self.number = number
-        self.contents = frames.Contents(resp.MOST_BODY)
+        self.contents = frames.ContentAssembler(resp.MOST_BODY)
         self.confirms = False
         self.published = 0
         self.prefetch = 0
@@ -212,7 +212,7 @@
         else:
             tags = [tag] if tag in self.unheard else []
         if not tags and not (multiple and not tag):
-            raise AmqpError(frames.PRECONDITION_FAILED, f"unknown delivery tag {tag}")
+            raise AmqpError(ReplyCode.PRECONDITION_FAILED, f"unknown delivery tag {tag}")
         found = [self.unheard.pop(t) for t in tags]
         for consumer, _ in found:
             consumer.out -= 1
@@ -227,7 +227,7 @@
         self.leg = leg
         self.engine = front.engine
         self.connection = connection
-        self.wire = frames.Wire(connection, front.engine.clock)
+        self.wire = frames.FrameStream(connection, front.engine.clock)
         self.channels = {}
         self.heartbeat_s = front.heartbeat_s
         self.out = bytearray()
@@ -241,7 +241,7 @@
 
     def post_content(self, channel, method, properties, body):
         """Have a method with its content written."""
-        self._post(frames.content(method, properties, body, channel, self.wire.frame_max))
+        self._post(frames.marshal_content(method, properties, body, channel, self.wire.frame_max))
 
     def _post(self, data):
         self.out += data
@@ -292,8 +292,8 @@
         wire = self.wire
         try:
             with anyio.fail_after(GREET_S):
-                if await wire.greeting() != frames.GREETING:
-                    await self.connection.write(frames.GREETING)  # as the specification asks
+                if await wire.greeting() != frames.PROTOCOL_HEADER:
+                    await self.connection.write(frames.PROTOCOL_HEADER)  # as the specification asks
                     return False
                 await wire.send(commands.Connection.Start(0, 9, PROPERTIES, "PLAIN ANONYMOUS", "en_US"))
                 await wire.method("Connection.StartOk")
@@ -302,17 +302,17 @@
                 )
                 tuned = await wire.method("Connection.TuneOk")
                 frame_max = tuned.frame_max or frames.FRAME_MAX
-                if not frames.LEAST_FRAME_MAX <= frame_max <= frames.FRAME_MAX:
-                    raise AmqpError(frames.NOT_ALLOWED, f"frame_max {frame_max}", tuned)
+                if not frames.MIN_FRAME_MAX <= frame_max <= frames.FRAME_MAX:
+                    raise AmqpError(ReplyCode.NOT_ALLOWED, f"frame_max {frame_max}", tuned)
                 wire.frame_max = frame_max
                 self.heartbeat_s = tuned.heartbeat
                 opened = await wire.method("Connection.Open")
                 if opened.virtual_host != "/":
-                    raise AmqpError(frames.NOT_ALLOWED, f"no virtual host {opened.virtual_host!r}", opened)
+                    raise AmqpError(ReplyCode.NOT_ALLOWED, f"no virtual host {opened.virtual_host!r}", opened)
                 await wire.send(commands.Connection.OpenOk())
             return True
         except AmqpError as error:
-            log("malformed", front=NAME, code=error.code, error=error.text)
+            log("malformed", front=FRONT_NAME, code=error.code, error=error.text)
             await self._refuse(error)
         except (OSError, TimeoutError):
             pass
@@ -345,9 +345,9 @@
                 try:
                     self._on_channel(number, found)
                 except AmqpError as error:
-                    if error.hard:
+                    if error.closes_connection:
                         raise
-                    log("malformed", front=NAME, code=error.code, error=error.text)
+                    log("malformed", front=FRONT_NAME, code=error.code, error=error.text)
                     channel = self.channels[number]
                     channel.close()
                     channel.closing = True
@@ -356,7 +356,7 @@
                         commands.Channel.Close(error.code, error.text, error.class_id, error.method_id),
                     )
             except AmqpError as error:
-                log("malformed", front=NAME, code=error.code, error=error.text)
+                log("malformed", front=FRONT_NAME, code=error.code, error=error.text)
                 await self._refuse(error)
                 return
 
@@ -369,18 +369,18 @@
             return False
         if isinstance(found, commands.Connection.CloseOk):
             return False
-        raise AmqpError(frames.COMMAND_INVALID, "not a method of channel 0", found)
+        raise AmqpError(ReplyCode.COMMAND_INVALID, "not a method of channel 0", found)
 
     def _on_channel(self, number, found):
         channel = self.channels.get(number)
         if isinstance(found, commands.Channel.Open):
             if channel is not None or number > CHANNEL_MAX:
-                raise AmqpError(frames.CHANNEL_ERROR, f"channel {number} cannot be opened", found)
+                raise AmqpError(ReplyCode.CHANNEL_ERROR, f"channel {number} cannot be opened", found)
             self.channels[number] = Channel(self, number)
             self.post(number, commands.Channel.OpenOk())
             return
         if channel is None:
-            raise AmqpError(frames.CHANNEL_ERROR, f"channel {number} is not open", found)
+            raise AmqpError(ReplyCode.CHANNEL_ERROR, f"channel {number} is not open", found)
         if channel.closing:
             # Danger: what a client sent before it heard of the close belongs to nothing any more.
             if isinstance(found, commands.Channel.CloseOk | commands.Channel.Close):
@@ -392,13 +392,15 @@
         if not isinstance(found, base.Frame):
             held = sum(len(c.contents.body) for c in self.channels.values())
             if not self.front.room.hold(self.leg, held):
-                raise AmqpError(frames.RESOURCE_ERROR, "no room for more contents", channel.contents.method)
+                raise AmqpError(
+                    ReplyCode.RESOURCE_ERROR, "no room for more contents", channel.contents.method
+                )
         if whole is None:
             return
         method, properties, body = whole
         handle = self._METHODS.get(method.name)
         if handle is None:
-            raise AmqpError(frames.NOT_IMPLEMENTED, f"{method.name} is not offered", method)
+            raise AmqpError(ReplyCode.NOT_IMPLEMENTED, f"{method.name} is not offered", method)
         if method.name == "Basic.Publish":
             self._publish(channel, method, properties, body)
         else:
@@ -426,7 +428,7 @@
     def _declare(self, channel, method):
         name = method.queue or f"amq.gen-{token_hex(8)}"
         if method.passive and name not in self.front.queues:
-            raise AmqpError(frames.NOT_FOUND, f"no queue {name!r}", method)
+            raise AmqpError(ReplyCode.NOT_FOUND, f"no queue {name!r}", method)
         queue = self.front.queue(name)
         if not method.nowait:
             ok = commands.Queue.DeclareOk(name, len(queue.waiting), len(queue.consumers))
@@ -434,10 +436,12 @@
 
     def _consume(self, channel, method):
         if method.no_ack:
-            raise AmqpError(frames.PRECONDITION_FAILED, "ends are kept until acknowledged: no no-ack", method)
+            raise AmqpError(
+                ReplyCode.PRECONDITION_FAILED, "ends are kept until acknowledged: no no-ack", method
+            )
         tag = method.consumer_tag or f"ctag-{token_hex(8)}"
         if tag in channel.consumers:
-            raise AmqpError(frames.NOT_ALLOWED, f"consumer tag {tag!r} is in use", method)
+            raise AmqpError(ReplyCode.NOT_ALLOWED, f"consumer tag {tag!r} is in use", method)
         queue = self.front.queue(method.queue)
         channel.consumers[tag] = consumer = Consumer(channel, tag, queue)
         if not method.nowait:
@@ -468,22 +472,22 @@
     def _publish(self, channel, method, properties, body):
         if not channel.confirms:
             # Danger: without confirms a publisher could not know what was taken on.
-            raise AmqpError(frames.PRECONDITION_FAILED, "publisher confirms are not selected", method)
+            raise AmqpError(ReplyCode.PRECONDITION_FAILED, "publisher confirms are not selected", method)
         if method.exchange:
-            raise AmqpError(frames.NOT_FOUND, f"no exchange {method.exchange!r}", method)
+            raise AmqpError(ReplyCode.NOT_FOUND, f"no exchange {method.exchange!r}", method)
         if body is None:
-            raise AmqpError(frames.CONTENT_TOO_LARGE, f"a body over {resp.MOST_BODY} bytes", method)
+            raise AmqpError(ReplyCode.CONTENT_TOO_LARGE, f"a body over {resp.MOST_BODY} bytes", method)
         channel.published += 1
         tag = channel.published
         try:
             self.engine.accept(self._transaction(properties, body, method))
         except RejectedError as error:
-            log("busy", front=NAME, why=str(error))
+            log("busy", front=FRONT_NAME, why=str(error))
             headers = dict(properties.headers or {})
             headers["after-ms"] = error.retry_after_ms
             properties.headers = headers
             back = commands.Basic.Return(
-                frames.RESOURCE_ERROR, f"BUSY {error.retry_after_ms}", "", method.routing_key
+                ReplyCode.RESOURCE_ERROR, f"BUSY {error.retry_after_ms}", "", method.routing_key
             )
             self.post_content(channel.number, back, properties, body)
             self.post(channel.number, commands.Basic.Nack(tag, False, False))
@@ -517,7 +521,7 @@
             for_ms = resp.number(expiration, "expiration", resp.MOST_FOR_MS)
             key = key_number(str(headers.get("key") or "0"))
         except resp.CommandError as error:
-            raise AmqpError(frames.PRECONDITION_FAILED, str(error), method) from None
+            raise AmqpError(ReplyCode.PRECONDITION_FAILED, str(error), method) from None
         clock = self.engine.clock
         return Message(
             number=0,
@@ -529,7 +533,7 @@
             idempotency_key=idempotency,
             deadline_unix_us=clock.unix(clock.now()) + for_ms * 1000,
             body=body,
-            front=NAME,
+            front=FRONT_NAME,
             reply={"to": properties.reply_to},
         )
 
--- a/pinspread/amqp/broker.py
+++ b/pinspread/amqp/transport.py
@@ -8,6 +8,7 @@
 from pamqp import commands, heartbeat
 
 from pinspread.amqp import frames
+from pinspread.amqp.errors import AmqpError
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
 from pinspread.policy.events import Outcome
@@ -15,24 +16,24 @@
 
 HEARTBEAT_S = 10
 BLOCKED_WAIT_US = 1_000_000  # a broker that blocks publishers tells no time: look again after this
-GUEST = "\0guest\0guest"  # the PLAIN response that the specification's default user has
+GUEST_LOGIN = "\0guest\0guest"  # the PLAIN response that the specification's default user has
 
 
 class BrokerTransport:
     """Publishes branches to brokers."""
 
-    def __init__(self, clock, tasks, dial_us, login=GUEST, heartbeat_s=HEARTBEAT_S):
+    def __init__(self, clock, tasks, dial_us, login=GUEST_LOGIN, heartbeat_s=HEARTBEAT_S):
         self.clock = clock
         self.login = login
         self.tasks = tasks
         self.dial_us = dial_us
         self.heartbeat_s = heartbeat_s
-        self.links = {}  # next hop id -> Link
+        self.links = {}  # next hop id -> BrokerConnection
         self.dialling = {}  # next hop id -> Lock
 
     async def send(self, attempt: Attempt) -> AttemptResult:
         """Publish once and wait for the confirm."""
-        waiter = _Waiter()
+        waiter = PendingConfirm()
         try:
             with anyio.move_on_after(self._seconds_to(attempt.ends_us())):
                 link = await self._link(attempt.endpoint)
@@ -46,7 +47,7 @@
             if not waiter.tried and link is not None and not link.lost:
                 return AttemptResult(Outcome.OVERLOADED, BLOCKED_WAIT_US, note="the broker blocks publishers")
             return AttemptResult(Outcome.CONNECT_FAILED, note="not written in time")
-        except (OSError, TimeoutError, frames.AmqpError) as error:
+        except (OSError, TimeoutError, AmqpError) as error:
             verdict = Outcome.RESET if waiter.written else Outcome.CONNECT_FAILED
             return AttemptResult(verdict, note=str(error))
 
@@ -57,7 +58,7 @@
             return AttemptResult(Outcome.NOT_SENT, note=why)
         try:
             link = await self._link(endpoint)
-        except (OSError, TimeoutError, frames.AmqpError) as error:
+        except (OSError, TimeoutError, AmqpError) as error:
             return AttemptResult(Outcome.CONNECT_FAILED, note=str(error))
         return AttemptResult(Outcome.OK if link.unblocked.is_set() else Outcome.OVERLOADED)
 
@@ -89,7 +90,7 @@
             with anyio.fail_after(self.dial_us / 1_000_000):
                 connection = await dial(endpoint.address)
                 try:
-                    link = Link(endpoint, connection, self.clock)
+                    link = BrokerConnection(endpoint, connection, self.clock)
                     await link.greet(self.login, self.heartbeat_s)
                 except BaseException:
                     connection.close()
@@ -99,7 +100,7 @@
             return link
 
 
-class _Waiter:
+class PendingConfirm:
     """A publish that waits for its confirm."""
 
     __slots__ = ("done", "id", "outcome", "returned", "tried", "written")
@@ -118,7 +119,7 @@
             self.done.set()
 
 
-class Link:
+class BrokerConnection:
     """One connection to a broker, with one channel in confirm mode."""
 
     def __init__(self, endpoint, connection, clock):
@@ -126,8 +127,8 @@
         self.route = endpoint.route
         self.endpoint = endpoint.id
         self.clock = clock
-        self.wire = frames.Wire(connection, clock)
-        self.waiters = {}  # delivery tag -> _Waiter
+        self.wire = frames.FrameStream(connection, clock)
+        self.waiters = {}  # delivery tag -> PendingConfirm
         self.published = 0
         self.lost = ""
         self.gone = False  # not listed any more
@@ -138,7 +139,7 @@
     async def greet(self, login, heartbeat_s):
         """Open the connection and a channel in confirm mode."""
         wire = self.wire
-        await wire.connection.write(frames.GREETING)
+        await wire.connection.write(frames.PROTOCOL_HEADER)
         await wire.method("Connection.Start")
         capabilities = {"connection.blocked": True, "publisher_confirms": True, "basic.nack": True}
         properties = {"product": "pinspread", "capabilities": capabilities}
@@ -202,7 +203,7 @@
         method = commands.Basic.Publish(
             0, self.route.get("exchange", ""), self.route.get("routing_key", f"partner.{t.dest}"), True
         )
-        return frames.content(method, properties, t.body, 1, self.wire.frame_max)
+        return frames.marshal_content(method, properties, t.body, 1, self.wire.frame_max)
 
     # --- what the broker says ---------------------------------------------------------------------
 
@@ -224,7 +225,7 @@
         scope.cancel()
 
     async def _follow(self):
-        contents = frames.Contents()
+        contents = frames.ContentAssembler()
         while not self.lost:
             try:
                 channel, found = await self.wire.frame()
@@ -236,7 +237,7 @@
                 whole = contents.feed(found)
                 if whole is not None:
                     await self._on_channel(*whole)
-            except (OSError, frames.AmqpError) as error:
+            except (OSError, AmqpError) as error:
                 self.drop(str(error))
 
     async def _on_connection(self, found):
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -8,9 +8,9 @@
 
 import anyio
 
-from pinspread.amqp.broker import GUEST, BrokerTransport
-from pinspread.amqp.front import NAME as AMQP
-from pinspread.amqp.front import AmqpFront
+from pinspread.amqp.server import FRONT_NAME as AMQP
+from pinspread.amqp.server import AmqpFront
+from pinspread.amqp.transport import GUEST_LOGIN, BrokerTransport
 from pinspread.config import settings
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
@@ -36,7 +36,7 @@
     amqp: settings.AmqpFile,
     reread,
     discover=None,
-    login=GUEST,
+    login=GUEST_LOGIN,
     companions=(),
     early=(),
 ):
--- a/pinspread/testbed/stand_ins.py
+++ b/pinspread/testbed/stand_ins.py
@@ -129,12 +129,12 @@
 
     def __init__(self, wire):
         self.wire = wire
-        self.contents = frames.Contents()
+        self.contents = frames.ContentAssembler()
 
     @classmethod
     async def open(cls, address, confirms=True):
-        self = cls(frames.Wire(await sockets.dial(address), Clock()))
-        await self.wire.connection.write(frames.GREETING)
+        self = cls(frames.FrameStream(await sockets.dial(address), Clock()))
+        await self.wire.connection.write(frames.PROTOCOL_HEADER)
         await self.wire.method("Connection.Start")
         await self.wire.send(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"))
         await self.wire.method("Connection.Tune")
@@ -167,7 +167,7 @@
             headers=told, message_id=id_, expiration=str(for_ms), reply_to="ends"
         )
         method = commands.Basic.Publish(0, exchange, "partner", False)
-        await self.wire.write(frames.content(method, properties, body, 1, 4096))
+        await self.wire.write(frames.marshal_content(method, properties, body, 1, 4096))
 
     async def consume(self, queue="ends", prefetch=0):
         """Consume ends."""
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -12,8 +12,8 @@
 from pamqp import base, commands, frame
 
 from pinspread.amqp import frames
-from pinspread.amqp.broker import BrokerTransport
-from pinspread.amqp.front import AmqpFront
+from pinspread.amqp.server import AmqpFront
+from pinspread.amqp.transport import BrokerTransport
 from pinspread.config import settings
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
@@ -125,9 +125,9 @@
             await wire.send(method)
 
     async def serve(self, connection):
-        wire = frames.Wire(connection, Clock())
+        wire = frames.FrameStream(connection, Clock())
         try:
-            if await wire.greeting() != frames.GREETING:
+            if await wire.greeting() != frames.PROTOCOL_HEADER:
                 return
             await wire.send(commands.Connection.Start(0, 9, {}, "PLAIN", "en_US"))
             self.logins.add((await wire.method("Connection.StartOk")).response)
@@ -140,7 +140,7 @@
             await wire.method("Confirm.Select")
             await wire.send(commands.Confirm.SelectOk(), 1)
             self.links.add(wire)
-            contents, tag = frames.Contents(), 0
+            contents, tag = frames.ContentAssembler(), 0
             while True:
                 await self.reading.wait()
                 channel, found = await wire.frame()
@@ -163,7 +163,7 @@
         todo = self.plan(self, properties.message_id)
         if todo == "return":
             back = commands.Basic.Return(312, "NO_ROUTE", "", method.routing_key)
-            await wire.write(frames.content(back, properties, body, 1))
+            await wire.write(frames.marshal_content(back, properties, body, 1))
         elif todo != "lose":
             self.effects.append(properties.message_id)
         if todo == "nack":
--- a/tests/test_amqp_bytes.py
+++ b/tests/test_amqp_bytes.py
@@ -1,8 +1,8 @@
 """What AMQP clients and brokers see on the wire, byte for byte as recorded before the code was renamed.
 
 Each session is a script that plays one side on a real socket. `tests/data/amqp/SESSION.json` holds the bytes
-of both sides in their order, in hexadecimal, and what the program made of them. Running this file as a program
-with names of sessions records these: that is for new sessions only.
+of both sides in their order, in hexadecimal, and what the program made of them. Running this file as a
+program with names of sessions records these: that is for new sessions only.
 """
 
 import json
@@ -18,7 +18,7 @@
 from pamqp import base, body, commands, frame, header
 from standins import engine, listener, until
 
-from pinspread.amqp.broker import BrokerTransport
+from pinspread.amqp.transport import BrokerTransport
 from pinspread.core.messages import Attempt, Endpoint, FinalResult, FinalState, Message
 
 DATA = Path(__file__).parent / "data" / "amqp"
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -6,6 +6,7 @@
 from standins import AmqpClient, Client, HttpStandIn, engine, malformed, standing, until
 
 from pinspread.amqp import frames
+from pinspread.amqp.errors import ReplyCode
 from pinspread.sockets.connections import dial
 
 pytestmark = pytest.mark.anyio
@@ -88,22 +89,22 @@
 @pytest.mark.parametrize(
     ("send", "code"),
     [
-        (lambda c: c.publish("m1", cls="nonsense"), frames.PRECONDITION_FAILED),
-        (lambda c: c.publish("m 1"), frames.PRECONDITION_FAILED),
-        (lambda c: c.publish("m1", for_ms="soon"), frames.PRECONDITION_FAILED),
-        (lambda c: c.publish("m1", dest="x"), frames.PRECONDITION_FAILED),
-        (lambda c: c.publish("m1", exchange="no such"), frames.NOT_FOUND),
-        (lambda c: c.publish("m1", body=b"x" * 65537), frames.CONTENT_TOO_LARGE),
+        (lambda c: c.publish("m1", cls="nonsense"), ReplyCode.PRECONDITION_FAILED),
+        (lambda c: c.publish("m 1"), ReplyCode.PRECONDITION_FAILED),
+        (lambda c: c.publish("m1", for_ms="soon"), ReplyCode.PRECONDITION_FAILED),
+        (lambda c: c.publish("m1", dest="x"), ReplyCode.PRECONDITION_FAILED),
+        (lambda c: c.publish("m1", exchange="no such"), ReplyCode.NOT_FOUND),
+        (lambda c: c.publish("m1", body=b"x" * 65537), ReplyCode.CONTENT_TOO_LARGE),
         (lambda c: c.wire.send(commands.Basic.Consume(0, "q", "t", no_ack=True), 1), 406),
-        (lambda c: c.wire.send(commands.Basic.Ack(7), 1), frames.PRECONDITION_FAILED),
-        (lambda c: c.wire.send(commands.Queue.Declare(0, "q", passive=True), 1), frames.NOT_FOUND),
-        (lambda c: c.wire.send(commands.Tx.Select(), 1), frames.NOT_IMPLEMENTED),
-        (lambda c: c.wire.send(commands.Basic.Ack(1), 5), frames.CHANNEL_ERROR),
-        (lambda c: c.wire.send(commands.Channel.Open(), 1), frames.CHANNEL_ERROR),
-        (lambda c: c.wire.write(malformed(b"\0\0\0\0")), frames.SYNTAX_ERROR),
-        (lambda c: c.wire.write(b"\x09\0\1\0\0\0\0\xce"), frames.FRAME_ERROR),
-        (lambda c: c.wire.write(b"\x01\0\1\x0f\0\0\0"), frames.FRAME_ERROR),
-        (lambda c: c.wire.write(frames.FRAME_HEAD.pack(3, 1, 1) + b"x\xce"), frames.UNEXPECTED_FRAME),
+        (lambda c: c.wire.send(commands.Basic.Ack(7), 1), ReplyCode.PRECONDITION_FAILED),
+        (lambda c: c.wire.send(commands.Queue.Declare(0, "q", passive=True), 1), ReplyCode.NOT_FOUND),
+        (lambda c: c.wire.send(commands.Tx.Select(), 1), ReplyCode.NOT_IMPLEMENTED),
+        (lambda c: c.wire.send(commands.Basic.Ack(1), 5), ReplyCode.CHANNEL_ERROR),
+        (lambda c: c.wire.send(commands.Channel.Open(), 1), ReplyCode.CHANNEL_ERROR),
+        (lambda c: c.wire.write(malformed(b"\0\0\0\0")), ReplyCode.SYNTAX_ERROR),
+        (lambda c: c.wire.write(b"\x09\0\1\0\0\0\0\xce"), ReplyCode.FRAME_ERROR),
+        (lambda c: c.wire.write(b"\x01\0\1\x0f\0\0\0"), ReplyCode.FRAME_ERROR),
+        (lambda c: c.wire.write(frames.FRAME_HEAD.pack(3, 1, 1) + b"x\xce"), ReplyCode.UNEXPECTED_FRAME),
     ],
 )
 async def test_errors_have_the_specifications_reply_codes_and_nothing_is_taken(tmp_path, send, code):
@@ -125,14 +126,14 @@
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp, confirms=False)
         await client.publish("m1")
-        assert (await client.next())[0].reply_code == frames.PRECONDITION_FAILED
+        assert (await client.next())[0].reply_code == ReplyCode.PRECONDITION_FAILED
 
 
 async def test_a_client_hears_that_the_process_ends(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await rig.engine.fronts["amqp"].close()
-        assert (await client.next())[0].reply_code == frames.CONNECTION_FORCED
+        assert (await client.next())[0].reply_code == ReplyCode.CONNECTION_FORCED
 
 
 async def test_another_protocol_hears_the_greeting(tmp_path):
@@ -140,18 +141,18 @@
         host, port = rig.amqp.split(":")
         stream = await anyio.connect_tcp(host, int(port))
         await stream.send(b"AMQP\0\1\0\0")
-        assert await stream.receive() == frames.GREETING
+        assert await stream.receive() == frames.PROTOCOL_HEADER
 
 
 async def test_a_silent_client_is_dropped_and_a_beating_one_kept(tmp_path):
     async with engine(tmp_path) as rig:
         rig.engine.fronts["amqp"].heartbeat_s = 1
         client = await AmqpClient.open(rig.amqp)  # it chose no heartbeats
-        beating = frames.Wire(client.wire.connection, client.wire.clock)
+        beating = frames.FrameStream(client.wire.connection, client.wire.clock)
         with anyio.move_on_after(0.2):
             await beating.frame()
-        wire = frames.Wire(await dial(rig.amqp), rig.engine.clock)
-        await wire.connection.write(frames.GREETING)
+        wire = frames.FrameStream(await dial(rig.amqp), rig.engine.clock)
+        await wire.connection.write(frames.PROTOCOL_HEADER)
         await wire.method("Connection.Start")
         await wire.send(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"))
         await wire.method("Connection.Tune")
@@ -206,10 +207,10 @@
 
 
 async def test_a_silent_client_is_closed_in_time_and_one_that_does_not_read_is_ended(tmp_path, monkeypatch):
-    from pinspread.amqp import front
+    from pinspread.amqp import server
 
-    monkeypatch.setattr(front, "GREET_S", 0.2)
-    monkeypatch.setattr(front, "MOST_UNSENT", 100_000)
+    monkeypatch.setattr(server, "GREET_S", 0.2)
+    monkeypatch.setattr(server, "MOST_UNSENT", 100_000)
     async with engine(tmp_path) as rig:
         silent = await dial(rig.amqp)
         with anyio.fail_after(1):
@@ -228,19 +229,21 @@
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1", dest=2)
         method, _, _ = await client.next()
-        assert isinstance(method, commands.Channel.Close) and method.reply_code == frames.PRECONDITION_FAILED
+        assert (
+            isinstance(method, commands.Channel.Close) and method.reply_code == ReplyCode.PRECONDITION_FAILED
+        )
 
 
 async def test_contents_that_are_never_whole_share_a_bound_of_memory(tmp_path):
     async with engine(tmp_path, leg_bytes=10_000) as rig:
         client = await AmqpClient.open(rig.amqp)
-        whole = frames.content(
+        whole = frames.marshal_content(
             commands.Basic.Publish(0, "", "p", False), commands.Basic.Properties(), b"x" * 60_000, 1, 4096
         )
         await client.wire.write(whole[:-100])
         with anyio.fail_after(2):
             method, _, _ = await client.next()
-        assert isinstance(method, commands.Connection.Close) and method.reply_code == frames.RESOURCE_ERROR
+        assert isinstance(method, commands.Connection.Close) and method.reply_code == ReplyCode.RESOURCE_ERROR
 
 
 async def test_queues_that_hold_nothing_and_serve_nobody_are_forgotten(tmp_path):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -6,6 +6,7 @@
 from pamqp import commands
 
 from pinspread.amqp import frames
+from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.config import settings
 from pinspread.http import transport as http
 from pinspread.http.transport import retry_after_us
@@ -123,17 +124,17 @@
 @pytest.mark.parametrize(
     ("data", "code"),
     [
-        (b"\x07\0\0\0\0\0\0\xce", frames.FRAME_ERROR),
-        (b"\x01\0\0\0\2\0\0", frames.FRAME_ERROR),
-        (b"\x03\0\1\0\0\0\1xx", frames.FRAME_ERROR),
-        (b"\x01\0\0\0\0\0\0\xce", frames.SYNTAX_ERROR),
-        (b"\x01\0\0\0\0\0\4\0\x0a\0\x0b\xce", frames.SYNTAX_ERROR),
-        (b"\x02\0\0\0\0\0\4\0\x3c\0\0\xce", frames.SYNTAX_ERROR),
+        (b"\x07\0\0\0\0\0\0\xce", ReplyCode.FRAME_ERROR),
+        (b"\x01\0\0\0\2\0\0", ReplyCode.FRAME_ERROR),
+        (b"\x03\0\1\0\0\0\1xx", ReplyCode.FRAME_ERROR),
+        (b"\x01\0\0\0\0\0\0\xce", ReplyCode.SYNTAX_ERROR),
+        (b"\x01\0\0\0\0\0\4\0\x0a\0\x0b\xce", ReplyCode.SYNTAX_ERROR),
+        (b"\x02\0\0\0\0\0\4\0\x3c\0\0\xce", ReplyCode.SYNTAX_ERROR),
     ],
 )
 def test_a_frame_that_breaks_the_protocol_has_its_code(data, code):
-    with pytest.raises(frames.AmqpError) as caught:
-        frames.parse(memoryview(data))
+    with pytest.raises(AmqpError) as caught:
+        frames.parse_frame(memoryview(data))
     assert caught.value.code == code
 
 
@@ -153,16 +154,16 @@
 def test_mutated_bytes_raise_nothing_but_what_the_fronts_expect(seed):
     chance = random.Random(seed)
     properties = commands.Basic.Properties(headers={"class": "payment", "dest": 1}, message_id="m1")
-    publish = frames.content(commands.Basic.Publish(0, "", "x", True), properties, b"body", 1)
+    publish = frames.marshal_content(commands.Basic.Publish(0, "", "x", True), properties, b"body", 1)
     for _ in range(2000):
         for data, parse, expected in (
             (command(b"ENQUEUE", b"0", b"id", GOOD, b"x"), resp.parse, resp.ProtocolError),
-            (publish, frames.parse, frames.AmqpError),
+            (publish, frames.parse_frame, AmqpError),
         ):
             data = bytearray(data)
             for _ in range(chance.randrange(1, 4)):
                 data[chance.randrange(len(data))] = chance.randrange(256)
-            view, contents = memoryview(data), frames.Contents(100)
+            view, contents = memoryview(data), frames.ContentAssembler(100)
             try:
                 while len(view) and (found := parse(view)) and found[0] is not None:
                     if parse is resp.parse:
@@ -176,10 +177,10 @@
 
 def test_a_returned_end_and_its_body_are_assembled_from_split_frames():
     method = commands.Basic.Return(312, "NO_ROUTE", "", "x")
-    data = frames.content(method, commands.Basic.Properties(message_id="m"), b"y" * 9000, 1, 4096)
-    view, contents, found = memoryview(data), frames.Contents(), None
+    data = frames.marshal_content(method, commands.Basic.Properties(message_id="m"), b"y" * 9000, 1, 4096)
+    view, contents, found = memoryview(data), frames.ContentAssembler(), None
     while len(view):
-        _, what, size = frames.parse(view, 4096)
+        _, what, size = frames.parse_frame(view, 4096)
         found = contents.feed(what)
         view = view[size:]
     assert found[0].reply_code == 312 and found[1].message_id == "m" and found[2] == b"y" * 9000
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -9,7 +9,7 @@
 from standins import Client, HttpStandIn, configuration, engine, listener, own_address, standing, until
 
 from pinspread import service as platform_module
-from pinspread.amqp.broker import GUEST
+from pinspread.amqp.transport import GUEST_LOGIN
 from pinspread.config import settings
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
@@ -54,7 +54,9 @@
 def service(folder, platform, **more):
     """The parts of a process, in this one; `leaving` stands for SIGTERM."""
     told = settings.read(configuration(folder) | {"listen": own_address(), "discovery": platform}, {})
-    return Service(told, settings.AmqpFile(), lambda last: pytest.fail("no SIGHUP"), None, GUEST, **more)
+    return Service(
+        told, settings.AmqpFile(), lambda last: pytest.fail("no SIGHUP"), None, GUEST_LOGIN, **more
+    )
 
 
 @asynccontextmanager
