--- a/pinspread/amqp/frames.py
+++ b/pinspread/amqp/frames.py
@@ -6,7 +6,7 @@
 from pamqp import base, body, commands, exceptions, frame, header, heartbeat
 
 from pinspread.amqp.errors import AmqpError, ReplyCode
-from pinspread.sockets.connections import ReadBuffer
+from pinspread.sockets import ReadBuffer
 
 PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"
 FRAME_HEAD = struct.Struct(">BHI")
--- a/pinspread/config/application.py
+++ b/pinspread/config/application.py
@@ -10,7 +10,7 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, ValidationError
 
 from pinspread.config import settings
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 SECOND = 1_000_000_000
 
@@ -210,7 +210,7 @@
         from pinspread.replication import service as copying
 
         us = 1_000_000
-        return copying.Plan(
+        return copying.ReplicationConfig(
             self.listen,
             self.folder or os.path.join(folder, "copies"),
             self.count,
--- a/pinspread/membership/service.py
+++ b/pinspread/membership/service.py
@@ -15,7 +15,7 @@
 from pinspread.core.log import log
 from pinspread.membership import codec as wire
 from pinspread.membership import seeds, swim
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 MOST_WAIT_S = 0.05  # a turn at least this often, whatever is due
 SEEDS_S = 1.0  # between questions for seeds by DNS-SD, while this member knows nobody
@@ -67,7 +67,7 @@
     async def before_recovery(self):
         """Nothing that is owed depends on it."""
 
-    async def part(self):
+    async def close(self):
         """Likewise."""
 
     def view(self) -> dict:
@@ -124,7 +124,7 @@
                     continue
                 await self._send(self.member.heard(message, now), now)
 
-    async def leave(self):
+    async def announce_departure(self):
         """Say that we leave, as SIGTERM asks."""
         if self.sock is None:
             return
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -19,6 +19,7 @@
 import orjson
 from standins import Client, HttpStandIn, configuration, host, own_address, standing, until
 
+from pinspread import sockets
 from pinspread.admin import server as admin
 from pinspread.config import settings
 from pinspread.core.messages import AttemptResult
@@ -30,7 +31,6 @@
 from pinspread.policy.events import EndpointState, Outcome
 from pinspread.replication.service import ReplicationService
 from pinspread.simulation import losses, trace
-from pinspread.sockets import connections as sockets
 
 DATA = Path(__file__).parent / "data" / "stored"
 
@@ -78,7 +78,7 @@
 
     names = {"members": Membership.name, "leases": Leases.name, "copies": ReplicationService.name}
     views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
-    return admin.AdminServer(EndpointAdmin(), companions=views)
+    return admin.AdminServer(EndpointAdmin(), background_services=views)
 
 
 def members_view():
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -7,7 +7,7 @@
 
 from pinspread.amqp import frames
 from pinspread.amqp.errors import ReplyCode
-from pinspread.sockets.connections import dial
+from pinspread.sockets import dial
 
 pytestmark = pytest.mark.anyio
 
