--- a/pinspread/admin/server.py
+++ b/pinspread/admin/server.py
@@ -38,22 +38,22 @@
 
     # --- the room that `accept_forever` asks: never full, the oldest gives way -----------------------
 
-    def make(self) -> bool:
+    def admit(self) -> bool:
         """Room for another: whoever has been silent longest gives way."""
         # Danger: hundreds of callers that say nothing would keep the staff out. A true call is there to be
         # read with its connection, many accepts before its turn to give way.
         if len(self.callers) >= self.most:
             oldest = next(iter(self.callers))
             del self.callers[oldest]
-            oldest.end()
+            oldest.shutdown()
         return True
 
-    def enter(self, connection):
+    def add(self, connection):
         """Another caller."""
         self.callers[connection] = True
         return connection
 
-    def leave(self, connection):
+    def remove(self, connection):
         """It has ended."""
         self.callers.pop(connection, None)
 
@@ -78,7 +78,7 @@
             if status >= 400:
                 log("admin_refused", status=status, why=text)
             await connection.write(_response(status, text))
-            await connection.part()
+            await connection.linger()
         except OSError:
             pass  # the caller is gone
         except Exception as error:
--- a/pinspread/amqp/broker.py
+++ b/pinspread/amqp/broker.py
@@ -160,7 +160,7 @@
         async with self.wire.lock:
             if self.lost:
                 raise ConnectionError(self.lost)
-            if not self.wire.connection.quiet() and self.wire.connection.ended():
+            if not self.wire.connection.is_idle() and self.wire.connection.is_finished():
                 self.drop("closed by the broker")
                 raise ConnectionError(self.lost)
             if not self.unblocked.is_set():
@@ -173,7 +173,7 @@
             self.waiters[self.published] = waiter
             connection = self.wire.connection
             data = self._publish(attempt)
-            connection.left = len(data)
+            connection.unsent_bytes = len(data)
             try:
                 await connection.write(data)
             except BaseException:
@@ -181,7 +181,7 @@
                 self.drop("a publish was cut short")
                 raise
             finally:
-                waiter.written = not connection.left
+                waiter.written = not connection.unsent_bytes
         await waiter.done.wait()
         return waiter.outcome
 
--- a/pinspread/amqp/front.py
+++ b/pinspread/amqp/front.py
@@ -249,7 +249,7 @@
         if len(self.out) > MOST_UNSENT:
             # Danger: a client that does not read would have all its answers kept in memory.
             log("amqp_lost", error="the client does not read")
-            self.connection.end()
+            self.connection.shutdown()
 
     async def _flush(self):
         while True:
@@ -266,7 +266,7 @@
         try:
             if not await self._greet():
                 return
-            self.leg.kept = True  # heartbeats tell when the client is gone
+            self.leg.has_heartbeat = True  # heartbeats tell when the client is gone
             async with anyio.create_task_group() as tasks:
                 for work in (self._guard(self._flush), self._guard(self.wire.beat, self.heartbeat_s)):
                     tasks.start_soon(work, tasks.cancel_scope)
@@ -391,7 +391,7 @@
         whole = channel.contents.feed(found)
         if not isinstance(found, base.Frame):
             held = sum(len(c.contents.body) for c in self.channels.values())
-            if not self.front.room.hold(self.leg, held):
+            if not self.front.room.reserve(self.leg, held):
                 raise AmqpError(frames.RESOURCE_ERROR, "no room for more contents", channel.contents.method)
         if whole is None:
             return
--- a/pinspread/hot_restart/transfer.py
+++ b/pinspread/hot_restart/transfer.py
@@ -30,6 +30,8 @@
 from pinspread.sockets import Connection, IdleConnection
 
 NAME = "handover"  # of the socket, in the folder that lasts
+# What the packet between processes calls the fields of an IdleConnection.
+CONNECTION_FIELDS = {"spoke": "answered", "asked": "submitted", "errors": "errors"}
 HELLO, NO, LEAVE, STATE, LEG, IDLE, SOCKET, YOURS, TAKEN, ENDED, HEED, PROBED, BAN, BANNED = range(14)
 PACKET = 32 * 1024
 MOST_PIECES = 2048  # of one message: 64 MB
@@ -293,7 +295,8 @@
         head, _, rest = data.partition(b"\n")
         told = orjson.loads(head)
         size = told.pop("unread")
-        found.legs.append(IdleConnection(_adopted(fd), unread=rest[:size], unsent=rest[size:], **told))
+        fields = {CONNECTION_FIELDS[name]: value for name, value in told.items()}
+        found.legs.append(IdleConnection(_adopted(fd), unread=rest[:size], unsent=rest[size:], **fields))
     elif kind == IDLE and fd is not None:
         found.idle.append((*orjson.loads(data), _adopted(fd)))
     elif kind == SOCKET and fd is not None:
@@ -310,7 +313,8 @@
         return Connection(sock)
     except OSError:  # its other side has reset it: that shows at the first use
         connection = Connection.__new__(Connection)
-        connection.sock, connection.left, connection.idle_us, connection.over = sock, 0, 0, False
+        connection.sock, connection.unsent_bytes = sock, 0
+        connection.idle_since_us, connection.finished = 0, False
         return connection
 
 
@@ -535,7 +539,8 @@
     async def _give(self, link, given):
         await link.send(STATE, given["blob"])
         for kept in given["legs"]:
-            told = {n: getattr(kept, n) for n in ("spoke", "asked", "errors")} | {"unread": len(kept.unread)}
+            told = {name: getattr(kept, field) for name, field in CONNECTION_FIELDS.items()}
+            told["unread"] = len(kept.unread)
             data = orjson.dumps(told) + b"\n" + kept.unread + kept.unsent
             await link.send(LEG, data, kept.connection.sock.fileno())
         for id_, address, idle_us, connection in given["idle"]:
--- a/pinspread/http/transport.py
+++ b/pinspread/http/transport.py
@@ -158,9 +158,9 @@
         kept = self.idle.get(endpoint.id, [])
         while kept:
             address, connection = kept.pop()
-            fresh = self.clock.now() - connection.idle_us < self.most_idle_us
+            fresh = self.clock.now() - connection.idle_since_us < self.most_idle_us
             # Danger: written to a connection that the other side has closed, a call counts as lost.
-            if fresh and address == endpoint.address and connection.quiet():
+            if fresh and address == endpoint.address and connection.is_idle():
                 return connection
             connection.close()
         return None
@@ -170,7 +170,7 @@
         if not endpoint.usable:
             connection.close()  # nothing more goes there
             return
-        connection.idle_us = self.clock.now()
+        connection.idle_since_us = self.clock.now()
         self.idle.setdefault(endpoint.id, []).append((endpoint.address, connection))
 
     def disconnect(self, endpoint: Endpoint):
@@ -181,12 +181,12 @@
     def part(self):
         """Give up all that is idle: (next hop's id, address, since when, connection) each."""
         given, self.idle = self.idle, {}
-        return [(id_, a, c.idle_us, c) for id_, kept in given.items() for a, c in kept]
+        return [(id_, a, c.idle_since_us, c) for id_, kept in given.items() for a, c in kept]
 
     def adopt(self, given):
         """Take over what another process has kept idle."""
         for id_, address, idle_us, connection in given:
-            connection.idle_us = idle_us
+            connection.idle_since_us = idle_us
             self.idle.setdefault(id_, []).append((address, connection))
 
     def sweep(self):
@@ -195,7 +195,7 @@
         for id_, kept in list(self.idle.items()):
             good = []
             for address, connection in kept:
-                if now_us - connection.idle_us < self.most_idle_us and connection.quiet():
+                if now_us - connection.idle_since_us < self.most_idle_us and connection.is_idle():
                     good.append((address, connection))
                 else:
                     connection.close()
@@ -263,12 +263,12 @@
         """A connection that is quiet, from the pool or new."""
         state.connection = self.pool.take(endpoint)
         if state.connection is not None:
-            state.idle_us = self.clock.now() - state.connection.idle_us
+            state.idle_us = self.clock.now() - state.connection.idle_since_us
         if state.connection is None:
             with anyio.fail_after(self.dial_us / 1_000_000):
                 state.connection = await dial(endpoint.address)
             state.opened = True
-            if not state.connection.quiet():
+            if not state.connection.is_idle():
                 raise OSError("closed by the next hop before the call")
 
     async def _call(self, state, attempt):
--- a/pinspread/resp/front.py
+++ b/pinspread/resp/front.py
@@ -15,7 +15,7 @@
     ReadBuffer,
     accept_forever,
     dial,
-    in_room,
+    serve_counted,
 )
 
 NAME = "resp"
@@ -52,7 +52,7 @@
         async with anyio.create_task_group() as tasks:
             self.scope = tasks.cancel_scope
             for kept in legs:
-                tasks.start_soon(in_room, self.room, self.serve, kept.connection, kept)
+                tasks.start_soon(serve_counted, self.room, self.serve, kept.connection, kept)
             with anyio.CancelScope() as self.accepting:
                 await accept_forever(sock, tasks, self.serve, self.room)
         self.over.set()
@@ -67,17 +67,17 @@
             await anyio.sleep(0)  # newcomers that wait are accepted, and heard
             self.accepting.cancel()
             self.sock.close()  # who comes now is refused, and nobody waits in its queue
-            legs = {leg.connection: leg for leg in self.room.legs.values() if not leg.kept}
+            legs = {leg.connection: leg for leg in self.room.clients.values() if not leg.has_heartbeat}
             while legs:
                 for connection, leg in list(legs.items()):
-                    if connection not in self.room.legs:
+                    if connection not in self.room.clients:
                         del legs[connection]
-                    elif not leg.half and connection.quiet():
-                        connection.finish()
+                    elif not leg.mid_command and connection.is_idle():
+                        connection.send_eof()
                         del legs[connection]
                 await anyio.sleep(0.005)
         with anyio.move_on_after(CLOSE_S):
-            while any(not leg.kept for leg in self.room.legs.values()):
+            while any(not leg.has_heartbeat for leg in self.room.clients.values()):
                 await anyio.sleep(0.005)
 
     async def part(self) -> list:
@@ -90,14 +90,19 @@
 
     async def serve(self, connection, leg, kept=None):
         """One caller leg."""
-        buffer = ReadBuffer(lambda size: self.room.hold(leg, size))
-        leg.word = b"-ERR no whole command in time\r\n"
+        buffer = ReadBuffer(lambda size: self.room.reserve(leg, size))
+        leg.timeout_reply = b"-ERR no whole command in time\r\n"
         errors, answers, follow = 0, b"", True
         need = 1
         try:
             if kept:
-                leg.spoke, leg.asked, errors, answers = kept.spoke, kept.asked, kept.errors, kept.unsent
-                buffer.put(kept.unread)
+                leg.answered, leg.submitted, errors, answers = (
+                    kept.answered,
+                    kept.submitted,
+                    kept.errors,
+                    kept.unsent,
+                )
+                buffer.preload(kept.unread)
                 await connection.write(answers)
             while buffer.end > buffer.start and kept or await buffer.fill(connection):
                 kept = None
@@ -109,7 +114,7 @@
                         if TAKEN in answers and not await self.engine.wait_committed():
                             # Danger: BUSY would say that nothing was taken on, OK that it is safe; neither is
                             # known. A client that hears nothing hands the same id in again.
-                            await connection.part()
+                            await connection.linger()
                             return
                         await connection.write(answers)
                     errors += wrong
@@ -120,19 +125,21 @@
                     else:
                         await anyio.lowlevel.checkpoint()  # hundreds of commands at once: others in turn
                 if not follow:
-                    await connection.part()
+                    await connection.linger()
                     return
         except ConnectionRefusedError as error:
             log("malformed", error=str(error))
-            connection.say(b"-BUSY 1000\r\n")
-            await connection.part()
+            connection.try_write(b"-BUSY 1000\r\n")
+            await connection.linger()
         except OSError:
             pass  # the client is gone
         except anyio.get_cancelled_exc_class():
             if follow and self.kept is not None:
-                unsent = bytes(answers[len(answers) - connection.left :])
+                unsent = bytes(answers[len(answers) - connection.unsent_bytes :])
                 unread = bytes(buffer.view())
-                self.kept.append(IdleConnection(connection, leg.spoke, leg.asked, errors, unread, unsent))
+                self.kept.append(
+                    IdleConnection(connection, leg.answered, leg.submitted, errors, unread, unsent)
+                )
                 connection = None
             raise
         except Exception as error:
@@ -155,9 +162,9 @@
             try:
                 arguments, size = resp.parse(buffer.view())
                 if arguments is None:
-                    leg.begun(self.engine.clock.now())
+                    leg.command_begun(self.engine.clock.now())
                     return True, size, wrong
-                self.room.hold(leg, 0)
+                self.room.reserve(leg, 0)
                 good, answer = self._command(connection, leg, arguments)
                 answers += answer
                 buffer.consume(size)
@@ -166,7 +173,7 @@
                 answers += _error(error)
                 return False, 1, wrong + 1
             if good:
-                leg.spoken(self.engine.clock.now())
+                leg.command_answered(self.engine.clock.now())
             else:
                 wrong += 1
         return True, 1, wrong
@@ -177,7 +184,7 @@
         try:
             if name == b"ENQUEUE":
                 answer = self._enqueue(connection, *resp.enqueue(arguments))
-                leg.asked = True
+                leg.submitted = True
                 return True, answer
             if name == b"PING" and sum(map(len, arguments)) < MOST_PING:
                 return True, b"+PONG\r\n" if len(arguments) == 1 else _bulk(arguments[1])
@@ -195,7 +202,7 @@
         unknown = engine.unknown(cls, tenant, options["dest"])
         if unknown:
             raise resp.CommandError(unknown)
-        if connection.ended():
+        if connection.is_finished():
             # Danger: a client that has stopped waiting hands the message in again under another id.
             raise RejectedError(0, "the caller has gone")
         engine.accept(
@@ -273,7 +280,7 @@
     async def _post(self, body):
         """The status of the answer; 0 if none came."""
         address = self.address
-        reused = self.connection is not None and self.connected_to == address and self.connection.quiet()
+        reused = self.connection is not None and self.connected_to == address and self.connection.is_idle()
         try:
             with anyio.fail_after(NOTICE_S):
                 if not reused:
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -294,7 +294,7 @@
 
 def _chosen(legs, most):
     """As many legs as may be open twice for a moment; others end, first those that wait for nothing."""
-    legs.sort(key=lambda kept: (not (kept.unread or kept.unsent), not kept.asked, not kept.spoke))
+    legs.sort(key=lambda kept: (not (kept.unread or kept.unsent), not kept.submitted, not kept.answered))
     for kept in legs[most:]:
         kept.connection.close()
     return legs[:most]
--- a/pinspread/sockets/__init__.py
+++ b/pinspread/sockets/__init__.py
@@ -3,8 +3,8 @@
 from pinspread.sockets.address import split_address
 from pinspread.sockets.connection import Connection, dial
 from pinspread.sockets.idle import IdleConnection
-from pinspread.sockets.limiter import ClientConnection, ConnectionLimiter, in_room
-from pinspread.sockets.listener import accept_forever, listen
+from pinspread.sockets.limiter import ClientConnection, ConnectionLimiter
+from pinspread.sockets.listener import Limiter, accept_forever, listen, serve_counted
 from pinspread.sockets.read_buffer import ReadBuffer
 
 __all__ = [
@@ -12,10 +12,11 @@
     "Connection",
     "ConnectionLimiter",
     "IdleConnection",
+    "Limiter",
     "ReadBuffer",
     "accept_forever",
     "dial",
-    "in_room",
     "listen",
+    "serve_counted",
     "split_address",
 ]
--- a/pinspread/sockets/address.py
+++ b/pinspread/sockets/address.py
@@ -1,8 +1,12 @@
-"""Addresses of the form host:port."""
+"""Network addresses in the form `host:port`."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """host:port as a pair."""
+    """Split an address into host and port.
+
+    Raises:
+        ValueError: The text is not of the form `host:port`.
+    """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"not host:port: {address!r}")
--- a/pinspread/sockets/connection.py
+++ b/pinspread/sockets/connection.py
@@ -1,88 +1,106 @@
-"""Non-blocking TCP on anyio's readiness calls: it is known at each moment how much has been written."""
+"""Non-blocking TCP connections on anyio's readiness calls.
 
+Streams of higher levels buffer what is written. Here it is known at each moment how many bytes the kernel has
+taken, which tells whether a request that broke off can have reached the other side.
+"""
+
+import contextlib
 import errno
 import socket
+from collections.abc import Awaitable, Callable
+from typing import TypeVar
 
 import anyio
 import anyio.lowlevel
 
 from pinspread.sockets.address import split_address
 
-READ_SIZE = 1 << 16
-PART_S = 3.0
-
+READ_SIZE = 1 << 16  # bytes that are read at once
+LINGER_S = 3.0  # how long the other side may take to end a connection that was shut down here
 
-async def dial(address: str) -> "Connection":
-    """Open a connection; OSError if that fails."""
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    try:
-        sock.setblocking(False)
-        code = sock.connect_ex(split_address(address))
-        if code == errno.EINPROGRESS:
-            await anyio.wait_writable(sock)
-            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if code:
-            raise OSError(code, errno.errorcode.get(code, "connect failed"))
-        return Connection(sock)
-    except BaseException:
-        sock.close()
-        raise
+_Received = TypeVar("_Received", int, bytes)
+_discarded = memoryview(bytearray(READ_SIZE))  # where bytes go that nobody reads
 
 
 class Connection:
-    """One TCP connection, used by one task at a time."""
+    """One TCP connection, used by one task at a time.
 
-    __slots__ = ("idle_us", "left", "over", "sock")
+    Attributes:
+        sock: The socket.
+        unsent_bytes: How many bytes of the current write the kernel has not taken yet.
+        idle_since_us: Since when a pool has kept it, in microseconds on the monotonic clock.
+        finished: This side has ended the stream: nothing that is read from now on can be answered.
+    """
 
-    def __init__(self, sock):
+    __slots__ = ("finished", "idle_since_us", "sock", "unsent_bytes")
+
+    def __init__(self, sock: socket.socket) -> None:
+        """Take over a connected socket.
+
+        Raises:
+            OSError: The other side has reset it already.
+        """
         self.sock = sock
-        self.left = 0  # bytes of the current write that the kernel has not taken yet
-        self.idle_us = 0  # since when a pool keeps it
-        self.over = False  # this side has said its end: nothing that is read from now on can be answered
+        self.unsent_bytes = 0
+        self.idle_since_us = 0
+        self.finished = False
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    async def write(self, data):
-        """Write it all; `left` tells at each moment how much is still to go."""
+    async def write(self, data: bytes | bytearray | memoryview) -> None:
+        """Write all of it; `unsent_bytes` tells at each moment how much is still to go.
+
+        Raises:
+            OSError: The connection is broken.
+        """
         view = memoryview(data)
-        self.left = len(view)
-        while self.left:
+        self.unsent_bytes = len(view)
+        while self.unsent_bytes:
             try:
-                self.left -= self.sock.send(view[len(view) - self.left :])
+                self.unsent_bytes -= self.sock.send(view[len(view) - self.unsent_bytes :])
             except BlockingIOError:
-                await self._ready(anyio.wait_writable)
+                await self._wait(anyio.wait_writable)
 
-    async def _ready(self, wait):
+    async def _wait(self, wait: Callable[[socket.socket], Awaitable[None]]) -> None:
         try:
             await wait(self.sock)
         except anyio.ClosedResourceError:
             raise ConnectionResetError("closed by another task") from None
 
-    async def read_into(self, room) -> int:
-        """Read what is there into a writable slice; 0 at the end."""
-        return await self._receive(self.sock.recv_into, room)
+    async def read_into(self, target: memoryview) -> int:
+        """Read what is there into a writable slice; 0 at the end of the stream.
+
+        Raises:
+            OSError: The connection is broken.
+        """
+        return await self._receive(self.sock.recv_into, target)
 
     async def read(self) -> bytes:
-        """Read what is there; empty at the end."""
+        """Read what is there; empty at the end of the stream.
+
+        Raises:
+            OSError: The connection is broken.
+        """
         return await self._receive(self.sock.recv, READ_SIZE)
 
-    async def _receive(self, receive, what):
+    async def _receive(self, receive: Callable[..., _Received], argument: memoryview | int) -> _Received:
         waited = False
         while True:
             try:
-                got = receive(what)
+                received = receive(argument)
             except BlockingIOError:
-                await self._ready(anyio.wait_readable)
+                await self._wait(anyio.wait_readable)
                 waited = True
                 continue
             if not waited:
-                # Danger: who always finds data would hold the loop, and all others wait for its turn. What
-                # has been read must not be lost where the task is cancelled, for it may go to a next process.
+                # A connection that always has data would hold the event loop, so others get their turn here.
+                # The checkpoint is shielded: what was read would be lost with a cancelled task, though it may
+                # have to go to the next process.
                 await anyio.lowlevel.cancel_shielded_checkpoint()
-            return got
+            return received
 
-    def quiet(self) -> bool:
-        """Whether the other side has neither closed nor sent anything."""
+    def is_idle(self) -> bool:
+        """Whether the other side has neither closed nor sent anything that is still unread."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -91,11 +109,11 @@
             return False
         return False
 
-    def ended(self) -> bool:
-        """Whether the other side has closed, and nothing of it is left to read; or this side has."""
-        # Danger: bytes that came in the moment of our own end are read behind it. What they ask for could be
-        # taken on and never answered, and its client hands it in a second time.
-        if self.over:
+    def is_finished(self) -> bool:
+        """Whether this side has ended the stream, or the other has and nothing of it is left to read."""
+        # Bytes that came in the moment of our own end are read after it. What they ask for could be accepted
+        # and never answered, and its client would submit it a second time.
+        if self.finished:
             return True
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
@@ -104,44 +122,63 @@
         except OSError:
             return True
 
-    def finish(self):
-        """Say that nothing more will come; what the other side still sends is read as before."""
-        self.over = True
-        try:
+    def send_eof(self) -> None:
+        """End the stream in this direction; what the other side still sends can be read as before."""
+        self.finished = True
+        with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:
-            pass
 
-    def say(self, data):
-        """Write a short last word if the other side takes it at once."""
-        try:
+    def try_write(self, data: bytes) -> None:
+        """Write a short last reply if the kernel takes it at once; otherwise it is lost."""
+        with contextlib.suppress(OSError):
             self.sock.send(data)
-        except OSError:
-            pass
 
-    async def part(self):
-        """After a last word: read what still comes, until the other side has ended or for a while."""
-        # Danger: a connection closed over unread bytes is reset, and the last word is lost with it.
-        try:
+    async def linger(self) -> None:
+        """After a last reply: end the stream and discard what still comes, until the other side ends too.
+
+        It takes `LINGER_S` seconds at the most. Closed over unread bytes, a connection is reset, and the last
+        reply is lost with it.
+        """
+        with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
-            with anyio.move_on_after(PART_S):
-                while await self.read_into(_scratch):
+            with anyio.move_on_after(LINGER_S):
+                while await self.read_into(_discarded):
                     pass
-        except OSError:
-            pass
 
-    def end(self):
-        """End it under a task that may be waiting for it: that one sees the other side's end, and closes."""
-        # Danger: closed here, its number goes to another socket before that task has left its wait, and the
-        # task takes the other one's wait away with its own: a call there would never see its answer.
-        self.over = True
-        try:
+    def shutdown(self) -> None:
+        """End both directions under a task that may be waiting: it sees the end of the stream, and closes."""
+        # Closed here, the descriptor's number would go to another socket before that task has left its wait.
+        # The task would take the other one's wait away with its own: a call there never saw its response.
+        self.finished = True
+        with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
-        except OSError:
-            pass
 
-    def close(self):
+    def close(self) -> None:
+        """Close the socket. No task may be waiting for it."""
         self.sock.close()
 
 
-_scratch = memoryview(bytearray(READ_SIZE))
+async def dial(address: str) -> Connection:
+    """Open a connection to `host:port`.
+
+    Raises:
+        OSError: The connection could not be opened.
+        ValueError: The address is not of the form `host:port`.
+    """
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    try:
+        sock.setblocking(False)
+        await _connect(sock, split_address(address))
+        return Connection(sock)
+    except BaseException:
+        sock.close()
+        raise
+
+
+async def _connect(sock: socket.socket, host_and_port: tuple[str, int]) -> None:
+    code = sock.connect_ex(host_and_port)
+    if code == errno.EINPROGRESS:
+        await anyio.wait_writable(sock)
+        code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    if code:
+        raise OSError(code, errno.errorcode.get(code, "connect failed"))
--- a/pinspread/sockets/limiter.py
+++ b/pinspread/sockets/limiter.py
@@ -1,135 +1,188 @@
-"""How many client connections may be open at once, and which give way."""
+"""How many client connections may be open, how much memory they may use, and which have to give way."""
+
+from collections.abc import Collection
 
 import anyio
 
+from pinspread.core.clock import Clock
 from pinspread.core.log import log
+from pinspread.sockets.connection import Connection
 
-FIRST_US = 2_200_000  # for a first command, or the rest of a begun one; a caller leg is owed an end in 3 s
-SILENT_US = 100_000  # after which one whose turn it is to speak gives way to newcomers, if it must
-IDLE_US = 2_000_000  # before which one that has handed messages in is the last to give way
-LONG_IDLE_US = 2_100_000  # after which it is closed though there is room
-SWEEP_S = 0.25
+COMMAND_TIMEOUT_US = (
+    2_200_000  # for a first command, or the rest of a begun one: clients are owed an end in 3 s
+)
+SILENCE_US = 100_000  # after which a connection whose turn it is gives way to new ones, if one must
+SUBMITTER_GRACE_US = (
+    2_000_000  # idle time before which one that has submitted messages is the last to give way
+)
+IDLE_TIMEOUT_US = 2_100_000  # after which an idle connection is closed though the limit is not reached
+SWEEP_INTERVAL_S = 0.25
 
 
 class ClientConnection:
-    """What the room knows of one caller leg."""
-
-    __slots__ = ("asked", "bytes", "connection", "half", "kept", "since_us", "spoke", "word")
-
-    def __init__(self, connection, now_us):
+    """What the limiter knows of one client connection.
+
+    Attributes:
+        connection: The connection itself.
+        waiting_since_us: Since when the limiter waits for its next command, or for the rest of a begun one.
+        answered: A command of it has been answered without an error.
+        submitted: It has submitted a message.
+        mid_command: A command has begun and is not complete.
+        has_heartbeat: Its protocol notices when the client has gone: it is never closed for being idle.
+        reserved_bytes: Memory reserved for it beyond what each connection has.
+        timeout_reply: The last reply to a client that does not send a complete command in time.
+    """
+
+    __slots__ = (
+        "answered",
+        "connection",
+        "has_heartbeat",
+        "mid_command",
+        "reserved_bytes",
+        "submitted",
+        "timeout_reply",
+        "waiting_since_us",
+    )
+
+    def __init__(self, connection: Connection, now_us: int) -> None:
         self.connection = connection
-        self.since_us = now_us  # since when it waits for its next command, or that for its rest
-        self.spoke = False  # whether a command of it has been answered well
-        self.asked = False  # whether it has handed a message in
-        self.half = False  # whether a command has begun and is not whole
-        self.kept = False  # its protocol tells by itself when the other side is gone
-        self.bytes = 0  # held for it beyond what each leg has
-        self.word = b""  # the last word if it does not say a whole command in time
-
-    def begun(self, now_us):
-        """A command has begun and is not whole; a first one counts from the leg's own begin."""
-        if self.spoke and not self.half:
-            self.since_us = now_us
-        self.half = True
-
-    def spoken(self, now_us):
-        """A command was answered well."""
-        self.spoke, self.half = True, False
-        self.since_us = now_us
+        self.waiting_since_us = now_us
+        self.answered = False
+        self.submitted = False
+        self.mid_command = False
+        self.has_heartbeat = False
+        self.reserved_bytes = 0
+        self.timeout_reply = b""
+
+    @property
+    def between_commands(self) -> bool:
+        """Whether its last command was answered and no other has begun."""
+        return self.answered and not self.mid_command
+
+    def command_begun(self, now_us: int) -> None:
+        """Note that a command has begun and is not complete; a first one counts from the start."""
+        if self.between_commands:
+            self.waiting_since_us = now_us
+        self.mid_command = True
+
+    def command_answered(self, now_us: int) -> None:
+        """Note that a command was answered without an error."""
+        self.answered, self.mid_command = True, False
+        self.waiting_since_us = now_us
 
 
 class ConnectionLimiter:
-    """How many caller legs the fronts may hold together, and how many bytes for them."""
+    """The limit that all listeners for clients share.
+
+    Args:
+        clock: The clock of the process.
+        max_clients: How many client connections may be open together.
+        max_bytes: How many bytes may be reserved for them together.
+    """
 
-    def __init__(self, clock, most=512, most_bytes=8 << 20):
+    def __init__(self, clock: Clock, max_clients: int = 512, max_bytes: int = 8 << 20) -> None:
         self.clock = clock
-        self.resize(most, most_bytes)
-        self.bytes = 0
-        self.legs = {}  # connection -> Leg, in the order in which they came
-
-    def resize(self, most, most_bytes):
-        """Other limits count from now on; legs that are over them give way as usual."""
-        self.most = most
-        self.most_asked = most * 2 // 5  # legs that hand messages in: a quarter of the descriptors
-        self.most_bytes = most_bytes
-
-    def enter(self, connection):
-        """Another caller leg."""
-        leg = self.legs[connection] = ClientConnection(connection, self.clock.now())
-        return leg
-
-    def leave(self, leg):
-        """It has ended."""
-        self.hold(leg, 0)
-        self.legs.pop(leg.connection, None)
-
-    def hold(self, leg, size) -> bool:
-        """Have that many bytes held for a leg; false if there is no room for more."""
-        more = size - leg.bytes
-        # Danger: hundreds of commands that are never finished would take all memory.
-        if more > 0 and self.bytes + more > self.most_bytes:
+        self.reserved_bytes = 0
+        self.clients: dict[Connection, ClientConnection] = {}  # in the order in which they came
+        self.resize(max_clients, max_bytes)
+
+    def resize(self, max_clients: int, max_bytes: int) -> None:
+        """Apply other limits from now on; connections beyond them give way as usual."""
+        self.max_clients = max_clients
+        self.max_submitters = max_clients * 2 // 5  # that submit messages: a quarter of the descriptors
+        self.max_bytes = max_bytes
+
+    def add(self, connection: Connection) -> ClientConnection:
+        """Count another client connection."""
+        client = self.clients[connection] = ClientConnection(connection, self.clock.now())
+        return client
+
+    def remove(self, client: ClientConnection) -> None:
+        """Stop counting a connection, which has ended, and free what was reserved for it."""
+        self.reserve(client, 0)
+        self.clients.pop(client.connection, None)
+
+    def reserve(self, client: ClientConnection, size: int) -> bool:
+        """Set how many bytes are reserved for a client; false, and no change, if that is beyond the limit.
+
+        Without a common limit, hundreds of commands that are never finished would take all memory.
+        """
+        additional = size - client.reserved_bytes
+        if additional > 0 and self.reserved_bytes + additional > self.max_bytes:
             return False
-        self.bytes += more
-        leg.bytes = size
+        self.reserved_bytes += additional
+        client.reserved_bytes = size
         return True
 
-    def make(self) -> bool:
-        """Whether there is room for another leg; one that serves nobody gives way."""
-        legs = self.legs.values()
-        if len(legs) < self.most_asked:
+    def admit(self) -> bool:
+        """Whether another connection may be accepted; an idle one is closed for it where that is needed."""
+        clients = self.clients.values()
+        if len(clients) < self.max_submitters:
             return True
-        # Danger: callers that say nothing, or asked once and stay, would keep the usual ones out. Those may
-        # hold a third of the descriptors: at that they can open no more, and their requests fail unseen.
-        now_us = self.clock.now()
-        asked = [leg for leg in legs if leg.asked]
-        full = len(legs) >= self.most
-        if len(asked) < self.most_asked and not full:
+        # Clients that send nothing, or submitted once and stay, would keep the usual ones out. The usual ones
+        # may hold a third of the descriptors: at that they can open no more, and their requests fail unseen.
+        submitters = [client for client in clients if client.submitted]
+        full = len(clients) >= self.max_clients
+        if len(submitters) < self.max_submitters and not full:
             return True
-        spare = asked if len(asked) >= self.most_asked else legs
-        idle = [leg for leg in spare if not leg.kept and now_us - leg.since_us > SILENT_US]
-        # First those that never handed anything in, then those that have waited longest for their turn.
+        candidates = submitters if len(submitters) >= self.max_submitters else clients
+        return self._close_one(candidates) or not full
+
+    def _close_one(self, candidates: Collection[ClientConnection]) -> bool:
+        """Close the connection that can best be spared; false if none can.
+
+        Connections that never submitted anything go first, then those that have waited longest.
+        """
+        now_us = self.clock.now()
+
+        def rank(client: ClientConnection) -> tuple[bool, int]:
+            in_use = client.submitted and now_us - client.waiting_since_us < SUBMITTER_GRACE_US
+            return in_use, client.waiting_since_us
+
+        idle = [c for c in candidates if not c.has_heartbeat and now_us - c.waiting_since_us > SILENCE_US]
         while idle:
-            leg = min(idle, key=lambda leg: (leg.asked and now_us - leg.since_us < IDLE_US, leg.since_us))
-            if leg.connection.quiet():
-                self._end(leg, "room for others")
+            client = min(idle, key=rank)
+            if client.connection.is_idle():
+                self._close(client, "limit reached")
                 return True
-            idle.remove(leg)
-        return not full
+            idle.remove(client)
+        return False
 
-    def sweep(self):
-        """End the legs that keep what they began waiting, or have been idle for long."""
+    def close_overdue(self) -> None:
+        """Close connections that leave a command unfinished, or have been idle, for too long."""
         now_us = self.clock.now()
-        for leg in list(self.legs.values()):
-            if leg.kept:
-                continue
-            idle = leg.spoke and not leg.half
-            # Danger: its command is there already, and the loop was late; ended now, it would have no answer.
-            # Who always has bytes unread and never a whole command is ended all the same, a little later.
-            late = idle or now_us - leg.since_us < FIRST_US + int(2 * SWEEP_S * 1_000_000)
-            if late and not leg.connection.quiet():
+        for client in list(self.clients.values()):
+            if client.has_heartbeat or not self._is_overdue(client, now_us):
                 continue
-            if now_us - leg.since_us > (LONG_IDLE_US if idle else FIRST_US):
-                # Danger: a command that was half sent, or never begun, is owed an answer or a close in time.
-                if leg.word and not idle:
-                    leg.connection.say(leg.word)
-                self._end(leg, "idle" if idle else "no command")
-
-    def _end(self, leg, why):
-        log("leg_ended", why=why, legs=len(self.legs), spoke=leg.spoke, asked=leg.asked)
-        self.legs.pop(leg.connection, None)
-        leg.connection.end()
-
-    async def run(self):
-        """Sweep until cancelled."""
+            # A command that was sent in part, or never begun, is owed a reply or a close in time.
+            if client.timeout_reply and not client.between_commands:
+                client.connection.try_write(client.timeout_reply)
+            self._close(client, "idle" if client.between_commands else "no command in time")
+
+    def _is_overdue(self, client: ClientConnection, now_us: int) -> bool:
+        waited_us = now_us - client.waiting_since_us
+        idle = client.between_commands
+        # Bytes that are there unread may be its command, where the event loop was late: closed now, it would
+        # have no answer. A client that always has bytes unread and never a complete command is closed all the
+        # same, two sweeps later.
+        excused = idle or waited_us < COMMAND_TIMEOUT_US + int(2 * SWEEP_INTERVAL_S * 1_000_000)
+        if excused and not client.connection.is_idle():
+            return False
+        return waited_us > (IDLE_TIMEOUT_US if idle else COMMAND_TIMEOUT_US)
+
+    def _close(self, client: ClientConnection, reason: str) -> None:
+        log(
+            "client_connection_closed",
+            reason=reason,
+            open=len(self.clients),
+            answered=client.answered,
+            submitted=client.submitted,
+        )
+        self.clients.pop(client.connection, None)
+        client.connection.shutdown()
+
+    async def run(self) -> None:
+        """Close overdue connections until cancelled."""
         while True:
-            await anyio.sleep(SWEEP_S)
-            self.sweep()
-
-
-async def in_room(room, serve, connection, *more):
-    """Serve a connection that counts as long as it is served."""
-    leg = room.enter(connection)
-    try:
-        await serve(connection, leg, *more)
-    finally:
-        room.leave(leg)
+            await anyio.sleep(SWEEP_INTERVAL_S)
+            self.close_overdue()
--- a/pinspread/sockets/read_buffer.py
+++ b/pinspread/sockets/read_buffer.py
@@ -1,48 +1,70 @@
-"""A buffer of what has been read from a connection and is not consumed yet."""
+"""The buffer between a connection and the parser of its protocol."""
 
-LEAST_BUFFER = 1 << 13
+from collections.abc import Callable
+
+from pinspread.sockets.connection import Connection
+
+MIN_SIZE = 1 << 13  # bytes; also what an empty buffer shrinks to
+MIN_FREE = MIN_SIZE // 4  # bytes; with less behind what is in the buffer, it is moved or grown before a read
 
 
 class ReadBuffer:
-    """Bytes read and not yet consumed; slices of it are good until the next read."""
+    """Bytes that were read and are not consumed yet. Slices of it are valid until the next read.
+
+    Args:
+        reserve: Asked for the new size in bytes before the buffer grows; false if it may not.
 
-    def __init__(self, hold=None):
-        self.data = bytearray(LEAST_BUFFER)
+    Attributes:
+        start: Where the unconsumed bytes begin in `data`.
+        end: Where they end.
+    """
+
+    def __init__(self, reserve: Callable[[int], bool] | None = None) -> None:
+        self.data = bytearray(MIN_SIZE)
         self.start = self.end = 0
-        self.hold = hold or (lambda size: True)  # asked before it grows; ConnectionRefusedError if it may not
+        self.reserve = reserve or (lambda size: True)
 
     def view(self) -> memoryview:
-        """What is to be parsed."""
+        """Return the unconsumed bytes."""
         return memoryview(self.data)[self.start : self.end]
 
-    def put(self, data: bytes):
-        """Have bytes in it that were read elsewhere."""
-        self.data = bytearray(max(LEAST_BUFFER, 2 * len(data)))
+    def preload(self, data: bytes) -> None:
+        """Start with bytes that were read by another process."""
+        self.data = bytearray(max(MIN_SIZE, 2 * len(data)))
         self.data[: len(data)] = data
         self.start, self.end = 0, len(data)
 
-    def consume(self, size: int):
-        """Done with that much of the view."""
+    def consume(self, size: int) -> None:
+        """Drop so many bytes from the start of the view."""
         self.start += size
         if self.start == self.end:
             self.start = self.end = 0
 
-    def room(self) -> memoryview:
-        """A writable slice behind what is held, made larger or moved to the front where it is short."""
-        if not self.end and len(self.data) > LEAST_BUFFER:
-            self.data = bytearray(LEAST_BUFFER)
-        if len(self.data) - self.end < LEAST_BUFFER // 4:
-            held = bytes(self.view())
-            if len(held) > len(self.data) // 2:
-                if not self.hold(2 * len(self.data)):
+    def writable(self) -> memoryview:
+        """Return the free part behind the unconsumed bytes, grown or moved to the front where it is short.
+
+        Raises:
+            ConnectionRefusedError: The buffer would have to grow and may not.
+        """
+        if not self.end and len(self.data) > MIN_SIZE:
+            self.data = bytearray(MIN_SIZE)
+        if len(self.data) - self.end < MIN_FREE:
+            unconsumed = bytes(self.view())
+            if len(unconsumed) > len(self.data) // 2:
+                if not self.reserve(2 * len(self.data)):
                     raise ConnectionRefusedError("no room for more of it")
                 self.data = bytearray(2 * len(self.data))
-            self.data[: len(held)] = held
-            self.start, self.end = 0, len(held)
+            self.data[: len(unconsumed)] = unconsumed
+            self.start, self.end = 0, len(unconsumed)
         return memoryview(self.data)[self.end :]
 
-    async def fill(self, connection) -> bool:
-        """Read once; false at the end."""
-        got = await connection.read_into(self.room())
-        self.end += got
-        return got > 0
+    async def fill(self, connection: Connection) -> bool:
+        """Read once from the connection; false at the end of the stream.
+
+        Raises:
+            ConnectionRefusedError: The buffer would have to grow and may not.
+            OSError: The connection is broken.
+        """
+        size = await connection.read_into(self.writable())
+        self.end += size
+        return size > 0
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -184,7 +184,9 @@
         elif fd is not None:
             os.close(fd)
     told = {"idle": [list(i[:3]) for i in found.idle], "sockets": list(found.sockets)}
-    told["legs"] = [[k.spoke, k.asked, k.errors, k.unread.decode(), k.unsent.decode()] for k in found.legs]
+    told["legs"] = [
+        [k.answered, k.submitted, k.errors, k.unread.decode(), k.unsent.decode()] for k in found.legs
+    ]
     found.close()
     return told
 
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -94,7 +94,7 @@
         broker.reading = anyio.Event()
         for n in range(2, 9):  # more than what fits into the sockets while nobody reads
             await client.enqueue(id_=f"p{n}", body=b"x" * 65_536)
-        await until(lambda: link.wire.connection.left)
+        await until(lambda: link.wire.connection.unsent_bytes)
         cut = link.waiters[max(link.waiters)].id[0]
         broker.kill()
         broker.reading.set()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -292,11 +292,11 @@
         await leg.write(b"*1\r\n$4\r\nPING\r\n")
         assert await leg.read() == b"+PONG\r\n"
         room = rig.engine.fronts["resp"].room
-        (ours,) = room.legs.values()
+        (ours,) = room.clients.values()
         body = b"x" * 6000  # two of them: the second is still unread when the first is parsed
         command = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm%d\r\n$31\r\nc=payment,t=north,d=5000,dest=1\r\n"
         leg.sock.send(b"".join(command % n + b"$6000\r\n" + body + b"\r\n" for n in (1, 2)))
-        room._end(ours, "idle")  # they came in this moment, and are read behind it
+        room._close(ours, "idle")  # they came in this moment, and are read behind it
         with suppress(ConnectionResetError):
             assert await leg.read() == b""
         await until(lambda: ours.connection.sock.fileno() < 0)  # all of it has been read
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -119,7 +119,7 @@
 
 
 async def test_newcomers_are_served_though_silent_or_idle_callers_fill_the_room(tmp_path, monkeypatch):
-    monkeypatch.setattr(limiter, "IDLE_US", 300_000)
+    monkeypatch.setattr(limiter, "SUBMITTER_GRACE_US", 300_000)
     async with engine(tmp_path, legs=4) as rig:
         usual = [Client(rig.address) for _ in range(2)]
         silent = [await sockets.dial(rig.address) for _ in range(10)]
@@ -143,7 +143,7 @@
         for n in range(16):
             assert await Client(rig.address).enqueue("status-update", id_=f"m{n}") == "+OK\r\n"
             await anyio.sleep(0.02)
-        assert sum(leg.asked for leg in room.legs.values()) <= room.most_asked + 1 == 9
+        assert sum(client.submitted for client in room.clients.values()) <= room.max_submitters + 1 == 9
         assert await pings[0].say("PING") == "+PONG\r\n"  # the room is not full: only those gave way
 
 
@@ -151,15 +151,15 @@
     "said", [b"", b"*5\r\n$7\r\nENQ", b"*1\r\n$4\r\nPING\r\n*5\r\n$7\r\nENQ", b"*1\r\n$4\r\nPING\r\n"]
 )
 async def test_who_keeps_a_command_waiting_or_is_idle_for_long_is_ended_in_time(tmp_path, monkeypatch, said):
-    monkeypatch.setattr(limiter, "FIRST_US", 200_000)
-    monkeypatch.setattr(limiter, "LONG_IDLE_US", 800_000)
+    monkeypatch.setattr(limiter, "COMMAND_TIMEOUT_US", 200_000)
+    monkeypatch.setattr(limiter, "IDLE_TIMEOUT_US", 800_000)
     async with engine(tmp_path) as rig:
         start = time.monotonic()
         heard = await ends(rig.address, said)
         idle = said.endswith(b"PING\r\n")
         assert heard.endswith(b"+PONG\r\n" if idle else b"-ERR no whole command in time\r\n")
         assert (0.8 if idle else 0.2) <= time.monotonic() - start < (1.3 if idle else 0.7)
-        assert not rig.engine.fronts["resp"].room.legs
+        assert not rig.engine.fronts["resp"].room.clients
 
 
 async def test_the_error_is_heard_though_much_is_still_unread(tmp_path):
@@ -185,10 +185,10 @@
         half = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$1\r\na\r\n$1\r\nb\r\n$60000\r\n" + b"x" * 50_000
         first = await sockets.dial(rig.address)
         await first.write(half)
-        await until(lambda: rig.engine.fronts["resp"].room.bytes > 50_000)
+        await until(lambda: rig.engine.fronts["resp"].room.reserved_bytes > 50_000)
         assert await ends(rig.address, half) == b"-BUSY 1000\r\n"
         first.close()
-        await until(lambda: not rig.engine.fronts["resp"].room.bytes)
+        await until(lambda: not rig.engine.fronts["resp"].room.reserved_bytes)
 
 
 async def test_a_request_sent_once_more_is_taken_on_once(tmp_path):
@@ -308,7 +308,7 @@
         tasks.start_soon(wait)
         await anyio.sleep(0.02)
         number = ours.sock.fileno()
-        ours.end()
+        ours.shutdown()
         assert ours.sock.fileno() == number  # free now, another's wait on it would end with this one's
     assert seen == [b""] and ours.sock.fileno() == -1
     for each in (theirs, sock):
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -121,7 +121,7 @@
             tasks = parts.tasks
 
             def last_moment():
-                if leg.quiet():  # this client has not seen the end: it may still ask
+                if leg.is_idle():  # this client has not seen the end: it may still ask
                     sent.append(leg.sock.send(ENQUEUE))
                 tasks.cancel_scope.cancel()
 
@@ -140,9 +140,9 @@
         await leg.write(command(b"PING"))
         assert await leg.read() == b"+PONG\r\n"
         room = rig.engine.fronts["resp"].room
-        monkeypatch.setattr(limiter, "LONG_IDLE_US", -1)  # it has been idle for too long just now
+        monkeypatch.setattr(limiter, "IDLE_TIMEOUT_US", -1)  # it has been idle for too long just now
         leg.sock.send(ENQUEUE)
-        room.sweep()
+        room.close_overdue()
         assert await leg.read() == b"+OK\r\n"
 
 
@@ -150,11 +150,11 @@
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         leg = await sockets.dial(rig.address)
         room = rig.engine.fronts["resp"].room
-        await until(lambda: room.legs)
-        (ours,) = room.legs.values()
+        await until(lambda: room.clients)
+        (ours,) = room.clients.values()
         leg.sock.send(ENQUEUE)
-        ours.since_us -= limiter.FIRST_US + 1  # nothing ran for so long
-        room.sweep()
+        ours.waiting_since_us -= limiter.COMMAND_TIMEOUT_US + 1  # nothing ran for so long
+        room.close_overdue()
         assert await leg.read() == b"+OK\r\n"
 
 
