--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -88,7 +88,7 @@
                 # Danger: it was out when the process ended, and may have run or still run.
                 t.may_have_run_unix_us = t.may_have_run_unix_us or t.in_flight_since_unix_us
                 t.in_flight_since_unix_us = 0
-            t.rules = t.rules or self.settings.rules.get(t.cls)
+            t.rules = t.rules or self.settings.delivery_rules.get(t.cls)
             if t.final is None and t.rules is None:
                 t.final = FinalResult(
                     FinalState.FAILED
@@ -102,7 +102,7 @@
 
     def unknown(self, cls, tenant, dest) -> str:
         """What of a message nothing can be decided for; empty if all is known."""
-        if cls not in self.settings.rules or tenant not in self.settings.tenants:
+        if cls not in self.settings.delivery_rules or tenant not in self.settings.tenants:
             return f"unknown class or tenant: {cls[:32]!r}, {tenant[:32]!r}"
         # Danger: taken on for a partner that does not exist, a message fills a place until its time is up.
         if self.dests and dest not in self.dests:
@@ -111,7 +111,7 @@
 
     def accept(self, message: Message):
         """Take a transaction on: it is in the journal when this returns. Raises Busy."""
-        if self.copies and (why := self.copies.barred()):
+        if self.copies and (why := self.copies.blocked_reason()):
             raise RejectedError(
                 BUSY_MS, why
             )  # of what is known as well: it may have been taken over meanwhile
@@ -122,10 +122,10 @@
             return  # sent once more on a new connection: it is taken on already
         if self.stopping:
             raise RejectedError(self.settings.max_retry_after_ms, "shutting down")
-        if len(self.open) >= self.settings.module.max_held_messages:
+        if len(self.open) >= self.settings.policy_settings.max_held_messages:
             raise RejectedError(BUSY_MS, "holds all it may")
         message.number = next(self.numbers)
-        message.rules = self.settings.rules[message.cls]
+        message.rules = self.settings.delivery_rules[message.cls]
         if not message.rules.cls.in_order:
             message.key = 0
         try:
@@ -148,7 +148,7 @@
 
     async def wait_committed(self) -> bool:
         """Whether what was taken on by now may be promised: at once, or once it is copied."""
-        return self.copies is None or await self.copies.settled()
+        return self.copies is None or await self.copies.wait_replicated()
 
     def take_over(self, messages) -> int:
         """Owe what another courier took on, from where it stands; how many were new here. JournalFull."""
@@ -161,7 +161,7 @@
                 t.may_have_run_unix_us or t.in_flight_since_unix_us,
                 0,
             )  # Danger: it may have run, or still run
-            t.rules = t.rules or self.settings.rules.get(t.cls)
+            t.rules = t.rules or self.settings.delivery_rules.get(t.cls)
             if t.final is None and t.rules is None:
                 t.final = FinalResult(FinalState.FAILED)
             self.journal.adopted(t)
@@ -191,7 +191,7 @@
     def apply_settings(self, told):
         """Other settings count from now on; what is open keeps the rules that it was taken on under."""
         self.settings = told
-        self.post(SettingsChanged(told.module))
+        self.post(SettingsChanged(told.policy_settings))
 
     def withdraw(self, message: Message):
         """Nobody wants it any more, and nothing is owed for it."""
@@ -368,7 +368,9 @@
         for attempts in sending.values():
             endpoint = attempts[0].endpoint
             most = (
-                self.settings.module.kind(endpoint.kind).max_bundle_size if endpoint.scheme == "http" else 1
+                self.settings.policy_settings.kind(endpoint.kind).max_bundle_size
+                if endpoint.scheme == "http"
+                else 1
             )
             for call in bundles(attempts, most):
                 if len(call) > 1:
@@ -417,9 +419,9 @@
         # Danger: each refusal counts as an attempt; what is not ours, or not copied, for a while would be
         # given up. So the wait is bound by the messages' time, and the partner's time begins behind it.
         until_us = min(self.clock.monotonic(attempt.message.deadline_unix_us) for attempt in attempts)
-        while self.copies.barred() and self.clock.now() < until_us and not self.stopping:
+        while self.copies.blocked_reason() and self.clock.now() < until_us and not self.stopping:
             await anyio.sleep(WAIT_S)
-        if self.copies.barred():
+        if self.copies.blocked_reason():
             return False
         unix_us = self.clock.unix(self.clock.now())
         for attempt in attempts:
@@ -432,7 +434,7 @@
             except JournalFullError:
                 return False
             attempt.recorded = True
-        while not await self.copies.settled():
+        while not await self.copies.wait_replicated():
             if self.clock.now() >= until_us or self.stopping:
                 return False
             await anyio.sleep(WAIT_S)
@@ -461,7 +463,7 @@
             why = "a repeat may take effect there"
         if not why and self.copies:
             # Danger: the lease of this work may have ended while the branch was copied or dialled.
-            why = self.copies.barred() or ("" if attempt.recorded else "not copied")
+            why = self.copies.blocked_reason() or ("" if attempt.recorded else "not copied")
         if not why and not attempt.recorded:
             try:
                 message.zone = message.zone if message.may_have_run_unix_us else endpoint.zone
@@ -550,7 +552,11 @@
 
     def _line(self, endpoint):
         """What a told wait binds: a partner, or the one next hop where its routes are apart."""
-        return endpoint.id if self.settings.module.kind(endpoint.kind).limits_per_endpoint else endpoint.dest
+        return (
+            endpoint.id
+            if self.settings.policy_settings.kind(endpoint.kind).limits_per_endpoint
+            else endpoint.dest
+        )
 
     async def _probe(self, endpoint, started_us):
         self.probes[endpoint.id] = started_us
@@ -592,7 +598,7 @@
         front = self.fronts[message.front]
         if self.copies:
             # Danger: a successor that finds no end in its copy, or took the work over, would give another.
-            while self.copies.barred() or not await self.copies.settled():
+            while self.copies.blocked_reason() or not await self.copies.wait_replicated():
                 await anyio.sleep(WAIT_S)
             if self.ids.get(message.id) is not message:
                 return  # disowned meanwhile: who took it over tells its end
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -93,10 +93,10 @@
 class ReplicationService(Protocol):
     """Keeps what is owed on further couriers; the core asks it before it promises anything."""
 
-    def barred(self) -> str:
+    def blocked_reason(self) -> str:
         """Why nothing may be promised or sent just now; empty if all is well."""
 
-    async def settled(self) -> bool:
+    async def wait_replicated(self) -> bool:
         """Wait, within bounds, until all that the journal holds by now is copied; whether it is."""
 
 
@@ -117,10 +117,10 @@
     async def run(self) -> None:
         """Run until cancelled."""
 
-    async def leave(self) -> None:
+    async def announce_departure(self) -> None:
         """SIGTERM came: say goodbye, beside the core's end."""
 
-    async def part(self) -> None:
+    async def close(self) -> None:
         """All that was out has ended: what could not go before, briefly."""
 
     def view(self) -> dict:
