--- a/pinspread/hot_restart/transfer.py
+++ b/pinspread/hot_restart/transfer.py
@@ -20,14 +20,20 @@
 import anyio.lowlevel
 import orjson
 
-from pinspread.core.handover import HandoverSource, HandoverStep, HandoverTarget, SourceState, TargetState
+from pinspread.core.handover import (
+    HandoverSource,
+    HandoverStep,
+    HandoverTarget,
+    SourceState,
+    TargetState,
+)
 from pinspread.core.log import log
 from pinspread.core.messages import AttemptResult, Endpoint
 from pinspread.errors import JournalFormatError
 from pinspread.policy import actions, events, settings, state
 from pinspread.policy import delivery_policy as decide
 from pinspread.policy.events import Outcome
-from pinspread.sockets.connections import Connection, IdleConnection
+from pinspread.sockets import Connection, IdleConnection
 
 NAME = "handover"  # of the socket, in the folder that lasts
 HELLO, NO, LEAVE, STATE, LEG, IDLE, SOCKET, YOURS, TAKEN, ENDED, HEED, PROBED, BAN, BANNED = range(14)
@@ -255,7 +261,7 @@
             await link.send(NO, orjson.dumps({"why": str(error), "busy": False}))
         raise
     except (OSError, ValueError, TimeoutError, KeyError) as error:
-        log("handover_broke", error=str(error) or type(error).__name__, state=taker.state.value)
+        log("handover_broke", error=str(error) or type(error).__name__, state=taker.state.value.value)
         # Danger: without its *taken* heard, the old process serves on, or is gone and the lock free.
         owner.release()
         if isinstance(error, ValueError):
@@ -500,7 +506,9 @@
             if do is not HandoverStep.TRANSFER:
                 return
         except (OSError, ValueError, TimeoutError) as error:
-            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value)
+            log(
+                "handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value.value
+            )
             return
         successor = Successor(link)
         given = await self.service.rest(successor)
@@ -512,7 +520,9 @@
                 log("handover_declined", why=orjson.loads(data)["why"])
             do = self.giver.taken_over() if kind == TAKEN else self.giver.exchange_failed()
         except (OSError, ValueError, TimeoutError, KeyError) as error:
-            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value)
+            log(
+                "handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value.value
+            )
             do = self.giver.exchange_failed()
         if do is HandoverStep.REACQUIRE_LOCK:
             link.close()
--- a/pinspread/leases/service.py
+++ b/pinspread/leases/service.py
@@ -16,7 +16,7 @@
 from pinspread.leases import state_machine as lease
 from pinspread.membership import codec as wire
 from pinspread.membership.service import machine_us
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 MAGIC = b"PSL"
 TURN_S = 0.05  # claims are looked at, at least this often
@@ -104,7 +104,7 @@
     async def before_recovery(self):
         """Nothing that is owed depends on it."""
 
-    async def part(self):
+    async def close(self):
         """Likewise."""
 
     def want(self, task: str):
@@ -164,7 +164,7 @@
                     await self._turn(name)
                 await anyio.sleep(TURN_S)
 
-    async def leave(self):
+    async def announce_departure(self):
         """Give back what is held, as SIGTERM asks; this courier's own work is given back by who copies it."""
         if self.sock is None:
             return
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -24,7 +24,7 @@
 from pinspread.replication import log as copies
 from pinspread.replication import placement
 from pinspread.replication.store import ReplicaStore
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 MAGIC = b"PSC"
 MOST_FRAME = 64 << 20  # a whole journal; [journal] disk_mb bounds it in fact
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class ReplicationConfig:
     """What the file's `[copies]` says."""
 
     listen: str
@@ -58,7 +58,7 @@
 
     name = "copies"
 
-    def __init__(self, plan: Plan, membership, leases):
+    def __init__(self, plan: ReplicationConfig, membership, leases):
         self.plan, self.membership, self.leases = plan, membership, leases
         self.id, self.key = membership.plan.id, membership.plan.fleet
         self.host, self.port = split_address(plan.listen)
@@ -189,10 +189,10 @@
                 self._retarget(tasks)
                 await anyio.sleep(WATCH_S)
 
-    async def leave(self):
+    async def announce_departure(self):
         """Nothing to say: what is out still ends, and that is copied."""
 
-    async def part(self):
+    async def close(self):
         """All that was out has ended: have it copied, then give the work back."""
         if self.leases.holds(WORK + self.id):
             with anyio.move_on_after(PART_S):
@@ -655,7 +655,7 @@
         if self.leases.holds(WORK + owner) != token or self.blocked_reason():
             return
         mine = [t for t in live if t.id not in named]
-        count = self.engine.adopt(mine)
+        count = self.engine.take_over(mine)
         self.taken[owner] = {t.id for t in mine}
         log(
             "copies_taken_over",
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -202,7 +202,9 @@
     membership = Membership(Plan("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", Tuning()))
     membership.member.apply(["a", "127.0.0.2:1", 0, ALIVE, "a"], 0)
     membership.member.apply(["b", "127.0.0.3:1", 0, ALIVE, "b"], 0)
-    return copying.ReplicationService(copying.Plan("127.0.0.1:0", str(tmp_path)), membership, Held())
+    return copying.ReplicationService(
+        copying.ReplicationConfig("127.0.0.1:0", str(tmp_path)), membership, Held()
+    )
 
 
 def answer(keeper, message):
@@ -286,14 +288,16 @@
         keeper.source.held = {"a": (1, 1)}
         assert await keeper.wait_replicated()
         keeper.source.appended(b"y")
-        monkeypatch.setattr(keeper, "plan", copying.Plan("127.0.0.1:0", "", ack_us=1000, alone=True))
+        monkeypatch.setattr(
+            keeper, "plan", copying.ReplicationConfig("127.0.0.1:0", "", ack_us=1000, alone=True)
+        )
         assert await keeper.wait_replicated()
 
     anyio.run(play)
     assert "not known yet" in keeper.blocked_reason()
     keeper.sure = 5
     assert keeper.blocked_reason() == ""
-    monkeypatch.setattr(keeper, "plan", copying.Plan("127.0.0.1:0", ""))
+    monkeypatch.setattr(keeper, "plan", copying.ReplicationConfig("127.0.0.1:0", ""))
     assert "copies" in keeper.blocked_reason()
     monkeypatch.setattr(Held, "holds", lambda self, task: 0)
     assert "lease" in keeper.blocked_reason()
