--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from pinspread.core import journal as journals
+from pinspread.core import journal_records
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
 from pinspread.errors import JournalFormatError, JournalFullError
@@ -86,7 +86,7 @@
     def attach(self, engine):
         """The core is there; from now on its journal is copied."""
         self.engine = engine
-        engine.copies = engine.journal.tap = self
+        engine.replication = engine.journal.observer = self
 
     def blocked_reason(self) -> str:
         """Why nothing may be promised or sent just now; empty if all is well."""
@@ -159,7 +159,7 @@
                 "owner": o,
                 "generation": s.kept.generation,
                 "bytes": s.kept.size,
-                "records": sum(1 for _ in journals.records(s.data())),
+                "records": sum(1 for _ in journal_records.payloads(s.data())),
                 "adopted": s.kept.adopted,
             }
             for o, s in sorted(self.shelves.items())
@@ -330,8 +330,8 @@
         if not path.exists():
             return b"", False
         data = path.read_bytes()
-        whole = journals.whole(data)
-        return data, whole == len(data) or journals.cut(data, whole)
+        whole = journal_records.complete_bytes(data)
+        return data, whole == len(data) or journal_records.is_truncated(data, whole)
 
     async def _stay_sure(self):
         """After the lease of its own work was lost and is held anew: give up what others took over."""
@@ -370,7 +370,7 @@
         stamp = journal.path.parent / GENERATION
         mine, there = self._own()
         generation = int(stamp.read_text()) if stamp.exists() and stamp.read_text().isdigit() else 0
-        whole, sound = journals.whole(mine), there or not mine
+        whole, sound = journal_records.complete_bytes(mine), there or not mine
         best = best_of(found)
         if best and (not there or (best[0], len(best[1])) > (generation, whole)):
             why = "missing" if not journal.path.exists() else "older" if sound else "damaged"
@@ -586,7 +586,7 @@
                 away_us = machine_us() - self.away.setdefault(owner, machine_us())
                 lost = owner != self.id and copies.absent(state, away_us, self.plan.absent_us)
                 # Danger: the owner would send its next message of a key before this courier's last.
-                open_here = self.taken.get(owner, set()) & self.engine.ids.keys()
+                open_here = self.taken.get(owner, set()) & self.engine.messages_by_id.keys()
                 if not lost or not kept.generation or kept.adopted:
                     self.since.pop(owner, None)
                     self.unsure.pop(("own", owner), None)
@@ -694,7 +694,9 @@
 
 def whole_ones(found: dict) -> dict:
     """Those answers, each up to its last whole record."""
-    cut = {m: f | {"bytes": f["bytes"][: journals.whole(f["bytes"])]} for m, f in found.items()}
+    cut = {
+        m: f | {"bytes": f["bytes"][: journal_records.complete_bytes(f["bytes"])]} for m, f in found.items()
+    }
     for m, f in cut.items():
         if len(f["bytes"]) < len(found[m]["bytes"]):
             log(
@@ -713,4 +715,4 @@
         old = Journal(folder, 1 << 30)
         old.path.write_bytes(data)
         old.read()
-        return list(old.live.values()), set(old.past)
+        return list(old.open_messages.values()), set(old.finished_ids)
