--- a/pinspread/core/journal.py
+++ b/pinspread/core/journal.py
@@ -1,367 +1,369 @@
-"""The journal: append-only checksummed records of what is owed, in the folder that lasts.
+"""The journal: an append-only file of what is owed, in the folder that outlasts the process.
 
-A record is its payload's length and CRC-32 (little-endian u32 each), then the payload: a type byte, the
-transaction's number (u64) and the type's fields. Nothing is synced: written data outlasts the process.
+`journal_records` has the form of its records. Nothing is synced to the disk: written data outlasts the
+process, which is what it has to survive.
 """
 
 import os
-import struct
+from collections.abc import Iterable, Iterator
 from pathlib import Path
 
-import orjson
-
-from pinspread.core.journal_records import HEADER_BYTES, frame, payloads
+from pinspread.core.journal_records import (
+    HEADER_BYTES,
+    PROGRESS_BYTES,
+    Accepted,
+    AttemptEnded,
+    AttemptStarted,
+    AttemptZone,
+    EndpointBlocked,
+    FinalResultDecided,
+    FinishedId,
+    MessageEnded,
+    Progress,
+    ProgressRecord,
+    Record,
+    RulesNumbered,
+    decode,
+    encode_accepted,
+    encode_attempt_ended,
+    encode_attempt_started,
+    encode_endpoint_blocked,
+    encode_final_result,
+    encode_finished_id,
+    encode_message_ended,
+    encode_progress,
+    encode_rules,
+    encode_zone,
+    payloads,
+)
 from pinspread.core.messages import DeliveryRules, FinalResult, FinalState, Message
+from pinspread.core.ports import JournalObserver
 from pinspread.errors import JournalFormatError, JournalFullError
-from pinspread.policy.settings import DeduplicationScope, Idempotency, TrafficClass
-
-_NUMBER = struct.Struct("<BQ")
-_BRANCH = struct.Struct("<BQBQ")  # number, when it was written (Unix microseconds)
-_BRANCH_END = struct.Struct("<BQBB")  # number, whether it may have run
-_FINAL = struct.Struct("<BQBI")  # state, after_ms
-_SUMMARY = struct.Struct("<BQBQQ")  # branches, first that may have run, the one that is out
-_ZONE = struct.Struct("<BQB")  # where its branch went, for those whose repeats are dropped by zone
-_TAKEN = struct.Struct("<BQH")  # length of the JSON that comes before the body
-TAKEN, BRANCH, BRANCH_END, FINAL, ENDED, SUMMARY, PAST, BAN, UNBAN, RULES, ZONE = range(1, 12)
-
-# What a live transaction adds to its TAKEN record.
-SMALL = 3 * HEADER_BYTES + _SUMMARY.size + _FINAL.size + _ZONE.size
-# The stored keys of an accepted message, and the fields of `Message` that hold them.
-STORED_FIELDS = {
-    "id": "id",
-    "cls": "class_name",
-    "tenant": "tenant",
-    "dest": "destination",
-    "key": "key",
-    "idempotency": "idempotency_key",
-    "until_unix_us": "deadline_unix_us",
-    "front": "front",
-    "reply": "reply",
-}
-# The same for a traffic class among the stored delivery rules.
-STORED_CLASS_FIELDS = {
-    "aim_ns": "latency_objective_ns",
-    "deadline_ns": "deadline_ns",
-    "effect": "effect",
-    "group": "group",
-    "window_ns": "deduplication_window_ns",
-    "late_share": "late_value_share",
-    "worth": "priority_weight",
-    "in_order": "in_order",
-}
 
+NO_FILE = -1  # in place of a descriptor
+# While the file is rewritten the old one and the new one both count, each in whole blocks of the disk: their
+# sum must stay under the limit. Of one file's share, accepted messages may fill so much and finished ids so
+# much; the rest is for attempts and ends, which are never refused.
+FILE_PERCENT = 48
+OPEN_PERCENT = 85
+FINISHED_PERCENT = 5
 
-class Journal:
-    """One file, rewritten with what is still owed when it has grown; old and new together stay in bounds."""
 
-    def __init__(self, folder: str, limit_bytes: int):
+class Journal:
+    """One file, rewritten with what is still owed when it has grown; old and new together stay in bounds.
+
+    Attributes:
+        path: The file.
+        limit_bytes: How large the file may grow before it is rewritten.
+        size_bytes: How large it is.
+        observer: Is told of every byte that is written, if there is one.
+        open_messages: The messages that are owed, by number, in the order in which they were accepted.
+        finished_ids: Ids of messages that have ended, oldest first, with the sizes of their records.
+        blocked_endpoints: Ids of endpoints that operators have taken out of use; the values mean nothing.
+    """
+
+    def __init__(self, folder: str, limit_bytes: int) -> None:
         self.path = Path(folder) / "journal"
-        self.fresh = Path(folder) / "journal.new"
+        self.observer: JournalObserver | None = None
+        self.limit_bytes = 0
+        self._new_path = Path(folder) / "journal.new"
+        self._fd = NO_FILE
         self.resize(limit_bytes)
-        self.fd = -1
-        self.observer = None  # hears every byte that is written: `appended(record)`, `rewritten(data)`
         self._forget()
 
-    def _forget(self):
+    def _forget(self) -> None:
         self.size_bytes = 0
-        self.live_bytes = 0
         self.open_messages: dict[int, Message] = {}
-        self.sizes: dict[int, int] = {}
-        self.finished_ids: dict[
-            str, int
-        ] = {}  # ids that are over, oldest first, and the sizes of their records
-        self.past_bytes = 0
-        self.blocked_endpoints: dict[str, None] = {}  # endpoints that operators have taken out
-        self.rules: dict[DeliveryRules, int] = {}  # those that records name, and their numbers
-        self.latest: DeliveryRules | None = None
-        self.numbered: dict[int, DeliveryRules] = {}  # number -> rules, while the file is read
-
-    def resize(self, limit_bytes: int):
-        """Another bound counts from now on; a file that is over it is rewritten at its next record."""
-        # Danger: while it is rewritten both files count, each in whole blocks; the sum must stay under.
-        self.limit_bytes = limit_bytes * 48 // 100
-        self.most_live = self.limit_bytes * 85 // 100
-        self.most_past = (
-            self.limit_bytes * 5 // 100
-        )  # the rest is for branches and ends, which are never refused
+        self.finished_ids: dict[str, int] = {}
+        self.blocked_endpoints: dict[str, None] = {}
+        self._reserved_bytes: dict[int, int] = {}  # of each open message, its progress included
+        self._open_bytes = 0
+        self._finished_bytes = 0
+        self._rules_numbers: dict[DeliveryRules, int] = {}  # of the rules that records name
+        self._latest_rules: DeliveryRules | None = None
+        self._rules_read: dict[int, DeliveryRules] = {}  # by number, while the file is read
+
+    def resize(self, limit_bytes: int) -> None:
+        """Have another limit count from now on; a file that is over it is rewritten at its next record.
+
+        Args:
+            limit_bytes: What the journal may take of the disk.
+        """
+        self.limit_bytes = limit_bytes * FILE_PERCENT // 100
+        self._max_open_bytes = self.limit_bytes * OPEN_PERCENT // 100
+        self._max_finished_bytes = self.limit_bytes * FINISHED_PERCENT // 100
 
     def recover(self) -> list[Message]:
-        """Recover what is owed, in the order taken, and start a fresh file with it."""
+        """Return what is owed, in the order in which it was accepted, and start a new file with it.
+
+        Raises:
+            JournalFormatError: A newer version wrote the file.
+            JournalFullError: The file can't be written.
+        """
         self.read()
         self.begin()
         return list(self.open_messages.values())
 
-    def read(self):
-        """Recover what is owed; nothing is written."""
+    def read(self) -> None:
+        """Read what is owed; nothing is written.
+
+        Raises:
+            JournalFormatError: A newer version wrote the file.
+        """
         data = self.path.read_bytes() if self.path.exists() else b""
         self._forget()
         for payload in payloads(data):
-            self._replay(payload)
-
-    def begin(self):
-        """Start a fresh file with what is owed; from now on this process is the one that writes."""
-        self.fresh.unlink(missing_ok=True)  # never renamed: the old file is still whole
+            try:
+                record = decode(payload)
+            except JournalFormatError as error:
+                raise JournalFormatError(f"{self.path}: {error}") from None
+            if record is not None:
+                self._replay(record, HEADER_BYTES + len(payload))
+
+    def begin(self) -> None:
+        """Start a new file with what is owed; from now on this process is the one that writes.
+
+        Raises:
+            JournalFullError: The file can't be written; the old one is still whole.
+        """
+        self._new_path.unlink(missing_ok=True)  # it was never renamed: the old file is still whole
         self._rewrite()
 
-    def close(self):
+    def close(self) -> None:
         """Write nothing any more."""
-        os.close(self.fd)
-        self.fd = -1
+        os.close(self._fd)
+        self._fd = NO_FILE
 
-    # --- records ----------------------------------------------------------------------------------
+    # --- records: all raise JournalFullError where nothing was written ----------------------------
 
-    def message_accepted(self, message: Message):
-        """Before the caller is told that it was taken on."""
-        record = self._taken(message)
-        need = len(record) + SMALL
-        if self.live_bytes + need > self.most_live:
-            raise JournalFullError("what is owed fills the journal")
+    def message_accepted(self, message: Message) -> None:
+        """Record a message before its client is told that it was accepted."""
+        record = self._accepted_record(message)
+        reserved_bytes = self._reservation(record)
         self._append(record)
-        self._hold(message, need)
-
-    def message_taken_over(self, message: Message):
-        """What another courier took on and this one takes over, with what is known of its branches."""
-        t, record = message, self._taken(message)
-        need = len(record) + SMALL
-        if self.live_bytes + need > self.most_live:
-            raise JournalFullError("what is owed fills the journal")
-        self._append(record + (_summary(t) if t.attempts or t.may_have_run_unix_us else b""))
-        self._hold(t, need)
-        if t.final:
-            self.final_result(t, t.final)
-
-    def release(self, messages):
-        """Owe these no longer: another courier does. Their ids are over; the next rewrite has it so."""
-        for t in messages:
-            self.live_bytes -= self.sizes.pop(t.number)
-            del self.open_messages[t.number]
-            self._past_id(t.id)
-
-    def attempt_started(self, message: Message, number: int, unix_us: int):
-        """Before the last byte of its call is written."""
+        self._hold(message, reserved_bytes)
+
+    def message_taken_over(self, message: Message) -> None:
+        """Record a message that another node accepted, with what is known of its attempts."""
+        record = self._accepted_record(message)
+        reserved_bytes = self._reservation(record)
+        known = message.attempts or message.may_have_run_unix_us
+        self._append(record + (encode_progress(message) if known else b""))
+        self._hold(message, reserved_bytes)
+        if message.final:
+            self.final_result(message, message.final)
+
+    def release(self, messages: Iterable[Message]) -> None:
+        """Owe these no longer, for another node does. Their ids are finished; the next rewrite has it so."""
+        for message in messages:
+            del self.open_messages[message.number]
+            self._free(message)
+            self._add_finished_id(message.id)
+
+    def attempt_started(self, message: Message, attempt: int, unix_us: int) -> None:
+        """Record an attempt before the last byte of its call is written, at this Unix time."""
         message.in_flight_since_unix_us = unix_us
-        message.attempts = max(message.attempts, number + 1)
-        if _by_zone(message):
-            self._append(_zone(message))
-        self._append(frame(_BRANCH.pack(BRANCH, message.number, number, unix_us)))
-
-    def attempt_ended(self, message: Message, number: int, may_have_run: bool):
-        """When a branch that was written has an outcome that does not end its transaction."""
-        _end_branch(message, may_have_run)
-        self._append(frame(_BRANCH_END.pack(BRANCH_END, message.number, number, may_have_run)))
-
-    def final_result(self, message: Message, final: FinalResult):
-        """When the final answer is decided and still has to be heard."""
-        message.final = final
-        self._append(frame(_FINAL.pack(FINAL, message.number, final.state, final.retry_after_ms)))
-
-    def message_ended(self, message: Message):
-        """When nothing is owed any more."""
+        message.attempts = max(message.attempts, attempt + 1)
+        if zone := encode_zone(message):
+            self._append(zone)
+        self._append(encode_attempt_started(message, attempt, unix_us))
+
+    def attempt_ended(self, message: Message, attempt: int, may_have_run: bool) -> None:
+        """Record that an attempt which was written has ended without ending its message."""
+        _end_attempt(message, may_have_run)
+        self._append(encode_attempt_ended(message, attempt, may_have_run))
+
+    def final_result(self, message: Message, result: FinalResult) -> None:
+        """Record a final result that is decided, and of which the client is still to be notified."""
+        message.final = result
+        self._append(encode_final_result(message, result))
+
+    def message_ended(self, message: Message) -> None:
+        """Record that nothing is owed for a message any more."""
         if self.open_messages.pop(message.number, None) is None:
             return
-        self.live_bytes -= self.sizes.pop(message.number)
+        self._free(message)
         self._remember(message)
-        self._append(frame(_NUMBER.pack(ENDED, message.number)))
+        self._append(encode_message_ended(message))
 
-    def endpoint_blocked(self, id_: str, out: bool):
-        """Before an operator is told that an endpoint is out, or back."""
-        self._append(_named(BAN if out else UNBAN, id_))
-        self._ban(id_, out)
+    def endpoint_blocked(self, endpoint_id: str, blocked: bool) -> None:
+        """Record that an endpoint is taken out of use, or back, before the operator is told so."""
+        self._append(encode_endpoint_blocked(endpoint_id, blocked))
+        self._set_blocked(endpoint_id, blocked)
 
-    def _ban(self, id_, out):
-        if out:
-            self.blocked_endpoints[id_] = None
-        else:
-            self.blocked_endpoints.pop(id_, None)
-
-    def _taken(self, t):
-        told = {key: getattr(t, field) for key, field in STORED_FIELDS.items()}
-        if t.rules:
-            told["rules"] = self._number(t.rules)
-        text = orjson.dumps(told)
-        return frame(_TAKEN.pack(TAKEN, t.number, len(text)) + text + t.body)
-
-    def _number(self, rules):
-        """The number of these rules, which stand in the file before it is used."""
-        self.latest = rules
-        if rules not in self.rules:
-            number = max(self.rules.values(), default=0) + 1
-            self._append(_rules(number, rules))
-            self.rules[rules] = number
-        return self.rules[rules]
+    # --- what is owed -----------------------------------------------------------------------------
 
-    # --- the file ---------------------------------------------------------------------------------
+    def _reservation(self, record: bytes) -> int:
+        """How many bytes a message needs in a rewritten file, whatever becomes of its attempts."""
+        reserved_bytes = len(record) + PROGRESS_BYTES
+        if self._open_bytes + reserved_bytes > self._max_open_bytes:
+            raise JournalFullError("what is owed fills the journal")
+        return reserved_bytes
 
-    def _hold(self, message, need):
+    def _hold(self, message: Message, reserved_bytes: int) -> None:
         self.open_messages[message.number] = message
-        self.sizes[message.number] = need
-        self.live_bytes += need
+        self._reserved_bytes[message.number] = reserved_bytes
+        self._open_bytes += reserved_bytes
+
+    def _free(self, message: Message) -> None:
+        self._open_bytes -= self._reserved_bytes.pop(message.number)
 
-    def _remember(self, message):
-        # Danger: a publisher that lost its connection before the confirm publishes the same id again, and
-        # a payment that was over by then would go a second time, after a restart too. What was returned
-        # may come again under its id: it must not be taken for such a repeat.
+    def _remember(self, message: Message) -> None:
+        # A publisher that lost its connection before the confirm publishes the same id again, and without
+        # this a payment that had ended by then would go a second time, after a restart too. A message that
+        # was returned may come again under its id: it must not be taken for such a duplicate.
         if message.final is None or message.final.state is not FinalState.RETURNED:
-            self._past_id(message.id)
+            self._add_finished_id(message.id)
 
-    def _past_id(self, id_):
-        self.finished_ids[id_] = size = len(_past(id_))
-        self.past_bytes += size
-        while self.past_bytes > self.most_past:
-            self.past_bytes -= self.finished_ids.pop(next(iter(self.finished_ids)))
+    def _add_finished_id(self, message_id: str) -> None:
+        self.finished_ids[message_id] = size = len(encode_finished_id(message_id))
+        self._finished_bytes += size
+        while self._finished_bytes > self._max_finished_bytes:
+            self._finished_bytes -= self.finished_ids.pop(next(iter(self.finished_ids)))
 
-    def _append(self, record):
+    def _set_blocked(self, endpoint_id: str, blocked: bool) -> None:
+        if blocked:
+            self.blocked_endpoints[endpoint_id] = None
+        else:
+            self.blocked_endpoints.pop(endpoint_id, None)
+
+    def _accepted_record(self, message: Message) -> bytes:
+        number = self._written_rules_number(message.rules) if message.rules else None
+        return encode_accepted(message, number)
+
+    def _written_rules_number(self, rules: DeliveryRules) -> int:
+        """The number of these rules, whose record stands in the file before the number is used."""
+        self._latest_rules = rules
+        if rules not in self._rules_numbers:
+            number = self._next_rules_number()
+            self._append(encode_rules(number, rules))
+            self._rules_numbers[rules] = number
+        return self._rules_numbers[rules]
+
+    def _next_rules_number(self) -> int:
+        return max(self._rules_numbers.values(), default=0) + 1
+
+    # --- the file ---------------------------------------------------------------------------------
+
+    def _append(self, record: bytes) -> None:
         if self.size_bytes + len(record) > self.limit_bytes:
             self._rewrite()
         try:
-            written = os.write(self.fd, record)
+            written = os.write(self._fd, record)
         except OSError as error:
             raise JournalFullError(str(error)) from None
         if written < len(record):
-            # Danger: replay ends at a torn record, and all that was appended behind it would be lost.
-            os.ftruncate(self.fd, self.size_bytes)
+            # Replay ends at a torn record: all that would be appended after it would be lost.
+            os.ftruncate(self._fd, self.size_bytes)
             raise JournalFullError("a record was cut short")
         self.size_bytes += written
         if self.observer is not None:
             self.observer.appended(record)
 
-    def _rewrite(self):
-        parts = [_past(id_) for id_ in self.finished_ids] + [
-            _named(BAN, id_) for id_ in self.blocked_endpoints
-        ]
-        # Danger: settings change all day; rules that nothing goes by any more would fill the file.
-        # The latest stay, for the record that is about to name them may be what made the file too long.
-        used = {t.rules for t in self.open_messages.values()} | {self.latest}
-        self.rules = {rules: n for rules, n in self.rules.items() if rules in used}
-        # Danger: what an older version took has its rules from the settings; a number given only while
-        # this file is being written would be named in it and told nowhere.
-        for rules in used - self.rules.keys() - {None}:
-            self.rules[rules] = max(self.rules.values(), default=0) + 1
-        parts += [_rules(n, rules) for rules, n in self.rules.items()]
-        for t in self.open_messages.values():
-            parts.append(self._taken(t))
-            if t.attempts:
-                parts.append(_summary(t))
-            if t.final:
-                parts.append(frame(_FINAL.pack(FINAL, t.number, t.final.state, t.final.retry_after_ms)))
-        data = b"".join(parts)
-        fd = -1
-        try:
-            fd = os.open(self.fresh, os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_APPEND, 0o600)
-            if os.write(fd, data) < len(data):
-                raise OSError("the journal could not be rewritten")
-        except OSError as error:
-            if fd >= 0:
-                os.close(fd)
-            self.fresh.unlink(missing_ok=True)
-            raise JournalFullError(str(error)) from None
-        os.rename(self.fresh, self.path)
-        if self.fd >= 0:
-            os.close(self.fd)
-        self.fd = fd
+    def _rewrite(self) -> None:
+        self._renumber_rules()
+        data = b"".join(self._snapshot())
+        fd = self._write_new_file(data)
+        os.rename(self._new_path, self.path)
+        if self._fd != NO_FILE:
+            os.close(self._fd)
+        self._fd = fd
         self.size_bytes = len(data)
         if self.observer is not None:
             self.observer.rewritten(data)
 
-    def _replay(self, payload):
-        kind = payload[0]
-        if kind > ZONE:
-            # Danger: passed over, what a newer version recorded would be done again, or never.
-            raise JournalFormatError(
-                f"{self.path}: a record of kind {kind} of a newer version: start that one"
-            )
-        if kind == TAKEN:
-            _, number, size = _TAKEN.unpack_from(payload)
-            at = _TAKEN.size
-            told = orjson.loads(payload[at : at + size])
-            message = Message(number, body=bytes(payload[at + size :]), **_message_fields(told))
-            message.rules = self.numbered.get(told.get("rules", 0))
-            self._hold(message, HEADER_BYTES + len(payload) + SMALL)
-            return
-        _, number = _NUMBER.unpack_from(payload)
-        if kind == PAST:
-            self._past_id(str(payload[_NUMBER.size :], "utf-8"))
-            return
-        if kind == RULES:
-            self.numbered[number] = rules = _read_rules(bytes(payload[_NUMBER.size :]))
-            self.rules[rules] = number
-            return
-        if kind in (BAN, UNBAN):
-            self._ban(str(payload[_NUMBER.size :], "utf-8"), kind == BAN)
-            return
-        message = self.open_messages.get(number)
-        if message is None:
-            return
-        if kind == BRANCH:
-            *_, n, unix_us = _BRANCH.unpack(payload)
-            # Danger: one that was out at a kill has no end here; the next would hide that it may have run.
-            message.may_have_run_unix_us = message.may_have_run_unix_us or message.in_flight_since_unix_us
-            message.attempts = max(message.attempts, n + 1)
-            message.in_flight_since_unix_us = unix_us
-        elif kind == BRANCH_END:
-            _end_branch(message, _BRANCH_END.unpack(payload)[3])
-        elif kind == FINAL:
-            *_, state, retry_after_ms = _FINAL.unpack(payload)
-            message.final = FinalResult(FinalState(state), retry_after_ms)
-        elif kind == SUMMARY:
-            (
-                *_,
-                message.attempts,
-                message.may_have_run_unix_us,
-                message.in_flight_since_unix_us,
-            ) = _SUMMARY.unpack(payload)
-        elif kind == ZONE:
-            *_, message.zone = _ZONE.unpack(payload)
-        elif kind == ENDED:
-            del self.open_messages[number]
-            self.live_bytes -= self.sizes.pop(number)
-            self._remember(message)
-
-
-def _summary(t):
-    told = frame(
-        _SUMMARY.pack(SUMMARY, t.number, t.attempts, t.may_have_run_unix_us, t.in_flight_since_unix_us)
-    )
-    return told + (_zone(t) if _by_zone(t) else b"")
-
-
-def _zone(t):
-    return frame(_ZONE.pack(ZONE, t.number, t.zone))
-
-
-def _by_zone(t):
-    return (
-        t.rules is not None
-        and t.rules.traffic_class.effect is Idempotency.WITH_KEY
-        and t.rules.traffic_class.group is DeduplicationScope.ZONE
-    )
-
-
-def _message_fields(stored):
-    return {field: stored[key] for key, field in STORED_FIELDS.items() if key in stored}
-
-
-def _rules(number, rules):
-    cls = {key: getattr(rules.traffic_class, field) for key, field in STORED_CLASS_FIELDS.items()}
-    return frame(_NUMBER.pack(RULES, number) + orjson.dumps({"cls": cls, "max_attempts": rules.max_attempts}))
-
-
-def _read_rules(payload):
-    stored = orjson.loads(payload)
-    cls = {field: stored["cls"][key] for key, field in STORED_CLASS_FIELDS.items() if key in stored["cls"]}
-    cls |= {"effect": Idempotency(cls["effect"]), "group": DeduplicationScope(cls["group"])}
-    return DeliveryRules(TrafficClass(**cls), stored["max_attempts"])
-
-
-def _past(id_):
-    return _named(PAST, id_)
-
-
-def _named(kind, id_):
-    return frame(_NUMBER.pack(kind, 0) + id_.encode())
-
-
-def _end_branch(message, may_have_run):
+    def _renumber_rules(self) -> None:
+        """Have numbers for the rules that the new file needs, and no others."""
+        # Settings change all day: rules that nothing goes by any more would fill the file. The latest stay,
+        # for the record that is about to name them may be what made the file too long.
+        used = {message.rules for message in self.open_messages.values()} | {self._latest_rules}
+        self._rules_numbers = {
+            rules: number for rules, number in self._rules_numbers.items() if rules in used
+        }
+        # What an older version accepted has its rules from the settings: a number given only while the new
+        # file is being written would be named in it and explained nowhere.
+        for rules in used - self._rules_numbers.keys():
+            if rules is not None:
+                self._rules_numbers[rules] = self._next_rules_number()
+
+    def _snapshot(self) -> Iterator[bytes]:
+        """Yield the records of a file that holds what is owed and nothing else."""
+        for message_id in self.finished_ids:
+            yield encode_finished_id(message_id)
+        for endpoint_id in self.blocked_endpoints:
+            yield encode_endpoint_blocked(endpoint_id, True)
+        for rules, number in self._rules_numbers.items():
+            yield encode_rules(number, rules)
+        for message in self.open_messages.values():
+            yield self._accepted_record(message)
+            if message.attempts:
+                yield encode_progress(message)
+            if message.final:
+                yield encode_final_result(message, message.final)
+
+    def _write_new_file(self, data: bytes) -> int:
+        """Write the file that is to replace the present one, and return its descriptor."""
+        fd = NO_FILE
+        try:
+            fd = os.open(self._new_path, os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_APPEND, 0o600)
+            written = os.write(fd, data)
+        except OSError as error:
+            self._discard_new_file(fd)
+            raise JournalFullError(str(error)) from None
+        if written < len(data):
+            self._discard_new_file(fd)
+            raise JournalFullError("the journal could not be rewritten")
+        return fd
+
+    def _discard_new_file(self, fd: int) -> None:
+        if fd != NO_FILE:
+            os.close(fd)
+        self._new_path.unlink(missing_ok=True)
+
+    # --- replay -----------------------------------------------------------------------------------
+
+    def _replay(self, record: Record, record_bytes: int) -> None:
+        match record:
+            case Accepted(message, rules_number):
+                message.rules = self._rules_read.get(rules_number)
+                self._hold(message, record_bytes + PROGRESS_BYTES)
+            case FinishedId(message_id):
+                self._add_finished_id(message_id)
+            case EndpointBlocked(endpoint_id, blocked):
+                self._set_blocked(endpoint_id, blocked)
+            case RulesNumbered(rules_number, rules):
+                self._rules_read[rules_number] = rules
+                self._rules_numbers[rules] = rules_number
+            case _:
+                known = self.open_messages.get(record.number)
+                if known is not None:
+                    self._replay_progress(known, record)
+
+    def _replay_progress(self, message: Message, record: ProgressRecord) -> None:
+        match record:
+            case AttemptStarted(_, attempt, unix_us):
+                # One that was in flight when the process was killed has no end here; without this, the next
+                # attempt would hide that it may have run.
+                message.may_have_run_unix_us = message.may_have_run_unix_us or message.in_flight_since_unix_us
+                message.attempts = max(message.attempts, attempt + 1)
+                message.in_flight_since_unix_us = unix_us
+            case AttemptEnded(_, _, may_have_run):
+                _end_attempt(message, may_have_run)
+            case FinalResultDecided(_, result):
+                message.final = result
+            case Progress(_, attempts, may_have_run_unix_us, in_flight_since_unix_us):
+                message.attempts = attempts
+                message.may_have_run_unix_us = may_have_run_unix_us
+                message.in_flight_since_unix_us = in_flight_since_unix_us
+            case AttemptZone(_, zone):
+                message.zone = zone
+            case MessageEnded():
+                del self.open_messages[message.number]
+                self._free(message)
+                self._remember(message)
+
+
+def _end_attempt(message: Message, may_have_run: bool) -> None:
     if may_have_run and not message.may_have_run_unix_us:
         message.may_have_run_unix_us = message.in_flight_since_unix_us
     message.in_flight_since_unix_us = 0
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -61,6 +61,16 @@
         """Tell the end; returns once it was heard, and retries until then."""
 
 
+class JournalObserver(Protocol):
+    """Is told of every byte of the journal, right after it was written."""
+
+    def appended(self, record: bytes) -> None:
+        """These records were added at the end of the file."""
+
+    def rewritten(self, data: bytes) -> None:
+        """The file was replaced by one of this content."""
+
+
 class EndpointAdmin(Protocol):
     """What the operators' door may ask of the core."""
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,15 +1,15 @@
 """The journal: what is owed comes back whatever the file went through, within its bounds."""
 
 import os
+import struct
 
 import orjson
 import pytest
 
-from pinspread.core import journal as journal_module
 from pinspread.core.journal import Journal
 from pinspread.core.journal_records import frame, payloads
 from pinspread.core.messages import DeliveryRules, FinalResult, FinalState, Message
-from pinspread.errors import JournalFullError
+from pinspread.errors import JournalFormatError, JournalFullError
 from pinspread.policy.settings import TrafficClass
 
 
@@ -119,7 +119,7 @@
 def test_a_journal_of_before_rules_were_kept_is_read_and_one_of_a_newer_version_refused(tmp_path):
     told = {"id": "a", "cls": "payment", "tenant": "north", "dest": 1, "key": 0, "idempotency": ""}
     text = orjson.dumps(told | {"until_unix_us": 10**15, "front": "resp", "reply": {}})
-    taken = journal_module._TAKEN.pack(journal_module.TAKEN, 7, len(text)) + text + b"body"
+    taken = struct.pack("<BQH", 1, 7, len(text)) + text + b"body"
     path = tmp_path / "journal"
     path.write_bytes(frame(taken))
     old = Journal(str(tmp_path), 3_000_000)
@@ -128,7 +128,7 @@
     old.close()
     path.write_bytes(path.read_bytes() + frame(bytes([99]) + bytes(8)))
     before = path.read_bytes()
-    with pytest.raises(journal_module.JournalFormatError, match="kind 99"):
+    with pytest.raises(JournalFormatError, match="kind 99"):
         Journal(str(tmp_path), 3_000_000).recover()
     assert path.read_bytes() == before  # nothing was written over it
 
