--- a/pinspread/core/clock.py
+++ b/pinspread/core/clock.py
@@ -5,26 +5,34 @@
 
 
 class Clock:
-    """`now()` is the time of this turn of the loop; Unix time is it plus an offset taken at the start."""
+    """Time that stands still during a turn of the event loop; Unix time is it plus a constant offset.
 
-    def __init__(self):
-        self._now = 0
+    Attributes:
+        offset_us: Unix time less monotonic time, in microseconds.
+    """
+
+    def __init__(self) -> None:
+        self._now_us = 0  # 0: not read yet in this turn
         self.offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def now(self) -> int:
-        """The time of this turn: read at its first use, forgotten when the next turn begins."""
-        if not self._now:
-            self._now = time.monotonic_ns() // 1000
+        """Return the monotonic time of this turn in microseconds.
+
+        It is read at its first use and forgotten when the next turn begins, so that all that one turn does
+        happens at the same time and costs one call.
+        """
+        if not self._now_us:
+            self._now_us = time.monotonic_ns() // 1000
             asyncio.get_running_loop().call_soon(self._forget)
-        return self._now
+        return self._now_us
 
-    def _forget(self):
-        self._now = 0
+    def _forget(self) -> None:
+        self._now_us = 0
 
     def unix(self, monotonic_us: int) -> int:
-        """The Unix time of a monotonic time, for the journal: monotonic time dies with the boot."""
+        """Return the Unix time of a monotonic time, which means nothing after the next boot."""
         return monotonic_us + self.offset_us
 
     def monotonic(self, unix_us: int) -> int:
-        """The monotonic time of a Unix time."""
+        """Return the monotonic time of a Unix time."""
         return unix_us - self.offset_us
--- a/pinspread/core/endpoint_blocklist.py
+++ b/pinspread/core/endpoint_blocklist.py
@@ -1,31 +1,39 @@
-"""Endpoints that operators have taken out: which, and how the list reads under it. No I/O, no clock."""
+"""Which endpoints operators have taken out of use, and how their state reads then. No I/O, no clock."""
+
+from collections.abc import Iterable
 
 from pinspread.policy.events import EndpointState
 
-MOST_ID = 512  # characters of an id that may be taken out; the list's own are far shorter
+MAX_ID_LENGTH = 512  # characters of an id that may be blocked; the list's own are far shorter
 
 
 class EndpointBlocklist:
-    """The ids that are out; one call back undoes any number of calls out."""
+    """The ids that are blocked; one call to unblock undoes any number of calls to block.
+
+    Attributes:
+        ids: The blocked ids, in the order in which they were blocked; the values mean nothing.
+    """
 
-    def __init__(self, ids=()):
-        self.ids = dict.fromkeys(ids)
+    def __init__(self, ids: Iterable[str] = ()) -> None:
+        self.ids: dict[str, None] = dict.fromkeys(ids)
 
-    def out(self, id_: str) -> bool:
-        """Take one out; false if it was out already."""
-        if id_ in self.ids:
+    def block(self, endpoint_id: str) -> bool:
+        """Block an id; return false if it was blocked already."""
+        if endpoint_id in self.ids:
             return False
-        self.ids[id_] = None
+        self.ids[endpoint_id] = None
         return True
 
-    def back(self, id_: str) -> bool:
-        """Have one back; false if it was not out."""
-        if id_ not in self.ids:
+    def unblock(self, endpoint_id: str) -> bool:
+        """Unblock an id; return false if it was not blocked."""
+        if endpoint_id not in self.ids:
             return False
-        del self.ids[id_]
+        del self.ids[endpoint_id]
         return True
 
-    def seen(self, id_: str, listed: EndpointState) -> EndpointState:
-        """What the module is to hear of an endpoint that the list shows so."""
-        # Danger: a list that names it as ready, late or anew, would have it called while it is restarted.
-        return EndpointState.DRAINING if listed is EndpointState.READY and id_ in self.ids else listed
+    def effective_state(self, endpoint_id: str, listed: EndpointState) -> EndpointState:
+        """Return the state by which the policy is to go for an endpoint that the list shows as `listed`."""
+        # A list that names a blocked endpoint as ready, late or anew, would have it called while it is
+        # restarted.
+        blocked = listed is EndpointState.READY and endpoint_id in self.ids
+        return EndpointState.DRAINING if blocked else listed
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -5,8 +5,8 @@
 
 import anyio
 
-from pinspread.core.bundling import bundles
-from pinspread.core.endpoint_blocklist import MOST_ID, EndpointBlocklist
+from pinspread.core.bundling import group_into_calls
+from pinspread.core.endpoint_blocklist import MAX_ID_LENGTH, EndpointBlocklist
 from pinspread.core.log import log
 from pinspread.core.messages import NEVER_RAN, Attempt, AttemptResult, FinalResult, FinalState, Message
 from pinspread.errors import JournalFullError, RejectedError
@@ -207,7 +207,7 @@
         entries = []
         for endpoint, listed in endpoints:
             old = self.endpoints.get(endpoint.id)
-            endpoint.listed, state = listed, self.blocklist.seen(endpoint.id, listed)
+            endpoint.listed, state = listed, self.blocklist.effective_state(endpoint.id, listed)
             endpoint.usable = state is EndpointState.READY
             # Danger: a branch that is dialled names the object it began with. Replaced at each list, that one
             # would miss all but the next change, and a drain or ban would not be seen right before the write.
@@ -253,11 +253,11 @@
             raise RejectedError(BUSY_MS, "not serving yet")
         if id_ not in self.endpoints and id_ not in self.blocklist.ids:
             return False
-        if len(id_) <= MOST_ID and self.blocklist.out(id_):
+        if len(id_) <= MAX_ID_LENGTH and self.blocklist.block(id_):
             try:
                 self.journal.endpoint_blocked(id_, True)
             except JournalFullError:
-                self.blocklist.back(id_)
+                self.blocklist.unblock(id_)
                 raise
             if id_ in self.endpoints:
                 self._show(self.endpoints[id_])
@@ -274,7 +274,7 @@
             return False
         if id_ in self.blocklist.ids:
             self.journal.endpoint_blocked(id_, False)
-            self.blocklist.back(id_)
+            self.blocklist.unblock(id_)
             if id_ in self.endpoints:
                 self._show(self.endpoints[id_], cold=True)
         log("endpoint_back", hop=id_, out=len(self.blocklist.ids))
@@ -282,7 +282,7 @@
 
     def _show(self, endpoint, cold=False):
         """Have the module told how a next hop reads now that a ban of it came or went."""
-        state = self.blocklist.seen(endpoint.id, endpoint.listed)
+        state = self.blocklist.effective_state(endpoint.id, endpoint.listed)
         endpoint.usable = state is EndpointState.READY
         if not endpoint.usable and endpoint.scheme in self.transports:
             self.transports[endpoint.scheme].disconnect(
@@ -376,7 +376,7 @@
                 if endpoint.scheme == "http"
                 else 1
             )
-            for call in bundles(attempts, most):
+            for call in group_into_calls(attempts, most):
                 if len(call) > 1:
                     self.tasks.start_soon(self._run_call, call)
                 else:
@@ -503,9 +503,7 @@
     def _attempt_ended(self, attempt, outcome: AttemptResult):
         message, now_us = attempt.message, self.clock.now()
         del self.attempts[message.number, attempt.number]
-        attempt.check_before_write = attempt.apply_retry_after = (
-            None  # they name it: without them it is freed at once
-        )
+        attempt.detach()
         if self.successor:
             self.delayed_results.append((attempt, outcome))
             self.successor.attempt_ended(message.number, attempt.number, outcome)
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -1,64 +1,111 @@
-"""The core's small interfaces to whatever speaks a wire."""
+"""The core's small interfaces to what surrounds it: wires, discovery, replication, operators."""
 
-from typing import Protocol
+from collections.abc import Callable, Mapping
+from typing import Any, Protocol
 
-from pinspread.core.messages import Attempt, AttemptResult, Endpoint, FinalResult, Message
+import anyio
+
+from pinspread.core.messages import Attempt, AttemptResult, DeliveryRules, Endpoint, FinalResult, Message
+from pinspread.policy.settings import Settings
+
+
+class EngineSettings(Protocol):
+    """What the engine reads of the settings in effect."""
+
+    @property
+    def policy_settings(self) -> Settings:
+        """What the delivery policy goes by."""
+
+    @property
+    def delivery_rules(self) -> Mapping[str, DeliveryRules]:
+        """The rules of each traffic class, by its name."""
+
+    @property
+    def tenants(self) -> Mapping[str, int]:
+        """The place of each tenant in the policy's settings, by its name."""
+
+    @property
+    def max_retry_after_ms(self) -> int:
+        """The longest time after which a client is told to come back, in milliseconds."""
 
 
 class Transport(Protocol):
-    """Reaches next hops of one scheme."""
+    """Reaches the endpoints of one scheme.
+
+    What goes wrong on the way is an outcome, not an error. An error that is raised all the same is logged as
+    a fault, and the attempt counts as one that may have run if it was in the journal as started.
+    """
 
     async def send(self, attempt: Attempt) -> AttemptResult:
-        """Run one attempt, once; `attempt.check_before_write()` is asked right before the first byte."""
+        """Make one attempt, once.
+
+        `attempt.check_before_write()` is called right before the first byte is written, with nothing awaited
+        in between; where it gives a reason nothing is written, and the outcome is NOT_SENT with the reason as
+        its note.
+        """
 
     async def send_many(self, attempts: list[Attempt]) -> list[AttemptResult]:
-        """Run several branches to one next hop as one call; only for kinds whose settings allow it."""
+        """Make several attempts at one endpoint as one call; return their results in the same order.
 
-    async def check_health(self, endpoint: Endpoint, check_before_write) -> AttemptResult:
-        """Ask a next hop how it is."""
+        It is used only for kinds of endpoints whose settings allow it. Each attempt is checked as in `send`,
+        and those that may not be written are left out of the call.
+        """
+
+    async def check_health(self, endpoint: Endpoint, check_before_write: Callable[[], str]) -> AttemptResult:
+        """Ask an endpoint how it is, unless `check_before_write` gives a reason against it right before."""
 
     def disconnect(self, endpoint: Endpoint) -> None:
-        """Close idle connections to it."""
+        """Close the idle connections to an endpoint."""
 
     def forget(self, endpoint: Endpoint) -> None:
-        """It is gone: keep nothing of it once nothing is out."""
+        """Keep nothing of an endpoint that has been removed, once nothing is in flight to it."""
 
 
 class Discovery(Protocol):
-    """Tells the core of next hops, by its `learn`; `first_answer` is set once it has asked."""
+    """Reports endpoints to the engine by `update_endpoints`.
+
+    Attributes:
+        first_answer: Is set once the list as it is now has been read, or can't be had.
+    """
 
-    first_answer: object  # anyio.Event
+    first_answer: anyio.Event
 
     def start(self) -> None:
-        """Tell what is known without asking."""
+        """Report what is known without asking anybody."""
 
-    def snapshot(self) -> dict:
-        """What the next process needs to follow on from here, beside the list itself."""
+    def snapshot(self) -> dict[str, Any]:
+        """Return what another process needs to follow on from here, beside the list itself."""
 
-    def resume(self, found: dict) -> None:
-        """Follow on from where the process before was, in place of `start`."""
+    def resume(self, found: dict[str, Any]) -> None:
+        """Follow on from another process's snapshot, in place of `start`."""
 
     def poll(self) -> None:
-        """The module wants the list's changes; one `learn` answers."""
+        """The policy wants the changes of the list; one `update_endpoints` answers."""
 
-    def apply_settings(self, told) -> None:
-        """Other settings count from now on."""
+    def apply_settings(self, settings: Any) -> None:
+        """Have other settings count from now on."""
 
-    def change_address(self, address) -> None:
-        """Discovery is elsewhere from now on."""
+    def change_address(self, address: Any) -> None:
+        """Follow the list at another place from now on."""
 
     async def run(self) -> None:
         """Follow the changes until cancelled."""
 
 
 class Front(Protocol):
-    """Takes transactions and tells their callers how they ended."""
+    """Accepts messages from clients and notifies them of the final results.
 
-    reports_delivery: bool  # whether DELIVERED is told too
-    ordered_by_notice: bool  # whether a key's next message waits until an end has been heard
+    Attributes:
+        reports_delivery: Whether clients are notified of DELIVERED too.
+        ordered_by_notice: Whether the next message of a key waits until the client has acknowledged the
+            notification of the one before.
+    """
+
+    reports_delivery: bool
+    ordered_by_notice: bool
 
     async def notify(self, message: Message, final: FinalResult) -> None:
-        """Tell the end; returns once it was heard, and retries until then."""
+        """Notify the client; return once it has acknowledged, and retry until then."""
 
 
 class JournalObserver(Protocol):
@@ -72,66 +119,85 @@
 
 
 class EndpointAdmin(Protocol):
-    """What the operators' door may ask of the core."""
+    """What the operators' server may ask of the engine."""
 
     def ready(self) -> bool:
-        """Whether this process serves."""
+        """Return whether this process serves."""
 
     async def disable(self, id_: str) -> bool:
-        """Take an endpoint out; false if none is known by that id. It is in the journal on return."""
+        """Take an endpoint out of use; return false if none is known by that id.
+
+        It is in the journal on return.
+
+        Raises:
+            RejectedError: This process does not serve yet.
+            JournalFullError: It could not be recorded, and is not done.
+        """
 
     async def enable(self, id_: str) -> bool:
-        """Use it again; false if none is known by that id."""
+        """Use an endpoint again; return false if none is known by that id. Raises what `disable` raises."""
 
 
 class Successor(Protocol):
-    """The process that owns all once this one has handed over, as this one reaches it."""
+    """The process that owns everything once this one has handed over, as this one reaches it."""
 
     def attempt_ended(self, number: int, attempt: int, outcome: AttemptResult) -> None:
-        """A branch that was out here has ended."""
+        """Report that an attempt of this process has ended: its message's number, its own, its result."""
 
-    def apply_retry_after(self, id_: str, wait_us: int) -> None:
-        """A next hop told to wait."""
+    def apply_retry_after(self, id_: str, retry_after_us: int) -> None:
+        """Report that an endpoint said to wait for so many microseconds."""
 
     def health_check_ended(self, id_: str, outcome: AttemptResult) -> None:
-        """A probe that was out here has ended."""
+        """Report that a health check of this process has ended."""
 
     async def set_blocked(self, id_: str, out: bool) -> bool:
-        """Pass on what an operator asks here; false if the id is unknown there."""
+        """Pass on what an operator asks of this process; return false if the id is unknown there.
+
+        Raises:
+            TimeoutError: There was no answer in time.
+        """
 
 
 class ReplicationService(Protocol):
-    """Keeps what is owed on further couriers; the core asks it before it promises anything."""
+    """Keeps copies of the journal on further nodes; the engine asks it before it promises anything."""
 
     def blocked_reason(self) -> str:
-        """Why nothing may be promised or sent just now; empty if all is well."""
+        """Return why nothing may be promised or sent just now; empty if all is well."""
 
     async def wait_replicated(self) -> bool:
-        """Wait, within bounds, until all that the journal holds by now is copied; whether it is."""
+        """Wait, within bounds, until all that the journal holds is replicated; return whether it is."""
 
 
 class BackgroundService(Protocol):
-    """A part beside serving that a file turns on, as membership; the door shows `view()`."""
+    """A part beside the engine that a file turns on, as membership is.
+
+    Attributes:
+        name: The name under which the operators' server shows its `view()`.
+    """
 
     name: str
 
-    def attach(self, engine) -> None:
-        """The core is there."""
+    def attach(self, engine: Any) -> None:
+        """The engine is there, and nothing of it runs yet."""
 
     async def before_recovery(self) -> None:
-        """It runs; returns once what is owed may be read and served."""
+        """It runs already; return once what is owed may be read and served."""
 
     async def open(self) -> None:
-        """Take what it needs before serving begins; OSError if it cannot."""
+        """Take what it needs before serving begins.
+
+        Raises:
+            OSError: It can't be had.
+        """
 
     async def run(self) -> None:
         """Run until cancelled."""
 
     async def announce_departure(self) -> None:
-        """SIGTERM came: say goodbye, beside the core's end."""
+        """SIGTERM came: tell others, while the engine finishes what is in flight."""
 
     async def close(self) -> None:
-        """All that was out has ended: what could not go before, briefly."""
+        """All that was in flight has ended: do briefly what could not be done before."""
 
-    def view(self) -> dict:
-        """What the door shows of it."""
+    def view(self) -> dict[str, Any]:
+        """Return what the operators' server shows of it, as JSON has it."""
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -17,7 +17,7 @@
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
-from pinspread.core.log import log, use
+from pinspread.core.log import log, use_clock
 from pinspread.discovery.client import Discovery
 from pinspread.errors import JournalFormatError, JournalFullError
 from pinspread.http.transport import HttpTransport, Pool
@@ -55,7 +55,7 @@
         self.told, self.amqp, self.login = told, amqp, login
         self.background_services = list(background_services)
         self.clock = clock = Clock()
-        use(clock)
+        use_clock(clock)
         self.owner = FolderLock(told.state)
         journal = Journal(told.state, told.disk_bytes)
         self.engine = engine = DeliveryEngine(
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -222,11 +222,11 @@
 def test_one_call_back_undoes_any_number_of_calls_out(calls):
     bans, out = EndpointBlocklist(), {}
     for off, id_ in calls:
-        assert (bans.out(id_) if off else bans.back(id_)) is (out.get(id_, False) is not off)
+        assert (bans.block(id_) if off else bans.unblock(id_)) is (out.get(id_, False) is not off)
         out[id_] = off
     for id_ in "abc":
         banned = out.get(id_, False)
-        assert bans.seen(id_, EndpointState.READY) is (
+        assert bans.effective_state(id_, EndpointState.READY) is (
             EndpointState.DRAINING if banned else EndpointState.READY
         )
-        assert bans.seen(id_, EndpointState.REMOVED) is EndpointState.REMOVED
+        assert bans.effective_state(id_, EndpointState.REMOVED) is EndpointState.REMOVED
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -12,7 +12,7 @@
 from test_settings import lane
 
 from pinspread.config import settings
-from pinspread.core.bundling import bundles
+from pinspread.core.bundling import group_into_calls
 from pinspread.http import bundle
 from pinspread.policy.events import AttemptCompleted, Outcome
 
@@ -31,7 +31,7 @@
 @given(st.lists(st.integers(1, 10_000), max_size=20), st.integers(1, 6))
 def test_calls_hold_each_branch_once_at_most_so_many_and_of_about_one_time(times, most):
     attempts = [SimpleNamespace(timeout_us=t, message=SimpleNamespace(number=n)) for n, t in enumerate(times)]
-    calls = bundles(attempts, most)
+    calls = group_into_calls(attempts, most)
     assert sorted(b.message.number for call in calls for b in call) == list(range(len(times)))
     for call in calls:
         waits = [b.timeout_us for b in call]
