--- a/pinspread/leases/raft.py
+++ b/pinspread/leases/raft.py
@@ -22,7 +22,7 @@
 from pinspread.leases.raft_transport import MAGIC, TransportConfig, VoterTransport
 from pinspread.leases.state_machine import Command, CommandKind, LeaseRecord, apply_command
 from pinspread.membership import codec
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 _TICK_S = 0.02  # the library runs at least this often
 _MAX_BATCH_BYTES = 1 << 20  # of entries in one message: more than a log holds that is compacted in time
--- a/pinspread/leases/service.py
+++ b/pinspread/leases/service.py
@@ -32,7 +32,7 @@
 from pinspread.membership.clock import monotonic_us
 from pinspread.membership.codec import DatagramError
 from pinspread.membership.service import MembershipService
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 __all__ = ["WORK_TASK_PREFIX", "LeaseConfig", "LeaseService", "LeaseTask"]
 
@@ -162,7 +162,7 @@
     async def before_recovery(self) -> None:
         """Do nothing: no recovered message depends on leases."""
 
-    async def part(self) -> None:
+    async def close(self) -> None:
         """Do nothing: leases have nothing to close."""
 
     async def open(self) -> None:
@@ -208,7 +208,7 @@
                     await self._update_claim(name)
                 await anyio.sleep(_TICK_S)
 
-    async def leave(self) -> None:
+    async def announce_departure(self) -> None:
         """Give back what is held, as SIGTERM asks; replication gives back the member's own work."""
         if self._socket is None:
             return
--- a/pinspread/leases/task_calls.py
+++ b/pinspread/leases/task_calls.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 CALL_TIMEOUT_S = 1.0  # the connection, the request and its answer
 _MAX_ANSWER_BYTES = 256  # of which the status line is read
--- a/pinspread/membership/service.py
+++ b/pinspread/membership/service.py
@@ -21,7 +21,7 @@
 from pinspread.membership.messages import Outgoing
 from pinspread.membership.seeds import Records, find_seeds_or_none
 from pinspread.membership.swim import MemberChanged, RumorRefuted, SwimMember
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 _MAX_WAIT_S = 0.05  # a turn comes at least this often, whatever is due
 _SEED_SEARCH_PERIOD_S = 1.0  # while this member knows no other
@@ -101,7 +101,7 @@
     async def before_recovery(self) -> None:
         """Do nothing: no recovered message depends on membership."""
 
-    async def part(self) -> None:
+    async def close(self) -> None:
         """Do nothing: membership has nothing to close."""
 
     async def open(self) -> None:
@@ -125,7 +125,7 @@
         finally:
             log("members_ended", id=self.config.id, mono_us=monotonic_us())
 
-    async def leave(self) -> None:
+    async def announce_departure(self) -> None:
         """Notify the other members that this one leaves, as SIGTERM asks."""
         if self._socket is None:
             return
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -11,9 +11,10 @@
 import orjson
 from pamqp import base, commands, frame
 
+from pinspread import sockets
 from pinspread.amqp import frames
-from pinspread.amqp.broker import BrokerTransport
-from pinspread.amqp.front import AmqpFront
+from pinspread.amqp.server import AmqpFront
+from pinspread.amqp.transport import BrokerTransport
 from pinspread.config import settings
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
@@ -25,7 +26,6 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.resp import front
-from pinspread.sockets import connections as sockets
 from pinspread.testbed.stand_ins import (
     AmqpClient,
     Client,
@@ -69,16 +69,16 @@
     told = settings.read(configuration(state, **limits), {})
     clock = Clock()
     journal = Journal(told.state, told.disk_bytes)
-    core = DeliveryEngine(DeliveryPolicy(told.module, told.seed), told, clock, journal)
+    core = DeliveryEngine(DeliveryPolicy(told.policy_settings, told.seed), told, clock, journal)
     pool = Pool(clock, told.keepalive_us)
     notices = front.NotificationSender(platform)
     room = sockets.ConnectionLimiter(clock, legs, leg_bytes)
-    core.transports["http"] = HttpTransport(clock, pool, told.dial_us)
+    core.transports["http"] = HttpTransport(clock, pool, told.connect_timeout_us)
     core.fronts["resp"] = resp = front.RespFront(core, notices, room)
     core.fronts["amqp"] = amqp = AmqpFront(core, room=room)
-    core.subscribe = Discovery(platform, core, told).ask
+    core.subscribe = Discovery(platform, core, told).poll
     async with anyio.create_task_group() as tasks:
-        core.transports["amqp"] = BrokerTransport(clock, tasks, told.dial_us)
+        core.transports["amqp"] = BrokerTransport(clock, tasks, told.connect_timeout_us)
         (resp_sock, address), (amqp_sock, amqp_address) = listener(), listener()
         rig = Rig(core, address, amqp_address, tasks)
         for endpoint in endpoints:
@@ -125,9 +125,9 @@
             await wire.send(method)
 
     async def serve(self, connection):
-        wire = frames.Wire(connection, Clock())
+        wire = frames.FrameStream(connection, Clock())
         try:
-            if await wire.greeting() != frames.GREETING:
+            if await wire.greeting() != frames.PROTOCOL_HEADER:
                 return
             await wire.send(commands.Connection.Start(0, 9, {}, "PLAIN", "en_US"))
             self.logins.add((await wire.method("Connection.StartOk")).response)
@@ -140,7 +140,7 @@
             await wire.method("Confirm.Select")
             await wire.send(commands.Confirm.SelectOk(), 1)
             self.links.add(wire)
-            contents, tag = frames.Contents(), 0
+            contents, tag = frames.ContentAssembler(), 0
             while True:
                 await self.reading.wait()
                 channel, found = await wire.frame()
@@ -163,7 +163,7 @@
         todo = self.plan(self, properties.message_id)
         if todo == "return":
             back = commands.Basic.Return(312, "NO_ROUTE", "", method.routing_key)
-            await wire.write(frames.content(back, properties, body, 1))
+            await wire.write(frames.marshal_content(back, properties, body, 1))
         elif todo != "lose":
             self.effects.append(properties.message_id)
         if todo == "nack":
