--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -129,8 +129,8 @@
 
 def check(depth):
     found = modelcheck.explore(modelcheck.Bounds(depth=depth, states=20_000_000, seconds=600))
-    print(f"exhaustive, depth {depth}:", {k: v for k, v in found.items() if k != "steps"})
-    return not found["violation"]
+    print(f"exhaustive, depth {depth}:", {k: v for k, v in found._asdict().items() if k != "steps"})
+    return not found.violation
 
 
 def main(words):
--- a/pinspread/leases/model_checker.py
+++ b/pinspread/leases/model_checker.py
@@ -1,233 +1,420 @@
-"""An exhaustive check of the lease decisions: every order of events for some voters and contenders, to a
-depth.
-
-The parties run `lease.py` itself. A state holds: real time in ticks; each party's clock, which gains or
-loses the drift bound against real time at any one tick; the agreed log, as Raft gives it (one order,
-entries appended one at a time, never lost once appended); how much of it each voter has applied and when,
-by its own clock; requests and answers under way, which stay there: one that is never delivered is lost, one
-that is delivered again is doubled, and any order counts; each contender's claim; and what it has checked
-but not done yet. A pause is a party that takes no step while others do, for any length, also between its
-check and its act. Any voter may judge, as one may that has been cut off and takes itself for the leader.
-Explored breadth first, every state once, so a violation is found with the fewest steps.
-
-Asserted in every state: at most one contender may act (`lease.may_act` by its own clock), and what the
-resource takes has tokens that never fall. `Rules` swaps parts of the decisions, to show that the check
-finds what their absence breaks. What is left out: a voter's word on when to ask again (contenders ask at
-once, which is harder).
+"""An exhaustive check of the lease decisions: every order of events for some parties, to a depth.
+
+The parties run `state_machine` itself. A state holds: real time in ticks; each party's clock, which gains or
+loses the drift bound against real time at any one tick; the agreed log, as Raft gives it (one order, entries
+appended one at a time, never lost once appended); how much of it each voter has applied and when, by its own
+clock; requests and answers under way, which stay there: one that is never delivered is lost, one that is
+delivered again is doubled, and any order counts; each contender's claim; and what it has checked but not done
+yet. A pause is a party that takes no step while others do, for any length, also between its check and its
+act. Any voter may decide, as one may that is partitioned off and takes itself for the leader. The states are
+explored breadth first, each once, so that a violation is found with the fewest steps.
+
+Asserted in every state: at most one contender may act (`may_act` by its own clock), and the tokens that the
+resource accepts never fall. `Rules` replaces parts of the decisions, to show that the check finds what their
+absence breaks. What is left out: a voter's hint when to ask again (contenders ask at once, which is harder).
 """
 
 import time
-from typing import NamedTuple
-
-from pinspread.leases import state_machine as lease
+from collections.abc import Callable, Iterable, Iterator
+from typing import NamedTuple, TypeVar
+
+from pinspread.leases import state_machine
+from pinspread.leases.state_machine import (
+    OK,
+    Answer,
+    Claim,
+    Command,
+    CommandKind,
+    Contender,
+    LeaseRecord,
+    LeaseTerms,
+    Request,
+    RequestKind,
+)
 
 TASK = "t"
+TERMS = LeaseTerms(lease_us=3, drift_us=1, margin_us=0, renew_us=1, retry_us=1)
+
+_Item = TypeVar("_Item")
+
+
+class AppliedLog(NamedTuple):
+    """How much of the log a voter has applied, and when it last did, by its own clock."""
+
+    entries: int
+    at: int
+
+
+class AddressedAnswer(NamedTuple):
+    """An answer under way to a contender, by its number."""
+
+    contender: int
+    answer: Answer
+
+
+class PendingProposal(NamedTuple):
+    """A request that a voter answers once it applies the log's entry at `log_index`."""
+
+    voter: int
+    log_index: int
+    request: Request
 
 
 class World(NamedTuple):
-    """One state; all values are hashable."""
+    """One state; all values are hashable.
+
+    Attributes:
+        real: Real time, in ticks.
+        clocks: The gain over real time of each contender's clock, then of each voter's.
+        log: The agreed log.
+        applied: What each voter has applied.
+        claims: The claim of each contender.
+        request_count: How many request ids have been given out.
+        requests: The requests that were sent.
+        answers: The answers that were sent.
+        pending: The requests that are answered when a voter applies its proposal.
+        checked: For each contender, the token by which it is about to act, or 0.
+        newest_token: The newest token that the resource has accepted.
+    """
 
     real: int
-    clocks: tuple  # gain over real time of each contender, then of each voter
-    log: tuple  # lease.Command entries, agreed
-    applied: tuple  # a voter: (entries applied, its clock when it last applied)
-    claims: tuple  # lease.Claim of each contender
-    numbers: int  # given out so far
-    requests: frozenset  # (lease.Request) sent
-    answers: frozenset  # (contender, lease.Answer)
-    owed: frozenset  # (voter, log index, lease.Request): answered when that voter applies it
-    checked: tuple  # a contender: the token by which it is about to act, or 0
-    seen: int  # the resource's newest token
+    clocks: tuple[int, ...]
+    log: tuple[Command, ...]
+    applied: tuple[AppliedLog, ...]
+    claims: tuple[Claim, ...]
+    request_count: int
+    requests: frozenset[Request]
+    answers: frozenset[AddressedAnswer]
+    pending: frozenset[PendingProposal]
+    checked: tuple[int, ...]
+    newest_token: int
 
 
 class Bounds(NamedTuple):
-    """How far to look."""
+    """How much is explored.
+
+    Attributes:
+        contenders: How many contenders there are.
+        voters: How many voters there are.
+        depth: The most steps from a start.
+        log: The most entries in the log.
+        numbers: The most requests with an id of their own.
+        acts: Whether contenders check and act, too.
+        jumps: The most clocks that drift in one run.
+        drift: What a clock may gain or lose, in ticks; the terms have the same.
+        states: The most states.
+        seconds: The longest run.
+    """
 
     contenders: int = 2
     voters: int = 3
-    depth: int = 9  # steps
-    log: int = 3  # entries at the most
-    numbers: int = 3  # requests with a number of their own
-    acts: bool = False  # contenders check and act, too
-    jumps: int = 2  # clocks that drift in one run
-    drift: int = 1  # what a clock may gain or lose; lease.LeaseTerms has the same
+    depth: int = 9
+    log: int = 3
+    numbers: int = 3
+    acts: bool = False
+    jumps: int = 2
+    drift: int = 1
     states: int = 5_000_000
     seconds: float = 600.0
 
 
 class Rules(NamedTuple):
-    """The decisions under test."""
-
-    evaluate_request: object = lease.evaluate_request
-    apply_command: object = lease.apply_command
-    may_act: object = lease.may_act
-    fenced: bool = True  # the resource refuses old tokens
-
-
-TERMS = lease.LeaseTerms(lease_us=3, drift_us=1, margin_us=0, renew_us=1, retry_us=1)
-
-
-def starts(bounds, terms):
-    """Where to begin: nobody has asked; and, so that a depth reaches further, c0 was just granted."""
-    n, m = bounds.contenders, bounds.voters
-    none, claims = frozenset(), (lease.Claim(),) * n
-    first = World(0, (0,) * (n + m), (), ((0, 0),) * m, claims, 0, none, none, none, (0,) * n, 0)
-    yield "nobody has asked", first
-    log = (lease.Command(lease.CommandKind.GRANT, "c0", 0, 1),)
-    held = lease.Claim(1, terms.lease_us, next_request_us=terms.renew_us)
-    asked = frozenset([lease.Request(lease.RequestKind.ACQUIRE, TASK, "c0", 0, 1)])
-    for knew in range(1, m + 1):  # voters that have applied the grant by now
-        applied = ((1, 0),) * knew + ((0, 0),) * (m - knew)
-        yield (
-            f"c0 holds, {knew} know",
-            first._replace(log=log, applied=applied, claims=put(claims, 0, held), numbers=1, requests=asked),
-        )
-
+    """The decisions under test; `fenced` is whether the resource refuses old tokens."""
 
-def row_of(log, count, rules):
-    row = lease.LeaseRecord()
-    for command in log[:count]:
-        row, _ = rules.apply_command(row, command)
-    return row
-
-
-def put(values, at, value):
-    return values[:at] + (value,) + values[at + 1 :]
-
-
-def moves(w: World, terms, bounds, rules):
-    """Every next state, with the name of the step."""
-    n = bounds.contenders
-    yield "tick", w._replace(real=w.real + 1)
-    jumped = sum(map(bool, w.clocks))
-    for p, gain in enumerate(w.clocks):
-        if gain == 0 and jumped < bounds.jumps:
-            yield f"tick, {p} fast", w._replace(real=w.real + 1, clocks=put(w.clocks, p, bounds.drift))
-            yield f"tick, {p} slow", w._replace(real=w.real + 1, clocks=put(w.clocks, p, -bounds.drift))
-    for c in range(n):
-        now = w.real + w.clocks[c]
-        claim, request = lease.tick(w.claims[c], terms, lease.Contender(TASK, f"c{c}"), now, w.numbers + 1)
-        fresh = claim.request_id == w.numbers + 1
-        if (claim != w.claims[c] or request) and (not fresh or w.numbers < bounds.numbers):
-            requests = w.requests | {request} if request else w.requests
-            asked = w._replace(claims=put(w.claims, c, claim), numbers=w.numbers + fresh, requests=requests)
-            yield f"ask {c}", asked
-        if bounds.acts:
-            if not w.checked[c] and rules.may_act(w.claims[c], terms, now):
-                yield f"check {c}", w._replace(checked=put(w.checked, c, w.claims[c].token))
-            if w.checked[c]:
-                yield f"act {c}", _act(w, c, rules)
-    for request in w.requests:
-        for v in range(bounds.voters):
-            if len(w.log) < bounds.log:
-                judged = _judged(w, v, request, terms, rules, n)
-                yield f"deliver to {v}", judged
-                if len(judged.log) > len(w.log) and w.applied[v][0] == len(w.log):
-                    yield f"deliver to {v}, apply", _applied(judged, v, rules, n)
-    for c, answer in w.answers:
-        claim = lease.apply_answer(w.claims[c], answer, terms, w.real + w.clocks[c])
-        if claim != w.claims[c]:
-            yield f"answer {c}", w._replace(claims=put(w.claims, c, claim))
-    for v in range(bounds.voters):
-        if w.applied[v][0] < len(w.log):
-            yield f"apply {v}", _applied(w, v, rules, n)
-
-
-def _act(w, c, rules):
-    """The act reaches the resource, which refuses a token older than one that it has seen."""
-    token = w.checked[c]
-    taken = token >= w.seen or not rules.fenced
-    return w._replace(checked=put(w.checked, c, 0), seen=token if taken else w.seen)
-
-
-def _judged(w, v, request, terms, rules, n):
-    done, at = w.applied[v]
-    now = w.real + w.clocks[n + v]
-    said = rules.evaluate_request(row_of(w.log, done, rules), at, request, terms, now)
-    if isinstance(said, lease.Answer):
-        return w._replace(answers=w.answers | {(int(request.member[1:]), said._replace(retry_after_us=0))})
-    return w._replace(log=w.log + (said,), owed=w.owed | {(v, len(w.log), request)})
-
-
-def _applied(w, v, rules, n):
-    done, _ = w.applied[v]
-    row, why = rules.apply_command(row_of(w.log, done, rules), w.log[done])
-    answers, owed = w.answers, w.owed
-    for item in w.owed:
-        if item[0] == v and item[1] == done:
-            request = item[2]
-            token = row.token if why == lease.OK else 0
-            answers = answers | {
-                (int(request.member[1:]), lease.Answer(TASK, request.request_id, why, token))
-            }
-            owed = owed - {item}
-    return w._replace(
-        applied=put(w.applied, v, (done + 1, w.real + w.clocks[n + v])), answers=answers, owed=owed
+    evaluate_request: Callable[[LeaseRecord, int, Request, LeaseTerms, int], Command | Answer] = (
+        state_machine.evaluate_request
     )
+    apply_command: Callable[[LeaseRecord, Command], tuple[LeaseRecord, str]] = state_machine.apply_command
+    may_act: Callable[[Claim, LeaseTerms, int], bool] = state_machine.may_act
+    fenced: bool = True
 
 
-def wrong(w, terms, bounds, rules):
-    """What is broken in a state; empty if nothing is."""
-    may = [c for c in range(bounds.contenders) if rules.may_act(w.claims[c], terms, w.real + w.clocks[c])]
-    return f"both {may} may act at {w.real}" if len(may) > 1 else ""
+class Result(NamedTuple):
+    """What an exploration has found.
 
+    Attributes:
+        states: How many states were visited.
+        depth: How many steps from a start they reach.
+        seconds: The time taken.
+        complete: Whether nothing within the bounds was left out.
+        violation: What is broken; empty if nothing is.
+        steps: The names of the steps that lead to the violation.
+    """
 
-def canonical(w: World, bounds):
-    """One of the states that differ only by which voter is which."""
-    n = bounds.contenders
-    voters = sorted(
-        range(bounds.voters),
-        key=lambda v: (w.applied[v], w.clocks[n + v], sorted(i[1:] for i in w.owed if i[0] == v)),
-    )
-    place = {v: k for k, v in enumerate(voters)}
-    return w._replace(
-        applied=tuple(w.applied[v] for v in voters),
-        clocks=w.clocks[:n] + tuple(w.clocks[n + v] for v in voters),
-        owed=frozenset((place[i[0]], *i[1:]) for i in w.owed),
-    )
+    states: int
+    depth: int
+    seconds: float
+    complete: bool
+    violation: str
+    steps: list[str]
+
+
+Step = tuple[str, World]  # its name, and the state that it leads to
+
+
+class Model:
+    """The states and steps for some bounds, rules and terms."""
+
+    def __init__(self, bounds: Bounds, rules: Rules, terms: LeaseTerms):
+        self.bounds = bounds
+        self.rules = rules
+        self.terms = terms
+
+    # --- states ---------------------------------------------------------------------------------------
+
+    def starts(self) -> Iterator[Step]:
+        """Yield where to begin: nobody has asked; or, to reach further, contender 0 was just granted."""
+        contenders, voters = self.bounds.contenders, self.bounds.voters
+        first = World(
+            real=0,
+            clocks=(0,) * (contenders + voters),
+            log=(),
+            applied=(AppliedLog(0, 0),) * voters,
+            claims=(Claim(),) * contenders,
+            request_count=0,
+            requests=frozenset(),
+            answers=frozenset(),
+            pending=frozenset(),
+            checked=(0,) * contenders,
+            newest_token=0,
+        )
+        yield "nobody has asked", first
+        claim = Claim(1, self.terms.lease_us, next_request_us=self.terms.renew_us)
+        granted = first._replace(
+            log=(Command(CommandKind.GRANT, "c0", 0, 1),),
+            claims=_replaced(first.claims, 0, claim),
+            request_count=1,
+            requests=frozenset([Request(RequestKind.ACQUIRE, TASK, "c0", 0, 1)]),
+        )
+        for informed in range(1, voters + 1):  # voters that have applied the grant by now
+            applied = (AppliedLog(1, 0),) * informed + (AppliedLog(0, 0),) * (voters - informed)
+            yield f"c0 holds, {informed} know", granted._replace(applied=applied)
+
+    def violation(self, world: World) -> str:
+        """Return what is broken in a state; empty if nothing is."""
+        able = [
+            contender
+            for contender, claim in enumerate(world.claims)
+            if self.rules.may_act(claim, self.terms, self._contender_time(world, contender))
+        ]
+        return f"both {able} may act at {world.real}" if len(able) > 1 else ""
+
+    def canonical(self, world: World) -> World:
+        """Return one of the states that differ only by which voter is which."""
+        contenders = self.bounds.contenders
+
+        def sort_key(voter: int) -> tuple[object, ...]:
+            pending = sorted(item[1:] for item in world.pending if item.voter == voter)
+            return world.applied[voter], world.clocks[contenders + voter], pending
+
+        voters = sorted(range(self.bounds.voters), key=sort_key)
+        place = {voter: index for index, voter in enumerate(voters)}
+        return world._replace(
+            applied=tuple(world.applied[voter] for voter in voters),
+            clocks=world.clocks[:contenders] + tuple(world.clocks[contenders + voter] for voter in voters),
+            pending=frozenset(item._replace(voter=place[item.voter]) for item in world.pending),
+        )
 
+    def _contender_time(self, world: World, contender: int) -> int:
+        return world.real + world.clocks[contender]
+
+    def _voter_time(self, world: World, voter: int) -> int:
+        return world.real + world.clocks[self.bounds.contenders + voter]
+
+    def _record(self, log: Iterable[Command]) -> LeaseRecord:
+        """Return the record after some commands."""
+        record = LeaseRecord()
+        for command in log:
+            record, _ = self.rules.apply_command(record, command)
+        return record
+
+    # --- steps ----------------------------------------------------------------------------------------
+
+    def steps(self, world: World) -> Iterator[Step]:
+        """Yield every next state, with the name of the step."""
+        yield from self._time_steps(world)
+        for contender in range(self.bounds.contenders):
+            yield from self._request_steps(world, contender)
+            if self.bounds.acts:
+                yield from self._act_steps(world, contender)
+        yield from self._delivery_steps(world)
+        yield from self._answer_steps(world)
+        for voter in range(self.bounds.voters):
+            if world.applied[voter].entries < len(world.log):
+                yield f"apply {voter}", self._apply(world, voter)
+
+    def _time_steps(self, world: World) -> Iterator[Step]:
+        later = world._replace(real=world.real + 1)
+        yield "tick", later
+        if sum(map(bool, world.clocks)) >= self.bounds.jumps:
+            return
+        drift = self.bounds.drift
+        for party, gain in enumerate(world.clocks):
+            if gain == 0:
+                yield f"tick, {party} fast", later._replace(clocks=_replaced(world.clocks, party, drift))
+                yield f"tick, {party} slow", later._replace(clocks=_replaced(world.clocks, party, -drift))
+
+    def _request_steps(self, world: World, contender: int) -> Iterator[Step]:
+        before = world.claims[contender]
+        now = self._contender_time(world, contender)
+        new_id = world.request_count + 1
+        claim, request = state_machine.tick(before, self.terms, Contender(TASK, f"c{contender}"), now, new_id)
+        is_new = claim.request_id == new_id
+        if claim == before and not request:
+            return
+        if is_new and world.request_count >= self.bounds.numbers:
+            return
+        requests = world.requests | {request} if request else world.requests
+        after = world._replace(
+            claims=_replaced(world.claims, contender, claim),
+            request_count=world.request_count + is_new,
+            requests=requests,
+        )
+        yield f"ask {contender}", after
+
+    def _act_steps(self, world: World, contender: int) -> Iterator[Step]:
+        checked = world.checked[contender]
+        claim = world.claims[contender]
+        if checked:
+            yield f"act {contender}", self._act(world, contender)
+        elif self.rules.may_act(claim, self.terms, self._contender_time(world, contender)):
+            yield (
+                f"check {contender}",
+                world._replace(checked=_replaced(world.checked, contender, claim.token)),
+            )
+
+    def _act(self, world: World, contender: int) -> World:
+        """Have an act reach the resource, which refuses a token older than one that it has accepted."""
+        token = world.checked[contender]
+        accepted = token >= world.newest_token or not self.rules.fenced
+        return world._replace(
+            checked=_replaced(world.checked, contender, 0),
+            newest_token=token if accepted else world.newest_token,
+        )
 
-def explore(bounds=None, rules=None, terms=TERMS):
-    """Look at every state within the bounds: {states, depth, seconds, whole, violation, steps}.
+    def _delivery_steps(self, world: World) -> Iterator[Step]:
+        if len(world.log) >= self.bounds.log:
+            return
+        for request in world.requests:
+            for voter in range(self.bounds.voters):
+                delivered = self._deliver(world, voter, request)
+                yield f"deliver to {voter}", delivered
+                proposed = len(delivered.log) > len(world.log)
+                if proposed and world.applied[voter].entries == len(world.log):
+                    yield f"deliver to {voter}, apply", self._apply(delivered, voter)
+
+    def _deliver(self, world: World, voter: int, request: Request) -> World:
+        """Have a voter decide on a request."""
+        count, at = world.applied[voter]
+        now = self._voter_time(world, voter)
+        record = self._record(world.log[:count])
+        decision = self.rules.evaluate_request(record, at, request, self.terms, now)
+        if isinstance(decision, Answer):
+            answer = _addressed(request, decision._replace(retry_after_us=0))
+            return world._replace(answers=world.answers | {answer})
+        pending = PendingProposal(voter, len(world.log), request)
+        return world._replace(log=(*world.log, decision), pending=world.pending | {pending})
+
+    def _answer_steps(self, world: World) -> Iterator[Step]:
+        for contender, answer in world.answers:
+            before = world.claims[contender]
+            now = self._contender_time(world, contender)
+            claim = state_machine.apply_answer(before, answer, self.terms, now)
+            if claim != before:
+                yield (
+                    f"answer {contender}",
+                    world._replace(claims=_replaced(world.claims, contender, claim)),
+                )
+
+    def _apply(self, world: World, voter: int) -> World:
+        """Have a voter apply the next entry of the log, and answer the request that led to it."""
+        count = world.applied[voter].entries
+        before = self._record(world.log[:count])
+        record, outcome = self.rules.apply_command(before, world.log[count])
+        token = record.token if outcome == OK else 0
+        done = {item for item in world.pending if item.voter == voter and item.log_index == count}
+        answers = {
+            _addressed(item.request, Answer(TASK, item.request.request_id, outcome, token)) for item in done
+        }
+        applied = AppliedLog(count + 1, self._voter_time(world, voter))
+        return world._replace(
+            applied=_replaced(world.applied, voter, applied),
+            answers=world.answers | answers,
+            pending=world.pending - done,
+        )
 
-    `whole` says that nothing within the bounds was left out; `steps` lead to the violation, if one was found.
-    """
-    bounds, rules = bounds or Bounds(), rules or Rules()
-    began = time.monotonic()
-    begins = {canonical(w, bounds): name for name, w in starts(bounds, terms)}
-    came_from = {w: (None, name) for w, name in begins.items()}
-    layer, depth = list(begins), 0
 
-    def found(violation="", last=None, whole=True, more=()):
+def _replaced(values: tuple[_Item, ...], index: int, value: _Item) -> tuple[_Item, ...]:
+    """Return the values with another one at an index."""
+    return (*values[:index], value, *values[index + 1 :])
+
+
+def _addressed(request: Request, answer: Answer) -> AddressedAnswer:
+    """Return an answer to the contender that a request is from."""
+    return AddressedAnswer(int(request.member.removeprefix("c")), answer)
+
+
+class _Exploration:
+    """The states that were visited, and how each was reached first."""
+
+    def __init__(self, model: Model):
+        self.model = model
+        self.started_s = time.monotonic()
+        self.depth = 0
+        self.frontier: list[World] = []
+        self._came_from: dict[World, tuple[World | None, str]] = {}
+        for name, world in model.starts():
+            self._visit(model.canonical(world), None, name)
+
+    def _visit(self, world: World, origin: World | None, step: str) -> None:
+        self._came_from[world] = (origin, step)
+        self.frontier.append(world)
+
+    def run(self) -> Result:
+        """Visit the states layer by layer, each a step further from the starts."""
+        bounds = self.model.bounds
+        while self.frontier and self.depth < bounds.depth:
+            self.depth += 1
+            layer, self.frontier = self.frontier, []
+            for world in layer:
+                violation, steps = self._expand(world)
+                if violation:
+                    return self._result(violation, steps)
+                if len(self._came_from) > bounds.states or self._elapsed_s() > bounds.seconds:
+                    return self._result(complete=False)
+        return self._result()
+
+    def _expand(self, world: World) -> tuple[str, list[str]]:
+        """Visit the next states of one; return a violation and the steps to it, or empty values."""
+        for name, raw in self.model.steps(world):
+            if raw.newest_token < world.newest_token:
+                # This is a fault of the step, not of the state, which another way may have led to.
+                violation = f"the resource took token {raw.newest_token} after {world.newest_token}"
+                return violation, [*self._steps_to(world), name]
+            state = self.model.canonical(raw)
+            if state in self._came_from:
+                continue
+            self._visit(state, world, name)
+            violation = self.model.violation(state)
+            if violation:
+                return violation, self._steps_to(state)
+        return "", []
+
+    def _steps_to(self, world: World | None) -> list[str]:
         steps = []
-        while last is not None:
-            last, name = came_from[last]
+        while world is not None:
+            world, name = self._came_from[world]
             steps.append(name)
-        return {
-            "states": len(came_from),
-            "depth": depth,
-            "seconds": round(time.monotonic() - began, 2),
-            "whole": whole,
-            "violation": violation,
-            "steps": [*steps[::-1], *more],
-        }
+        return steps[::-1]
+
+    def _elapsed_s(self) -> float:
+        return time.monotonic() - self.started_s
+
+    def _result(self, violation: str = "", steps: Iterable[str] = (), complete: bool = True) -> Result:
+        elapsed_s = round(self._elapsed_s(), 2)
+        return Result(len(self._came_from), self.depth, elapsed_s, complete, violation, list(steps))
+
 
-    while layer and depth < bounds.depth:
-        depth += 1
-        ahead = []
-        for w in layer:
-            for name, raw in moves(w, terms, bounds, rules):
-                state = canonical(raw, bounds)
-                if raw.seen < w.seen:  # of the step, not of the state, which another way may have led to
-                    return found(f"the resource took token {raw.seen} after {w.seen}", w, more=[name])
-                if state in came_from:
-                    continue
-                came_from[state] = (w, name)
-                broken = wrong(state, terms, bounds, rules)
-                if broken:
-                    return found(broken, state)
-                ahead.append(state)
-            if len(came_from) > bounds.states or time.monotonic() - began > bounds.seconds:
-                return found(whole=False)
-        layer = ahead
-    return found()
+def explore(bounds: Bounds | None = None, rules: Rules | None = None, terms: LeaseTerms = TERMS) -> Result:
+    """Visit every state within the bounds, or as far as the first violation."""
+    return _Exploration(Model(bounds or Bounds(), rules or Rules(), terms)).run()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -102,8 +102,8 @@
 
 def test_no_order_of_events_within_six_steps_gives_two_holders():
     found = modelcheck.explore(modelcheck.Bounds(depth=6))
-    assert found["whole"] and not found["violation"], found
-    assert found["states"] > 500_000
+    assert found.complete and not found.violation, found
+    assert found.states > 500_000
 
 
 @pytest.mark.parametrize(
@@ -118,17 +118,17 @@
 )
 def test_the_check_finds_two_holders_where_a_rule_is_taken_out(rules):
     found = modelcheck.explore(modelcheck.Bounds(depth=6), rules)
-    assert "may act" in found["violation"], found
-    assert 3 <= len(found["steps"]) <= 7
+    assert "may act" in found.violation, found
+    assert 3 <= len(found.steps) <= 7
 
 
 def test_acts_of_a_holder_that_paused_are_refused_by_the_fence_alone():
     bounds = modelcheck.Bounds(depth=9, voters=1, jumps=0, drift=0, numbers=2, log=2, acts=True)
     terms = modelcheck.TERMS._replace(lease_us=2, drift_us=0)
     found = modelcheck.explore(bounds, terms=terms)
-    assert found["whole"] and not found["violation"], found
+    assert found.complete and not found.violation, found
     unfenced = modelcheck.explore(bounds, modelcheck.Rules(fenced=False), terms)
-    assert unfenced["violation"] == "the resource took token 1 after 2", unfenced
+    assert unfenced.violation == "the resource took token 1 after 2", unfenced
 
 
 def test_the_stand_in_resource_refuses_an_older_token_and_what_is_no_act():
