--- /dev/null
+++ b/pinspread/hot_restart/target.py
@@ -0,0 +1,270 @@
+"""The new process's side: it takes everything over from the owner of the folder, and hears its reports.
+
+`core/handover.py` (`HandoverTarget`) decides what an exchange leads to; this carries it out.
+"""
+
+import os
+import socket
+from contextlib import ExitStack, suppress
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+import anyio
+import orjson
+
+from pinspread.core.clock import Clock
+from pinspread.core.engine import DeliveryEngine
+from pinspread.core.folder_lock import FolderLock
+from pinspread.core.handover import HandoverStep, HandoverTarget
+from pinspread.core.journal import Journal
+from pinspread.core.log import log
+from pinspread.core.messages import Attempt, AttemptResult
+from pinspread.errors import JournalFormatError
+from pinspread.hot_restart import packet_codec
+from pinspread.hot_restart.link import (
+    RETRY_S,
+    STEP_S,
+    HandoverFormatError,
+    Link,
+    Packet,
+    PacketKind,
+    connect,
+)
+from pinspread.hot_restart.state_codec import read_state, shape
+from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.policy.events import Outcome
+from pinspread.sockets.connections import Connection, IdleConnection
+
+BROKEN_S = 0.3  # after an exchange that broke: the old process has the lock back first
+REPORT_GRACE_US = 200_000  # past an attempt's time, for the report of its end
+
+_WAITING_FOR_LOCK = "waiting for the lock"  # a state of `HandoverTarget`
+
+
+class IdleEndpointConnection(NamedTuple):
+    """An open connection to an endpoint that no attempt uses; `idle_since_us` is on the monotonic clock."""
+
+    endpoint_id: str
+    address: str
+    idle_since_us: int
+    connection: Connection
+
+
+@dataclass
+class TransferredState:
+    """What a new process starts with; without a state it is alone, and recovers from the journal."""
+
+    state: dict[str, Any] | None = None
+    client_connections: list[IdleConnection] = field(default_factory=list)
+    idle_connections: list[IdleEndpointConnection] = field(default_factory=list)
+    listeners: dict[str, socket.socket] = field(default_factory=dict)  # by the name of their front
+    link: Link | None = None
+
+    def add(self, packet: Packet) -> None:
+        """Take in one packet of what is handed over; HandoverFormatError if it is none of these."""
+        kind, data, descriptor = packet
+        if kind == PacketKind.STATE:
+            self.state = read_state(data)
+        elif kind == PacketKind.CLIENT_CONNECTION and descriptor is not None:
+            connection = _connection(descriptor)
+            self.client_connections.append(packet_codec.decode_client_connection(data, connection))
+        elif kind == PacketKind.IDLE_CONNECTION and descriptor is not None:
+            endpoint_id, address, idle_since_us = orjson.loads(data)
+            connection = _connection(descriptor)
+            self.idle_connections.append(
+                IdleEndpointConnection(endpoint_id, address, idle_since_us, connection)
+            )
+        elif kind == PacketKind.LISTENER and descriptor is not None:
+            self.listeners[data.decode()] = socket.socket(fileno=descriptor)
+        else:
+            _refuse(kind, descriptor)
+
+    def close(self) -> None:
+        """Close all that came, for the exchange came to nothing."""
+        for client in self.client_connections:
+            client.connection.close()
+        for idle in self.idle_connections:
+            idle.connection.close()
+        for listener in self.listeners.values():
+            listener.close()
+
+
+def _refuse(kind: int, descriptor: int | None) -> None:
+    if descriptor is not None:
+        os.close(descriptor)
+    raise HandoverFormatError(f"message {int(kind)} is out of place")
+
+
+def _connection(descriptor: int) -> Connection:
+    sock = socket.socket(fileno=descriptor)
+    try:
+        return Connection(sock)
+    except OSError:  # its other side has reset it: that shows at the first use
+        connection = Connection.__new__(Connection)
+        connection.sock, connection.left, connection.idle_us, connection.over = sock, 0, 0, False
+        return connection
+
+
+async def take_over(
+    folder: str, lock: FolderLock, journal: Journal, policy: DeliveryPolicy
+) -> TransferredState:
+    """Take over from the process that owns the folder, or find that no process does.
+
+    This process holds the lock on return. Without a state in the result, it recovers from the journal.
+
+    Raises:
+        JournalFormatError: The journal is of a newer version; the old process goes on serving.
+        OSError: The folder cannot be locked.
+    """
+    return await _Takeover(folder, lock, journal, policy).run()
+
+
+class _Takeover:
+    """The exchanges of one start, one after the other, until this process holds the lock."""
+
+    def __init__(self, folder: str, lock: FolderLock, journal: Journal, policy: DeliveryPolicy) -> None:
+        self.folder = folder
+        self.lock = lock
+        self.journal = journal
+        self.policy = policy
+        self.target = HandoverTarget()
+
+    async def run(self) -> TransferredState:
+        while not self.lock.take():
+            if self.target.state != _WAITING_FOR_LOCK:
+                try:
+                    link = connect(self.folder)
+                except OSError:
+                    await anyio.sleep(RETRY_S)  # it starts or ends, or its socket was left behind
+                    continue
+                transferred = await self._exchange(link)
+                if transferred is not None:
+                    return transferred
+            await anyio.sleep(RETRY_S)
+        return TransferredState()
+
+    async def _exchange(self, link: Link) -> TransferredState | None:
+        """One exchange; None if nothing came of it."""
+        transferred = TransferredState(link=link)
+        own_shape = shape(self.policy)
+        delay_s = 0.0
+        with ExitStack() as on_failure:
+            on_failure.callback(link.close)
+            on_failure.callback(transferred.close)
+            try:
+                lock_descriptor = await self._collect(link, transferred, own_shape)
+                if lock_descriptor is not None:
+                    complete = transferred.state is not None
+                    if await self._accept(link, lock_descriptor, complete):
+                        on_failure.pop_all()
+                        return transferred
+            except (OSError, ValueError, TimeoutError, KeyError) as error:
+                self._broken(error)
+                delay_s = BROKEN_S
+        await anyio.sleep(delay_s)
+        if self.target.state == _WAITING_FOR_LOCK:
+            await _request_departure(self.folder)
+        return None
+
+    async def _collect(self, link: Link, transferred: TransferredState, own_shape: str) -> int | None:
+        """Receive all that is handed over; gives the descriptor of the lock, None where it was declined."""
+        with anyio.fail_after(STEP_S):
+            await link.send(PacketKind.HELLO, own_shape.encode())
+        self.target.state = "collecting"
+        while True:
+            with anyio.fail_after(STEP_S):
+                packet = await link.receive()
+            if packet.kind == PacketKind.DECLINED:
+                reason, busy = packet_codec.decode_refusal(packet.data)
+                log("handover_declined", why=reason)
+                self.target.declined(busy)
+                return None
+            if packet.kind == PacketKind.LOCK:
+                return packet.descriptor
+            transferred.add(packet)
+
+    async def _accept(self, link: Link, lock_descriptor: int, complete: bool) -> bool:
+        """Own everything, if it is complete and the journal can be read, and say so."""
+        with ExitStack() as on_failure:
+            on_failure.callback(os.close, lock_descriptor)
+            if self.target.collected(complete) is not HandoverStep.TAKE:
+                return False
+            try:
+                self.journal.read()
+            except JournalFormatError as error:
+                self.target.locked(False)
+                with suppress(OSError):
+                    await link.send(PacketKind.DECLINED, packet_codec.encode_refusal(str(error), busy=False))
+                raise
+            self.target.locked(True)
+            self.lock.adopt(lock_descriptor)
+            on_failure.pop_all()
+        await link.send(PacketKind.TAKEN_OVER)
+        return True
+
+    def _broken(self, error: Exception) -> None:
+        log("handover_broke", error=str(error) or type(error).__name__, state=self.target.state)
+        # A process that has not heard that everything was taken serves on, or is gone and the lock free: with
+        # the lock held here as well, there would be two owners.
+        self.lock.leave()
+        if isinstance(error, ValueError):
+            self.target.collected(False)  # it cannot be read: it would be no better the next time
+        self.target.broke()
+
+
+async def _request_departure(folder: str) -> None:
+    """Have the old process end; it hears that on a connection of its own, once the exchange is over."""
+    try:
+        link = connect(folder)
+        with anyio.fail_after(STEP_S):
+            await link.send(PacketKind.LEAVE)
+        link.close()
+    except (OSError, TimeoutError) as error:
+        log("handover_broke", error=str(error), state="asking it to leave")
+
+
+async def follow_predecessor(link: Link, engine: DeliveryEngine, clock: Clock) -> None:
+    """Take in how the old process's attempts end, and what its admin server is asked, until it has ended."""
+    in_flight = list(engine.attempts)
+    health_checks = list(engine.probes)
+    async with anyio.create_task_group() as tasks:
+        for key in in_flight:
+            tasks.start_soon(_time_out, engine, key, engine.attempts[key], clock)
+        try:
+            while True:
+                packet = await link.receive()
+                if packet.descriptor is not None:
+                    os.close(packet.descriptor)
+                await _report(link, engine, packet.kind, orjson.loads(packet.data))
+        except (OSError, ValueError, KeyError, TypeError) as error:
+            log("predecessor_gone", why=str(error) or type(error).__name__)
+            engine.bereft(in_flight, health_checks)
+        tasks.cancel_scope.cancel()
+    link.close()
+
+
+async def _time_out(engine: DeliveryEngine, key: tuple[int, int], attempt: Attempt, clock: Clock) -> None:
+    """End an attempt of the old process that it has not reported in time.
+
+    A process that hangs reports nothing, and without this a message would never have its final result.
+    """
+    await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / 1e6)
+    engine.reported(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
+
+
+async def _report(link: Link, engine: DeliveryEngine, kind: int, fields: list[Any]) -> None:
+    """Do what one packet of the old process says."""
+    if kind == PacketKind.ATTEMPT_COMPLETED:
+        message_number, attempt_number, result = fields
+        engine.reported(message_number, attempt_number, packet_codec.result_from_json(result))
+    elif kind == PacketKind.RETRY_AFTER:
+        engine.reported_wait(*fields)
+    elif kind == PacketKind.HEALTH_CHECK_COMPLETED:
+        endpoint_id, result = fields
+        engine.reported_probe(endpoint_id, packet_codec.result_from_json(result))
+    elif kind == PacketKind.SET_ENDPOINT_DISABLED:
+        endpoint_id, disabled, question = fields
+        known = await (engine.disable(endpoint_id) if disabled else engine.enable(endpoint_id))
+        await link.send(PacketKind.ENDPOINT_DISABLED, orjson.dumps([question, known]))
+    else:
+        raise HandoverFormatError(f"message {int(kind)} is out of place")
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -5,6 +5,7 @@
 import signal
 import socket
 from functools import partial
+from typing import TYPE_CHECKING
 
 import anyio
 
@@ -24,6 +25,9 @@
 from pinspread.resp import front
 from pinspread.sockets import connections as sockets
 
+if TYPE_CHECKING:
+    from pinspread.hot_restart.source import HandoverPayload
+
 BOUND_S, BOUND_TRIES = 0.05, 40  # between tries to listen where another process still does
 OWNER_S = 5.0  # how long a start waits for a process that still owns the folder
 HANDED_S = 10.0  # how long a process that has handed over waits for its SIGTERM
@@ -56,7 +60,7 @@
         self.background_services = list(background_services)
         self.clock = clock = Clock()
         use(clock)
-        self.owner = FolderLock(told.state)
+        self.lock = FolderLock(told.state)
         journal = Journal(told.state, told.disk_bytes)
         self.engine = engine = DeliveryEngine(
             DeliveryPolicy(told.policy_settings, told.seed), told, clock, journal
@@ -131,7 +135,7 @@
         before = await self._take_over()
         if self.leaving.is_set() and not before:
             return  # all that is owed is in the journal
-        legs, sockets_ = (before.legs, before.sockets) if before else ((), {})
+        legs, sockets_ = (before.client_connections, before.listeners) if before else ((), {})
         # From here on PING is answered: all that is owed is known again.
         if told.listen:
             self.listening[front.NAME] = inherited(told.inherited_listener_descriptor) or await self._listen(
@@ -154,20 +158,20 @@
             self.change()
         log("serving", name=told.name, listen=told.listen, amqp=self.amqp.listen, admin=told.admin)
         if told.inherited_listener_descriptor is not None:
-            from pinspread.hot_restart import transfer as succession
+            from pinspread.hot_restart import source, target
 
             if before:
-                tasks.start_soon(succession.follow, before.link, engine, self.clock)
-            tasks.start_soon(succession.Succession(self, told.state).run)
+                tasks.start_soon(target.follow_predecessor, before.link, engine, self.clock)
+            tasks.start_soon(source.HandoverListener(self, told.state).run)
 
     async def _take_over(self):
         """Own the folder and all that is owed; gives what a process before has handed over, or None."""
         told, engine = self.told, self.engine
         before = None
         if told.inherited_listener_descriptor is not None:
-            from pinspread.hot_restart import transfer as succession
+            from pinspread.hot_restart import target
 
-            before = await succession.inherit(told.state, self.owner, engine.journal, engine.sender)
+            before = await target.take_over(told.state, self.lock, engine.journal, engine.sender)
         else:
             await self._own()
             if self.background_services and not self.leaving.is_set():
@@ -180,7 +184,7 @@
             return None
         engine.inherit(before.state)
         self.discovery.resume(before.state["discovery"])
-        self.pool.adopt(before.idle)
+        self.pool.adopt(before.idle_connections)
         return before
 
     async def _before_recovery(self):
@@ -200,7 +204,7 @@
         # Danger: a process that is ending may still write to the journal; two would tear it.
         try:
             with anyio.fail_after(OWNER_S):
-                while not self.owner.take() and not self.leaving.is_set():
+                while not self.lock.take() and not self.leaving.is_set():
                     await anyio.sleep(0.02)
         except TimeoutError:
             raise OSError(f"{self.told.state}: another process owns it; end that one first") from None
@@ -243,7 +247,7 @@
                 # A new configuration counts to the end: the notices of a courier that stops are still owed.
                 self.change()
 
-    def leave(self):
+    def leave_to_successor(self):
         """Another process waits for the folder."""
         if self.first.scope:
             self.first.scope.cancel()  # it also hears the callers that come from now on
@@ -261,38 +265,39 @@
 
     # --- what an upgrade asks of the old process ------------------------------------------------------
 
-    async def rest(self, successor) -> dict:
-        """Come to rest, and give all that goes over."""
-        from pinspread.hot_restart import transfer as succession
+    async def pause_for_handover(self, successor) -> "HandoverPayload":
+        """Stop acting, and give all that goes over."""
+        from pinspread.hot_restart.source import HandoverPayload
+        from pinspread.hot_restart.state_codec import pack_state
+        from pinspread.hot_restart.target import IdleEndpointConnection
 
         await self.second.close()
         scopes, self.scopes = self.scopes, []
         for scope in scopes:
             scope.cancel()
-        legs = await self.first.part()
+        connections = await self.first.part()
         state = self.engine.rest(successor) | {"discovery": self.discovery.rest()}
-        return {
-            "blob": succession.packed(state),
-            "state": state,
-            "legs": _chosen(legs, self.told.sockets // 4),
-            "idle": self.pool.part(),
-            "sockets": {name: sock for name, sock in self.listening.items() if name != front.NAME},
-            "lock": self.owner.fd,
-        }
-
-    def resume(self, given):
+        return HandoverPayload(
+            packed_state=pack_state(state),
+            attempts_in_flight=len(state["out"]),
+            client_connections=_chosen(connections, self.told.sockets // 4),
+            idle_connections=[IdleEndpointConnection(*idle) for idle in self.pool.part()],
+            listeners={name: sock for name, sock in self.listening.items() if name != front.NAME},
+            lock_descriptor=self.lock.fd,
+        )
+
+    def resume_after_handover(self, payload: "HandoverPayload"):
         """The other process did not take over: serve on."""
-        self.pool.adopt(given["idle"])
+        self.pool.adopt(payload.idle_connections)
         self.engine.resume()
         self._follow()
-        self._hear(given["legs"])
-        log("resumed", legs=len(given["legs"]))
-
-    def given(self, given):
-        """The other process owns all."""
-        for connection in [k.connection for k in given["legs"]] + [idle[3] for idle in given["idle"]]:
-            connection.close()
-        self.owner.leave()
+        self._hear(payload.client_connections)
+        log("resumed", client_connections=len(payload.client_connections))
+
+    def finish_handover(self, payload: "HandoverPayload"):
+        """The other process owns everything."""
+        payload.close_connections()
+        self.lock.leave()
         self.tasks.start_soon(self._leave_in_time)
 
     async def _leave_in_time(self):
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -23,7 +23,8 @@
 from pinspread.config import settings
 from pinspread.core.messages import AttemptResult
 from pinspread.discovery import client as discovery
-from pinspread.hot_restart import transfer as succession
+from pinspread.hot_restart import packet_codec, source, target
+from pinspread.hot_restart.link import Link, Packet, PacketKind
 from pinspread.leases.service import Leases
 from pinspread.membership.service import Membership, Plan
 from pinspread.membership.swim import Tuning
@@ -110,12 +111,21 @@
 
 
 PACKETS = {
-    name: getattr(succession, name)
-    for name in (
-        "HELLO", "NO", "LEAVE", "STATE", "LEG", "IDLE", "SOCKET", "YOURS", "TAKEN", "ENDED", "HEED", "PROBED",
-        "BAN", "BANNED",
-    )
-}  # fmt: skip
+    "HELLO": PacketKind.HELLO,
+    "NO": PacketKind.DECLINED,
+    "LEAVE": PacketKind.LEAVE,
+    "STATE": PacketKind.STATE,
+    "LEG": PacketKind.CLIENT_CONNECTION,
+    "IDLE": PacketKind.IDLE_CONNECTION,
+    "SOCKET": PacketKind.LISTENER,
+    "YOURS": PacketKind.LOCK,
+    "TAKEN": PacketKind.TAKEN_OVER,
+    "ENDED": PacketKind.ATTEMPT_COMPLETED,
+    "HEED": PacketKind.RETRY_AFTER,
+    "PROBED": PacketKind.HEALTH_CHECK_COMPLETED,
+    "BAN": PacketKind.SET_ENDPOINT_DISABLED,
+    "BANNED": PacketKind.ENDPOINT_DISABLED,
+}
 
 
 RESULT = {
@@ -136,7 +146,7 @@
 
 
 def told_outcome(packet):
-    found = succession._outcome(packet)
+    found = packet_codec.result_from_json(packet)
     return {"verdict": int(found.outcome)} | {name: getattr(found, at) for name, at in RESULT.items()}
 
 
@@ -151,13 +161,13 @@
     """What an old process hands over, but for the state's own bytes."""
     a, b = connected()
     kept = sockets.IdleConnection(sockets.Connection(a), True, True, 2, b"unread", b"unsent")
-    idle = ("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
+    idle = target.IdleEndpointConnection("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
     lock = os.open(os.devnull, os.O_RDONLY)
     listening = socket.socket()
-    given = {"blob": b"state", "legs": [kept], "idle": [idle], "sockets": {"resp": listening}, "lock": lock}
-    link = succession.Link(link_socket)
-    await succession.Succession(SimpleNamespace(), "")._give(link, given)
-    successor = succession.Successor(link)
+    payload = source.HandoverPayload(b"state", 0, [kept], [idle], {"resp": listening}, lock)
+    link = Link(link_socket)
+    await source.HandoverListener(SimpleNamespace(), "")._send(link, payload)
+    successor = source.Successor(link)
     successor.ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
     successor.apply_retry_after("s-1", 1500)
     successor.probed("s-2", outcome("OK", opened=True))
@@ -176,15 +186,17 @@
 
 async def take(link_socket, count):
     """The same read by the code of a new process."""
-    link, found = succession.Link(link_socket), succession.TransferredState()
+    link, found = Link(link_socket), target.TransferredState()
     for _ in range(count):
         kind, data, fd = await link.receive()
         if kind in (PACKETS["LEG"], PACKETS["IDLE"], PACKETS["SOCKET"]):
-            succession._gather(found, kind, data, fd)
+            found.add(Packet(kind, data, fd))
         elif fd is not None:
             os.close(fd)
-    told = {"idle": [list(i[:3]) for i in found.idle], "sockets": list(found.sockets)}
-    told["legs"] = [[k.spoke, k.asked, k.errors, k.unread.decode(), k.unsent.decode()] for k in found.legs]
+    told = {"idle": [list(i[:3]) for i in found.idle_connections], "sockets": list(found.listeners)}
+    told["legs"] = [
+        [k.spoke, k.asked, k.errors, k.unread.decode(), k.unsent.decode()] for k in found.client_connections
+    ]
     found.close()
     return told
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 from standins import Client, HttpStandIn, configuration, host, listener, own_address, standing, until
 
 from pinspread.core import journal
-from pinspread.hot_restart import transfer as succession
+from pinspread.hot_restart.link import SOCKET_NAME, Link, PacketKind
 from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
@@ -235,7 +235,7 @@
 
     def __init__(self, made, deed, kind):
         self.made, self.deed, self.kind = made, deed, kind
-        self.path = made.folder / "state" / succession.NAME
+        self.path = made.folder / "state" / SOCKET_NAME
         self.real = self.path.with_name("real")
         self.path.rename(self.real)
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -245,8 +245,8 @@
 
     async def run(self):
         await anyio.wait_readable(self.sock)
-        new = succession.Link(self.sock.accept()[0])
-        old = succession.Link(socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET))
+        new = Link(self.sock.accept()[0])
+        old = Link(socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET))
         old.sock.connect(str(self.real))
         self.real.rename(self.path)  # whoever asks next finds the old process itself
         async with anyio.create_task_group() as tasks:
@@ -277,10 +277,10 @@
 
 
 STEPS = {
-    "kill old": ("HELLO", "STATE", "LEG", "YOURS", "TAKEN", "ENDED"),
-    "kill new": ("STATE", "YOURS", "TAKEN", "ENDED"),
-    "cut": ("YOURS", "TAKEN"),
-    "garble": ("HELLO", "STATE", "ENDED"),
+    "kill old": ("HELLO", "STATE", "CLIENT_CONNECTION", "LOCK", "TAKEN_OVER", "ATTEMPT_COMPLETED"),
+    "kill new": ("STATE", "LOCK", "TAKEN_OVER", "ATTEMPT_COMPLETED"),
+    "cut": ("LOCK", "TAKEN_OVER"),
+    "garble": ("HELLO", "STATE", "ATTEMPT_COMPLETED"),
 }
 
 
@@ -288,13 +288,16 @@
 async def test_an_upgrade_that_breaks_at_any_message_loses_and_doubles_nothing(tmp_path, deed, kind):
     async with deployed(tmp_path, clients=4) as (made, ledger):
         await anyio.sleep(0.3)
-        between = Between(made, deed, getattr(succession, kind))
+        between = Between(made, deed, PacketKind[kind])
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(between.run)
             new = made.start()
             if deed == "kill new":
                 await anyio.to_thread.run_sync(new.wait)
-                if kind not in ("TAKEN", "ENDED"):  # the old one serves on, and hands over to the next
+                if kind not in (
+                    "TAKEN_OVER",
+                    "ATTEMPT_COMPLETED",
+                ):  # the old one serves on, and hands over to the next
                     assert await ready(made.processes[0], 3) < 3
                     assert await Client(made.address).say("PING") == "+PONG\r\n"
                 else:
