--- a/pinspread/hot_restart/packet_codec.py
+++ b/pinspread/hot_restart/packet_codec.py
@@ -9,7 +9,7 @@
 
 from pinspread.core.messages import AttemptResult
 from pinspread.policy.events import Outcome
-from pinspread.sockets.connections import Connection, IdleConnection
+from pinspread.sockets import Connection, IdleConnection
 
 # The keys of an attempt's result in a packet, and the fields of `AttemptResult` that hold them.
 RESULT_FIELDS = {
--- a/pinspread/hot_restart/source.py
+++ b/pinspread/hot_restart/source.py
@@ -22,7 +22,7 @@
 from pinspread.hot_restart.link import RETRY_S, STEP_S, Link, PacketKind, socket_path
 from pinspread.hot_restart.state_codec import shape
 from pinspread.hot_restart.target import IdleEndpointConnection
-from pinspread.sockets.connections import IdleConnection
+from pinspread.sockets import IdleConnection
 
 ADMIN_ANSWER_S = 0.8  # for the new process's answer: an operator's is due in a second
 _BACKLOG = 4  # connections that wait to be accepted
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -33,7 +33,7 @@
 from pinspread.hot_restart.state_codec import read_state, shape
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import Outcome
-from pinspread.sockets.connections import Connection, IdleConnection
+from pinspread.sockets import Connection, IdleConnection
 
 BROKEN_S = 0.3  # after an exchange that broke: the old process has the lock back first
 REPORT_GRACE_US = 200_000  # past an attempt's time, for the report of its end
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -9,6 +9,7 @@
 
 import anyio
 
+from pinspread import sockets
 from pinspread.amqp.broker import GUEST, BrokerTransport
 from pinspread.amqp.front import NAME as AMQP
 from pinspread.amqp.front import AmqpFront
@@ -23,7 +24,6 @@
 from pinspread.http.transport import HttpTransport, Pool
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.resp import front
-from pinspread.sockets import connections as sockets
 
 if TYPE_CHECKING:
     from pinspread.hot_restart.source import HandoverPayload
