--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -3,7 +3,6 @@
 import argparse
 import signal
 import sys
-from functools import partial
 from pathlib import Path
 
 import anyio
@@ -72,8 +71,10 @@
             # Until it can be heeded: noted, for it may come after the file has been read.
             early = []
             signal.signal(signal.SIGHUP, lambda *_: early.append(True))
-            serve = partial(platform.serve, early=early)
-            anyio.run(serve, settings.at_start(), settings.amqp_file(), reread)
+            options = platform.ServiceOptions(
+                settings.at_start(), settings.amqp_file(), reread, early_sighup=early
+            )
+            anyio.run(platform.serve, options)
     except settings.SettingsError as error:
         print(error, file=sys.stderr)
         return 2
@@ -125,7 +126,9 @@
 def reread(last):
     """The configuration file by now, where it has discovery, and where it has notices."""
     told = settings.from_environment(last=last)
-    return told, told.discovery, told.discovery
+    from pinspread.service import ReloadedSettings
+
+    return ReloadedSettings(told, told.discovery, told.discovery)
 
 
 def config(chosen):
@@ -185,7 +188,8 @@
 
     def again(_):
         file = application.load(path)
-        return application.told(file), records(file), file.notices.address if file.notices else ""
+        address = file.notices.address if file.notices else ""
+        return platform.ReloadedSettings(application.told(file), records(file), address)
 
     background_services = []
     if file.members:  # Danger: serving loads membership only where a file turns it on
@@ -203,8 +207,16 @@
             ReplicationService(file.copies.plan(file.journal.folder), *background_services[:2])
         )
     told = application.told(file)
-    serve = partial(platform.serve, early=early)
-    anyio.run(serve, told, amqp, again, discover, file.brokers.login(), background_services)
+    options = platform.ServiceOptions(
+        told,
+        amqp,
+        again,
+        make_discovery=discover,
+        amqp_login=file.brokers.login(),
+        background_services=background_services,
+        early_sighup=early,
+    )
+    anyio.run(platform.serve, options)
 
 
 if __name__ == "__main__":
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -1,374 +1,471 @@
-"""Assembles a courier: the core with its fronts, transports, discovery and notices."""
+"""Assembles a node: the engine with its fronts, transports, discovery and notifications; how they start and end.
+
+What a process is made of is passed in (`ServiceOptions`). What only a configuration file turns on is imported
+where it is turned on, so that a process that does without it does not load it.
+"""
 
 import errno
 import os
 import signal
 import socket
-from functools import partial
-from typing import TYPE_CHECKING
+from collections.abc import Awaitable, Callable, Sequence
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import anyio
+import anyio.abc
 
 from pinspread import sockets
 from pinspread.amqp.broker import GUEST, BrokerTransport
 from pinspread.amqp.front import NAME as AMQP
 from pinspread.amqp.front import AmqpFront
-from pinspread.config import settings
+from pinspread.config import settings as configuration
+from pinspread.config.settings import AmqpFile, EffectiveSettings, SettingsError
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
 from pinspread.core.log import log, use
-from pinspread.discovery.client import Discovery
+from pinspread.core.ports import BackgroundService, Discovery, EndpointAdmin
+from pinspread.discovery.client import Discovery as PlatformDiscovery
 from pinspread.errors import JournalFormatError, JournalFullError
 from pinspread.http.transport import HttpTransport, Pool
 from pinspread.policy.delivery_policy import DeliveryPolicy
-from pinspread.resp import front
+from pinspread.resp.front import NAME as RESP
+from pinspread.resp.front import NotificationSender, RespFront
 
 if TYPE_CHECKING:
-    from pinspread.hot_restart.source import HandoverPayload
-
-BOUND_S, BOUND_TRIES = 0.05, 40  # between tries to listen where another process still does
-OWNER_S = 5.0  # how long a start waits for a process that still owns the folder
-HANDED_S = 10.0  # how long a process that has handed over waits for its SIGTERM
-FIRST_LIST_S = 0.3  # how long a start waits for the list as it is now, before it sends what is owed
-FINISH_S = 3.2  # and after that, for what it has out
-
-
-async def serve(
-    told: settings.EffectiveSettings,
-    amqp: settings.AmqpFile,
-    reread,
-    discover=None,
-    login=GUEST,
-    background_services=(),
-    early=(),
-):
-    """Serve until SIGTERM or SIGINT; on SIGHUP, `reread(told)` tells what counts from now on.
-
-    `discover(courier)` makes another discovery than the platform's; `background_services` run beside serving;
-    `early` is not empty if SIGHUP came since before the configuration was read.
+    from pinspread.admin.server import AdminServer
+    from pinspread.hot_restart.source import HandoverPayload, Successor
+    from pinspread.hot_restart.target import TransferredState
+
+LISTEN_RETRY_S = 0.05  # between attempts to listen where another process still does
+LISTEN_ATTEMPTS = 40
+LOCK_TIMEOUT_S = 5.0  # how long a start waits for a process that still owns the folder
+LOCK_RETRY_S = 0.02
+HANDED_OVER_S = 10.0  # how long a process that has handed over waits for its SIGTERM
+FIRST_LIST_S = 0.3  # how long a start waits for the present list before it sends what it recovered
+REPORT_S = 3.2  # at SIGTERM after a hand-over, for the attempts that are still in flight here
+
+_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+_FIXED_SETTINGS = ("name", "listen", "state", "admin")  # they count from the next start only
+
+
+class ReloadedSettings(NamedTuple):
+    """What counts after SIGHUP: the settings, where discovery is, and the notifications' address."""
+
+    settings: EffectiveSettings
+    discovery_source: Any  # an address of the platform's, or the records of DNS-SD
+    notification_address: str
+
+
+@dataclass(slots=True)
+class ServiceOptions:
+    """What a process is made of.
+
+    Attributes:
+        settings: The settings at the start.
+        amqp: Where the AMQP front listens.
+        reload: Reads the configuration again, given the settings in force; SettingsError if it is unusable.
+        make_discovery: Makes another discovery than the platform's.
+        amqp_login: The PLAIN response for brokers.
+        background_services: What runs beside serving.
+        early_sighup: Not empty if SIGHUP came since before the configuration was read.
+        clock: The clock of the process.
+        open_signal_receiver: Receives signals in place of their default actions.
+    """
+
+    settings: EffectiveSettings
+    amqp: AmqpFile
+    reload: Callable[[EffectiveSettings], ReloadedSettings]
+    make_discovery: Callable[[DeliveryEngine], Discovery] | None = None
+    amqp_login: str = GUEST
+    background_services: Sequence[BackgroundService] = ()
+    early_sighup: Sequence[bool] = ()
+    clock: Clock = field(default_factory=Clock)
+    open_signal_receiver: Callable[..., Any] = anyio.open_signal_receiver
+
+
+async def serve(options: ServiceOptions) -> None:
+    """Serve until SIGTERM or SIGINT; SIGHUP reloads the configuration.
+
+    Raises:
+        JournalFullError: The folder has no room.
+        JournalFormatError: The journal is of a newer version.
+        OSError: An address or the folder cannot be had.
     """
-    await Service(told, amqp, reread, discover, login, background_services, early).run()
+    await Service(options).run()
 
 
 class Service:
-    """One process: its parts, and how they begin, rest and end."""
-
-    def __init__(self, told, amqp, reread, discover, login, background_services=(), early=()):
-        self.told, self.amqp, self.login = told, amqp, login
-        self.background_services = list(background_services)
-        self.clock = clock = Clock()
-        use(clock)
-        self.lock = FolderLock(told.state)
-        journal = Journal(told.state, told.disk_bytes)
-        self.engine = engine = DeliveryEngine(
-            DeliveryPolicy(told.policy_settings, told.seed), told, clock, journal
-        )
-        self.pool = Pool(clock, told.keepalive_us)
-        self.notices = front.NotificationSender(told.discovery)
+    """One process: its parts, and how they start, pause for a hand-over, and end."""
+
+    def __init__(self, options: ServiceOptions) -> None:
+        settings = options.settings
+        self.settings = settings
+        self.amqp_settings = options.amqp
+        self.background_services = list(options.background_services)
+        self.clock = options.clock
+        use(self.clock)
+        self.lock = FolderLock(settings.state)
+        journal = Journal(settings.state, settings.disk_bytes)
+        policy = DeliveryPolicy(settings.policy_settings, settings.seed)
+        self.engine = DeliveryEngine(policy, settings, self.clock, journal)
+        self.pool = Pool(self.clock, settings.keepalive_us)
+        self.notifications = NotificationSender(settings.discovery)
+        self.limiter = sockets.ConnectionLimiter(self.clock, *_connection_limits(settings))
+        self._connect_engine()
+        make_discovery = options.make_discovery or self._platform_discovery
+        self.discovery = make_discovery(self.engine)
+        self.engine.subscribe = self.discovery.ask
+        for background in self.background_services:
+            background.attach(self.engine)
+        self.listeners: dict[str, socket.socket] = {}  # by the name of their front
+        self.tasks: Any = None  # the task group, once it runs
+        self.signals: Any = None
+        self.reload_pending = False  # SIGHUP came before there was anything to change
+        self.leaving = anyio.Event()  # SIGTERM or SIGINT came, or another process waits for the folder
+        self._options = options
+        self._pausable: list[anyio.CancelScope] = []  # of the tasks that pause for a hand-over
+
+    def _connect_engine(self) -> None:
+        """Give the engine its transports and fronts."""
+        engine, settings = self.engine, self.settings
         engine.transports["http"] = HttpTransport(
-            clock, self.pool, told.connect_timeout_us, told.load_reports_enabled
+            self.clock, self.pool, settings.connect_timeout_us, settings.load_reports_enabled
         )
-        self.room = sockets.ConnectionLimiter(clock, *_legs(told))
-        engine.fronts[front.NAME] = self.first = front.RespFront(engine, self.notices, self.room)
-        engine.fronts[AMQP] = self.second = AmqpFront(engine, amqp.heartbeat_s, self.room)
-        self.discovery = discover(engine) if discover else Discovery(told.discovery, engine, told)
-        engine.subscribe = self.discovery.ask
-        for background in self.background_services:
-            background.attach(engine)
-        self.change = partial(change, engine, reread, self.pool, self.room, self.discovery, self.notices)
-        self.listening = {}  # name of a front -> its socket
-        self.tasks = None
-        self.scopes = []  # of what rests while another process takes over
-        self.signals = None
-        self.early = early
-        self.again = False  # SIGHUP came before there was anything to change
-        self.leaving = anyio.Event()
-        self.at_rest = False
-
-    async def run(self):
-        """Serve to the end."""
-        failed = None
-        # The operators' door is there before all else: it says no until callers are heard.
-        doors = [sockets.listen(self.told.admin)] if self.told.admin else []
-        # Danger: a signal without a receiver ends the process and all that it serves.
-        wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-        with anyio.open_signal_receiver(*wanted) as self.signals:
-            # Danger: one that came between the reading of the file and this line would never be heeded.
-            self.again = bool(self.early)
+        self.resp_front = RespFront(engine, self.notifications, self.limiter)
+        self.amqp_front = AmqpFront(engine, self.amqp_settings.heartbeat_s, self.limiter)
+        engine.fronts[RESP] = self.resp_front
+        engine.fronts[AMQP] = self.amqp_front
+
+    def _platform_discovery(self, engine: DeliveryEngine) -> Discovery:
+        return PlatformDiscovery(self.settings.discovery, engine, self.settings)
+
+    # --- from start to end ----------------------------------------------------------------------------
+
+    async def run(self) -> None:
+        """Serve to the end; errors as `serve` has them."""
+        # The admin server is there before all else: it says "not ready" until clients are served.
+        admin_sockets = [sockets.listen(self.settings.admin)] if self.settings.admin else []
+        # A signal without a receiver would end the process and all that it serves.
+        with self._options.open_signal_receiver(*_SIGNALS) as self.signals:
+            # SIGHUP between the reading of the file and this line would otherwise never be heeded.
+            self.reload_pending = bool(self._options.early_sighup)
             async with anyio.create_task_group() as self.tasks:
-                for sock in doors:
-                    self.tasks.start_soon(
-                        door(self.engine, self.told.sockets, self.background_services).run, sock
-                    )
-                # Danger: SIGTERM may come while another process still owns the folder, for seconds.
+                for sock in admin_sockets:
+                    server = admin_server(self.engine, self.settings.sockets, self.background_services)
+                    self.tasks.start_soon(server.run, sock)
+                # SIGTERM may come while another process still owns the folder, for seconds.
                 self.tasks.start_soon(self._follow_signals)
-                try:
-                    await self._begin()
-                except (JournalFullError, JournalFormatError, OSError) as error:
-                    failed = error
-                else:
-                    await self.leaving.wait()
-                    await self._leave()
+                failure = await self._start_and_serve()
                 self.tasks.cancel_scope.cancel()
-        if failed:
-            raise failed
+        if failure:
+            raise failure
         log("stopped")
 
-    async def _leave(self):
-        """Say so to the fleet, finish what is out, and part with what depends on that."""
-        async with anyio.create_task_group() as tasks:  # beside each other: both count in the 3.7 s
-            for background in self.background_services:
-                tasks.start_soon(background.announce_departure)
-            if self.engine.serving:
-                await self._end()
-        for background in self.background_services:
-            await background.close()
+    async def _start_and_serve(self) -> Exception | None:
+        """Start, serve and shut down; gives the error that the start failed with."""
+        try:
+            await self._start()
+        except (JournalFullError, JournalFormatError, OSError) as error:
+            return error
+        await self.leaving.wait()
+        await self._shut_down()
+        return None
 
-    async def _begin(self):
-        told, engine, tasks = self.told, self.engine, self.tasks
+    async def _start(self) -> None:
+        settings, engine = self.settings, self.engine
         for background in self.background_services:
             await background.open()
-            tasks.start_soon(background.run)
-        engine.transports["amqp"] = BrokerTransport(self.clock, tasks, told.connect_timeout_us, self.login)
-        before = await self._take_over()
-        if self.leaving.is_set() and not before:
+            self.tasks.start_soon(background.run)
+        engine.transports["amqp"] = BrokerTransport(
+            self.clock, self.tasks, settings.connect_timeout_us, self._options.amqp_login
+        )
+        transferred = await self._take_over()
+        if self.leaving.is_set() and not transferred:
             return  # all that is owed is in the journal
-        legs, sockets_ = (before.client_connections, before.listeners) if before else ((), {})
-        # From here on PING is answered: all that is owed is known again.
-        if told.listen:
-            self.listening[front.NAME] = inherited(told.inherited_listener_descriptor) or await self._listen(
-                told.listen
-            )
-        if self.amqp.listen:
-            self.listening[AMQP] = sockets_.get(AMQP) or await self._listen(self.amqp.listen)
-        settings.keep_good(told)
-        self._follow()
-        if not before:
-            # Danger: what the list says by now counts as told. What is owed would go out by the last list of
+        await self._open_listeners(transferred)
+        configuration.keep_good(settings)
+        self._start_discovery()
+        if not transferred:
+            # What the list says by now counts as told. What was recovered would go out by the last list from
             # before the end, to endpoints that drain or are gone, until the first answer has come.
             with anyio.move_on_after(FIRST_LIST_S):
                 await self.discovery.first.wait()
-        for run in (engine.run, self.pool.run, self.room.run):
-            tasks.start_soon(run)
-        self._hear(legs)
+        for run in (engine.run, self.pool.run, self.limiter.run):
+            self.tasks.start_soon(run)
+        self._serve_clients(transferred.client_connections if transferred else [])
         engine.serving = True
-        if self.again and not engine.successor:
-            self.change()
-        log("serving", name=told.name, listen=told.listen, amqp=self.amqp.listen, admin=told.admin)
-        if told.inherited_listener_descriptor is not None:
-            from pinspread.hot_restart import source, target
-
-            if before:
-                tasks.start_soon(target.follow_predecessor, before.link, engine, self.clock)
-            tasks.start_soon(source.HandoverListener(self, told.state).run)
-
-    async def _take_over(self):
-        """Own the folder and all that is owed; gives what a process before has handed over, or None."""
-        told, engine = self.told, self.engine
-        before = None
-        if told.inherited_listener_descriptor is not None:
+        if self.reload_pending and not engine.successor:
+            self.reload_settings()
+        amqp = self.amqp_settings.listen
+        log("serving", name=settings.name, listen=settings.listen, amqp=amqp, admin=settings.admin)
+        if self._hot_restart_enabled():
+            self._start_hot_restart(transferred)
+
+    async def _shut_down(self) -> None:
+        """Announce the departure, finish what is in flight, and close what depends on that."""
+        async with anyio.create_task_group() as tasks:  # beside each other: both count in the 3.7 s
+            for background in self.background_services:
+                tasks.start_soon(background.announce_departure)
+            if self.engine.serving:
+                await self._finish()
+        for background in self.background_services:
+            await background.close()
+
+    async def _finish(self) -> None:
+        if not self.engine.successor:
+            await self.engine.stop()
+            await self.amqp_front.close()
+            await self.resp_front.close()
+            return
+        with anyio.move_on_after(REPORT_S):
+            while self.engine.attempts or self.engine.probes or self.engine.successor.queue:
+                await anyio.sleep(0.01)
+
+    # --- owning the folder ----------------------------------------------------------------------------
+
+    async def _take_over(self) -> "TransferredState | None":
+        """Own the folder and all that is owed; gives what a process before has handed over."""
+        transferred = None
+        if self._hot_restart_enabled():
             from pinspread.hot_restart import target
 
-            before = await target.take_over(told.state, self.lock, engine.journal, engine.sender)
-        else:
-            await self._own()
-            if self.background_services and not self.leaving.is_set():
-                await self._before_recovery()
-            if self.leaving.is_set():
-                return None  # Danger: it may not own the folder, and must not write there
-        if before is None or before.state is None:
+            transferred = await target.take_over(
+                self.settings.state, self.lock, self.engine.journal, self.engine.sender
+            )
+        elif not await self._lock_and_prepare():
+            return None
+        if transferred is None or transferred.state is None:
             self.discovery.start()
-            engine.recover()
+            self.engine.recover()
             return None
-        engine.inherit(before.state)
-        self.discovery.resume(before.state["discovery"])
-        self.pool.adopt(before.idle_connections)
-        return before
-
-    async def _before_recovery(self):
-        """Have background_services know what is owed, which takes others that answer; SIGTERM ends that."""
-
-        async def follow(scope):
-            await self.leaving.wait()
-            scope.cancel()
+        self.engine.inherit(transferred.state)
+        self.discovery.resume(transferred.state["discovery"])
+        self.pool.adopt(transferred.idle_connections)
+        return transferred
+
+    async def _lock_and_prepare(self) -> bool:
+        """Own the folder, with background services ready for its recovery; false if SIGTERM came meanwhile.
+
+        Then this process may not own the folder, and must not write there.
+        """
+        await self._acquire_lock()
+        if self.background_services and not self.leaving.is_set():
+            await self._prepare_recovery()
+        return not self.leaving.is_set()
+
+    async def _acquire_lock(self) -> None:
+        # A process that is ending may still write to the journal; two writers would tear it.
+        try:
+            with anyio.fail_after(LOCK_TIMEOUT_S):
+                while not self.lock.take() and not self.leaving.is_set():
+                    await anyio.sleep(LOCK_RETRY_S)
+        except TimeoutError:
+            raise OSError(f"{self.settings.state}: another process owns it; end that one first") from None
 
+    async def _prepare_recovery(self) -> None:
+        """Have background services learn what is owed, from other nodes' answers; SIGTERM ends that."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(follow, tasks.cancel_scope)
+            tasks.start_soon(self._cancel_on_leaving, tasks.cancel_scope)
             for background in self.background_services:
                 await background.before_recovery()
             tasks.cancel_scope.cancel()
 
-    async def _own(self):
-        # Danger: a process that is ending may still write to the journal; two would tear it.
-        try:
-            with anyio.fail_after(OWNER_S):
-                while not self.lock.take() and not self.leaving.is_set():
-                    await anyio.sleep(0.02)
-        except TimeoutError:
-            raise OSError(f"{self.told.state}: another process owns it; end that one first") from None
-
-    def _follow(self):
-        """Follow discovery, post notices."""
-        for run in (self.notices.run, self.discovery.run):
-            scope = anyio.CancelScope()
-            self.scopes.append(scope)
-            self.tasks.start_soon(_within, scope, run)
-
-    def _hear(self, legs):
-        """Hear callers."""
-        if front.NAME in self.listening:
-            self.tasks.start_soon(self.first.run, self.listening[front.NAME], legs)
-        if AMQP in self.listening:
-            scope = anyio.CancelScope()
-            self.scopes.append(scope)
-            self.tasks.start_soon(_within, scope, self.second.run, self.listening[AMQP])
-
-    async def _listen(self, address):
+    async def _cancel_on_leaving(self, scope: anyio.CancelScope) -> None:
+        await self.leaving.wait()
+        scope.cancel()
+
+    # --- clients and discovery ------------------------------------------------------------------------
+
+    async def _open_listeners(self, transferred: "TransferredState | None") -> None:
+        """Listen for clients: from here on PING is answered, since all that is owed is known again."""
+        settings = self.settings
+        if settings.listen:
+            inherited = inherited_listener(settings.inherited_listener_descriptor)
+            self.listeners[RESP] = inherited or await self._listen(settings.listen)
+        if self.amqp_settings.listen:
+            taken_over = transferred.listeners.get(AMQP) if transferred else None
+            self.listeners[AMQP] = taken_over or await self._listen(self.amqp_settings.listen)
+
+    async def _listen(self, address: str) -> socket.socket:
         """A listening socket; a process that is just ending may still hold the address."""
-        for _ in range(BOUND_TRIES):
+        for _ in range(LISTEN_ATTEMPTS):
             try:
                 return sockets.listen(address)
             except OSError as error:
                 if error.errno != errno.EADDRINUSE or self.leaving.is_set():
                     raise
                 log("address_in_use", address=address)
-                await anyio.sleep(BOUND_S)
+                await anyio.sleep(LISTEN_RETRY_S)
         return sockets.listen(address)
 
-    async def _follow_signals(self):
+    def _start_discovery(self) -> None:
+        """Follow the endpoint list, and send notifications."""
+        self._start_pausable(self.notifications.run)
+        self._start_pausable(self.discovery.run)
+
+    def _serve_clients(self, connections: list[sockets.IdleConnection]) -> None:
+        """Accept clients, and serve those whose connections came from the process before."""
+        if RESP in self.listeners:
+            self.tasks.start_soon(self.resp_front.run, self.listeners[RESP], connections)
+        if AMQP in self.listeners:
+            self._start_pausable(self.amqp_front.run, self.listeners[AMQP])
+
+    def _start_pausable(self, run: Callable[..., Awaitable[None]], *arguments: object) -> None:
+        scope = anyio.CancelScope()
+        self._pausable.append(scope)
+        self.tasks.start_soon(_run_within, scope, run, *arguments)
+
+    # --- signals --------------------------------------------------------------------------------------
+
+    async def _follow_signals(self) -> None:
         async for signum in self.signals:
             if signum != signal.SIGHUP:
                 self.leaving.set()
             elif not self.engine.serving:
-                self.again = True  # there is nothing to change yet
+                self.reload_pending = True  # there is nothing to change yet
             elif not self.engine.successor:
-                # A new configuration counts to the end: the notices of a courier that stops are still owed.
-                self.change()
+                # A new configuration counts to the end: notifications of a node that stops are still owed.
+                self.reload_settings()
 
-    def leave_to_successor(self):
-        """Another process waits for the folder."""
-        if self.first.scope:
-            self.first.scope.cancel()  # it also hears the callers that come from now on
-        self.leaving.set()
-
-    async def _end(self):
-        if not self.engine.successor:
-            await self.engine.stop()
-            await self.second.close()
-            await self.first.close()
+    def reload_settings(self) -> None:
+        """Put the configuration in force that was written since: whole, or not at all."""
+        old = self.engine.settings
+        try:
+            new, discovery_source, notification_address = self._options.reload(old)
+        except SettingsError as error:
+            log("configuration_unusable", error=str(error), instead="what was in force")
             return
-        with anyio.move_on_after(FINISH_S):
-            while self.engine.attempts or self.engine.probes or self.engine.successor.queue:
-                await anyio.sleep(0.01)
+        at_restart = [name for name in _FIXED_SETTINGS if getattr(new, name) != getattr(old, name)]
+        self._apply_settings(new)
+        self.discovery.apply_settings(new)
+        self.discovery.move(discovery_source)
+        self.notifications.move(notification_address)
+        configuration.keep_good(new)
+        classes = {name: rules.cls.effect.value for name, rules in new.delivery_rules.items()}
+        attempts = new.policy_settings.max_attempts
+        log(
+            "configuration",
+            notices=notification_address,
+            classes=classes,
+            attempts=attempts,
+            at_restart=at_restart,
+        )
 
-    # --- what an upgrade asks of the old process ------------------------------------------------------
+    def _apply_settings(self, new: EffectiveSettings) -> None:
+        engine = self.engine
+        engine.apply_settings(new)
+        engine.transports["http"].dial_us = new.connect_timeout_us
+        engine.transports["http"].reports = new.load_reports_enabled
+        self.pool.keep_for(new.keepalive_us)
+        self.limiter.resize(*_connection_limits(new))
+        engine.journal.resize(new.disk_bytes)
+
+    # --- hot restart ----------------------------------------------------------------------------------
+
+    def _hot_restart_enabled(self) -> bool:
+        """Whether the platform holds the clients' socket, so that another process may take over."""
+        return self.settings.inherited_listener_descriptor is not None
+
+    def _start_hot_restart(self, transferred: "TransferredState | None") -> None:
+        """Hear the process before, if it handed over, and wait for the next one."""
+        from pinspread.hot_restart import source, target
+
+        if transferred:
+            self.tasks.start_soon(target.follow_predecessor, transferred.link, self.engine, self.clock)
+        self.tasks.start_soon(source.HandoverListener(self, self.settings.state).run)
+
+    def leave_to_successor(self) -> None:
+        """Another process waits for the folder: finish and end."""
+        if self.resp_front.scope:
+            self.resp_front.scope.cancel()  # the other also serves the clients that come from now on
+        self.leaving.set()
 
-    async def pause_for_handover(self, successor) -> "HandoverPayload":
+    async def pause_for_handover(self, successor: "Successor") -> "HandoverPayload":
         """Stop acting, and give all that goes over."""
         from pinspread.hot_restart.source import HandoverPayload
         from pinspread.hot_restart.state_codec import pack_state
         from pinspread.hot_restart.target import IdleEndpointConnection
 
-        await self.second.close()
-        scopes, self.scopes = self.scopes, []
+        await self.amqp_front.close()
+        scopes, self._pausable = self._pausable, []
         for scope in scopes:
             scope.cancel()
-        connections = await self.first.part()
+        connections = await self.resp_front.part()
         state = self.engine.rest(successor) | {"discovery": self.discovery.rest()}
         return HandoverPayload(
             packed_state=pack_state(state),
             attempts_in_flight=len(state["out"]),
-            client_connections=_chosen(connections, self.told.sockets // 4),
+            client_connections=_within_limit(connections, self.settings.sockets // 4),
             idle_connections=[IdleEndpointConnection(*idle) for idle in self.pool.part()],
-            listeners={name: sock for name, sock in self.listening.items() if name != front.NAME},
+            listeners={name: sock for name, sock in self.listeners.items() if name != RESP},
             lock_descriptor=self.lock.fd,
         )
 
-    def resume_after_handover(self, payload: "HandoverPayload"):
-        """The other process did not take over: serve on."""
+    def resume_after_handover(self, payload: "HandoverPayload") -> None:
+        """The next process did not take over: serve on."""
         self.pool.adopt(payload.idle_connections)
         self.engine.resume()
-        self._follow()
-        self._hear(payload.client_connections)
+        self._start_discovery()
+        self._serve_clients(payload.client_connections)
         log("resumed", client_connections=len(payload.client_connections))
 
-    def finish_handover(self, payload: "HandoverPayload"):
-        """The other process owns everything."""
+    def finish_handover(self, payload: "HandoverPayload") -> None:
+        """The next process owns everything."""
         payload.close_connections()
         self.lock.leave()
         self.tasks.start_soon(self._leave_in_time)
 
-    async def _leave_in_time(self):
-        await anyio.sleep(HANDED_S)
+    async def _leave_in_time(self) -> None:
+        await anyio.sleep(HANDED_OVER_S)
         self.leaving.set()
 
 
-def _chosen(legs, most):
-    """As many legs as may be open twice for a moment; others end, first those that wait for nothing."""
-    legs.sort(key=lambda kept: (not (kept.unread or kept.unsent), not kept.asked, not kept.spoke))
-    for kept in legs[most:]:
-        kept.connection.close()
-    return legs[:most]
+def _within_limit(connections: list[sockets.IdleConnection], limit: int) -> list[sockets.IdleConnection]:
+    """As many connections as may be open twice for a moment; first those go that wait for nothing."""
+    connections.sort(key=lambda idle: (not (idle.unread or idle.unsent), not idle.asked, not idle.spoke))
+    for idle in connections[limit:]:
+        idle.connection.close()
+    return connections[:limit]
 
 
-async def _within(scope, run, *arguments):
+async def _run_within(
+    scope: anyio.CancelScope, run: Callable[..., Awaitable[None]], *arguments: object
+) -> None:
     with scope:
         await run(*arguments)
 
 
-def inherited(number):
-    """The listening socket that the platform holds for all processes of a courier; None if there is none."""
-    if number is None:
+def inherited_listener(descriptor: int | None) -> socket.socket | None:
+    """The listening socket that the platform holds for all processes of a node; None if there is none."""
+    if descriptor is None:
         return None
     try:
-        sock = socket.socket(fileno=os.dup(number))
-        if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise OSError("it does not listen")
-        sock.setblocking(False)
-        return sock
+        return _listening_copy(descriptor)
     except OSError as error:
-        log("no_passed_socket", number=number, error=str(error))
+        log("no_passed_socket", number=descriptor, error=str(error))
         return None
 
 
-def door(engine, most, background_services=()):
-    """The operators' door; it is loaded only where it is on."""
+def _listening_copy(descriptor: int) -> socket.socket:
+    sock = socket.socket(fileno=os.dup(descriptor))
+    if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        raise OSError("it does not listen")
+    sock.setblocking(False)
+    return sock
+
+
+def admin_server(
+    engine: EndpointAdmin, max_sockets: int, background_services: Sequence[BackgroundService] = ()
+) -> "AdminServer":
+    """The admin server; it is loaded only where it is on."""
     from pinspread.admin.server import AdminServer
 
-    return AdminServer(engine, most, background_services)
+    return AdminServer(engine, max_sockets, background_services)
 
 
-def change(engine, reread, pool, room, discovery, notices):
-    """The configuration was replaced: it counts from now on, whole, or not at all."""
-    old = engine.settings
-    try:
-        told, where, heard = reread(old)
-    except settings.SettingsError as error:
-        log("configuration_unusable", error=str(error), instead="what was in force")
-        return
-    fixed = [n for n in ("name", "listen", "state", "admin") if getattr(told, n) != getattr(old, n)]
-    engine.apply_settings(told)
-    engine.transports["http"].dial_us = told.connect_timeout_us
-    engine.transports["http"].reports = told.load_reports_enabled
-    pool.keep_for(told.keepalive_us)
-    room.resize(*_legs(told))
-    engine.journal.resize(told.disk_bytes)
-    discovery.apply_settings(told)
-    discovery.move(where)
-    notices.move(heard)
-    settings.keep_good(told)
-    classes = {name: rules.cls.effect.value for name, rules in told.delivery_rules.items()}
-    log(
-        "configuration",
-        notices=heard,
-        classes=classes,
-        attempts=told.policy_settings.max_attempts,
-        at_restart=fixed,
-    )
-
-
-def _legs(told):
-    """How many caller legs there may be, and how many bytes for them."""
-    return told.sockets * 5 // 8, told.memory_bytes // 8
+def _connection_limits(settings: EffectiveSettings) -> tuple[int, int]:
+    """How many connections of clients there may be, and how many bytes for them."""
+    return settings.sockets * 5 // 8, settings.memory_bytes // 8
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -10,11 +10,11 @@
 
 from pinspread import service as platform_module
 from pinspread import sockets
-from pinspread.amqp.broker import GUEST
 from pinspread.config import settings
+from pinspread.core import log as log_module
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
-from pinspread.service import Service
+from pinspread.service import Service, ServiceOptions
 from pinspread.sockets import limiter
 
 pytestmark = pytest.mark.anyio
@@ -52,10 +52,17 @@
         assert [r[4] for r in heard.requests] == [unheard.requests[0][4]] and len(endpoint.requests) == 1
 
 
+@pytest.fixture(autouse=True)
+def clock_of_the_log(monkeypatch):
+    """A service gives the log its clock, which needs the loop that runs it: it is taken back after the test."""
+    monkeypatch.setattr(log_module, "_clock", None)
+
+
 def service(folder, platform, **more):
     """The parts of a process, in this one; `leaving` stands for SIGTERM."""
     told = settings.read(configuration(folder) | {"listen": own_address(), "discovery": platform}, {})
-    return Service(told, settings.AmqpFile(), lambda last: pytest.fail("no SIGHUP"), None, GUEST, **more)
+    options = ServiceOptions(told, settings.AmqpFile(), lambda last: pytest.fail("no SIGHUP"), **more)
+    return Service(options)
 
 
 @asynccontextmanager
@@ -85,12 +92,12 @@
         parts = service(tmp_path, platform)
         async with running(parts) as done:
             await until(lambda: parts.engine.serving)
-            leg = await sockets.dial(parts.told.listen)
+            leg = await sockets.dial(parts.settings.listen)
             if known:
                 await leg.write(command(b"PING"))
                 assert await leg.read() == b"+PONG\r\n"
-            idle = await sockets.dial(parts.told.listen)
-            half = await sockets.dial(parts.told.listen)
+            idle = await sockets.dial(parts.settings.listen)
+            half = await sockets.dial(parts.settings.listen)
             await half.write(ENQUEUE[:-5])
             stop = parts.engine.stop
 
@@ -115,7 +122,7 @@
         parts = service(tmp_path, platform)
         async with running(parts) as done:
             await until(lambda: parts.engine.serving)
-            leg = await sockets.dial(parts.told.listen)
+            leg = await sockets.dial(parts.settings.listen)
             await leg.write(command(b"PING"))
             assert await leg.read() == b"+PONG\r\n"
             tasks = parts.tasks
@@ -174,9 +181,9 @@
 
 async def test_sighup_between_the_reading_of_the_file_and_the_receiver_is_heeded(tmp_path):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
-        parts = service(tmp_path, platform, early=[True])
+        parts = service(tmp_path, platform, early_sighup=[True])
         changed = []
-        parts.change = lambda: changed.append(parts.engine.serving)
+        parts.reload_settings = lambda: changed.append(parts.engine.serving)
         async with running(parts):
             await until(lambda: changed)
     assert changed == [True]
@@ -185,7 +192,7 @@
 async def test_an_address_that_the_process_before_still_holds_is_waited_for(tmp_path, monkeypatch):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as notices:
         parts = service(tmp_path, notices)
-        before = sockets.listen(parts.told.listen)
+        before = sockets.listen(parts.settings.listen)
         said = []
 
         def heard(event, **more):
