--- a/pinspread/hot_restart/packet_codec.py
+++ b/pinspread/hot_restart/packet_codec.py
@@ -15,12 +15,12 @@
 RESULT_FIELDS = {
     "verdict": "outcome",
     "wait_us": "retry_after_us",
-    "over": "over",
+    "over": "no_longer_wanted",
     "note": "note",
     "idle_us": "idle_us",
     "opened": "opened",
-    "left": "left",
-    "limit": "limit",
+    "left": "limit_remaining",
+    "limit": "limit_per_s",
 }
 
 # The keys of a client's connection in a packet, and the fields of `IdleConnection` that hold them.
--- a/pinspread/hot_restart/source.py
+++ b/pinspread/hot_restart/source.py
@@ -15,7 +15,7 @@
 
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
-from pinspread.core.handover import HandoverSource, HandoverStep
+from pinspread.core.handover import HandoverSource, HandoverStep, SourceState
 from pinspread.core.log import log
 from pinspread.core.messages import AttemptResult
 from pinspread.hot_restart import packet_codec
@@ -88,7 +88,7 @@
         self.queue.append((kind, orjson.dumps(fields)))
         self._packet_queued.set()
 
-    def ended(self, number: int, attempt: int, outcome: AttemptResult) -> None:
+    def attempt_ended(self, number: int, attempt: int, outcome: AttemptResult) -> None:
         """Report how an attempt ended that was in flight here."""
         self._put(PacketKind.ATTEMPT_COMPLETED, number, attempt, packet_codec.result_to_json(outcome))
 
@@ -96,15 +96,15 @@
         """Report that an endpoint gave a Retry-After, in microseconds."""
         self._put(PacketKind.RETRY_AFTER, id_, retry_after_us)
 
-    def probed(self, id_: str, outcome: AttemptResult) -> None:
+    def health_check_ended(self, id_: str, outcome: AttemptResult) -> None:
         """Report how a health check ended that was in flight here."""
         self._put(PacketKind.HEALTH_CHECK_COMPLETED, id_, packet_codec.result_to_json(outcome))
 
-    async def ban(self, id_: str, out: bool) -> bool:
+    async def set_blocked(self, id_: str, blocked: bool) -> bool:
         """Pass on what an operator asks here; TimeoutError without an answer in time."""
         number = len(self._questions)
         question = self._questions[number] = _Question()
-        self._put(PacketKind.SET_ENDPOINT_DISABLED, id_, out, number)
+        self._put(PacketKind.SET_ENDPOINT_DISABLED, id_, blocked, number)
         with anyio.fail_after(ADMIN_ANSWER_S):
             await question.answered.wait()
         return question.known
@@ -183,15 +183,15 @@
 
     async def _serve(self, link: Link) -> None:
         """One exchange."""
-        self.source.shape = shape(self.service.engine.sender)
+        self.source.shape = shape(self.service.engine.policy)
         if not await self._agree(link):
             return
         successor = Successor(link)
         payload = await self.service.pause_for_handover(successor)
         step = await self._transfer(link, payload)
-        if step is HandoverStep.RETAKE:
+        if step is HandoverStep.REACQUIRE_LOCK:
             link.close()
-            step = self.source.retaken(await self._retake_lock())
+            step = self.source.lock_result(await self._retake_lock())
         if step is HandoverStep.RESUME:
             self.service.resume_after_handover(payload)
             return
@@ -208,19 +208,21 @@
                 step = HandoverStep.DECLINE
                 if packet.kind == PacketKind.HELLO:
                     step = await self._greet(link, packet.data.decode())
-            if packet.kind == PacketKind.LEAVE and self.source.asked_to_leave() is HandoverStep.LEAVE:
+            if packet.kind == PacketKind.LEAVE and self.source.shutdown_requested() is HandoverStep.SHUT_DOWN:
                 log("asked_to_leave")
                 self.service.leave_to_successor()
         except (OSError, ValueError, TimeoutError) as error:
             self._log_broken(error)
             return False
-        return step is HandoverStep.GIVE
+        return step is HandoverStep.TRANSFER
 
     async def _greet(self, link: Link, other_shape: str) -> HandoverStep:
-        step = self.source.hello(other_shape)
+        step = self.source.requested(other_shape)
         if step is HandoverStep.DECLINE:
-            busy = self.source.state != "serving"
-            await link.send(PacketKind.DECLINED, packet_codec.encode_refusal(self.source.why, busy=busy))
+            busy = self.source.state is not SourceState.SERVING
+            await link.send(
+                PacketKind.DECLINED, packet_codec.encode_refusal(self.source.decline_reason, busy=busy)
+            )
         return step
 
     async def _transfer(self, link: Link, payload: HandoverPayload) -> HandoverStep:
@@ -234,15 +236,19 @@
                 log("handover_declined", why=reason)
         except (OSError, ValueError, TimeoutError, KeyError) as error:
             self._log_broken(error)
-            return self.source.broke()
-        return self.source.taken() if packet.kind == PacketKind.TAKEN_OVER else self.source.broke()
+            return self.source.exchange_failed()
+        return (
+            self.source.taken_over()
+            if packet.kind == PacketKind.TAKEN_OVER
+            else self.source.exchange_failed()
+        )
 
     async def _retake_lock(self) -> bool:
         """Whether the lock is this process's again: the other keeps it only if it owns everything."""
         lock = self.service.lock
-        lock.leave()
+        lock.release()
         with anyio.move_on_after(STEP_S):
-            while not lock.take():
+            while not lock.acquire():
                 await anyio.sleep(RETRY_S)
             return True
         return False
@@ -260,7 +266,7 @@
         await link.send(PacketKind.LOCK, b"", payload.lock_descriptor)
 
     def _log_broken(self, error: Exception) -> None:
-        log("handover_broke", error=str(error) or type(error).__name__, state=self.source.state)
+        log("handover_broke", error=str(error) or type(error).__name__, state=self.source.state.value)
 
 
 def _bind(sock: socket.socket, path: str) -> None:
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -15,7 +15,7 @@
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
-from pinspread.core.handover import HandoverStep, HandoverTarget
+from pinspread.core.handover import HandoverStep, HandoverTarget, TargetState
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult
@@ -38,8 +38,6 @@
 BROKEN_S = 0.3  # after an exchange that broke: the old process has the lock back first
 REPORT_GRACE_US = 200_000  # past an attempt's time, for the report of its end
 
-_WAITING_FOR_LOCK = "waiting for the lock"  # a state of `HandoverTarget`
-
 
 class IdleEndpointConnection(NamedTuple):
     """An open connection to an endpoint that no attempt uses; `idle_since_us` is on the monotonic clock."""
@@ -130,8 +128,8 @@
         self.target = HandoverTarget()
 
     async def run(self) -> TransferredState:
-        while not self.lock.take():
-            if self.target.state != _WAITING_FOR_LOCK:
+        while not self.lock.acquire():
+            if self.target.state is not TargetState.WAITING_FOR_LOCK:
                 try:
                     link = connect(self.folder)
                 except OSError:
@@ -162,7 +160,7 @@
                 self._broken(error)
                 delay_s = BROKEN_S
         await anyio.sleep(delay_s)
-        if self.target.state == _WAITING_FOR_LOCK:
+        if self.target.state is TargetState.WAITING_FOR_LOCK:
             await _request_departure(self.folder)
         return None
 
@@ -170,7 +168,7 @@
         """Receive all that is handed over; gives the descriptor of the lock, None where it was declined."""
         with anyio.fail_after(STEP_S):
             await link.send(PacketKind.HELLO, own_shape.encode())
-        self.target.state = "collecting"
+        self.target.request_sent()
         while True:
             with anyio.fail_after(STEP_S):
                 packet = await link.receive()
@@ -187,29 +185,29 @@
         """Own everything, if it is complete and the journal can be read, and say so."""
         with ExitStack() as on_failure:
             on_failure.callback(os.close, lock_descriptor)
-            if self.target.collected(complete) is not HandoverStep.TAKE:
+            if self.target.received(complete) is not HandoverStep.TAKE_OVER:
                 return False
             try:
                 self.journal.read()
             except JournalFormatError as error:
-                self.target.locked(False)
+                self.target.lock_received(False)
                 with suppress(OSError):
                     await link.send(PacketKind.DECLINED, packet_codec.encode_refusal(str(error), busy=False))
                 raise
-            self.target.locked(True)
-            self.lock.adopt(lock_descriptor)
+            self.target.lock_received(True)
+            self.lock.adopt_descriptor(lock_descriptor)
             on_failure.pop_all()
         await link.send(PacketKind.TAKEN_OVER)
         return True
 
     def _broken(self, error: Exception) -> None:
-        log("handover_broke", error=str(error) or type(error).__name__, state=self.target.state)
+        log("handover_broke", error=str(error) or type(error).__name__, state=self.target.state.value)
         # A process that has not heard that everything was taken serves on, or is gone and the lock free: with
         # the lock held here as well, there would be two owners.
-        self.lock.leave()
+        self.lock.release()
         if isinstance(error, ValueError):
-            self.target.collected(False)  # it cannot be read: it would be no better the next time
-        self.target.broke()
+            self.target.received(False)  # it cannot be read: it would be no better the next time
+        self.target.exchange_failed()
 
 
 async def _request_departure(folder: str) -> None:
@@ -226,7 +224,7 @@
 async def follow_predecessor(link: Link, engine: DeliveryEngine, clock: Clock) -> None:
     """Take in how the old process's attempts end, and what its admin server is asked, until it has ended."""
     in_flight = list(engine.attempts)
-    health_checks = list(engine.probes)
+    health_checks = list(engine.health_checks)
     async with anyio.create_task_group() as tasks:
         for key in in_flight:
             tasks.start_soon(_time_out, engine, key, engine.attempts[key], clock)
@@ -238,7 +236,7 @@
                 await _report(link, engine, packet.kind, orjson.loads(packet.data))
         except (OSError, ValueError, KeyError, TypeError) as error:
             log("predecessor_gone", why=str(error) or type(error).__name__)
-            engine.bereft(in_flight, health_checks)
+            engine.predecessor_lost(in_flight, health_checks)
         tasks.cancel_scope.cancel()
     link.close()
 
@@ -249,19 +247,21 @@
     A process that hangs reports nothing, and without this a message would never have its final result.
     """
     await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / 1e6)
-    engine.reported(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
+    engine.predecessor_attempt_ended(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
 
 
 async def _report(link: Link, engine: DeliveryEngine, kind: int, fields: list[Any]) -> None:
     """Do what one packet of the old process says."""
     if kind == PacketKind.ATTEMPT_COMPLETED:
         message_number, attempt_number, result = fields
-        engine.reported(message_number, attempt_number, packet_codec.result_from_json(result))
+        engine.predecessor_attempt_ended(
+            message_number, attempt_number, packet_codec.result_from_json(result)
+        )
     elif kind == PacketKind.RETRY_AFTER:
-        engine.reported_wait(*fields)
+        engine.predecessor_retry_after(*fields)
     elif kind == PacketKind.HEALTH_CHECK_COMPLETED:
         endpoint_id, result = fields
-        engine.reported_probe(endpoint_id, packet_codec.result_from_json(result))
+        engine.predecessor_health_check_ended(endpoint_id, packet_codec.result_from_json(result))
     elif kind == PacketKind.SET_ENDPOINT_DISABLED:
         endpoint_id, disabled, question = fields
         known = await (engine.disable(endpoint_id) if disabled else engine.enable(endpoint_id))
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -1,4 +1,4 @@
-"""Assembles a node: the engine with its fronts, transports, discovery and notifications; how they start and end.
+"""Assembles a node: the engine with fronts, transports, discovery and notifications; how they start and end.
 
 What a process is made of is passed in (`ServiceOptions`). What only a configuration file turns on is imported
 where it is turned on, so that a process that does without it does not load it.
@@ -16,9 +16,9 @@
 import anyio.abc
 
 from pinspread import sockets
-from pinspread.amqp.broker import GUEST, BrokerTransport
-from pinspread.amqp.front import NAME as AMQP
-from pinspread.amqp.front import AmqpFront
+from pinspread.amqp.server import FRONT_NAME as AMQP
+from pinspread.amqp.server import AmqpFront
+from pinspread.amqp.transport import GUEST_LOGIN, BrokerTransport
 from pinspread.config import settings as configuration
 from pinspread.config.settings import AmqpFile, EffectiveSettings, SettingsError
 from pinspread.core.clock import Clock
@@ -79,7 +79,7 @@
     amqp: AmqpFile
     reload: Callable[[EffectiveSettings], ReloadedSettings]
     make_discovery: Callable[[DeliveryEngine], Discovery] | None = None
-    amqp_login: str = GUEST
+    amqp_login: str = GUEST_LOGIN
     background_services: Sequence[BackgroundService] = ()
     early_sighup: Sequence[bool] = ()
     clock: Clock = field(default_factory=Clock)
@@ -117,7 +117,7 @@
         self._connect_engine()
         make_discovery = options.make_discovery or self._platform_discovery
         self.discovery = make_discovery(self.engine)
-        self.engine.subscribe = self.discovery.ask
+        self.engine.subscribe = self.discovery.poll
         for background in self.background_services:
             background.attach(self.engine)
         self.listeners: dict[str, socket.socket] = {}  # by the name of their front
@@ -192,7 +192,7 @@
             # What the list says by now counts as told. What was recovered would go out by the last list from
             # before the end, to endpoints that drain or are gone, until the first answer has come.
             with anyio.move_on_after(FIRST_LIST_S):
-                await self.discovery.first.wait()
+                await self.discovery.first_answer.wait()
         for run in (engine.run, self.pool.run, self.limiter.run):
             self.tasks.start_soon(run)
         self._serve_clients(transferred.client_connections if transferred else [])
@@ -221,7 +221,7 @@
             await self.resp_front.close()
             return
         with anyio.move_on_after(REPORT_S):
-            while self.engine.attempts or self.engine.probes or self.engine.successor.queue:
+            while self.engine.attempts or self.engine.health_checks or self.engine.successor.queue:
                 await anyio.sleep(0.01)
 
     # --- owning the folder ----------------------------------------------------------------------------
@@ -233,7 +233,7 @@
             from pinspread.hot_restart import target
 
             transferred = await target.take_over(
-                self.settings.state, self.lock, self.engine.journal, self.engine.sender
+                self.settings.state, self.lock, self.engine.journal, self.engine.policy
             )
         elif not await self._lock_and_prepare():
             return None
@@ -241,7 +241,7 @@
             self.discovery.start()
             self.engine.recover()
             return None
-        self.engine.inherit(transferred.state)
+        self.engine.resume_from_handover(transferred.state)
         self.discovery.resume(transferred.state["discovery"])
         self.pool.adopt(transferred.idle_connections)
         return transferred
@@ -260,7 +260,7 @@
         # A process that is ending may still write to the journal; two writers would tear it.
         try:
             with anyio.fail_after(LOCK_TIMEOUT_S):
-                while not self.lock.take() and not self.leaving.is_set():
+                while not self.lock.acquire() and not self.leaving.is_set():
                     await anyio.sleep(LOCK_RETRY_S)
         except TimeoutError:
             raise OSError(f"{self.settings.state}: another process owns it; end that one first") from None
@@ -341,10 +341,10 @@
         at_restart = [name for name in _FIXED_SETTINGS if getattr(new, name) != getattr(old, name)]
         self._apply_settings(new)
         self.discovery.apply_settings(new)
-        self.discovery.move(discovery_source)
+        self.discovery.change_address(discovery_source)
         self.notifications.move(notification_address)
         configuration.keep_good(new)
-        classes = {name: rules.cls.effect.value for name, rules in new.delivery_rules.items()}
+        classes = {name: rules.traffic_class.effect.value for name, rules in new.delivery_rules.items()}
         attempts = new.policy_settings.max_attempts
         log(
             "configuration",
@@ -394,7 +394,7 @@
         for scope in scopes:
             scope.cancel()
         connections = await self.resp_front.part()
-        state = self.engine.rest(successor) | {"discovery": self.discovery.rest()}
+        state = self.engine.pause_for_handover(successor) | {"discovery": self.discovery.snapshot()}
         return HandoverPayload(
             packed_state=pack_state(state),
             attempts_in_flight=len(state["out"]),
@@ -407,7 +407,7 @@
     def resume_after_handover(self, payload: "HandoverPayload") -> None:
         """The next process did not take over: serve on."""
         self.pool.adopt(payload.idle_connections)
-        self.engine.resume()
+        self.engine.cancel_handover()
         self._start_discovery()
         self._serve_clients(payload.client_connections)
         log("resumed", client_connections=len(payload.client_connections))
@@ -415,7 +415,7 @@
     def finish_handover(self, payload: "HandoverPayload") -> None:
         """The next process owns everything."""
         payload.close_connections()
-        self.lock.leave()
+        self.lock.release()
         self.tasks.start_soon(self._leave_in_time)
 
     async def _leave_in_time(self) -> None:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -64,12 +64,12 @@
 @pytest.mark.anyio
 async def test_the_keys_that_the_shape_covers_are_those_that_a_state_has(tmp_path):
     async with engine(tmp_path) as rig:
-        state = rig.engine.rest(SimpleNamespace())
+        state = rig.engine.pause_for_handover(SimpleNamespace())
         assert {*state, "discovery"} == set(state_codec.STATE_KEYS)
-        assert state[state_codec.POLICY_KEY] is rig.engine.sender
-        found = Discovery("127.0.0.1:1", rig.engine, rig.engine.settings).rest()
+        assert state[state_codec.POLICY_KEY] is rig.engine.policy
+        found = Discovery("127.0.0.1:1", rig.engine, rig.engine.settings).snapshot()
         assert set(found) == set(state_codec.DISCOVERY_STATE_KEYS)
-        rig.engine.resume()
+        rig.engine.cancel_handover()
 
 
 def test_a_state_is_read_as_it_was_packed(policy):
