--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -1,13 +1,15 @@
 """The command line: serve, version, and the configuration tool; bare, it serves."""
 
 import argparse
+import os
 import signal
 import sys
 from pathlib import Path
 
 import anyio
 
-from pinspread.config import settings
+from pinspread.config import last_good, settings
+from pinspread.config.amqp_front import AmqpFile, amqp_file
 from pinspread.errors import JournalFormatError, JournalFullError
 
 VERSION = "0.1.0"
@@ -72,7 +74,7 @@
             early = []
             signal.signal(signal.SIGHUP, lambda *_: early.append(True))
             options = platform.ServiceOptions(
-                settings.at_start(), settings.amqp_file(), reread, early_sighup=early
+                last_good.load_at_start(os.environ), amqp_file(), reread, early_sighup=early
             )
             anyio.run(platform.serve, options)
     except settings.SettingsError as error:
@@ -125,7 +127,7 @@
 
 def reread(last):
     """The configuration file by now, where it has discovery, and where it has notices."""
-    told = settings.from_environment(last=last)
+    told = settings.from_environment(os.environ, last)
     from pinspread.service import ReloadedSettings
 
     return ReloadedSettings(told, told.discovery, told.discovery)
@@ -149,8 +151,10 @@
         print(path)
         return 0
     if chosen.action == "check" and chosen.file.endswith(".json"):
+        from pinspread.config.summary import summary
+
         told = settings.from_environment({"RELAY_CONFIG": chosen.file})
-        print(f"{chosen.file}: no problems", *settings.summary(told), sep="\n")
+        print(f"{chosen.file}: no problems", *summary(told), sep="\n")
         return 0
     file = application.load(chosen.file)
     if chosen.action == "check":
@@ -180,7 +184,7 @@
     signal.signal(signal.SIGHUP, lambda *_: early.append(True))
     file = application.load(path)
     Path(file.journal.folder).mkdir(parents=True, exist_ok=True)
-    amqp = settings.AmqpFile(file.listen.amqp, file.listen.heartbeat_s)
+    amqp = AmqpFile(file.listen.amqp, file.listen.heartbeat_s)
 
     def discover(courier):
         wanted = file.discovery
--- a/pinspread/config/settings.py
+++ b/pinspread/config/settings.py
@@ -1,31 +1,60 @@
-"""What a courier is told at its start, read from the file that `RELAY_CONFIG` names."""
+"""What a node is told at its start, read from the file that `RELAY_CONFIG` names.
+
+The file's keys and the names in the environment are the platform's; this module maps them to the fields of
+`EffectiveSettings`, and by way of `wire.read_settings` to the policy's settings.
+"""
 
-import os
 import re
-import tomllib
-import zlib
+from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
-from pathlib import Path
+from typing import Any
 
 import orjson
 
 from pinspread import wire
-from pinspread.core.log import log
 from pinspread.core.messages import DeliveryRules
+from pinspread.errors import PinspreadError
 from pinspread.policy.settings import Settings
 
-GOOD = "configuration.good"  # in the folder that lasts
-GOOD_SHARE = 0.015  # of the folder's room, for each of its file and the next one
-AMQP_FILE = Path(__file__).parents[2] / "deploy" / "amqp.toml"
+NS_PER_US = 1000
+NS_PER_MS = 1_000_000
+BYTES_PER_MB = 1_000_000
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+LIMIT_REPORT_FIELDS = {"x0", "x1"}  # what is left of a limit, and the limit
 
 
-class SettingsError(ValueError):
+class SettingsError(PinspreadError, ValueError):
     """The configuration cannot be used; the text names the place."""
 
 
 @dataclass(slots=True)
 class EffectiveSettings:
-    """A courier's configuration."""
+    """A node's configuration.
+
+    Attributes:
+        name: The node's name.
+        listen: Where clients are served over RESP2, as host:port; empty: not at all.
+        discovery: The platform's address, for the endpoint list and notifications.
+        state: The folder that lasts.
+        seed: Of the random numbers.
+        disk_bytes: Room in that folder.
+        sockets: How many descriptors the node may use.
+        memory_bytes: How much memory it may use.
+        cached_endpoints: The endpoint list of the file, which may be old.
+        policy_settings: What the delivery policy goes by.
+        delivery_rules: By the name of a class, the rules of what is accepted under it.
+        tenants: By name, the place in the policy's settings; so are `kinds` and `zones`.
+        kinds: Kinds of destinations.
+        zones: Zones of endpoints.
+        connect_timeout_us: For a connection to an endpoint, in microseconds.
+        keepalive_us: How long idle connections to endpoints are kept, in microseconds.
+        admin: Where the admin server listens; empty: it is off.
+        load_reports_enabled: Answers tell what is left of a limit, and the limit.
+        inherited_listener_descriptor: Of a listening socket that the platform holds; None without one.
+        setting_paths: Paths of the settings in the file that are no lists.
+        raw: The file as it was read; empty if there was none.
+    """
 
     name: str
     listen: str
@@ -35,28 +64,27 @@
     disk_bytes: int
     sockets: int
     memory_bytes: int
-    cached_endpoints: dict
+    cached_endpoints: dict[str, Any]
     policy_settings: Settings
-    delivery_rules: dict  # name of a class -> the rules of what is taken on under it
-    tenants: dict  # name -> place in the module's settings; so are kinds and zones
-    kinds: dict
-    zones: dict
+    delivery_rules: dict[str, DeliveryRules]
+    tenants: dict[str, int]
+    kinds: dict[str, int]
+    zones: dict[str, int]
     connect_timeout_us: int
     keepalive_us: int
-    admin: str = ""  # where the operators' door listens; empty: it is off
-    load_reports_enabled: bool = False  # answers tell what is left of a limit, and the limit
-    inherited_listener_descriptor: int | None = (
-        None  # the descriptor of a listening socket that the platform holds
-    )
-    setting_paths: frozenset = frozenset()  # paths of the settings' parts that are no lists
-    raw: bytes = b""  # the file as it was read
+    admin: str = ""
+    load_reports_enabled: bool = False
+    inherited_listener_descriptor: int | None = None
+    setting_paths: frozenset[str] = frozenset()
+    raw: bytes = b""
 
     @property
-    def max_retry_after_ms(self):
-        return self.policy_settings.max_retry_after_ns // 1_000_000
+    def max_retry_after_ms(self) -> int:
+        """The longest Retry-After that clients are told, in milliseconds."""
+        return self.policy_settings.max_retry_after_ns // NS_PER_MS
 
 
-def flatten(value, path=""):
+def flatten(value: object, path: str = "") -> Iterator[str]:
     """Nested settings as the path=value lines of the simulator's wire."""
     if isinstance(value, dict):
         for name, inner in value.items():
@@ -71,169 +99,108 @@
         yield f"{path}={_plain(value)}"
 
 
-def _plain(value):
+def _plain(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-@dataclass(slots=True)
-class AmqpFile:
-    """Where the AMQP front listens; empty: it is off."""
-
-    listen: str = ""
-    heartbeat_s: int = 30
-
-
-def amqp_file(path=AMQP_FILE) -> AmqpFile:
-    """The file under deploy/ that turns the AMQP front on."""
-    try:
-        with open(path, "rb") as file:
-            return AmqpFile(**tomllib.load(file))
-    except FileNotFoundError:
-        return AmqpFile()
-    except (OSError, TypeError, tomllib.TOMLDecodeError) as error:
-        raise SettingsError(f"{path}: {error}") from None
-
-
-def from_environment(env=os.environ, last: EffectiveSettings | None = None) -> EffectiveSettings:
+def from_environment(
+    environment: Mapping[str, str], last: EffectiveSettings | None = None
+) -> EffectiveSettings:
     """The configuration file, with the environment's word where both speak (but for discovery).
 
-    With `last`, the settings in force, one that is short of a part of those is refused.
+    Args:
+        environment: Names the file by `RELAY_CONFIG`.
+        last: The settings in force; a file that lacks a setting of those is refused.
+
+    Raises:
+        SettingsError: The file cannot be read or used.
     """
-    path = env.get("RELAY_CONFIG")
+    path = environment.get("RELAY_CONFIG")
     if not path:
         raise SettingsError("RELAY_CONFIG names no configuration file")
     try:
         with open(path, "rb") as file:
             raw = file.read()
-        told = read(orjson.loads(raw), env)
+        effective = read(orjson.loads(raw), environment)
     except (OSError, orjson.JSONDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from None
-    lacks = sorted(last.setting_paths - told.setting_paths) if last else ()
-    if lacks:
-        # Danger: many parts have a default, and a file that lost one would put that in force unseen.
-        raise SettingsError(f"{path}: {', '.join(lacks)} is missing; the settings in force have it")
-    told.raw = raw
-    return told
+    if last:
+        _check_complete(effective, last, path)
+    effective.raw = raw
+    return effective
 
 
-def at_start(env=os.environ) -> EffectiveSettings:
-    """The configuration at a start: the file, or what was last good where that is broken."""
-    try:
-        return from_environment(env)
-    except SettingsError as error:
-        kept = Path(env.get("RELAY_STATE", "")) / GOOD
-        try:
-            raw = zlib.decompress(kept.read_bytes())
-            told = read(orjson.loads(raw), env)
-        except (OSError, ValueError, zlib.error):
-            raise error from None
-        # Danger: a start that finds the file broken would end, and all that is owed would wait for staff.
-        log("configuration_unusable", error=str(error), instead=str(kept))
-        told.raw = raw
-        return told
-
-
-def keep_good(told: EffectiveSettings):
-    """Keep what is in force, for a start that finds the file broken; without room only the log says so."""
-    if not told.raw:
-        return  # an application's file, which is no platform's
-    packed = zlib.compress(told.raw)
-    try:
-        if len(packed) > told.disk_bytes * GOOD_SHARE:
-            raise OSError(f"{len(packed)} bytes are not kept")
-        kept = Path(told.state) / GOOD
-        fresh = kept.with_suffix(".new")
-        fresh.write_bytes(packed)
-        fresh.rename(kept)
-    except OSError as error:
-        log("configuration_not_kept", error=str(error))
-
-
-def read(told: dict, env) -> EffectiveSettings:
-    """The configuration from its JSON object."""
+def _check_complete(effective: EffectiveSettings, last: EffectiveSettings, path: str) -> None:
+    """Refuse a file that has lost settings: many have a default, which would count unnoticed."""
+    missing = sorted(last.setting_paths - effective.setting_paths)
+    if missing:
+        raise SettingsError(f"{path}: {', '.join(missing)} is missing; the settings in force have it")
+
+
+def read(document: dict[str, Any], environment: Mapping[str, str]) -> EffectiveSettings:
+    """The configuration from its JSON object; SettingsError if it cannot be used."""
     try:
-        settings = told["settings"]
-        text = "\n".join(flatten(settings)).encode()
-        module, fields = wire.read_settings(text)
-        limits = settings["policyLimits"]
-        return EffectiveSettings(
-            name=env.get("RELAY_NAME") or told["name"],
-            listen=env.get("RELAY_LISTEN") or told["listen"],
-            # Danger: the file is replaced while the process runs, and its environment still has the old word.
-            discovery=told["discovery"] if "discovery" in told else env["RELAY_DISCOVERY"],
-            state=env.get("RELAY_STATE") or told["state"],
-            seed=int(str(told["seed"]), 16),
-            disk_bytes=int(told["limits"]["disk_mb"] * 1_000_000),
-            sockets=told["limits"].get("sockets", 1024),
-            memory_bytes=int(told["limits"].get("memory_mb", 192) * 1_000_000),
-            cached_endpoints=told["known"],
-            policy_settings=module,
-            delivery_rules=_rules(settings["lanes"], module),
-            tenants=_places(settings.get("projects") or [{"name": ""}]),
-            kinds={name: n for n, name in enumerate(settings["shapes"])},
-            zones={name: n for n, name in enumerate(settings["zones"])},
-            connect_timeout_us=limits["dialTimeoutNs"] // 1000,
-            keepalive_us=limits["keepaliveNs"] // 1000,
-            admin=env.get("RELAY_ADMIN_ADDR") or told.get("admin_addr") or "",
-            load_reports_enabled={"x0", "x1"} <= set(fields),
-            inherited_listener_descriptor=_descriptor(env.get("RELAY_PASSED_SOCKET")),
-            setting_paths=frozenset(_parts(settings)),
-        )
+        return _read(document, environment)
     except KeyError as error:
         raise SettingsError(f"configuration: {error.args[0]} is missing") from None
     except (TypeError, ValueError, AttributeError, OverflowError) as error:
         raise SettingsError(f"configuration: {error}") from None
 
 
-def summary(told: EffectiveSettings):
-    """What the courier will go by, a line each, for whoever checks a deployment before it is served."""
-    s, ms = told.policy_settings, 1_000_000
-    for name, rules in told.delivery_rules.items():
-        c = rules.traffic_class
-        window = (
-            f", repeats dropped for {c.deduplication_window_ns // ms} ms" if c.deduplication_window_ns else ""
-        )
-        order = "in order for each key" if c.in_order else "in any order"
-        time = f"wanted in {c.latency_objective_ns // ms} ms, given up at {c.deadline_ns // ms} ms"
-        yield f"class {name}: {c.effect.value}{window}; {order}; {time}; {rules.max_attempts} attempts"
-    for name, n in told.kinds.items():
-        kind = s.kind(n)
-        routes = "each endpoint a route apart" if kind.limits_per_endpoint else "endpoints share one limit"
-        yield f"kind {name}: {kind.max_bundle_size} messages a call at most; {routes}"
-    yield f"zones: {', '.join(told.zones)}; a call to another costs {s.cross_zone_price:g} of a message"
-    slots = f"{s.max_concurrent_calls} calls out, {s.max_held_messages} messages held"
-    yield f"slots: {slots}, {s.senders} couriers"
-    yield f"rules: nothing new {s.drain_grace_ns // ms} ms after a drain; cold for {s.slow_start_ns // ms} ms"
-    asked = f"asked, at least every {s.max_poll_interval_ns // ms} ms" if s.polled_discovery else "pushed"
-    yield f"list: {asked}; limits {'listed' if s.weights_known else 'not listed'}"
-    probes, reports = ("yes" if on else "no" for on in (s.health_checks_allowed, told.load_reports_enabled))
-    yield f"probes: {probes}; reports of limits in answers: {reports}; door: {told.admin or 'off'}"
-
-
-def _rules(lanes, module):
-    found = {}
-    for lane, cls in zip(lanes, module.classes, strict=True):
-        if lane["name"] in found:
+def _read(document: dict[str, Any], environment: Mapping[str, str]) -> EffectiveSettings:
+    settings = document["settings"]
+    text = "\n".join(flatten(settings)).encode()
+    policy_settings, report_fields = wire.read_settings(text)
+    policy_limits = settings["policyLimits"]
+    return EffectiveSettings(
+        name=environment.get("RELAY_NAME") or document["name"],
+        listen=environment.get("RELAY_LISTEN") or document["listen"],
+        # The file is replaced while the process runs, and its environment still has the old word.
+        discovery=document["discovery"] if "discovery" in document else environment["RELAY_DISCOVERY"],
+        state=environment.get("RELAY_STATE") or document["state"],
+        seed=int(str(document["seed"]), 16),
+        disk_bytes=int(document["limits"]["disk_mb"] * BYTES_PER_MB),
+        sockets=document["limits"].get("sockets", DEFAULT_SOCKETS),
+        memory_bytes=int(document["limits"].get("memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MB),
+        cached_endpoints=document["known"],
+        policy_settings=policy_settings,
+        delivery_rules=_delivery_rules(settings["lanes"], policy_settings),
+        tenants=_indices(settings.get("projects") or [{"name": ""}]),
+        kinds={name: index for index, name in enumerate(settings["shapes"])},
+        zones={name: index for index, name in enumerate(settings["zones"])},
+        connect_timeout_us=policy_limits["dialTimeoutNs"] // NS_PER_US,
+        keepalive_us=policy_limits["keepaliveNs"] // NS_PER_US,
+        admin=environment.get("RELAY_ADMIN_ADDR") or document.get("admin_addr") or "",
+        load_reports_enabled=set(report_fields) >= LIMIT_REPORT_FIELDS,
+        inherited_listener_descriptor=_descriptor(environment.get("RELAY_PASSED_SOCKET")),
+        setting_paths=frozenset(_setting_paths(settings)),
+    )
+
+
+def _delivery_rules(lanes: list[dict[str, Any]], policy_settings: Settings) -> dict[str, DeliveryRules]:
+    rules: dict[str, DeliveryRules] = {}
+    for lane, traffic_class in zip(lanes, policy_settings.classes, strict=True):
+        if lane["name"] in rules:
             raise ValueError(f"class {lane['name']!r} is named twice")
-        found[lane["name"]] = DeliveryRules(cls, module.max_attempts)
-    return found
+        rules[lane["name"]] = DeliveryRules(traffic_class, policy_settings.max_attempts)
+    return rules
 
 
-def _parts(value, path=""):
+def _setting_paths(settings: dict[str, Any], path: str = "") -> Iterator[str]:
     """The paths of what is no list: those may grow and shrink."""
-    for name, inner in value.items():
+    for name, inner in settings.items():
         yield path + name
         if isinstance(inner, dict):
-            yield from _parts(inner, f"{path}{name}.")
+            yield from _setting_paths(inner, f"{path}{name}.")
 
 
-def _descriptor(text):
+def _descriptor(text: str | None) -> int | None:
     """The number that a descriptor is named by, alone or behind other words; None without one."""
-    found = re.findall(r"\d+", text or "")
-    return int(found[-1]) if found else None
+    numbers = re.findall(r"\d+", text or "")
+    return int(numbers[-1]) if numbers else None
 
 
-def _places(named):
-    return {item["name"]: n for n, item in enumerate(named)}
+def _indices(named: list[dict[str, Any]]) -> dict[str, int]:
+    return {item["name"]: index for index, item in enumerate(named)}
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -19,8 +19,9 @@
 from pinspread.amqp.server import FRONT_NAME as AMQP
 from pinspread.amqp.server import AmqpFront
 from pinspread.amqp.transport import GUEST_LOGIN, BrokerTransport
-from pinspread.config import settings as configuration
-from pinspread.config.settings import AmqpFile, EffectiveSettings, SettingsError
+from pinspread.config import last_good
+from pinspread.config.amqp_front import AmqpFile
+from pinspread.config.settings import EffectiveSettings, SettingsError
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
@@ -186,7 +187,7 @@
         if self.leaving.is_set() and not transferred:
             return  # all that is owed is in the journal
         await self._open_listeners(transferred)
-        configuration.keep_good(settings)
+        last_good.save(settings)
         self._start_discovery()
         if not transferred:
             # What the list says by now counts as told. What was recovered would go out by the last list from
@@ -343,7 +344,7 @@
         self.discovery.apply_settings(new)
         self.discovery.change_address(discovery_source)
         self.notifications.move(notification_address)
-        configuration.keep_good(new)
+        last_good.save(new)
         classes = {name: rules.traffic_class.effect.value for name, rules in new.delivery_rules.items()}
         attempts = new.policy_settings.max_attempts
         log(
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -21,7 +21,8 @@
 
 from pinspread import sockets
 from pinspread.admin import server as admin
-from pinspread.config import settings
+from pinspread.config import last_good, settings
+from pinspread.config.summary import summary as settings_summary
 from pinspread.core.messages import AttemptResult
 from pinspread.discovery import client as discovery
 from pinspread.hot_restart import packet_codec, source, target
@@ -37,19 +38,19 @@
 
 # --- adapter ----------------------------------------------------------------------------------------
 
-GOOD_FILE, LEFT_FILE = settings.GOOD, discovery.LEFT
+GOOD_FILE, LEFT_FILE = last_good.FILE_NAME, discovery.LEFT
 
 
 def keep_settings(state, raw):
     """Keep the settings of a file, as a start does."""
     told = settings.read(orjson.loads(raw), {})
     told.state, told.raw = str(state), raw
-    settings.keep_good(told)
+    last_good.save(told)
 
 
 def kept_settings(state):
     """What a start finds where its file is broken: the bytes, and some of what they say."""
-    told = settings.at_start({"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)})
+    told = last_good.load_at_start({"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)})
     return told.raw, {"name": told.name, "seed": told.seed, "disk_bytes": told.disk_bytes}
 
 
@@ -97,7 +98,7 @@
 
 def summary():
     """What `pinspread config check` says of `SETTINGS`."""
-    return list(settings.summary(settings.read(orjson.loads(SETTINGS), {})))
+    return list(settings_summary(settings.read(orjson.loads(SETTINGS), {})))
 
 
 def recorded_trace(logs, path):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,6 +12,7 @@
 
 from pinspread.__main__ import main
 from pinspread.config import application, dnssd, settings
+from pinspread.config.amqp_front import amqp_file
 from pinspread.policy.events import EndpointState
 
 GOOD = application.template("booking")
@@ -218,9 +219,9 @@
 
 
 def test_the_amqp_front_is_off_unless_its_file_gives_an_address(tmp_path):
-    assert settings.amqp_file().listen == "" and settings.amqp_file(tmp_path / "none").listen == ""
+    assert amqp_file().listen == "" and amqp_file(tmp_path / "none").listen == ""
     (tmp_path / "amqp.toml").write_text('listen = "127.0.0.1:5672"')
-    assert settings.amqp_file(tmp_path / "amqp.toml").listen == "127.0.0.1:5672"
+    assert amqp_file(tmp_path / "amqp.toml").listen == "127.0.0.1:5672"
     (tmp_path / "amqp.toml").write_text("listening = 1")
     with pytest.raises(settings.SettingsError):
-        settings.amqp_file(tmp_path / "amqp.toml")
+        amqp_file(tmp_path / "amqp.toml")
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -11,6 +11,7 @@
 from pinspread import service as platform_module
 from pinspread import sockets
 from pinspread.config import settings
+from pinspread.config.amqp_front import AmqpFile
 from pinspread.core import log as log_module
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
@@ -61,7 +62,7 @@
 def service(folder, platform, **more):
     """The parts of a process, in this one; `leaving` stands for SIGTERM."""
     told = settings.read(configuration(folder) | {"listen": own_address(), "discovery": platform}, {})
-    options = ServiceOptions(told, settings.AmqpFile(), lambda last: pytest.fail("no SIGHUP"), **more)
+    options = ServiceOptions(told, AmqpFile(), lambda last: pytest.fail("no SIGHUP"), **more)
     return Service(options)
 
 
