--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -1,14 +1,15 @@
 """The command line: serve, version, and the configuration tool; bare, it serves."""
 
 import argparse
+import os
 import signal
 import sys
-from functools import partial
 from pathlib import Path
 
 import anyio
 
-from pinspread.config import settings
+from pinspread.config import last_good, settings
+from pinspread.config.amqp_front import AmqpFile, amqp_file
 from pinspread.errors import JournalFormatError, JournalFullError
 
 VERSION = "0.1.0"
@@ -72,8 +73,10 @@
             # Until it can be heeded: noted, for it may come after the file has been read.
             early = []
             signal.signal(signal.SIGHUP, lambda *_: early.append(True))
-            serve = partial(platform.serve, early=early)
-            anyio.run(serve, settings.at_start(), settings.amqp_file(), reread)
+            options = platform.ServiceOptions(
+                last_good.load_at_start(os.environ), amqp_file(), reread, early_sighup=early
+            )
+            anyio.run(platform.serve, options)
     except settings.SettingsError as error:
         print(error, file=sys.stderr)
         return 2
@@ -124,8 +127,10 @@
 
 def reread(last):
     """The configuration file by now, where it has discovery, and where it has notices."""
-    told = settings.from_environment(last=last)
-    return told, told.discovery, told.discovery
+    told = settings.from_environment(os.environ, last)
+    from pinspread.service import ReloadedSettings
+
+    return ReloadedSettings(told, told.discovery, told.discovery)
 
 
 def config(chosen):
@@ -146,8 +151,10 @@
         print(path)
         return 0
     if chosen.action == "check" and chosen.file.endswith(".json"):
+        from pinspread.config.summary import summary
+
         told = settings.from_environment({"RELAY_CONFIG": chosen.file})
-        print(f"{chosen.file}: no problems", *settings.summary(told), sep="\n")
+        print(f"{chosen.file}: no problems", *summary(told), sep="\n")
         return 0
     file = application.load(chosen.file)
     if chosen.action == "check":
@@ -177,7 +184,7 @@
     signal.signal(signal.SIGHUP, lambda *_: early.append(True))
     file = application.load(path)
     Path(file.journal.folder).mkdir(parents=True, exist_ok=True)
-    amqp = settings.AmqpFile(file.listen.amqp, file.listen.heartbeat_s)
+    amqp = AmqpFile(file.listen.amqp, file.listen.heartbeat_s)
 
     def discover(courier):
         wanted = file.discovery
@@ -185,7 +192,8 @@
 
     def again(_):
         file = application.load(path)
-        return application.told(file), records(file), file.notices.address if file.notices else ""
+        address = file.notices.address if file.notices else ""
+        return platform.ReloadedSettings(application.told(file), records(file), address)
 
     background_services = []
     if file.members:  # Danger: serving loads membership only where a file turns it on
@@ -205,8 +213,16 @@
             ReplicationService(file.copies.plan(file.journal.folder), *background_services[:2])
         )
     told = application.told(file)
-    serve = partial(platform.serve, early=early)
-    anyio.run(serve, told, amqp, again, discover, file.brokers.login(), background_services)
+    options = platform.ServiceOptions(
+        told,
+        amqp,
+        again,
+        make_discovery=discover,
+        amqp_login=file.brokers.login(),
+        background_services=background_services,
+        early_sighup=early,
+    )
+    anyio.run(platform.serve, options)
 
 
 if __name__ == "__main__":
