--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -10,11 +10,12 @@
 
 from pinspread import service as platform_module
 from pinspread import sockets
-from pinspread.amqp.transport import GUEST_LOGIN
 from pinspread.config import settings
+from pinspread.config.amqp_front import AmqpFile
+from pinspread.core import log as log_module
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
-from pinspread.service import Service
+from pinspread.service import Service, ServiceOptions
 from pinspread.sockets import limiter
 
 pytestmark = pytest.mark.anyio
@@ -52,12 +53,17 @@
         assert [r[4] for r in heard.requests] == [unheard.requests[0][4]] and len(endpoint.requests) == 1
 
 
+@pytest.fixture(autouse=True)
+def clock_of_the_log(monkeypatch):
+    """A service gives the log its clock, which needs a running loop: it is taken back after the test."""
+    monkeypatch.setattr(log_module, "_clock", None)
+
+
 def service(folder, platform, **more):
     """The parts of a process, in this one; `leaving` stands for SIGTERM."""
     told = settings.read(configuration(folder) | {"listen": own_address(), "discovery": platform}, {})
-    return Service(
-        told, settings.AmqpFile(), lambda last: pytest.fail("no SIGHUP"), None, GUEST_LOGIN, **more
-    )
+    options = ServiceOptions(told, AmqpFile(), lambda last: pytest.fail("no SIGHUP"), **more)
+    return Service(options)
 
 
 @asynccontextmanager
@@ -87,12 +93,12 @@
         parts = service(tmp_path, platform)
         async with running(parts) as done:
             await until(lambda: parts.engine.serving)
-            leg = await sockets.dial(parts.told.listen)
+            leg = await sockets.dial(parts.settings.listen)
             if known:
                 await leg.write(command(b"PING"))
                 assert await leg.read() == b"+PONG\r\n"
-            idle = await sockets.dial(parts.told.listen)
-            half = await sockets.dial(parts.told.listen)
+            idle = await sockets.dial(parts.settings.listen)
+            half = await sockets.dial(parts.settings.listen)
             await half.write(ENQUEUE[:-5])
             stop = parts.engine.stop
 
@@ -117,7 +123,7 @@
         parts = service(tmp_path, platform)
         async with running(parts) as done:
             await until(lambda: parts.engine.serving)
-            leg = await sockets.dial(parts.told.listen)
+            leg = await sockets.dial(parts.settings.listen)
             await leg.write(command(b"PING"))
             assert await leg.read() == b"+PONG\r\n"
             tasks = parts.tasks
@@ -176,9 +182,9 @@
 
 async def test_sighup_between_the_reading_of_the_file_and_the_receiver_is_heeded(tmp_path):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
-        parts = service(tmp_path, platform, early=[True])
+        parts = service(tmp_path, platform, early_sighup=[True])
         changed = []
-        parts.change = lambda: changed.append(parts.engine.serving)
+        parts.reload_settings = lambda: changed.append(parts.engine.serving)
         async with running(parts):
             await until(lambda: changed)
     assert changed == [True]
@@ -187,7 +193,7 @@
 async def test_an_address_that_the_process_before_still_holds_is_waited_for(tmp_path, monkeypatch):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as notices:
         parts = service(tmp_path, notices)
-        before = sockets.listen(parts.told.listen)
+        before = sockets.listen(parts.settings.listen)
         said = []
 
         def heard(event, **more):
