--- a/pinspread/leases/model_checker.py
+++ b/pinspread/leases/model_checker.py
@@ -98,7 +98,7 @@
         voters: How many voters there are.
         depth: The most steps from a start.
         log: The most entries in the log.
-        numbers: The most requests with an id of their own.
+        requests: The most requests with an id of their own.
         acts: Whether contenders check and act, too.
         jumps: The most clocks that drift in one run.
         drift: What a clock may gain or lose, in ticks; the terms have the same.
@@ -110,7 +110,7 @@
     voters: int = 3
     depth: int = 9
     log: int = 3
-    numbers: int = 3
+    requests: int = 3
     acts: bool = False
     jumps: int = 2
     drift: int = 1
@@ -262,7 +262,7 @@
         is_new = claim.request_id == new_id
         if claim == before and not request:
             return
-        if is_new and world.request_count >= self.bounds.numbers:
+        if is_new and world.request_count >= self.bounds.requests:
             return
         requests = world.requests | {request} if request else world.requests
         after = world._replace(
--- a/pinspread/leases/service.py
+++ b/pinspread/leases/service.py
@@ -6,8 +6,9 @@
 """
 
 import random
-from collections.abc import Mapping
+from collections.abc import Callable, Coroutine, Mapping
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -98,6 +99,7 @@
             send_answer=self._send_answer,
         )
         self._socket: anyio.abc.UDPSocket | None = None
+        self._run_vote: Callable[[], Coroutine[Any, Any, None]] | None = None  # where this member has a vote
         self._send_lock = anyio.Lock()  # the socket takes one sender at a time
 
     def now(self) -> int:
@@ -181,7 +183,7 @@
         # Imported here so that a member without a vote does not load the library of the agreement.
         from pinspread.leases.raft import RaftConfig, RaftNode
 
-        self._listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
+        listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         raft_config = RaftConfig(
             id=self.id,
             listen=self.config.listen,
@@ -191,14 +193,15 @@
             election_s=self.config.election_s,
             sync=self.config.sync,
         )
-        self._raft_node = RaftNode(raft_config, self.handler.record_applied)
-        self.handler.raft = self._raft_node
+        node = RaftNode(raft_config, self.handler.record_applied)
+        self.handler.raft = node
+        self._run_vote = partial(node.run, listener)
 
     async def run(self) -> None:
         """Claim and act until cancelled; `open` comes first."""
         async with self._open_socket(), anyio.create_task_group() as tasks:
-            if self.handler.raft:
-                tasks.start_soon(self._raft_node.run, self._listener)
+            if self._run_vote:
+                tasks.start_soon(self._run_vote)
             tasks.start_soon(self._receive)
             for task in self.config.tasks:
                 if task.address:
--- a/pinspread/membership/swim.py
+++ b/pinspread/membership/swim.py
@@ -102,7 +102,7 @@
         self.next_probe_us = now_us
         self.next_sync_us = now_us
         self.events: list[MemberChanged | RumorRefuted] = []
-        self.counts = {"sent": 0, "heard": 0}
+        self.counts = {"sent": 0, "received": 0}
         self._leaving = False
 
     # --- the table ----------------------------------------------------------------------------------
@@ -227,13 +227,15 @@
         return [(address, self._sync_message(self._table_sample(), reply=True)) for address in addresses]
 
     def _sync_addresses(self) -> list[str]:
-        alone = not self.members.live_count
-        if alone and self.seeds:
+        is_alone = not self.members.live_count
+        if is_alone and self.seeds:
             return self.seeds
         dead = [id_ for id_ in self.members.down if self.table[id_].state == MemberState.DEAD]
-        if dead and (alone or self.rng.random() < _SYNC_WITH_DEAD_PROBABILITY):
+        if dead and (is_alone or self.rng.random() < _SYNC_WITH_DEAD_PROBABILITY):
             return [self.table[self.rng.choice(dead)].address]  # how the sides of a healed partition meet
-        return [record.address for record in self.members.pick(1, states=LIVE_STATES)] if not alone else []
+        if is_alone:
+            return []
+        return [record.address for record in self.members.pick(1, states=LIVE_STATES)]
 
     def _sync_message(self, records: Iterable[MemberRecord], reply: bool) -> Sync:
         table = tuple(Update.from_record(record, self.id) for record in records)
@@ -271,7 +273,7 @@
 
     def receive(self, message: Message, now_us: int) -> Outgoing:
         """Handle a message from another member; return the messages to send in answer."""
-        self.counts["heard"] += 1
+        self.counts["received"] += 1
         if message.sender == self.id:
             return []
         known = self.table.get(message.sender)
@@ -315,8 +317,8 @@
             self.apply(row, now_us, from_table=True)
         if not message.reply:
             return []
-        parts = self._table_chunks() if joins else [self._table_sample()]
-        return [(message.sender_address, self._sync_message(part, reply=False)) for part in parts]
+        chunks = self._table_chunks() if joins else [self._table_sample()]
+        return [(message.sender_address, self._sync_message(chunk, reply=False)) for chunk in chunks]
 
     # --- claims about members -----------------------------------------------------------------------
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -123,7 +123,7 @@
 
 
 def test_acts_of_a_holder_that_paused_are_refused_by_the_fence_alone():
-    bounds = modelcheck.Bounds(depth=9, voters=1, jumps=0, drift=0, numbers=2, log=2, acts=True)
+    bounds = modelcheck.Bounds(depth=9, voters=1, jumps=0, drift=0, requests=2, log=2, acts=True)
     terms = modelcheck.TERMS._replace(lease_us=2, drift_us=0)
     found = modelcheck.explore(bounds, terms=terms)
     assert found.complete and not found.violation, found
