--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -4,6 +4,7 @@
 
 from pinspread.membership import codec as wire
 from pinspread.membership import message_codec
+from pinspread.membership.framing import ConnectionClosedError, FrameStream
 
 KEY = b"fleet-a"
 PING = {"t": "ping", "from": "a", "from_at": "127.0.0.1:1", "inc": 0, "up": [], "seq": 1, "to": "b"}
@@ -70,3 +71,43 @@
                 tasks.start_soon(one._send, out)  # the library refuses a second sender at a time
 
     anyio.run(play)
+
+
+@pytest.mark.parametrize(
+    ("sent", "error"),
+    [
+        (b"", ConnectionClosedError),
+        (wire.encode({"n": 2}, KEY)[:-1], ConnectionClosedError),  # ends within a frame
+        (wire.encode({"n": "x" * 90}, KEY), wire.DatagramError),  # longer than is accepted
+        (wire.encode({"n": 2}, b"fleet-b"), wire.DatagramError),
+    ],
+)
+def test_a_stream_of_frames_tells_its_end_from_a_frame_that_is_not_accepted(sent, error):
+    import anyio
+
+    async def play():
+        async def serve(stream):
+            async with stream:
+                await stream.send(wire.encode({"n": 1}, KEY) + sent)
+
+        listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
+        port = listener.extra(anyio.abc.SocketAttribute.local_port)
+        async with listener, anyio.create_task_group() as tasks:
+            tasks.start_soon(listener.serve, serve)
+            async with await anyio.connect_tcp("127.0.0.1", port) as stream:
+                frames = FrameStream(stream, KEY, wire.MAGIC, 80)
+                with anyio.fail_after(5):
+                    assert await frames.receive() == {"n": 1}
+                    with pytest.raises(error):
+                        await frames.receive()
+            with pytest.raises(ConnectionClosedError):
+                await frames.send({"n": 3})
+            tasks.cancel_scope.cancel()
+
+    anyio.run(play)
+
+
+@pytest.mark.parametrize("change", [{"t": []}, {"up": [["b", "x", 0, [], "a"]]}])
+def test_a_list_where_a_word_belongs_is_dropped_too(change):
+    with pytest.raises(wire.DatagramError):
+        message_codec.decode_message(wire.encode(PING | change, KEY), KEY)
