--- a/pinspread/amqp/front.py
+++ b/pinspread/amqp/front.py
@@ -18,10 +18,10 @@
 
 from pinspread.amqp import frames
 from pinspread.amqp.frames import AmqpError
+from pinspread.core import message_fields
 from pinspread.core.log import log
 from pinspread.core.messages import FinalResult, Message
 from pinspread.errors import RejectedError
-from pinspread.resp import parser as resp
 from pinspread.sockets import ConnectionLimiter, accept_forever
 
 NAME = "amqp"
@@ -39,8 +39,8 @@
 def key_number(text):
     """Hexadecimal keys are the same on all fronts; others are hashed to as many bits."""
     try:
-        return resp.key_number(text.encode())
-    except resp.CommandError:
+        return message_fields.parse_key(text.encode())
+    except message_fields.InvalidFieldError:
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest()) or 1
 
 
@@ -184,7 +184,7 @@
     def __init__(self, session, number):
         self.session = session
         self.number = number
-        self.contents = frames.Contents(resp.MOST_BODY)
+        self.contents = frames.Contents(message_fields.MAX_BODY_BYTES)
         self.confirms = False
         self.published = 0
         self.prefetch = 0
@@ -472,7 +472,9 @@
         if method.exchange:
             raise AmqpError(frames.NOT_FOUND, f"no exchange {method.exchange!r}", method)
         if body is None:
-            raise AmqpError(frames.CONTENT_TOO_LARGE, f"a body over {resp.MOST_BODY} bytes", method)
+            raise AmqpError(
+                frames.CONTENT_TOO_LARGE, f"a body over {message_fields.MAX_BODY_BYTES} bytes", method
+            )
         channel.published += 1
         tag = channel.published
         try:
@@ -502,21 +504,23 @@
         headers = {name: properties.headers.get(name) for name in HEADERS} if properties.headers else {}
         try:
             cls, tenant = str(headers.get("class") or ""), str(headers.get("tenant") or "")
-            dest = resp.number(str(headers.get("dest", "")), "dest", resp.MOST_DEST)
+            dest = message_fields.parse_number(
+                str(headers.get("dest", "")), "dest", message_fields.MAX_DESTINATION
+            )
             unknown = self.engine.unknown_reason(cls, tenant, dest)
             if unknown:
-                raise resp.CommandError(unknown)
-            id_ = resp.name(str(properties.message_id or "").encode(), "message-id")
+                raise message_fields.InvalidFieldError(unknown)
+            id_ = message_fields.parse_identifier(str(properties.message_id or "").encode(), "message-id")
             if not properties.reply_to:
-                raise resp.CommandError("reply-to is missing")
+                raise message_fields.InvalidFieldError("reply-to is missing")
             idempotency = str(headers.get("idempotency-key") or "")
             if idempotency:
-                resp.name(idempotency.encode(), "idempotency-key")
+                message_fields.parse_identifier(idempotency.encode(), "idempotency-key")
             deadline_ms = self.engine.settings.delivery_rules[cls].traffic_class.deadline_ns // 1_000_000
             expiration = properties.expiration or str(deadline_ms)
-            for_ms = resp.number(expiration, "expiration", resp.MOST_FOR_MS)
+            for_ms = message_fields.parse_number(expiration, "expiration", message_fields.MAX_DEADLINE_MS)
             key = key_number(str(headers.get("key") or "0"))
-        except resp.CommandError as error:
+        except message_fields.InvalidFieldError as error:
             raise AmqpError(frames.PRECONDITION_FAILED, str(error), method) from None
         clock = self.engine.clock
         return Message(
--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -15,9 +15,9 @@
 import dns.zone
 
 from pinspread.core.log import log
+from pinspread.core.message_fields import MAX_DESTINATION
 from pinspread.core.messages import Endpoint
 from pinspread.policy.events import EndpointState, UpdateScope
-from pinspread.resp.parser import MOST_DEST
 from pinspread.sockets import split_address
 
 QUERY_S = 2.0
@@ -87,8 +87,8 @@
     texts = records.ask(name, "TXT")
     pairs = text_pairs(texts[0]) if texts else {}
     dest = pairs.get("dest", "")
-    if not (dest.isascii() and dest.isdigit() and int(dest) <= MOST_DEST):
-        raise ValueError(f"TXT: dest must be a number up to {MOST_DEST}, not {dest!r}")
+    if not (dest.isascii() and dest.isdigit() and int(dest) <= MAX_DESTINATION):
+        raise ValueError(f"TXT: dest must be a number up to {MAX_DESTINATION}, not {dest!r}")
     try:
         rate = float(pairs.get("rate", "1"))
     except ValueError:
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -10,7 +10,7 @@
 
 from pinspread.core.log import log
 from pinspread.core.messages import Endpoint
-from pinspread.http.transport import Exchange
+from pinspread.http.exchange import Exchange
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.sockets import dial, split_address
 
@@ -131,7 +131,7 @@
         self.silent_us = 0
 
 
-class Discovery:
+class DiscoveryClient:
     """Follows the list of endpoints and hands what changes to the core."""
 
     def __init__(self, address, engine, told):
@@ -287,10 +287,10 @@
         try:
             with anyio.fail_after(ASKED_S if asked else HEAD_S):
                 connection = await dial(address)
-                exchange = Exchange(connection, most=None)
+                exchange = Exchange(connection, max_response_bytes=None)
                 seq = 0 if watch.whole else self.seq
-                await exchange.request("GET", f"/api/targets?watch=1&from={seq}", address)
-                status, _ = await exchange.response()
+                await exchange.send_request("GET", f"/api/targets?watch=1&from={seq}", address)
+                status, _ = await exchange.read_response()
             if status != 200:
                 raise ValueError(f"discovery answered {status}")
             if watch not in self.trying or (self.current and watch.address != self.address):
@@ -299,7 +299,7 @@
             lines = _Lines()
             self._spoke(watch, FIRST_S)
             while True:
-                piece = await exchange.data()
+                piece = await exchange.read_data()
                 if watch is not self.current:
                     # Danger: what an old watch still brings would undo the newer one's list.
                     return
--- a/pinspread/http/__init__.py
+++ b/pinspread/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP client side: connection pool, transport and message bundles."""
+"""HTTP/1.1 as a client: exchanges on connections, the pool of connections, and the transport to endpoints."""
--- /dev/null
+++ b/pinspread/http/call.py
@@ -0,0 +1,99 @@
+"""What is known of one call to an endpoint while it runs, and what its response says of the attempt."""
+
+from dataclasses import dataclass
+
+from pinspread.core.log import log
+from pinspread.core.messages import AttemptResult
+from pinspread.http.exchange import Exchange, Response
+from pinspread.http.retry_after import parse_retry_after_us
+from pinspread.policy.events import Outcome
+from pinspread.sockets import Connection
+
+RETRY_AFTER, ALL_SLOTS_TAKEN = b"retry-after", b"x-over-slots"
+MAX_NOTE = 100  # characters of an error's text
+
+
+@dataclass(slots=True)
+class CallState:
+    """The state of one call.
+
+    Attributes:
+        connection: Its connection, to be closed at its end; None if there is none, or the pool has it back.
+        exchange: The exchange on that connection, once the request is being written.
+        idle_us: How long the connection had been idle, in microseconds; -1 for a new one.
+        opened: The connection was opened for this call.
+        written: The last byte of the request was written.
+        proven: The result, once the response has shown it.
+        retry_after_us: The wait that a response's head asked for, whatever became of the rest.
+        limit_remaining: Which share of its limit the endpoint reports as left.
+        limit_per_s: The limit that it reports, in calls a second; 0 if it reports none.
+    """
+
+    connection: Connection | None = None
+    exchange: Exchange | None = None
+    idle_us: int = -1
+    opened: bool = False
+    written: bool = False
+    proven: AttemptResult | None = None
+    retry_after_us: int = 0
+    limit_remaining: float = 0.0
+    limit_per_s: float = 0.0
+
+    def annotate(self, result: AttemptResult) -> AttemptResult:
+        """Add to a result what its call has shown."""
+        result.idle_us, result.opened = self.idle_us, self.opened
+        result.limit_remaining, result.limit_per_s = self.limit_remaining, self.limit_per_s
+        return result
+
+    def describe_received(self, now_us: int) -> str:
+        """Say how much of the response had come when the call was given up."""
+        if self.exchange is None or not self.exchange.received:
+            return "silent"
+        silent_ms = (now_us - self.exchange.last_read_us) // 1000
+        return f"{len(self.exchange.received)} bytes, the last {silent_ms} ms ago"
+
+    def timed_out(self, now_us: int) -> AttemptResult:
+        """Return the result of a call whose time has ended."""
+        if self.proven:
+            # The time may end between the word that proves the result and what is read or waited for behind
+            # it: a delivery, or a call that never ran, would pass for one that may have run.
+            return self.proven
+        if self.written:
+            return AttemptResult(Outcome.TIMEOUT, self.retry_after_us, note=self.describe_received(now_us))
+        return AttemptResult(Outcome.CONNECT_FAILED, note="not written in time")
+
+    def failed(self, error: OSError | ValueError) -> AttemptResult:
+        """Return the result of a call that broke off."""
+        if not self.written:
+            return AttemptResult(Outcome.CONNECT_FAILED, note=str(error))
+        # Whatever its status code says but 200, a malformed response proves nothing. The call may have run,
+        # and a payment that was sent again would take effect twice. A wait that it asked for applies.
+        outcome = Outcome.ERROR if isinstance(error, ValueError) else Outcome.RESET
+        return AttemptResult(outcome, self.retry_after_us, note=str(error)[:MAX_NOTE])
+
+
+def result_of(response: Response) -> AttemptResult:
+    """Return what a response's status code and headers say of the attempt."""
+    status, headers = response
+    if status == 200:
+        return AttemptResult(Outcome.OK)
+    if status == 429:
+        return AttemptResult(Outcome.OVERLOADED, parse_retry_after_us(headers.get(RETRY_AFTER, b"")))
+    if status == 503:
+        slots_taken = headers.get(ALL_SLOTS_TAKEN) == b"1"
+        return (
+            AttemptResult(Outcome.NOT_SENT, note="all slots taken")
+            if slots_taken
+            else AttemptResult(Outcome.OVERLOADED)
+        )
+    if status == 504:
+        return AttemptResult(Outcome.NOT_SENT, note="all attempts used")
+    if status == 410:
+        return AttemptResult(Outcome.NOT_SENT, no_longer_wanted=True, note="over")
+    return _error_result(status)
+
+
+def _error_result(status: int) -> AttemptResult:
+    if status != 500:
+        log("unexpected_status", status=status)
+    return AttemptResult(Outcome.ERROR, note=str(status))
--- /dev/null
+++ b/pinspread/http/pool.py
@@ -0,0 +1,110 @@
+"""The pool of idle connections to endpoints."""
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+import anyio
+
+from pinspread.core.clock import Clock
+from pinspread.core.messages import Endpoint
+from pinspread.sockets import Connection
+
+# Share of the time after which an endpoint closes idle connections: a call written later than that is lost.
+MAX_IDLE_FRACTION = 0.8
+SWEEP_INTERVAL_S = 0.5
+
+
+class PooledConnection(NamedTuple):
+    """An idle connection on its way from one process to the next.
+
+    Attributes:
+        endpoint_id: The endpoint that it leads to.
+        address: Its address, host:port.
+        idle_since_us: Since when it is idle, in microseconds on the monotonic clock.
+        connection: The connection itself.
+    """
+
+    endpoint_id: str
+    address: str
+    idle_since_us: int
+    connection: Connection
+
+
+class ConnectionPool:
+    """Idle connections by endpoint; the last one used is taken first, so that surplus ones age.
+
+    Args:
+        clock: The clock of the process.
+        keepalive_us: After how long endpoints close idle connections, in microseconds.
+    """
+
+    def __init__(self, clock: Clock, keepalive_us: int) -> None:
+        self.clock = clock
+        self.idle: dict[str, list[tuple[str, Connection]]] = {}  # endpoint id -> (address, connection) each
+        self.set_keepalive(keepalive_us)
+
+    def set_keepalive(self, keepalive_us: int) -> None:
+        """Apply another time after which endpoints close idle connections."""
+        self.max_idle_us = int(keepalive_us * MAX_IDLE_FRACTION)
+
+    def acquire(self, endpoint: Endpoint) -> Connection | None:
+        """Take out an idle connection that can still be used; None if there is none."""
+        pooled = self.idle.get(endpoint.id, [])
+        while pooled:
+            address, connection = pooled.pop()
+            # Written to a connection that the other side has closed, a call would count as lost.
+            if address == endpoint.address and self._usable(connection):
+                return connection
+            connection.close()
+        return None
+
+    def _usable(self, connection: Connection) -> bool:
+        return self.clock.now() - connection.idle_since_us < self.max_idle_us and connection.is_idle()
+
+    def release(self, endpoint: Endpoint, connection: Connection) -> None:
+        """Put a connection back after a complete exchange."""
+        if not endpoint.usable:
+            connection.close()  # nothing more goes there
+            return
+        connection.idle_since_us = self.clock.now()
+        self.idle.setdefault(endpoint.id, []).append((endpoint.address, connection))
+
+    def disconnect(self, endpoint: Endpoint) -> None:
+        """Close the idle connections to an endpoint."""
+        for _, connection in self.idle.pop(endpoint.id, []):
+            connection.close()
+
+    def detach_all(self) -> list[PooledConnection]:
+        """Give up all connections, for another process."""
+        detached, self.idle = self.idle, {}
+        return [
+            PooledConnection(id_, address, connection.idle_since_us, connection)
+            for id_, pooled in detached.items()
+            for address, connection in pooled
+        ]
+
+    def attach_all(self, detached: Iterable[tuple[str, str, int, Connection]]) -> None:
+        """Take over the connections of another process, with the fields of `PooledConnection` each."""
+        for id_, address, idle_since_us, connection in detached:
+            connection.idle_since_us = idle_since_us
+            self.idle.setdefault(id_, []).append((address, connection))
+
+    def close_unusable(self) -> None:
+        """Close what has been idle for too long, or was closed by the other side."""
+        for id_, pooled in list(self.idle.items()):
+            usable = []
+            for address, connection in pooled:
+                if self._usable(connection):
+                    usable.append((address, connection))
+                else:
+                    connection.close()
+            if usable:
+                self.idle[id_] = usable
+            else:
+                del self.idle[id_]
+
+    async def run(self) -> None:
+        """Close unusable connections until cancelled."""
+        while True:
+            await anyio.sleep(SWEEP_INTERVAL_S)
+            self.close_unusable()
--- a/pinspread/resp/__init__.py
+++ b/pinspread/resp/__init__.py
@@ -1,1 +1,1 @@
-"""The RESP2 front end: client connections, and notifications of final results."""
+"""RESP2: the front that clients submit messages to, and the notifications of how these ended."""
--- /dev/null
+++ b/pinspread/resp/commands.py
@@ -0,0 +1,119 @@
+"""The commands of the RESP front: what each one does, and its reply."""
+
+from typing import NamedTuple
+
+from pinspread.core.engine import DeliveryEngine
+from pinspread.core.log import log
+from pinspread.core.message_fields import InvalidFieldError
+from pinspread.core.messages import Message
+from pinspread.errors import RejectedError
+from pinspread.resp import replies
+from pinspread.resp.parser import CommandError, EnqueueRequest, ProtocolError, parse, parse_enqueue
+from pinspread.sockets import ClientConnection, Connection, ConnectionLimiter, ReadBuffer
+
+NAME = "resp"  # of the front, in the journal
+BATCH_SIZE = 32  # commands of one connection that are answered before others have their turn
+MAX_NAME_BYTES = 16  # of a command
+MAX_PING_BYTES = 1024
+
+
+class BatchResult(NamedTuple):
+    """What a batch of commands has left.
+
+    Attributes:
+        following: The stream can still be followed.
+        min_bytes: How many bytes the next command has at the least.
+        errors: How many commands were malformed.
+    """
+
+    following: bool
+    min_bytes: int
+    errors: int
+
+
+class Reply(NamedTuple):
+    """The reply to a command, and whether that was well-formed."""
+
+    well_formed: bool
+    data: bytes
+
+
+class CommandHandler:
+    """Executes the commands of all connections.
+
+    Args:
+        engine: What accepts the messages.
+        limiter: Where the connections are counted.
+    """
+
+    def __init__(self, engine: DeliveryEngine, limiter: ConnectionLimiter) -> None:
+        self.engine = engine
+        self.limiter = limiter
+
+    def execute_batch(self, client: ClientConnection, buffer: ReadBuffer, output: bytearray) -> BatchResult:
+        """Execute complete commands in the buffer, up to `BATCH_SIZE`, and append the replies to `output`."""
+        errors = 0
+        for _ in range(BATCH_SIZE):
+            if not buffer.end:
+                break
+            try:
+                arguments, size = parse(buffer.view())
+            except ProtocolError as error:
+                log("malformed", error=str(error))
+                output += replies.error(error)
+                return BatchResult(False, 1, errors + 1)
+            if arguments is None:
+                client.command_begun(self.engine.clock.now())
+                return BatchResult(True, size, errors)
+            self.limiter.reserve(client, 0)
+            reply = self._execute(client, arguments)
+            output += reply.data
+            buffer.consume(size)
+            if reply.well_formed:
+                client.command_answered(self.engine.clock.now())
+            else:
+                errors += 1
+        return BatchResult(True, 1, errors)
+
+    def _execute(self, client: ClientConnection, arguments: list[memoryview]) -> Reply:
+        try:
+            return Reply(True, self._dispatch(client, arguments))
+        except InvalidFieldError as error:
+            log("malformed", error=str(error))
+            return Reply(False, replies.error(error))
+        except RejectedError as error:
+            log("rejected", reason=str(error))
+            return Reply(True, replies.busy(error.retry_after_ms))
+
+    def _dispatch(self, client: ClientConnection, arguments: list[memoryview]) -> bytes:
+        name = bytes(arguments[0][:MAX_NAME_BYTES]).upper()
+        if name == b"ENQUEUE":
+            self._enqueue(client.connection, parse_enqueue(arguments))
+            client.submitted = True
+            return replies.OK
+        if name == b"PING" and sum(map(len, arguments)) < MAX_PING_BYTES:
+            return replies.PONG if len(arguments) == 1 else replies.bulk(arguments[1])
+        raise CommandError(f"unknown command {name!r}")
+
+    def _enqueue(self, connection: Connection, request: EnqueueRequest) -> None:
+        engine, options = self.engine, request.options
+        unknown = engine.unknown_reason(options.class_name, options.tenant, options.destination)
+        if unknown:
+            raise CommandError(unknown)
+        if connection.is_finished():
+            # A client that has stopped waiting submits the message again under another id.
+            raise RejectedError(0, "the caller has gone")
+        engine.accept(
+            Message(
+                number=0,
+                id=request.id,
+                class_name=options.class_name,
+                tenant=options.tenant,
+                destination=options.destination,
+                key=request.key,
+                idempotency_key=options.idempotency_key,
+                deadline_unix_us=engine.clock.unix(engine.clock.now()) + options.deadline_ms * 1000,
+                body=bytes(request.body),
+                front=NAME,
+            )
+        )
--- /dev/null
+++ b/pinspread/resp/notifications.py
@@ -0,0 +1,112 @@
+"""Notifications of final results to the platform, by `POST /v2/finals` with a JSON object on each line."""
+
+from dataclasses import dataclass, field
+
+import anyio
+
+from pinspread.core.log import log
+from pinspread.http.exchange import Exchange
+from pinspread.sockets import Connection, dial
+
+PATH = "/v2/finals"
+HEADERS = (("Content-Type", "application/x-ndjson"),)
+POST_TIMEOUT_S = 1.0  # of one POST, which is answered at once as a rule
+BACKOFF_S = (0.05, 0.1, 0.2, 0.4)  # before further attempts, the last value for all that follow
+MAX_BATCH = 200  # notifications in one POST
+ACKNOWLEDGED, MALFORMED = 204, 400
+NO_RESPONSE = 0
+
+
+@dataclass(slots=True, eq=False)
+class _Notification:
+    line: bytes
+    acknowledged: anyio.Event = field(default_factory=anyio.Event)
+
+
+class NotificationSender:
+    """Posts notifications, those of one moment together, until each is acknowledged.
+
+    Args:
+        address: Where the platform hears them, host:port.
+    """
+
+    def __init__(self, address: str) -> None:
+        self.address = address
+        self._waiting: list[_Notification] = []
+        self._wake = anyio.Event()
+        self._connection: Connection | None = None
+        self._connected_to = ""
+
+    def change_address(self, address: str) -> None:
+        """Post to another address from now on, also what is not acknowledged yet."""
+        self.address = address
+
+    async def send(self, line: bytes) -> None:
+        """Post one line of JSON; returns once it is acknowledged, or was refused as malformed."""
+        notification = _Notification(line)
+        self._waiting.append(notification)
+        self._wake.set()
+        await notification.acknowledged.wait()
+
+    async def run(self) -> None:
+        """Post whatever waits, until cancelled."""
+        failures = 0
+        while True:
+            await self._wake.wait()
+            batch = self._waiting[:MAX_BATCH]
+            status = await self._post_batch(batch)
+            if status not in (ACKNOWLEDGED, MALFORMED):
+                log("notifications_unacknowledged", status=status, waiting=len(self._waiting))
+                await anyio.sleep(BACKOFF_S[min(failures, len(BACKOFF_S) - 1)])
+                failures += 1
+                continue
+            failures = 0
+            if status == MALFORMED:
+                log("notification_refused", lines=[notification.line for notification in batch])
+            del self._waiting[: len(batch)]
+            for notification in batch:
+                notification.acknowledged.set()
+            if not self._waiting:
+                self._wake = anyio.Event()
+
+    async def _post_batch(self, batch: list[_Notification]) -> int:
+        """The status for the whole batch; if that is refused, its lines are posted one by one."""
+        status = await self._post(b"\n".join(notification.line for notification in batch) + b"\n")
+        if status != MALFORMED or len(batch) == 1:
+            return status
+        status = ACKNOWLEDGED
+        for notification in batch:
+            single = await self._post(notification.line + b"\n")
+            status = single if single not in (ACKNOWLEDGED, MALFORMED) else status
+        return status
+
+    async def _post(self, body: bytes) -> int:
+        """The status of the response; `NO_RESPONSE` if none came. Repeating a notification does no harm."""
+        try:
+            with anyio.fail_after(POST_TIMEOUT_S):
+                exchange = Exchange(await self._connect())
+                await exchange.send_request("POST", PATH, self._connected_to, HEADERS, body)
+                status, _ = await exchange.read_response()
+                await exchange.read_to_end()
+        except (OSError, ValueError):
+            self._disconnect()
+            return NO_RESPONSE
+        if not exchange.reusable:
+            self._disconnect()
+        return status
+
+    async def _connect(self) -> Connection:
+        """The connection that is open, if it can still be used, or a new one."""
+        address = self.address
+        connection = self._connection
+        if connection is not None and self._connected_to == address and connection.is_idle():
+            return connection
+        self._disconnect()
+        connection = self._connection = await dial(address)
+        self._connected_to = address
+        return connection
+
+    def _disconnect(self) -> None:
+        if self._connection is not None:
+            self._connection.close()
+            self._connection = None
--- a/pinspread/resp/parser.py
+++ b/pinspread/resp/parser.py
@@ -1,118 +1,178 @@
-"""RESP2 as the platform's clients speak it: parsing only."""
-
-MOST_ARGUMENTS = 16
-MOST_BODY = 64 * 1024
-MOST_BULK = 96 * 1024  # longer ones end the connection; up to it a command is read and answered an error
-MOST_COMMAND = 128 * 1024  # all of them together
-MOST_LINE = 32
-MOST_FOR_MS = 10**9
-MOST_DEST = 65_535
-MOST_NAME = 64
-_HEX = frozenset(b"0123456789abcdefABCDEF")
+"""RESP2 requests, without I/O: the stream of commands, and the fields of an ENQUEUE command."""
+
+from typing import NamedTuple
+
+from pinspread.core.message_fields import (
+    MAX_BODY_BYTES,
+    MAX_DEADLINE_MS,
+    MAX_DESTINATION,
+    InvalidFieldError,
+    parse_identifier,
+    parse_key,
+    parse_number,
+)
+
+MAX_ARGUMENTS = 16
+MAX_STRING_BYTES = (
+    96 * 1024
+)  # a longer one ends the connection; up to it a command is read and answered an error
+MAX_COMMAND_BYTES = 128 * 1024
+MAX_HEADER_BYTES = 32  # of a line with a count or a length
+ENQUEUE_ARGUMENTS = 5
+# The options of an ENQUEUE command.
+DEADLINE, DESTINATION, CLASS, TENANT, IDEMPOTENCY_KEY = "d", "dest", "c", "t", "k"
 
 
 class ProtocolError(ValueError):
-    """The stream cannot be followed any more."""
+    """The stream cannot be followed any more; the text is for the client."""
+
+
+class CommandError(InvalidFieldError):
+    """This command is malformed, and the next may be well-formed; the text is for the client."""
+
+
+class Parsed(NamedTuple):
+    """What the parser has found at the start of a view.
+
+    Attributes:
+        arguments: The arguments of the command as slices of the view; None if it is not complete yet.
+        size: The length of the command in bytes; of an incomplete one the least that it can be, so that there
+            is no use in parsing less.
+    """
+
+    arguments: list[memoryview] | None
+    size: int
+
+
+class _Header(NamedTuple):
+    number: int
+    end: int  # where the line ends
+
+
+class EnqueueRequest(NamedTuple):
+    """The fields of an ENQUEUE command.
+
+    Attributes:
+        key: The ordering key; 0 for none.
+        id: The message's id.
+        options: Further fields by their short names, with numbers checked.
+        body: A slice of the view that was parsed.
+    """
 
+    key: int
+    id: str
+    options: "EnqueueOptions"
+    body: memoryview
 
-class CommandError(ValueError):
-    """This command is malformed; the next may be well."""
 
+class EnqueueOptions(NamedTuple):
+    """The options of an ENQUEUE command.
 
-def parse(view):
-    """The command that a view starts with: arguments as slices, its length.
+    Attributes:
+        deadline_ms: How long the message may take, in milliseconds from now.
+        destination: The number of the destination.
+        class_name: The traffic class.
+        tenant: The tenant; empty if none is given.
+        idempotency_key: The key under which the destination recognises repetitions; empty for none.
+    """
+
+    deadline_ms: int
+    destination: int
+    class_name: str
+    tenant: str
+    idempotency_key: str
+
+
+def parse(view: memoryview) -> Parsed:
+    """Parse the command that a view starts with.
 
-    Where it is not whole, None and the length that it has at the least: no use in parsing less.
+    Raises:
+        ProtocolError: The view does not start with a command.
     """
-    line = _line(view, 0, b"*")
-    if line is None:
-        return None, len(view) + 1
-    count, at = line
-    if not 1 <= count <= MOST_ARGUMENTS:
+    header = _header(view, 0, b"*")
+    if header is None:
+        return Parsed(None, len(view) + 1)
+    count, position = header
+    if not 1 <= count <= MAX_ARGUMENTS:
         raise ProtocolError(f"a command of {count} arguments")
     arguments = []
     for _ in range(count):
-        line = _line(view, at, b"$")
-        if line is None:
-            return None, len(view) + 1
-        size, at = line
-        if not 0 <= size <= MOST_BULK:
-            raise ProtocolError(f"a string of {size} bytes")
-        if at + size > MOST_COMMAND:
-            raise ProtocolError(f"a command of over {MOST_COMMAND} bytes")
-        if len(view) < at + size + 2:
-            return None, at + size + 2
-        if view[at + size : at + size + 2] != b"\r\n":
+        header = _header(view, position, b"$")
+        if header is None:
+            return Parsed(None, len(view) + 1)
+        size, position = header
+        end = position + size
+        _check_size(size, end)
+        if len(view) < end + 2:
+            return Parsed(None, end + 2)
+        if bytes(view[end : end + 2]) != b"\r\n":
             raise ProtocolError("a string does not end where its length says")
-        arguments.append(view[at : at + size])
-        at += size + 2
-    return arguments, at
+        arguments.append(view[position:end])
+        position = end + 2
+    return Parsed(arguments, position)
 
 
-def _line(view, at, mark):
-    """The number in a header line and where the line ends; None if it is not whole."""
-    if at >= len(view):
+def _check_size(size: int, end: int) -> None:
+    if not 0 <= size <= MAX_STRING_BYTES:
+        raise ProtocolError(f"a string of {size} bytes")
+    if end > MAX_COMMAND_BYTES:
+        raise ProtocolError(f"a command of over {MAX_COMMAND_BYTES} bytes")
+
+
+def _header(view: memoryview, position: int, mark: bytes) -> _Header | None:
+    """Parse the line with a count or a length at this position; None if it is not complete."""
+    if position >= len(view):
         return None
-    if view[at : at + 1] != mark:
-        raise ProtocolError(f"expected {mark.decode()}, not byte {view[at]}")
-    head = bytes(view[at + 1 : at + MOST_LINE])
-    end = head.find(b"\r\n")
+    if view[position : position + 1] != mark:
+        raise ProtocolError(f"expected {mark.decode()}, not byte {view[position]}")
+    line = bytes(view[position + 1 : position + MAX_HEADER_BYTES])
+    end = line.find(b"\r\n")
     if end < 0:
-        if len(head) >= MOST_LINE - 1 or head.strip(b"-0123456789\r"):
+        if len(line) >= MAX_HEADER_BYTES - 1 or line.strip(b"-0123456789\r"):
             raise ProtocolError("not a header line")
         return None
-    digits = head[:end]
+    digits = line[:end]
     if not digits.removeprefix(b"-").isdigit():
         raise ProtocolError(f"not a length: {digits!r}")
-    return int(digits), at + 1 + end + 2
+    return _Header(int(digits), position + 1 + end + 2)
+
 
+def parse_enqueue(arguments: list[memoryview]) -> EnqueueRequest:
+    """Read the arguments of an ENQUEUE command, the command's name included.
 
-def enqueue(arguments):
-    """The fields of an ENQUEUE command: key, id, options; the body stays a slice."""
-    if len(arguments) != 5:
+    Raises:
+        InvalidFieldError: An argument is missing or malformed.
+    """
+    if len(arguments) != ENQUEUE_ARGUMENTS:
         raise CommandError(f"ENQUEUE takes key, id, options and body, not {len(arguments) - 1} arguments")
     _, key, id_, options, body = arguments
-    if len(body) > MOST_BODY:
-        raise CommandError(f"a body of {len(body)} bytes is over {MOST_BODY}")
-    return key_number(bytes(key)), name(id_, "id"), _options(bytes(options)), body
-
-
-def key_number(text):
-    """A key: hexadecimal digits; 0 is none."""
-    if not 1 <= len(text) <= 16 or not _HEX.issuperset(text):
-        raise CommandError("the key must be up to 16 hexadecimal digits")
-    return int(text, 16)
-
-
-def name(view, what):
-    """An id: visible characters, since it becomes a header's value."""
-    if not 1 <= len(view) <= MOST_NAME or not all(33 <= byte <= 126 for byte in view):
-        raise CommandError(f"the {what} must be 1 to {MOST_NAME} visible characters")
-    return bytes(view).decode("ascii")
-
-
-def number(text, what, most):
-    """A whole number from 0 to `most`."""
-    if not (text.isascii() and text.isdigit() and len(text) <= 10 and int(text) <= most):
-        raise CommandError(f"{what} must be a number up to {most}, not {text[:32]!r}")
-    return int(text)
+    if len(body) > MAX_BODY_BYTES:
+        raise CommandError(f"a body of {len(body)} bytes is over {MAX_BODY_BYTES}")
+    return EnqueueRequest(
+        parse_key(bytes(key)), parse_identifier(id_, "id"), _parse_options(bytes(options)), body
+    )
 
 
-def _options(text):
-    found = {}
-    for part in text.decode("latin-1").split(","):
-        option, equals, value = part.partition("=")
+def _parse_options(text: bytes) -> EnqueueOptions:
+    found: dict[str, str] = {}
+    for pair in text.decode("latin-1").split(","):
+        option, equals, value = pair.partition("=")
         if not equals:
-            raise CommandError(f"option {part!r} has no value")
+            raise CommandError(f"option {pair!r} has no value")
         if option in found:
             raise CommandError(f"option {option} is given twice")
         found[option] = value
-    for option, most in (("d", MOST_FOR_MS), ("dest", MOST_DEST)):
-        if option not in found:
-            raise CommandError(f"option {option} is missing")
-        found[option] = number(found[option], option, most)
-    if "c" not in found:
-        raise CommandError("option c is missing")
-    if "k" in found:
-        name(found["k"].encode("latin-1"), "idempotency key")
-    return found
+    deadline_ms = parse_number(_required(found, DEADLINE), DEADLINE, MAX_DEADLINE_MS)
+    destination = parse_number(_required(found, DESTINATION), DESTINATION, MAX_DESTINATION)
+    class_name = _required(found, CLASS)
+    if IDEMPOTENCY_KEY in found:
+        parse_identifier(found[IDEMPOTENCY_KEY].encode("latin-1"), "idempotency key")
+    return EnqueueOptions(
+        deadline_ms, destination, class_name, found.get(TENANT, ""), found.get(IDEMPOTENCY_KEY, "")
+    )
+
+
+def _required(options: dict[str, str], option: str) -> str:
+    if option not in options:
+        raise CommandError(f"option {option} is missing")
+    return options[option]
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -18,11 +18,13 @@
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
 from pinspread.core.log import log, use
-from pinspread.discovery.client import Discovery
+from pinspread.discovery.client import DiscoveryClient
 from pinspread.errors import JournalFormatError, JournalFullError
-from pinspread.http.transport import HttpTransport, Pool
+from pinspread.http.pool import ConnectionPool
+from pinspread.http.transport import HttpTransport
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.resp import front
+from pinspread.resp.notifications import NotificationSender
 
 BOUND_S, BOUND_TRIES = 0.05, 40  # between tries to listen where another process still does
 OWNER_S = 5.0  # how long a start waits for a process that still owns the folder
@@ -61,15 +63,15 @@
         self.engine = engine = DeliveryEngine(
             DeliveryPolicy(told.policy_settings, told.seed), told, clock, journal
         )
-        self.pool = Pool(clock, told.keepalive_us)
-        self.notices = front.NotificationSender(told.discovery)
+        self.pool = ConnectionPool(clock, told.keepalive_us)
+        self.notices = NotificationSender(told.discovery)
         engine.transports["http"] = HttpTransport(
             clock, self.pool, told.connect_timeout_us, told.load_reports_enabled
         )
         self.room = sockets.ConnectionLimiter(clock, *_legs(told))
         engine.fronts[front.NAME] = self.first = front.RespFront(engine, self.notices, self.room)
         engine.fronts[AMQP] = self.second = AmqpFront(engine, amqp.heartbeat_s, self.room)
-        self.discovery = discover(engine) if discover else Discovery(told.discovery, engine, told)
+        self.discovery = discover(engine) if discover else DiscoveryClient(told.discovery, engine, told)
         engine.subscribe = self.discovery.poll
         for background in self.background_services:
             background.attach(engine)
@@ -180,7 +182,7 @@
             return None
         engine.resume_from_handover(before.state)
         self.discovery.resume(before.state["discovery"])
-        self.pool.adopt(before.idle)
+        self.pool.attach_all(before.idle)
         return before
 
     async def _before_recovery(self):
@@ -269,20 +271,20 @@
         scopes, self.scopes = self.scopes, []
         for scope in scopes:
             scope.cancel()
-        legs = await self.first.part()
+        legs = await self.first.detach_connections()
         state = self.engine.pause_for_handover(successor) | {"discovery": self.discovery.snapshot()}
         return {
             "blob": succession.packed(state),
             "state": state,
             "legs": _chosen(legs, self.told.sockets // 4),
-            "idle": self.pool.part(),
+            "idle": self.pool.detach_all(),
             "sockets": {name: sock for name, sock in self.listening.items() if name != front.NAME},
             "lock": self.owner.fd,
         }
 
     def resume(self, given):
         """The other process did not take over: serve on."""
-        self.pool.adopt(given["idle"])
+        self.pool.attach_all(given["idle"])
         self.engine.cancel_handover()
         self._follow()
         self._hear(given["legs"])
@@ -347,12 +349,12 @@
     engine.apply_settings(told)
     engine.transports["http"].dial_us = told.connect_timeout_us
     engine.transports["http"].reports = told.load_reports_enabled
-    pool.keep_for(told.keepalive_us)
+    pool.set_keepalive(told.keepalive_us)
     room.resize(*_legs(told))
     engine.journal.resize(told.disk_bytes)
     discovery.apply_settings(told)
     discovery.change_address(where)
-    notices.move(heard)
+    notices.change_address(heard)
     settings.keep_good(told)
     classes = {name: rules.traffic_class.effect.value for name, rules in told.delivery_rules.items()}
     log(
--- a/pinspread/simulation/instance.py
+++ b/pinspread/simulation/instance.py
@@ -4,7 +4,7 @@
 live branch are checked again.
 """
 
-from pinspread.http.transport import IDLE_SHARE
+from pinspread.http.pool import MAX_IDLE_FRACTION
 from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer
 from pinspread.policy.events import (
     AttemptCompleted,
@@ -134,7 +134,7 @@
         self.fleet = fleet
         self.engine = fleet.engine
         world = fleet.world
-        self.keepalive_ns = int(world.couriers.keepalive_s * IDLE_SHARE * SECOND)
+        self.keepalive_ns = int(world.couriers.keepalive_s * MAX_IDLE_FRACTION * SECOND)
         self.dial_ns = int(world.couriers.dial_s * SECOND)
         self.handshake_ns = int(world.network.handshake_ms * MS)
         self.reset_share, self.lost_share = world.network.reset_share, world.network.lost_share
--- a/pinspread/testbed/history_checker.py
+++ b/pinspread/testbed/history_checker.py
@@ -158,7 +158,7 @@
             raise ValueError(f"unknown expectation {e.get('kind')!r}: one of {', '.join(KINDS)}")
         ok, measured = KINDS[e["kind"]](replay, lines, e)
         found.append({"ok": ok, **e, **measured})
-    faults = [li for li in lines if li.get("event") == "fault" or li.get("event") == "crashed"]
+    faults = [li for li in lines if li.get("event") in ("fault", "internal_error", "crashed")]
     found.append({"ok": not faults, "kind": "no_fault", "faults": faults[:5]})
     return found
 
--- a/pinspread/testbed/processes.py
+++ b/pinspread/testbed/processes.py
@@ -175,7 +175,7 @@
                 continue
             if line.get("event") == "serving":
                 self.serving.set()
-            if line.get("event") == "fault" or "Traceback" in line.get("text", ""):
+            if line.get("event") in ("fault", "internal_error") or "Traceback" in line.get("text", ""):
                 line["event"] = "fault"
             line.setdefault("mono_us", now_us())
             history.note(line | {"who": self.id})
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -20,12 +20,14 @@
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.journal import Journal
 from pinspread.core.messages import Endpoint
-from pinspread.discovery.client import Discovery
+from pinspread.discovery.client import DiscoveryClient
 from pinspread.http import transport as http
-from pinspread.http.transport import HttpTransport, Pool
+from pinspread.http.pool import ConnectionPool
+from pinspread.http.transport import HttpTransport
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.resp import front
+from pinspread.resp.notifications import NotificationSender
 from pinspread.testbed.stand_ins import (
     AmqpClient,
     Client,
@@ -70,13 +72,13 @@
     clock = Clock()
     journal = Journal(told.state, told.disk_bytes)
     core = DeliveryEngine(DeliveryPolicy(told.policy_settings, told.seed), told, clock, journal)
-    pool = Pool(clock, told.keepalive_us)
-    notices = front.NotificationSender(platform)
+    pool = ConnectionPool(clock, told.keepalive_us)
+    notices = NotificationSender(platform)
     room = sockets.ConnectionLimiter(clock, legs, leg_bytes)
     core.transports["http"] = HttpTransport(clock, pool, told.connect_timeout_us)
     core.fronts["resp"] = resp = front.RespFront(core, notices, room)
     core.fronts["amqp"] = amqp = AmqpFront(core, room=room)
-    core.subscribe = Discovery(platform, core, told).poll
+    core.subscribe = DiscoveryClient(platform, core, told).poll
     async with anyio.create_task_group() as tasks:
         core.transports["amqp"] = BrokerTransport(clock, tasks, told.connect_timeout_us)
         (resp_sock, address), (amqp_sock, amqp_address) = listener(), listener()
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -50,7 +50,7 @@
 @given(JSON | st.binary(max_size=30))
 def test_whatever_an_answer_holds_only_a_state_told_once_is_believed(answer):
     raw = answer if isinstance(answer, bytes) else orjson.dumps(answer)
-    found = bundle.ends(raw, ["a", "b"], 0)
+    found = bundle.parse_results(raw, ["a", "b"], 0)
     assert list(found) == ["a", "b"]
     items = [i for i in answer if isinstance(i, dict)] if isinstance(answer, list) else []
     for id_, outcome in found.items():
@@ -73,7 +73,7 @@
 )
 def test_states_of_an_answer(state, verdict, over):
     raw = orjson.dumps([{"id": "m", "state": state}, {"id": "invented", "state": "ok"}])
-    outcome = bundle.ends(raw, ["m"], 7)["m"]
+    outcome = bundle.parse_results(raw, ["m"], 7)["m"]
     assert (outcome.outcome, outcome.no_longer_wanted) == (verdict, over)
     assert outcome.retry_after_us == (0 if state == "ok" else 7)
 
@@ -93,9 +93,9 @@
 def test_load_reports(text, found):
     if found is None:
         with pytest.raises(ValueError):
-            bundle.report(text)
+            bundle.parse_load_report(text)
     else:
-        assert bundle.report(text) == found
+        assert bundle.parse_load_report(text) == found
 
 
 # --- on sockets ----------------------------------------------------------------------------------------
@@ -123,9 +123,9 @@
         return slow_first(len(self.calls) + 1, self.at_once(request))
 
     def at_once(self, request):
-        ids = bundled(request) if request[2] == bundle.TARGET else [request[3]["request-id"]]
+        ids = bundled(request) if request[2] == bundle.PATH else [request[3]["request-id"]]
         self.calls.append(ids)
-        if request[2] != bundle.TARGET:
+        if request[2] != bundle.PATH:
             return 200, [], b""
         return self.fate(len(self.calls), ids)
 
@@ -179,7 +179,7 @@
     assert partner.calls[0] == ["m0"] and partner.calls[1] == ["m1", "m2", "m3"]
     assert sum(ids.count("m1") for ids in partner.calls) == 2  # only what never ran came again
     assert all(sum(ids.count(f"m{n}") for ids in partner.calls) == 1 for n in (0, 2, 3, 4))
-    first = next(r for r in partner.requests if r[2] == bundle.TARGET)
+    first = next(r for r in partner.requests if r[2] == bundle.PATH)
     item = orjson.loads(first[4])[0]
     assert item["key"] == "ab12" and b64decode(item["body"]) == b"\x01" * 9
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -49,10 +49,14 @@
 @pytest.mark.parametrize(
     ("answer", "behind", "ends"),
     [
-        (b"HTTP/1.1 200 OK\r\nContent-Le", "REST_S", []),  # delivered, whatever comes or does not come behind
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Le",
+            "DRAIN_TIMEOUT_S",
+            [],
+        ),  # delivered, whatever comes or does not come behind
         (
             b"HTTP/1.1 503 x\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n",
-            "SLOT_S",
+            "SLOT_PAUSE_S",
             ["returned"],
         ),  # never ran
     ],
@@ -147,7 +151,7 @@
     agent = Agent()
     async with engine(tmp_path, agent.address) as rig:
         rig.tasks.start_soon(agent.run)
-        watch = discovery.Discovery(agent.address, rig.engine, rig.engine.settings)
+        watch = discovery.DiscoveryClient(agent.address, rig.engine, rig.engine.settings)
         rig.tasks.start_soon(watch.run)
         await until(lambda: agent.watches)
         yield rig, agent, watch
@@ -301,7 +305,7 @@
         leg = await sockets.dial(rig.address)
         await leg.write(b"*1\r\n$4\r\nPING\r\n")
         assert await leg.read() == b"+PONG\r\n"
-        room = rig.engine.fronts["resp"].room
+        room = rig.engine.fronts["resp"].limiter
         (ours,) = room.clients.values()
         body = b"x" * 6000  # two of them: the second is still unread when the first is parsed
         command = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm%d\r\n$31\r\nc=payment,t=north,d=5000,dest=1\r\n"
@@ -331,7 +335,7 @@
             rig.tasks.start_soon(agent.run)
             old = {"seq": 5, "whole": True, "hosts": [ready]}  # as the configuration has it
             settings_ = dataclasses.replace(rig.engine.settings, cached_endpoints=old)
-            watch = discovery.Discovery(agent.address, rig.engine, settings_)
+            watch = discovery.DiscoveryClient(agent.address, rig.engine, settings_)
             watch.start()
             rig.tasks.start_soon(watch.run)
             await until(lambda: agent.watches and not rig.engine.messages_by_id)  # its time is over
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -7,8 +7,10 @@
 
 from pinspread.amqp import frames
 from pinspread.config import settings
-from pinspread.http import transport as http
-from pinspread.http.transport import retry_after_us
+from pinspread.core.message_fields import InvalidFieldError
+from pinspread.http import exchange as http
+from pinspread.http.call import CallState
+from pinspread.http.retry_after import parse_retry_after_us
 from pinspread.resp import parser as resp
 from pinspread.sockets import split_address
 
@@ -71,15 +73,15 @@
     ],
 )
 def test_a_malformed_enqueue_says_what_is_wrong(words, why):
-    with pytest.raises(resp.CommandError, match=why):
-        resp.enqueue([memoryview(w) for w in (b"ENQUEUE", *words)])
+    with pytest.raises(InvalidFieldError, match=why):
+        resp.parse_enqueue([memoryview(w) for w in (b"ENQUEUE", *words)])
 
 
 def test_a_good_enqueue_gives_its_fields_and_its_body_as_a_slice():
     words = (b"ENQUEUE", b"7f3a9c21e0b4d655", b"9b1f", GOOD, b"x" * 65_536)
-    key, id_, options, body = resp.enqueue([memoryview(w) for w in words])
+    key, id_, options, body = resp.parse_enqueue([memoryview(w) for w in words])
     assert (key, id_, len(body)) == (0x7F3A9C21E0B4D655, "9b1f", 65_536) and isinstance(body, memoryview)
-    assert options == {"c": "notice", "t": "acme", "d": 8000, "k": "5c0f", "dest": 7}
+    assert options == resp.EnqueueOptions(8000, 7, "notice", "acme", "5c0f")
 
 
 @pytest.mark.parametrize(
@@ -87,7 +89,7 @@
     [(b"0.5", 500_001), (b"2", 2_000_001), (b"", 0), (b"-1", 0), (b"nan", 0), (b"inf", 0), (b"Tue, 01", 0)],
 )
 def test_a_told_wait_is_rounded_up_and_nonsense_is_none(text, us):
-    assert retry_after_us(text) == us
+    assert parse_retry_after_us(text) == us
 
 
 @pytest.mark.parametrize(
@@ -101,7 +103,7 @@
     ],
 )
 def test_the_first_line_tells_the_status_past_1xx_answers(seen, status):
-    assert http.first_line(seen) == status
+    assert http.parse_status(seen) == status
 
 
 @pytest.mark.parametrize(
@@ -111,7 +113,7 @@
 )
 def test_what_is_no_first_line_is_spoilt(seen):
     with pytest.raises(http.MalformedResponseError):
-        http.first_line(seen)
+        http.parse_status(seen)
 
 
 @pytest.mark.parametrize("text", ["", "host", ":1", "host:", "host:x"])
@@ -166,11 +168,11 @@
             try:
                 while len(view) and (found := parse(view)) and found[0] is not None:
                     if parse is resp.parse:
-                        resp.enqueue(found[0])
+                        resp.parse_enqueue(found[0])
                     else:
                         contents.feed(found[1])
                     view = view[found[-1] :]
-            except (expected, resp.CommandError):
+            except (expected, InvalidFieldError):
                 pass
 
 
@@ -186,9 +188,9 @@
 
 
 def test_a_call_that_was_given_up_says_whether_an_answer_had_begun():
-    call = http._Call()
+    call = CallState()
     call.exchange = http.Exchange(None)
-    assert call.heard(5_000_000) == "silent"
-    call.exchange.seen += b"HTTP/1.1 2"
-    call.exchange.read_us = 3_000_000
-    assert call.heard(5_000_000) == "10 bytes, the last 2000 ms ago"
+    assert call.describe_received(5_000_000) == "silent"
+    call.exchange.received += b"HTTP/1.1 2"
+    call.exchange.last_read_us = 3_000_000
+    assert call.describe_received(5_000_000) == "10 bytes, the last 2000 ms ago"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,7 +23,7 @@
 )
 
 from pinspread import sockets
-from pinspread.discovery.client import Discovery
+from pinspread.discovery.client import DiscoveryClient
 from pinspread.policy.events import AttemptCompleted, EndpointState, UpdateScope
 from pinspread.sockets import limiter
 
@@ -136,7 +136,7 @@
 
 async def test_callers_that_ask_once_and_stay_give_way_before_they_can_open_no_more(tmp_path):
     async with engine(tmp_path, legs=20) as rig:
-        room = rig.engine.fronts["resp"].room
+        room = rig.engine.fronts["resp"].limiter
         pings = [Client(rig.address) for _ in range(3)]
         for client in pings:
             await client.say("PING")
@@ -159,7 +159,7 @@
         idle = said.endswith(b"PING\r\n")
         assert heard.endswith(b"+PONG\r\n" if idle else b"-ERR no whole command in time\r\n")
         assert (0.8 if idle else 0.2) <= time.monotonic() - start < (1.3 if idle else 0.7)
-        assert not rig.engine.fronts["resp"].room.clients
+        assert not rig.engine.fronts["resp"].limiter.clients
 
 
 async def test_the_error_is_heard_though_much_is_still_unread(tmp_path):
@@ -185,10 +185,10 @@
         half = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$1\r\na\r\n$1\r\nb\r\n$60000\r\n" + b"x" * 50_000
         first = await sockets.dial(rig.address)
         await first.write(half)
-        await until(lambda: rig.engine.fronts["resp"].room.reserved_bytes > 50_000)
+        await until(lambda: rig.engine.fronts["resp"].limiter.reserved_bytes > 50_000)
         assert await ends(rig.address, half) == b"-BUSY 1000\r\n"
         first.close()
-        await until(lambda: not rig.engine.fronts["resp"].room.reserved_bytes)
+        await until(lambda: not rig.engine.fronts["resp"].limiter.reserved_bytes)
 
 
 async def test_a_request_sent_once_more_is_taken_on_once(tmp_path):
@@ -461,7 +461,7 @@
     lists.append(orjson.dumps(whole) + b"\n\n" + orjson.dumps(change) + b"\n")
     told = HttpStandIn(lambda request: (200, [], lists.pop(0) if lists else b""))
     async with standing(told) as address, engine(tmp_path) as rig:
-        rig.tasks.start_soon(Discovery(address, rig.engine, rig.engine.settings).run)
+        rig.tasks.start_soon(DiscoveryClient(address, rig.engine, rig.engine.settings).run)
         endpoints = rig.engine.endpoints
         await until(lambda: "s-1" in endpoints and not endpoints["s-1"].usable)
         assert endpoints["s-2"].usable
@@ -614,7 +614,7 @@
     overbooked = HttpStandIn(lambda request: (503, [], b""))
     async with standing(overbooked) as address, engine(tmp_path) as rig:
         rig.engine.settings.policy_settings.senders = couriers
-        rig.tasks.start_soon(Discovery(address, rig.engine, rig.engine.settings).run)
+        rig.tasks.start_soon(DiscoveryClient(address, rig.engine, rig.engine.settings).run)
         await until(lambda: overbooked.requests)
         await anyio.sleep(0.95)  # one of 40 waits for a second at least
         assert least <= len(overbooked.requests) - 1 <= most
@@ -653,7 +653,7 @@
     news = orjson.dumps({"seq": 5, "whole": True, "hosts": [host("s-1", "127.0.0.1:9")]}) + b"\n"
     stays = HttpStandIn(lambda request: (200, [], news))
     async with standing(stays) as address, engine(tmp_path) as rig:
-        watch = Discovery(address, rig.engine, rig.engine.settings)
+        watch = DiscoveryClient(address, rig.engine, rig.engine.settings)
         rig.tasks.start_soon(watch.run)
         await until(lambda: "s-1" in rig.engine.endpoints)
         watch.change_address("127.0.0.1:1")  # nobody is there
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -139,7 +139,7 @@
         leg = await sockets.dial(rig.address)
         await leg.write(command(b"PING"))
         assert await leg.read() == b"+PONG\r\n"
-        room = rig.engine.fronts["resp"].room
+        room = rig.engine.fronts["resp"].limiter
         monkeypatch.setattr(limiter, "IDLE_TIMEOUT_US", -1)  # it has been idle for too long just now
         leg.sock.send(ENQUEUE)
         room.close_overdue()
@@ -149,7 +149,7 @@
 async def test_a_first_command_that_is_there_is_answered_though_the_loop_was_late(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         leg = await sockets.dial(rig.address)
-        room = rig.engine.fronts["resp"].room
+        room = rig.engine.fronts["resp"].limiter
         await until(lambda: room.clients)
         (ours,) = room.clients.values()
         leg.sock.send(ENQUEUE)
