--- a/benchmarks/record_decisions.py
+++ b/benchmarks/record_decisions.py
@@ -211,7 +211,9 @@
     TrafficClass(
         3 * SECOND, 20 * SECOND, Idempotency.WITH_KEY, DeduplicationScope.ALL, 10 * SECOND, 0.5, 2.0, True
     ),
-    TrafficClass(2 * SECOND, 12 * SECOND, Idempotency.NOT_IDEMPOTENT, late_value_share=0.1, priority_weight=5.0),
+    TrafficClass(
+        2 * SECOND, 12 * SECOND, Idempotency.NOT_IDEMPOTENT, late_value_share=0.1, priority_weight=5.0
+    ),
     TrafficClass(2 * SECOND, 9 * SECOND, in_order=True),
     TrafficClass(
         4 * SECOND, 15 * SECOND, Idempotency.WITH_KEY, DeduplicationScope.ZONE, 6 * SECOND, 0.3, 1.5
@@ -594,7 +596,10 @@
         (
             14,
             replace(
-                FIRST, classes=[replace(one, priority_weight=1.0) for one in CLASSES], slow_start_ns=0, keepalive_ns=0
+                FIRST,
+                classes=[replace(one, priority_weight=1.0) for one in CLASSES],
+                slow_start_ns=0,
+                keepalive_ns=0,
             ),
         ),
         (19, replace(FIRST, senders=250, weights_known=False, max_attempts=2)),
