--- /dev/null
+++ b/pinspread/discovery/endpoint_list.py
@@ -0,0 +1,121 @@
+"""The endpoint list as discovery sends it: lines of JSON, updates, and their entries. No I/O."""
+
+import math
+import re
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass
+from typing import Any, TypeGuard
+
+import orjson
+
+from pinspread.core.messages import Endpoint
+from pinspread.policy.events import EndpointState
+from pinspread.sockets import split_address
+
+MAX_LINE_BYTES = 4 << 20
+SHOWN_LENGTH = 100  # characters of a wrong update that the error shows
+
+# Discovery's words for the state of an endpoint, which the file `list.left` has too.
+STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
+HEALTH_WORDS = {state: word for word, state in STATES.items()}
+
+_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
+_OPENING, _CLOSING = re.compile(rb"[{[]"), re.compile(rb"[]}]")
+
+
+class LineReader:
+    """Splits the bytes of a watch into JSON objects, each of which may be indented over several lines."""
+
+    def __init__(self) -> None:
+        self._partial_line = b""
+        self._lines = b""  # complete lines of an object that is not complete yet
+        self._depth = 0
+
+    def feed(self, data: bytes) -> Iterator[Any]:
+        """Yield what is complete by now, in order: the value of each object, and None for an empty line.
+
+        Raises:
+            ValueError: What came is not JSON, or does not end.
+        """
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        if len(self._partial_line) + len(self._lines) > MAX_LINE_BYTES:
+            raise ValueError("a line without an end")
+        for line in lines:
+            if not self._lines and not line.strip():
+                yield None
+                continue
+            brackets = _STRING.sub(b"", line)
+            self._depth += len(_OPENING.findall(brackets)) - len(_CLOSING.findall(brackets))
+            self._lines += line
+            if self._depth <= 0:
+                complete, self._lines, self._depth = self._lines, b"", 0
+                yield orjson.loads(complete)
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointUpdate:
+    """A full list, or changes to it.
+
+    Attributes:
+        sequence: The version of the list with this update.
+        full: It names all endpoints that there are.
+        entries: An entry for each endpoint, as it came.
+    """
+
+    sequence: int
+    full: bool
+    entries: list[Any]
+
+
+def parse_update(value: object) -> EndpointUpdate:
+    """Check the outer form of an update; its entries are checked one by one.
+
+    Raises:
+        ValueError: It is not an update.
+    """
+    if isinstance(value, dict):
+        entries, sequence = value.get("hosts"), value.get("seq")
+        if isinstance(entries, list) and _is_count(sequence):
+            return EndpointUpdate(sequence, bool(value.get("whole")), entries)
+    raise ValueError(f"not a list of endpoints: {str(value)[:SHOWN_LENGTH]}")
+
+
+def parse_endpoint(entry: Any, zones: Mapping[str, int], kinds: Mapping[str, int]) -> Endpoint:
+    """Read the endpoint of an entry.
+
+    Taken as it comes, a part of another type would end the process where it is first used.
+
+    Args:
+        entry: The entry.
+        zones: The zones' numbers by their names.
+        kinds: The destination kinds' numbers by their names.
+
+    Raises:
+        KeyError, TypeError, ValueError: A part is missing, of another type, or out of range.
+    """
+    id_, address, weight = entry["host"], entry["dial"], float(entry["share"])
+    texts = isinstance(id_, str) and id_ and isinstance(address, str)
+    if not (texts and _is_count(entry["block"])):
+        raise TypeError("host, dial or block is not what it must be")
+    split_address(address)
+    if not (math.isfinite(weight) and weight >= 0):
+        raise ValueError(f"a share of {weight}")
+    zone, kind = zones.get(entry["site"], 0), kinds.get(entry["class"], 0)
+    return Endpoint(id_, address, entry["block"], weight=weight, zone=zone, kind=kind)
+
+
+def parse_departure(entry: object) -> tuple[str, EndpointState] | None:
+    """Read what a malformed entry says all the same: that an endpoint is draining or removed; None if not.
+
+    Passed over, that endpoint would be called for as long as the process runs.
+    """
+    if not isinstance(entry, dict):
+        return None
+    id_, health = entry.get("host"), entry.get("health")
+    if not isinstance(id_, str) or health not in ("draining", "gone"):
+        return None
+    return id_, STATES[health]
+
+
+def _is_count(value: object) -> TypeGuard[int]:
+    return type(value) is int and value >= 0
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -23,7 +23,7 @@
 from pinspread.admin import server as admin
 from pinspread.config import settings
 from pinspread.core.messages import AttemptResult
-from pinspread.discovery import client as discovery
+from pinspread.discovery import departures
 from pinspread.hot_restart import transfer as succession
 from pinspread.leases.service import LeaseService
 from pinspread.membership.service import MembershipConfig, MembershipService
@@ -36,7 +36,7 @@
 
 # --- adapter ----------------------------------------------------------------------------------------
 
-GOOD_FILE, LEFT_FILE = settings.GOOD, discovery.LEFT
+GOOD_FILE, LEFT_FILE = settings.GOOD, departures.FILE_NAME
 
 
 def keep_settings(state, raw):
@@ -54,7 +54,7 @@
 
 def left(state):
     """The endpoints that a list has told to leave, kept over restarts."""
-    return discovery._Left(SimpleNamespace(state=str(state), disk_bytes=3_000_000))
+    return departures.DepartedEndpoints(str(state), 3_000_000)
 
 
 LEFT_STATES = {
@@ -204,7 +204,7 @@
     """The bytes of the kept list after `LEFT_TOLD`."""
     found = left(folder)
     for one in LEFT_TOLD:
-        found.told({id_: LEFT_STATES[state] for id_, state in one.items()})
+        found.record({id_: LEFT_STATES[state] for id_, state in one.items()})
     return (Path(folder) / LEFT_FILE).read_bytes()
 
 
@@ -257,7 +257,7 @@
         async def part():
             pass
 
-        connection = SimpleNamespace(read=read, write=write, part=part, close=lambda: None)
+        connection = SimpleNamespace(read=read, write=write, linger=part, close=lambda: None)
         await door(companions).serve(connection, None)
         found[call] = said.decode()
     return found
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,6 +11,7 @@
 
 from pinspread import sockets
 from pinspread.core.messages import DeliveryRules, Endpoint
+from pinspread.discovery import backoff
 from pinspread.discovery import client as discovery
 from pinspread.http import transport as http
 from pinspread.policy import delivery_policy as decide
@@ -146,8 +147,9 @@
 @asynccontextmanager
 async def watched(tmp_path, monkeypatch, faster=4):
     """A courier and its agent, with the watch's times cut to a quarter."""
-    for name in ("LINE_S", "FIRST_S", "HEAD_S", "TRY_S", "AGAIN_S"):
+    for name in ("LINE_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S", "RESPONSE_TIMEOUT_S", "OPEN_INTERVAL_S"):
         monkeypatch.setattr(discovery, name, getattr(discovery, name) / faster)
+    monkeypatch.setattr(backoff, "REOPEN_DELAY_S", backoff.REOPEN_DELAY_S / faster)
     agent = Agent()
     async with engine(tmp_path, agent.address) as rig:
         rig.tasks.start_soon(agent.run)
@@ -218,9 +220,9 @@
         # Both are there before the courier reads either; the newer one's are first.
         new.say(at, told(9, S1 | {"health": "draining"}) + b"\n", head=True)
         agent.say(0, told(6, S1, whole=False) + b"\n")
-        await until(lambda: watch.seq == 9)
+        await until(lambda: watch.sequence == 9)
         await anyio.sleep(0.05)
-        assert not rig.engine.endpoints["s-1"].usable and watch.seq == 9
+        assert not rig.engine.endpoints["s-1"].usable and watch.sequence == 9
         new.sock.close()
 
 
@@ -228,7 +230,7 @@
     async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
         news = {"seq": 5, "whole": True, "hosts": [host('"s-{[1\\"', "127.0.0.1:9"), S1]}
         agent.say(0, b"\n" + orjson.dumps(news, option=orjson.OPT_INDENT_2) + b"\n\n", head=True)
-        await until(lambda: len(rig.engine.endpoints) == 2 and watch.seq == 5)
+        await until(lambda: len(rig.engine.endpoints) == 2 and watch.sequence == 5)
         assert len(agent.asked) == 1
 
 
@@ -257,7 +259,7 @@
         agent.say(0, told(7, S1 | {"health": "gone", "dial": None}, whole=False) + b"\n")
         await until(lambda: not rig.engine.endpoints)  # what it says of one that is known still counts
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
-    assert logged.count("malformed_host") == 2
+    assert logged.count("malformed_endpoint") == 2
 
 
 @pytest.mark.parametrize("seq", ["a b", -1, None, 1.5])
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -115,7 +115,7 @@
     assert engine.write_left(tmp_path) == kept.read_bytes()
     assert engine.left(stored.DATA / "kept").health == {"s-2": "gone", "s-ü": "gone", "s-3": "draining"}
     hosts = [{"host": "s-1", "health": "ready"}, {"host": "s-2", "health": "ready"}]
-    assert engine.left(stored.DATA / "kept").over({"hosts": hosts})["hosts"][1]["health"] == "gone"
+    assert engine.left(stored.DATA / "kept").apply_to({"hosts": hosts})["hosts"][1]["health"] == "gone"
 
 
 def test_the_last_good_settings_are_read_and_written_as_before(tmp_path):
