--- a/tests/test_amqp_bytes.py
+++ b/tests/test_amqp_bytes.py
@@ -316,9 +316,9 @@
     given = {
         "number": 1,
         "id": id_,
-        "cls": "payment",
+        "class_name": "payment",
         "tenant": "north",
-        "dest": 1,
+        "destination": 1,
         "key": 0,
         "idempotency_key": "",
         "deadline_unix_us": 61_000_000,
@@ -524,7 +524,7 @@
         await dialogue.hear()
         await dialogue.say(method(commands.Basic.Nack(2)))
         await result()
-        result = side.send(message("p3", cls="booking-change", dest=7, body=b""))
+        result = side.send(message("p3", class_name="booking-change", destination=7, body=b""))
         await dialogue.hear()
         await dialogue.say(returned("p3", 3), method(commands.Basic.Ack(3)))
         await result()
