--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -118,7 +118,7 @@
     if chosen.json:
         print(orjson.dumps(view).decode())
     else:
-        print(*show.LINES[chosen.command](view, time.monotonic_ns() // 1000), sep="\n")
+        print(*show.FORMATTERS[chosen.command](view, time.monotonic_ns() // 1000), sep="\n")
     return 0
 
 
--- a/pinspread/admin/server.py
+++ b/pinspread/admin/server.py
@@ -1,132 +1,138 @@
-"""The operators' door: one HTTP/1.1 call a connection, for staff and their tools."""
+"""The operators' server: one HTTP/1.1 request a connection, for operators and their tools."""
 
+import socket
+from collections.abc import Iterable
 from urllib.parse import unquote_to_bytes
 
 import anyio
 import h11
 import orjson
 
+from pinspread.admin.limiter import OldestFirstLimiter
+from pinspread.admin.responses import Response, method_not_allowed
 from pinspread.core.log import log
-from pinspread.core.ports import EndpointAdmin
+from pinspread.core.ports import BackgroundService, EndpointAdmin
 from pinspread.errors import JournalFullError, RejectedError
-from pinspread.sockets import accept_forever
+from pinspread.sockets import Connection, accept_forever
 
-CALL_S = 5.0  # how long a caller may take to say its call
-MOST_HEAD = 8 * 1024
-MOST_CALLS = 32  # connections of the door
-LEAST_CALLS = 4
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout"}
+REQUEST_TIMEOUT_S = 5.0  # for a client to send its request, and for that to be done
+MAX_HEAD_BYTES = 8 * 1024
+MAX_SHOWN_ID = 100  # characters of an unknown id in the response
+FIRST_ERROR_STATUS = 400
 READY, ENDPOINTS = "/-/ready", "/-/endpoints/"
+DISABLE, ENABLE = "disable", "enable"
 
 
 class AdminServer:
-    """The listener and its callers."""
-
-    def __init__(self, operable: EndpointAdmin, sockets=1024, background_services=()):
-        self.operable = operable
-        self.background_services = {f"/-/{c.name}": c for c in background_services}
-        self.most = max(LEAST_CALLS, min(MOST_CALLS, sockets // 24))
-        self.callers = {}  # connections, oldest first
-
-    async def run(self, sock):
-        """Accept and answer until cancelled."""
+    """Answers whether the process is ready, shows its background services, and takes endpoints out of use.
+
+    Args:
+        endpoints: What carries out the requests.
+        descriptors: How many descriptors the process may have open.
+        background_services: The services whose views it shows, each at `/-/NAME`.
+
+    Attributes:
+        limiter: The limit on its connections.
+    """
+
+    def __init__(
+        self,
+        endpoints: EndpointAdmin,
+        descriptors: int = 1024,
+        background_services: Iterable[BackgroundService] = (),
+    ) -> None:
+        self.endpoints = endpoints
+        self.background_services = {f"/-/{service.name}": service for service in background_services}
+        self.limiter = OldestFirstLimiter(descriptors)
+
+    async def run(self, sock: socket.socket) -> None:
+        """Accept and answer until cancelled; the listening socket is closed at the end."""
         try:
             async with anyio.create_task_group() as tasks:
-                await accept_forever(sock, tasks, self.serve, self)
+                await accept_forever(sock, tasks, self.serve, self.limiter)
         finally:
             sock.close()
 
-    # --- the room that `accept_forever` asks: never full, the oldest gives way -----------------------
-
-    def admit(self) -> bool:
-        """Room for another: whoever has been silent longest gives way."""
-        # Danger: hundreds of callers that say nothing would keep the staff out. A true call is there to be
-        # read with its connection, many accepts before its turn to give way.
-        if len(self.callers) >= self.most:
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
-            oldest.shutdown()
-        return True
-
-    def add(self, connection):
-        """Another caller."""
-        self.callers[connection] = True
-        return connection
-
-    def remove(self, connection):
-        """It has ended."""
-        self.callers.pop(connection, None)
-
-    # --- a call --------------------------------------------------------------------------------------
-
-    async def serve(self, connection, _leg):
-        """Read one call, answer it, end."""
-        wire = h11.Connection(h11.SERVER, MOST_HEAD)
+    async def serve(self, connection: Connection, _client: Connection) -> None:
+        """Read one request, answer it, and end the connection."""
         try:
-            try:
-                with anyio.fail_after(CALL_S):
-                    request = await self._request(connection, wire)
-                if request is None:
-                    return
-                status, text = await self._answer(request)
-            except TimeoutError:
-                status, text = 408, "the call did not come whole, or was not done, in time: say it again"
-            except (h11.RemoteProtocolError, UnicodeDecodeError) as error:
-                status, text = 400, f"the call cannot be read: {error}"
-            except (RejectedError, JournalFullError) as error:
-                status, text = 503, f"not done: {error}; try again in a second"
-            if status >= 400:
-                log("admin_refused", status=status, why=text)
-            await connection.write(_response(status, text))
+            response = await self._respond(connection)
+            if response is None:
+                return
+            if response.status >= FIRST_ERROR_STATUS:
+                log("admin_refused", status=response.status, reason=response.text)
+            await connection.write(response.encode())
             await connection.linger()
         except OSError:
-            pass  # the caller is gone
+            pass  # the client has gone
         except Exception as error:
-            # Danger: one call's trouble would end the process and all that it serves.
-            log("fault", where="admin call", error=repr(error))
+            # One request's trouble must not end the process and all that it serves.
+            log("internal_error", where="admin request", error=repr(error))
         finally:
             connection.close()
 
-    async def _request(self, connection, wire):
-        """The head of the call; None if the caller left. A body and further calls are not read."""
-        while True:
-            event = wire.next_event()
-            if type(event) is h11.Request:
-                return event
-            if event is not h11.NEED_DATA:
-                return None
-            wire.receive_data(await connection.read())
-
-    async def _answer(self, request):
-        """Do what was asked: status and text."""
+    async def _respond(self, connection: Connection) -> Response | None:
+        """Read a request and do what it asks; None if the client left before.
+
+        Raises:
+            OSError: The connection is broken.
+        """
+        try:
+            with anyio.fail_after(REQUEST_TIMEOUT_S):
+                request = await _read_request(connection)
+                return None if request is None else await self._answer(request)
+        except TimeoutError:
+            return Response(408, "the call did not come whole, or was not done, in time: say it again")
+        except (h11.RemoteProtocolError, UnicodeDecodeError) as error:
+            return Response(400, f"the call cannot be read: {error}")
+        except (RejectedError, JournalFullError) as error:
+            return Response(503, f"not done: {error}; try again in a second")
+
+    async def _answer(self, request: h11.Request) -> Response:
         method = request.method.decode("ascii")
         path = request.target.decode("ascii").partition("?")[0]
         if path == READY:
-            if method != "GET":
-                return 405, f"{READY} takes GET"
-            return (200, "ready") if self.operable.ready() else (503, "not ready: ask again soon")
+            return self._show_ready(method)
         if path in self.background_services:
-            if method != "GET":
-                return 405, f"{path} takes GET"
-            return 200, orjson.dumps(self.background_services[path].view()).decode()
-        name, _, word = path.removeprefix(ENDPOINTS).rpartition("/")
-        if not path.startswith(ENDPOINTS) or not name or "/" in name or word not in ("disable", "enable"):
-            return 404, f"unknown path: try {READY}, or {ENDPOINTS}ID/disable and {ENDPOINTS}ID/enable"
+            return self._show_service(path, method)
+        return await self._switch_endpoint(path, method)
+
+    def _show_ready(self, method: str) -> Response:
+        if method != "GET":
+            return method_not_allowed(READY, "GET")
+        if not self.endpoints.ready():
+            return Response(503, "not ready: ask again soon")
+        return Response(200, "ready")
+
+    def _show_service(self, path: str, method: str) -> Response:
+        if method != "GET":
+            return method_not_allowed(path, "GET")
+        return Response(200, orjson.dumps(self.background_services[path].view()).decode())
+
+    async def _switch_endpoint(self, path: str, method: str) -> Response:
+        name, _, action = path.removeprefix(ENDPOINTS).rpartition("/")
+        known = path.startswith(ENDPOINTS) and name and "/" not in name
+        if not known or action not in (DISABLE, ENABLE):
+            return Response(
+                404, f"unknown path: try {READY}, or {ENDPOINTS}ID/{DISABLE} and {ENDPOINTS}ID/{ENABLE}"
+            )
         if method != "PUT":
-            return 405, f"{ENDPOINTS}ID/{word} takes PUT"
+            return method_not_allowed(f"{ENDPOINTS}ID/{action}", "PUT")
         id_ = unquote_to_bytes(name).decode("utf-8")
-        if not await (self.operable.disable(id_) if word == "disable" else self.operable.enable(id_)):
-            return 404, f"unknown endpoint {id_[:100]!r}: take the id as discovery's list has it"
-        return 200, f"{id_} is {'out' if word == 'disable' else 'back'}"
-
-
-def _response(status, text):
-    body = text.encode("utf-8", "replace") + b"\n"
-    reason = REASONS.get(status, "Service Unavailable")
-    head = (
-        f"HTTP/1.1 {status} {reason}\r\nContent-Type: text/plain; charset=utf-8\r\n"
-        f"Content-Length: {len(body)}\r\nConnection: close\r\n"
-    )
-    if status == 405:
-        head += f"Allow: {'GET' if 'takes GET' in text else 'PUT'}\r\n"
-    return head.encode() + b"\r\n" + body
+        switch = self.endpoints.disable if action == DISABLE else self.endpoints.enable
+        if not await switch(id_):
+            shown = id_[:MAX_SHOWN_ID]
+            return Response(404, f"unknown endpoint {shown!r}: take the id as discovery's list has it")
+        return Response(200, f"{id_} is {'out' if action == DISABLE else 'back'}")
+
+
+async def _read_request(connection: Connection) -> h11.Request | None:
+    """Read the head of a request; None if the client left. A body and further requests are not read."""
+    protocol = h11.Connection(h11.SERVER, MAX_HEAD_BYTES)
+    while True:
+        event = protocol.next_event()
+        if isinstance(event, h11.Request):
+            return event
+        if event is not h11.NEED_DATA:
+            return None
+        protocol.receive_data(await connection.read())
--- a/pinspread/admin/status_client.py
+++ b/pinspread/admin/status_client.py
@@ -1,69 +1,97 @@
-"""`pinspread members ADDRESS`, `pinspread leases ADDRESS`: what a courier's door tells, as aligned text."""
+"""`pinspread members ADDRESS` and the like: what an instance's operators' server shows, as aligned text."""
 
 import http.client
+from collections.abc import Callable, Sequence
+from typing import Any
 
 import orjson
 
 from pinspread.sockets import split_address
 
-CALL_S = 5.0
+REQUEST_TIMEOUT_S = 5.0
+MAX_SHOWN_BODY = 200  # characters of a response that is an error
+HTTP_OK = 200
 
+View = dict[str, Any]  # a service's view as the JSON has it
+Row = Sequence[str]
 
-def fetch(address: str, what: str = "members") -> dict:
-    """The door's `/-/members` or the like as a dict; OSError or ValueError with why it cannot be had."""
+
+def fetch(address: str, name: str = "members") -> View:
+    """Fetch the view of a background service.
+
+    Args:
+        address: Where the operators' server is, host:port.
+        name: The service: members, leases or copies.
+
+    Raises:
+        OSError: The server cannot be reached.
+        ValueError: The address is malformed, or the server answered something else.
+    """
     host, port = split_address(address)
-    connection = http.client.HTTPConnection(host, port, timeout=CALL_S)
+    connection = http.client.HTTPConnection(host, port, timeout=REQUEST_TIMEOUT_S)
     try:
-        connection.request("GET", f"/-/{what}")
+        connection.request("GET", f"/-/{name}")
         response = connection.getresponse()
         body = response.read()
     finally:
         connection.close()
-    if response.status != 200:
-        raise ValueError(f"{address}: {response.status} {body.decode('utf-8', 'replace').strip()[:200]}")
-    return orjson.loads(body)
+    if response.status != HTTP_OK:
+        text = body.decode("utf-8", "replace").strip()[:MAX_SHOWN_BODY]
+        raise ValueError(f"{address}: {response.status} {text}")
+    view: View = orjson.loads(body)
+    return view
 
 
-def table(rows) -> list[str]:
-    """Rows of text with aligned columns."""
-    widths = [max(len(r[c]) for r in rows) for c in range(len(rows[0]))]
-    return ["  ".join(cell.ljust(w) for cell, w in zip(r, widths, strict=True)).rstrip() for r in rows]
+def align(rows: Sequence[Row]) -> list[str]:
+    """Format rows of text with aligned columns."""
+    widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
+    return [
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows
+    ]
 
 
-def members(view: dict, now_us: int) -> list[str]:
-    """Id, address, state, incarnation, seconds in that state."""
+def format_members(view: View, now_us: int) -> list[str]:
+    """Format the members: id, address, state, incarnation, seconds in that state."""
     rows = [("id", "address", "state", "incarnation", "for s")]
-    for m in view["members"]:
-        age = f"{(now_us - m['since_us']) / 1e6:.1f}"
-        rows.append((m["id"], m["address"], m["state"], str(m["incarnation"]), age))
-    return [f"{view['id']}: incarnation {view['incarnation']}, health {view['health']}", *table(rows)]
+    for member in view["members"]:
+        age = f"{(now_us - member['since_us']) / 1e6:.1f}"
+        rows.append((member["id"], member["address"], member["state"], str(member["incarnation"]), age))
+    return [f"{view['id']}: incarnation {view['incarnation']}, health {view['health']}", *align(rows)]
 
 
-def leases(view: dict, now_us: int) -> list[str]:
-    """Task, holder, token, how long that binds this voter, and what this courier may do itself."""
+def format_leases(view: View, now_us: int) -> list[str]:
+    """Format the leases: task, holder, token, how long that binds this voter, what this instance may do."""
     rows = [("task", "holder", "token", "binds for s", "mine, for s")]
-    for t in view["tasks"]:
-        mine = f"{t['mine']}, {t['acts_for_ms'] / 1000:.1f}" if t["mine"] else "-"
-        binds = f"{t['binds_for_ms'] / 1000:.1f}" if "binds_for_ms" in t else "?"
-        rows.append((t["task"], t.get("holder") or "-", str(t.get("token", "?")), binds, mine))
+    for task in view["tasks"]:
+        mine = f"{task['mine']}, {task['acts_for_ms'] / 1000:.1f}" if task["mine"] else "-"
+        binds = f"{task['binds_for_ms'] / 1000:.1f}" if "binds_for_ms" in task else "?"
+        rows.append((task["task"], task.get("holder") or "-", str(task.get("token", "?")), binds, mine))
     head = f"{view['id']}: " + ("a voter" if view["voter"] else "no voter")
     if view["voter"]:
         head += f", leader {view['leader'] or 'unknown'}, term {view['term']}"
-    return [head, *table(rows)]
+    return [head, *align(rows)]
 
 
-def copies(view: dict, now_us: int) -> list[str]:
-    """What this courier's own copies lack, and what it keeps of others."""
+def format_copies(view: View, now_us: int) -> list[str]:
+    """Format the replication: how far each replica lags behind, and what this instance stores for others."""
     head = f"{view['id']}: {view['records']} records, {view['bytes']} bytes, generation {view['generation']}"
     head += f", {view['need']} copies needed"
-    rows = [("copy at", "connected", "behind: records", "bytes", "ms")]
-    for c in view["copies"]:
-        behind = (str(c[f"behind_{what}"]) for what in ("records", "bytes", "ms"))
-        rows.append((c["at"], "yes" if c["connected"] else "no", *behind))
-    kept = [("keeps of", "bytes", "records", "taken over")]
-    for k in view["keeps"]:
-        kept.append((k["owner"], str(k["bytes"]), str(k["records"]), "yes" if k["adopted"] else "no"))
-    return [head + (f"; {view['barred']}" if view["barred"] else ""), *table(rows), *table(kept)]
-
-
-LINES = {"members": members, "leases": leases, "copies": copies}
+    if view["barred"]:
+        head += f"; {view['barred']}"
+    replicas = [("copy at", "connected", "behind: records", "bytes", "ms")]
+    for replica in view["copies"]:
+        lag = (str(replica[f"behind_{unit}"]) for unit in ("records", "bytes", "ms"))
+        replicas.append((replica["at"], "yes" if replica["connected"] else "no", *lag))
+    stored = [("keeps of", "bytes", "records", "taken over")]
+    for owner in view["keeps"]:
+        taken_over = "yes" if owner["adopted"] else "no"
+        stored.append((owner["owner"], str(owner["bytes"]), str(owner["records"]), taken_over))
+    return [head, *align(replicas), *align(stored)]
+
+
+# Sub-command and service -> what formats its view at a time in microseconds on the monotonic clock.
+FORMATTERS: dict[str, Callable[[View, int], list[str]]] = {
+    "members": format_members,
+    "leases": format_leases,
+    "copies": format_copies,
+}
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -103,7 +103,7 @@
 
 
 async def test_callers_that_stay_silent_cost_only_themselves(tmp_path, monkeypatch):
-    monkeypatch.setattr(admin, "CALL_S", 0.6)
+    monkeypatch.setattr(admin, "REQUEST_TIMEOUT_S", 0.6)
     async with served(tmp_path) as (rig, address):
         silent = [await sockets.dial(address) for _ in range(200)]
         for connection in silent[::2]:
@@ -112,7 +112,7 @@
             began = time.monotonic()
             assert await status(address, READY) == 200
             assert time.monotonic() - began < 1
-            assert len(rig.door.callers) <= rig.door.most
+            assert len(rig.door.limiter.connections) <= rig.door.limiter.max_connections
         assert (await call(address, READY[:20])).startswith(b"HTTP/1.1 408")
         for connection in silent:
             connection.close()
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -311,14 +311,14 @@
 
     keeper.targets = ["a"]
     keeper.source.rewritten(b"four", 9)
-    shown = show.LINES["copies"](keeper.view(), 0)
+    shown = show.FORMATTERS["copies"](keeper.view(), 0)
     assert shown[0].startswith("k: 0 records, 4 bytes, generation 9, 1 copies needed; ")
     assert shown[2].split() == ["a", "no", "0", "4", "0"]
     view = {"id": "k", "voter": True, "leader": "a", "term": 3, "tasks": [{"task": "t", "mine": 0}]}
     view["tasks"].append(
         {"task": "u", "mine": 7, "acts_for_ms": 1500, "holder": "k", "token": 7, "binds_for_ms": 2000}
     )
-    shown = show.LINES["leases"](view, 0)
+    shown = show.FORMATTERS["leases"](view, 0)
     assert shown[0] == "k: a voter, leader a, term 3"
     assert shown[2].split() == ["t", "-", "?", "?", "-"] and shown[3].split() == [
         "u",
