--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -155,7 +155,7 @@
                     self.engine.update_endpoints(
                         UpdateScope.FULL, [(replace(endpoint), state) for endpoint, state in found]
                     )
-                    log("list", scope="FULL", hops=len(found))
+                    log("endpoint_list", scope="FULL", endpoints=len(found))
             except (OSError, ValueError, dns.exception.DNSException) as error:
                 log("discovery_failed", error=str(error) or type(error).__name__)
             self.first_answer.set()
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -305,8 +305,8 @@
         self.engine.update_endpoints(scope, endpoints)
         if endpoints or scope is not UpdateScope.DELTA:
             changed = {endpoint.id: state.name for endpoint, state in endpoints}
-            hops = changed if scope is UpdateScope.DELTA else len(endpoints)
-            log("list", scope=scope.name, seq=self.sequence, hops=hops)
+            shown = changed if scope is UpdateScope.DELTA else len(endpoints)
+            log("endpoint_list", scope=scope.name, seq=self.sequence, endpoints=shown)
 
     def _endpoints(self, update: EndpointUpdate) -> list[tuple[Endpoint, EndpointState]]:
         endpoints = []
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -3,6 +3,7 @@
 from typer.testing import CliRunner
 
 from pinspread.simulation import cli, losses
+from pinspread.simulation.recorded_events import recorded
 
 BRANCH = '"event":"branch","id":"x","hop":"h","took_us":5'
 ONE = """0.1 {"at_us":1,"event":"taken","id":"x","cls":"a","dest":1,"for_ms":900}
@@ -32,3 +33,16 @@
     )
     shown = CliRunner().invoke(cli.app, ["losses", str(tmp_path), "--partner", "1"])
     assert shown.exit_code == 0 and "FULL 1 OK 1" in shown.output
+
+
+def test_a_logged_endpoint_list_reads_as_recorded_logs_have_it():
+    logged = {
+        "at_us": 1,
+        "event": "endpoint_list",
+        "scope": "DELTA",
+        "seq": 2,
+        "endpoints": {"s-1": "REMOVED"},
+    }
+    found = {"at_us": 1, "event": "list", "scope": "DELTA", "seq": 2, "hops": {"s-1": "GONE"}}
+    assert recorded(dict(logged)) == found
+    assert recorded(dict(found)) == found  # a log of an earlier version
