--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -99,7 +99,8 @@
         return Connection(sock)
     except OSError:  # its other side has reset it: that shows at the first use
         connection = Connection.__new__(Connection)
-        connection.sock, connection.left, connection.idle_us, connection.over = sock, 0, 0, False
+        connection.sock, connection.unsent_bytes = sock, 0
+        connection.idle_since_us, connection.finished = 0, False
         return connection
 
 
