--- /dev/null
+++ b/pinspread/amqp/channel_methods.py
@@ -0,0 +1,133 @@
+"""What a client may ask for on an open channel, one handler a method."""
+
+from collections.abc import Callable
+from secrets import token_hex
+from typing import Any
+
+from pamqp import base, commands
+
+from pinspread.amqp.channel import Channel
+from pinspread.amqp.consumer import Consumer
+from pinspread.amqp.content import ReceivedMethod
+from pinspread.amqp.errors import AmqpError, ReplyCode
+from pinspread.amqp.frame_writer import FrameWriter
+from pinspread.amqp.publishing import Publisher
+from pinspread.amqp.result_queue import ResultQueueRegistry
+
+RANDOM_NAME_BYTES = 8  # in names that the program chooses
+
+Handler = Callable[[Channel, Any], None]
+"""Carries out a method of the class under which the table has the handler."""
+
+
+class ChannelMethods:
+    """Carries out the methods of one connection's channels.
+
+    Args:
+        publisher: Takes the publishes.
+        queues: The queues of final results.
+        writer: Where answers go.
+        channels: The open channels, by their numbers.
+    """
+
+    def __init__(
+        self,
+        publisher: Publisher,
+        queues: ResultQueueRegistry,
+        writer: FrameWriter,
+        channels: dict[int, Channel],
+    ) -> None:
+        self._publisher = publisher
+        self._queues = queues
+        self._writer = writer
+        self._channels = channels
+        self._handlers: dict[type[base.Frame], Handler] = {
+            commands.Channel.Close: self._close_channel,
+            commands.Channel.Flow: self._set_flow,
+            commands.Confirm.Select: self._select_confirms,
+            commands.Basic.Qos: self._set_prefetch,
+            commands.Queue.Declare: self._declare_queue,
+            commands.Basic.Consume: self._consume,
+            commands.Basic.Cancel: self._cancel,
+            commands.Basic.Ack: self._acknowledge,
+            commands.Basic.Nack: self._refuse_deliveries,
+            commands.Basic.Reject: self._refuse_delivery,
+        }
+
+    def handle(self, channel: Channel, received: ReceivedMethod) -> None:
+        """Carry out a method.
+
+        Raises:
+            AmqpError: It is not offered, or cannot be carried out.
+        """
+        method = received.method
+        if isinstance(method, commands.Basic.Publish):
+            self._publisher.publish(channel, received)
+            return
+        handler = self._handlers.get(type(method))
+        if handler is None:
+            raise AmqpError(ReplyCode.NOT_IMPLEMENTED, f"{method.name} is not offered", method)
+        handler(channel, method)
+
+    def _close_channel(self, channel: Channel, _: commands.Channel.Close) -> None:
+        channel.close()
+        del self._channels[channel.number]
+        self._writer.send(channel.number, commands.Channel.CloseOk())
+
+    def _set_flow(self, channel: Channel, method: commands.Channel.Flow) -> None:
+        self._writer.send(channel.number, commands.Channel.FlowOk(method.active))
+
+    def _select_confirms(self, channel: Channel, method: commands.Confirm.Select) -> None:
+        channel.confirms = True
+        if not method.nowait:
+            self._writer.send(channel.number, commands.Confirm.SelectOk())
+
+    def _set_prefetch(self, channel: Channel, method: commands.Basic.Qos) -> None:
+        channel.prefetch = method.prefetch_count
+        self._writer.send(channel.number, commands.Basic.QosOk())
+
+    def _declare_queue(self, channel: Channel, method: commands.Queue.Declare) -> None:
+        name = method.queue or f"amq.gen-{token_hex(RANDOM_NAME_BYTES)}"
+        if method.passive and name not in self._queues:
+            raise AmqpError(ReplyCode.NOT_FOUND, f"no queue {name!r}", method)
+        queue = self._queues.get(name)
+        if not method.nowait:
+            answer = commands.Queue.DeclareOk(name, len(queue.waiting), len(queue.consumers))
+            self._writer.send(channel.number, answer)
+
+    def _consume(self, channel: Channel, method: commands.Basic.Consume) -> None:
+        if method.no_ack:
+            text = "ends are kept until acknowledged: no no-ack"
+            raise AmqpError(ReplyCode.PRECONDITION_FAILED, text, method)
+        tag = method.consumer_tag or f"ctag-{token_hex(RANDOM_NAME_BYTES)}"
+        if tag in channel.consumers:
+            raise AmqpError(ReplyCode.NOT_ALLOWED, f"consumer tag {tag!r} is in use", method)
+        consumer = Consumer(channel, tag, self._queues.get(method.queue))
+        channel.consumers[tag] = consumer
+        if not method.nowait:
+            self._writer.send(channel.number, commands.Basic.ConsumeOk(tag))
+        consumer.queue.add_consumer(consumer)
+
+    def _cancel(self, channel: Channel, method: commands.Basic.Cancel) -> None:
+        channel.cancel(method.consumer_tag or "")
+        if not method.nowait:
+            self._writer.send(channel.number, commands.Basic.CancelOk(method.consumer_tag))
+
+    def _acknowledge(self, channel: Channel, method: commands.Basic.Ack) -> None:
+        for delivery in channel.take_deliveries(method.delivery_tag, method.multiple):
+            delivery.pending.acknowledged.set()
+            delivery.consumer.queue.dispatch()
+
+    def _refuse_deliveries(self, channel: Channel, method: commands.Basic.Nack) -> None:
+        self._refuse(channel, method.delivery_tag, method.multiple, method.requeue)
+
+    def _refuse_delivery(self, channel: Channel, method: commands.Basic.Reject) -> None:
+        self._refuse(channel, method.delivery_tag or 0, False, method.requeue)
+
+    def _refuse(self, channel: Channel, tag: int, multiple: bool, requeue: bool) -> None:
+        """Put deliveries back into their queues, or forget them if the consumer wants no more of them."""
+        for delivery in reversed(channel.take_deliveries(tag, multiple)):
+            if requeue:
+                delivery.consumer.queue.requeue([delivery.pending])
+            else:
+                delivery.pending.acknowledged.set()
--- a/pinspread/amqp/errors.py
+++ b/pinspread/amqp/errors.py
@@ -35,13 +35,18 @@
         text: What went wrong, short enough for the wire.
         class_id: Class of the method that caused it; 0 if none did.
         method_id: The method within its class; 0 if none did.
+
+    Args:
+        code: The reply code that the other side is told.
+        text: What went wrong.
+        cause: The payload of the frame that caused it; only a method has a class and an id.
     """
 
-    def __init__(self, code: ReplyCode, text: str, method: base.Frame | None = None):
+    def __init__(self, code: ReplyCode, text: str, cause: object = None) -> None:
         super().__init__(text)
         self.code = code
         self.text = text[:MAX_REPLY_TEXT]
-        index = method.index if method is not None else 0
+        index = cause.index if isinstance(cause, base.Frame) else 0
         self.class_id = index >> 16
         self.method_id = index & 0xFFFF
 
--- /dev/null
+++ b/pinspread/amqp/publishing.py
@@ -0,0 +1,163 @@
+"""Publishes of clients: reading the message, having it accepted, and confirming or rejecting it."""
+
+from collections.abc import Mapping
+from hashlib import blake2b
+
+from pamqp import commands
+
+from pinspread.amqp.channel import DEFAULT_EXCHANGE, Channel
+from pinspread.amqp.content import ReceivedMethod
+from pinspread.amqp.errors import AmqpError, ReplyCode
+from pinspread.amqp.frame_writer import FrameWriter
+from pinspread.core.engine import DeliveryEngine
+from pinspread.core.log import log
+from pinspread.core.messages import Message
+from pinspread.errors import RejectedError
+from pinspread.resp import parser as resp
+
+FRONT_NAME = "amqp"  # in the journal and the log
+KEY_BYTES = 8
+NS_PER_MS = 1_000_000
+US_PER_MS = 1000
+
+# Names on the wire: the headers of a publish, the message property for its id, and what a rejection bears.
+CLASS_HEADER = "class"
+TENANT_HEADER = "tenant"
+KEY_HEADER = "key"
+DESTINATION_HEADER = "dest"
+IDEMPOTENCY_KEY_HEADER = "idempotency-key"
+MESSAGE_ID_PROPERTY = "message-id"
+EXPIRATION_PROPERTY = "expiration"
+RETRY_AFTER_HEADER = "after-ms"
+
+
+def parse_key(text: str) -> int:
+    """Read an ordering key: hexadecimal ones are the same on all fronts, others are hashed; 0 is none."""
+    try:
+        return resp.key_number(text.encode())
+    except resp.CommandError:
+        return int.from_bytes(blake2b(text.encode(), digest_size=KEY_BYTES).digest()) or 1
+
+
+def _text(headers: Mapping[str, object], name: str) -> str:
+    """A header as text; empty if it is missing."""
+    return str(headers.get(name) or "")
+
+
+def read_message(
+    engine: DeliveryEngine, method: commands.Basic.Publish, properties: commands.Basic.Properties, body: bytes
+) -> Message:
+    """Read what is to be delivered from a publish.
+
+    Raises:
+        AmqpError: A property or header is missing or malformed, or names what is not known.
+    """
+    try:
+        return _read_message(engine, properties, body)
+    except resp.CommandError as error:
+        raise AmqpError(ReplyCode.PRECONDITION_FAILED, str(error), method) from None
+
+
+def _read_message(engine: DeliveryEngine, properties: commands.Basic.Properties, body: bytes) -> Message:
+    headers = properties.headers or {}
+    class_name = _text(headers, CLASS_HEADER)
+    tenant = _text(headers, TENANT_HEADER)
+    destination_text = str(headers.get(DESTINATION_HEADER)) if headers else ""
+    destination = resp.number(destination_text, DESTINATION_HEADER, resp.MOST_DEST)
+    unknown = engine.unknown(class_name, tenant, destination)
+    if unknown:
+        raise resp.CommandError(unknown)
+    message_id = resp.name(str(properties.message_id or "").encode(), MESSAGE_ID_PROPERTY)
+    if not properties.reply_to:
+        raise resp.CommandError("reply-to is missing")
+    idempotency_key = _text(headers, IDEMPOTENCY_KEY_HEADER)
+    if idempotency_key:
+        resp.name(idempotency_key.encode(), IDEMPOTENCY_KEY_HEADER)
+    expires_in_ms = _expires_in_ms(engine, class_name, properties)
+    key = parse_key(str(headers.get(KEY_HEADER) or "0"))
+    return Message(
+        number=0,  # the engine gives it one
+        id=message_id,
+        cls=class_name,
+        tenant=tenant,
+        dest=destination,
+        key=key,
+        idempotency_key=idempotency_key,
+        deadline_unix_us=engine.clock.unix(engine.clock.now()) + expires_in_ms * US_PER_MS,
+        body=body,
+        front=FRONT_NAME,
+        reply={"to": properties.reply_to},
+    )
+
+
+def _expires_in_ms(engine: DeliveryEngine, class_name: str, properties: commands.Basic.Properties) -> int:
+    """How long the message may take, in milliseconds: as the publisher says, or as its class has it."""
+    default_ms = engine.settings.delivery_rules[class_name].cls.deadline_ns // NS_PER_MS
+    return resp.number(properties.expiration or str(default_ms), EXPIRATION_PROPERTY, resp.MOST_FOR_MS)
+
+
+class Publisher:
+    """Hands the publishes of one connection to the engine, and confirms or rejects them.
+
+    Args:
+        engine: What accepts the messages.
+        writer: Where confirms go.
+        channels: The open channels of the connection, by their numbers.
+    """
+
+    def __init__(self, engine: DeliveryEngine, writer: FrameWriter, channels: Mapping[int, Channel]) -> None:
+        self._engine = engine
+        self._writer = writer
+        self._channels = channels
+
+    def publish(self, channel: Channel, received: ReceivedMethod) -> None:
+        """Have a message accepted.
+
+        Raises:
+            AmqpError: The publish is malformed, or may not be made on this channel.
+        """
+        method, properties, body = received
+        assert isinstance(method, commands.Basic.Publish)  # by the table of methods
+        assert properties is not None  # a publish is complete only with its content
+        if not channel.confirms:
+            # Without confirms a publisher could not know which messages were accepted.
+            raise AmqpError(ReplyCode.PRECONDITION_FAILED, "publisher confirms are not selected", method)
+        if method.exchange != DEFAULT_EXCHANGE:
+            raise AmqpError(ReplyCode.NOT_FOUND, f"no exchange {method.exchange!r}", method)
+        if body is None:
+            raise AmqpError(ReplyCode.CONTENT_TOO_LARGE, f"a body over {resp.MOST_BODY} bytes", method)
+        channel.published += 1
+        tag = channel.published
+        try:
+            self._engine.accept(read_message(self._engine, method, properties, body))
+        except RejectedError as error:
+            log("rejected", front=FRONT_NAME, reason=str(error))
+            self._reject(channel, tag, ReceivedMethod(method, properties, body), error.retry_after_ms)
+        else:
+            self._confirm(channel, tag)
+
+    def _reject(self, channel: Channel, tag: int, publish: ReceivedMethod, retry_after_ms: int) -> None:
+        """Return a message with when it may be published again, and refuse its confirm."""
+        method, properties, body = publish
+        assert isinstance(method, commands.Basic.Publish)
+        assert properties is not None
+        assert body is not None
+        properties.headers = dict(properties.headers or {}) | {RETRY_AFTER_HEADER: retry_after_ms}
+        returned = commands.Basic.Return(
+            ReplyCode.RESOURCE_ERROR, f"BUSY {retry_after_ms}", DEFAULT_EXCHANGE, method.routing_key
+        )
+        self._writer.send_content(channel.number, returned, properties, body)
+        self._writer.send(channel.number, commands.Basic.Nack(tag, False, False))
+
+    def _confirm(self, channel: Channel, tag: int) -> None:
+        """Confirm a message, which is in the journal; with replication, once it is on the replicas."""
+        if self._engine.copies is None:
+            self._writer.send(channel.number, commands.Basic.Ack(tag, False))
+        else:
+            self._engine.tasks.start_soon(self._confirm_when_replicated, channel, tag)
+
+    async def _confirm_when_replicated(self, channel: Channel, tag: int) -> None:
+        """Confirm in time, or not at all: the publisher then publishes the message again."""
+        replicated = await self._engine.wait_committed()
+        if replicated and self._channels.get(channel.number) is channel:
+            self._writer.send(channel.number, commands.Basic.Ack(tag, False))
--- /dev/null
+++ b/pinspread/amqp/session.py
@@ -0,0 +1,256 @@
+"""One connection of a client, from the protocol header to the close."""
+
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+from dataclasses import dataclass
+from itertools import count
+
+import anyio
+import anyio.lowlevel
+from pamqp import base, commands, heartbeat
+from pamqp.common import FieldTable
+
+from pinspread.amqp.channel import Channel
+from pinspread.amqp.channel_methods import ChannelMethods
+from pinspread.amqp.errors import AmqpError, ReplyCode
+from pinspread.amqp.frame_stream import FrameStream
+from pinspread.amqp.frame_writer import FrameWriter
+from pinspread.amqp.frames import FRAME_MAX, MIN_FRAME_MAX, PROTOCOL_HEADER, Payload
+from pinspread.amqp.publishing import FRONT_NAME, Publisher
+from pinspread.amqp.result_queue import ResultQueueRegistry
+from pinspread.core.engine import DeliveryEngine
+from pinspread.core.log import log
+from pinspread.sockets import ClientConnection, Connection, ConnectionLimiter
+
+CONNECTION_CHANNEL = 0  # the channel of the connection's own methods
+CHANNEL_MAX = 64
+HANDSHAKE_TIMEOUT_S = 2.0
+CLOSE_TIMEOUT_S = 1.0  # for a client to answer that its connection is closed
+FRAMES_PER_TURN = 32  # that one session handles before the others have their turn
+VIRTUAL_HOST = "/"
+MECHANISMS = "PLAIN ANONYMOUS"
+LOCALE = "en_US"
+# Clients look here for what goes beyond the specification before they use it.
+SERVER_PROPERTIES: FieldTable = {
+    "product": "pinspread",
+    "capabilities": {"publisher_confirms": True, "basic.nack": True},
+}
+
+
+@dataclass(frozen=True, slots=True)
+class FrontServices:
+    """What all sessions of a front share.
+
+    Attributes:
+        engine: What accepts messages.
+        queues: The queues of final results.
+        limiter: The limit on client connections and the memory held for them.
+    """
+
+    engine: DeliveryEngine
+    queues: ResultQueueRegistry
+    limiter: ConnectionLimiter
+
+
+class Session:
+    """One connection of a client.
+
+    Args:
+        services: What it shares with the other sessions.
+        connection: The connection, which the session closes at its end.
+        client: What the limiter knows of the connection.
+        heartbeat_s: The heartbeat interval to be offered, in seconds.
+    """
+
+    def __init__(
+        self,
+        services: FrontServices,
+        connection: Connection,
+        client: ClientConnection,
+        heartbeat_s: int,
+    ) -> None:
+        self._limiter = services.limiter
+        self._client = client
+        self._connection = connection
+        self._heartbeat_s = heartbeat_s
+        self._stream = FrameStream(connection, services.engine.clock)
+        self._writer = FrameWriter(self._stream)
+        self._channels: dict[int, Channel] = {}
+        publisher = Publisher(services.engine, self._writer, self._channels)
+        self._methods = ChannelMethods(publisher, services.queues, self._writer, self._channels)
+
+    async def run(self) -> None:
+        """Serve the connection to its end."""
+        try:
+            if not await self._open():
+                return
+            self._client.kept = True  # heartbeats show when the client has gone
+            async with anyio.create_task_group() as tasks:
+                scope = tasks.cancel_scope
+                tasks.start_soon(self._run_part, self._writer.run, scope)
+                tasks.start_soon(self._run_part, self._exchange_heartbeats, scope)
+                await self._run_part(self._read_frames, scope)
+        finally:
+            for channel in self._channels.values():
+                channel.close()
+            self._connection.close()
+
+    def announce_shutdown(self) -> None:
+        """Tell the client that the process ends."""
+        close = commands.Connection.Close(ReplyCode.CONNECTION_FORCED, "shutting down", 0, 0)
+        self._writer.send(CONNECTION_CHANNEL, close)
+
+    async def _run_part(self, part: Callable[[], Awaitable[None]], scope: anyio.CancelScope) -> None:
+        """Run a part of the session; its end, or the loss of the connection, ends all parts."""
+        try:
+            await part()
+        except OSError as error:
+            log("amqp_connection_lost", error=str(error))
+        scope.cancel()
+
+    async def _exchange_heartbeats(self) -> None:
+        await self._stream.exchange_heartbeats(self._heartbeat_s)
+
+    # --- opening and closing the connection -------------------------------------------------------------
+
+    async def _open(self) -> bool:
+        """Open the connection; whether it is to be served."""
+        opened = False
+        try:
+            with anyio.fail_after(HANDSHAKE_TIMEOUT_S):
+                opened = await self._shake_hands()
+        except AmqpError as error:
+            await self._close(error)
+        except (OSError, TimeoutError):
+            pass  # the client has gone, or says nothing
+        return opened
+
+    async def _shake_hands(self) -> bool:
+        stream = self._stream
+        if await stream.read_protocol_header() != PROTOCOL_HEADER:
+            await self._connection.write(PROTOCOL_HEADER)  # as the specification asks
+            return False
+        await stream.send(commands.Connection.Start(0, 9, SERVER_PROPERTIES, MECHANISMS, LOCALE))
+        await stream.read_method("Connection.StartOk")
+        await stream.send(commands.Connection.Tune(CHANNEL_MAX, FRAME_MAX, self._heartbeat_s))
+        self._tune(await stream.read_method("Connection.TuneOk"))
+        opened = await stream.read_method("Connection.Open")
+        assert isinstance(opened, commands.Connection.Open)
+        if opened.virtual_host != VIRTUAL_HOST:
+            text = f"no virtual host {opened.virtual_host!r}"
+            raise AmqpError(ReplyCode.NOT_ALLOWED, text, opened)
+        await stream.send(commands.Connection.OpenOk())
+        return True
+
+    def _tune(self, tuned: base.Frame) -> None:
+        """Adopt the limits that the client has chosen."""
+        assert isinstance(tuned, commands.Connection.TuneOk)
+        frame_max = tuned.frame_max or FRAME_MAX
+        if not MIN_FRAME_MAX <= frame_max <= FRAME_MAX:
+            raise AmqpError(ReplyCode.NOT_ALLOWED, f"frame_max {frame_max}", tuned)
+        self._stream.frame_max = frame_max
+        self._heartbeat_s = tuned.heartbeat
+
+    async def _close(self, error: AmqpError) -> None:
+        """Close the connection as the specification says: Close, then wait for CloseOk."""
+        _log_malformed(error)
+        close = commands.Connection.Close(error.code, error.text, error.class_id, error.method_id)
+        with anyio.move_on_after(CLOSE_TIMEOUT_S), suppress(OSError, AmqpError):
+            await self._writer.flush()
+            await self._stream.send(close)
+            payload: Payload | None = None
+            while not isinstance(payload, commands.Connection.CloseOk):
+                _, payload = await self._stream.read_frame()
+
+    # --- reading ----------------------------------------------------------------------------------------
+
+    async def _read_frames(self) -> None:
+        """Handle frames until the connection is closed from either side."""
+        try:
+            for handled in count(1):
+                if not handled % FRAMES_PER_TURN:
+                    # A client that always has frames would otherwise hold the event loop.
+                    await anyio.lowlevel.checkpoint()
+                number, payload = await self._stream.read_frame()
+                if number == CONNECTION_CHANNEL:
+                    if not await self._handle_on_connection(payload):
+                        return
+                else:
+                    self._handle_on_channel(number, payload)
+        except AmqpError as error:
+            await self._close(error)
+
+    async def _handle_on_connection(self, payload: Payload) -> bool:
+        """Handle a frame of the connection itself; false once the connection is closed."""
+        if isinstance(payload, heartbeat.Heartbeat):
+            return True
+        if isinstance(payload, commands.Connection.Close):
+            await self._stream.send(commands.Connection.CloseOk())
+            return False
+        if isinstance(payload, commands.Connection.CloseOk):
+            return False
+        raise AmqpError(ReplyCode.COMMAND_INVALID, "not a method of channel 0", payload)
+
+    def _handle_on_channel(self, number: int, payload: Payload) -> None:
+        """Handle a frame of a channel, and close the channel if it breaks a rule.
+
+        Raises:
+            AmqpError: The whole connection is to be closed.
+        """
+        try:
+            self._dispatch(number, payload)
+        except AmqpError as error:
+            if error.closes_connection:
+                raise
+            _log_malformed(error)
+            self._close_channel(self._channels[number], error)
+
+    def _dispatch(self, number: int, payload: Payload) -> None:
+        if isinstance(payload, commands.Channel.Open):
+            self._open_channel(number, payload)
+            return
+        channel = self._channels.get(number)
+        if channel is None:
+            raise AmqpError(ReplyCode.CHANNEL_ERROR, f"channel {number} is not open", payload)
+        if channel.closing:
+            self._handle_while_closing(channel, payload)
+        else:
+            self._feed(channel, payload)
+
+    def _open_channel(self, number: int, method: commands.Channel.Open) -> None:
+        if number in self._channels or number > CHANNEL_MAX:
+            raise AmqpError(ReplyCode.CHANNEL_ERROR, f"channel {number} cannot be opened", method)
+        self._channels[number] = Channel(number, self._writer)
+        self._writer.send(number, commands.Channel.OpenOk())
+
+    def _close_channel(self, channel: Channel, error: AmqpError) -> None:
+        channel.close()
+        channel.closing = True
+        close = commands.Channel.Close(error.code, error.text, error.class_id, error.method_id)
+        self._writer.send(channel.number, close)
+
+    def _handle_while_closing(self, channel: Channel, payload: Payload) -> None:
+        """Ignore what the client sent before it received the Close: it belongs to nothing any more."""
+        if isinstance(payload, commands.Channel.CloseOk | commands.Channel.Close):
+            del self._channels[channel.number]
+        if isinstance(payload, commands.Channel.Close):
+            self._writer.send(channel.number, commands.Channel.CloseOk())
+
+    def _feed(self, channel: Channel, payload: Payload) -> None:
+        """Add a frame to what is being received on a channel, and handle it once it is complete."""
+        received = channel.contents.feed(payload)
+        if not isinstance(payload, base.Frame):
+            self._reserve_contents(channel)
+        if received is not None:
+            self._methods.handle(channel, received)
+
+    def _reserve_contents(self, channel: Channel) -> None:
+        """Have the memory counted that incomplete contents take, for all clients share a limit of it."""
+        size = sum(one.contents.buffered for one in self._channels.values())
+        if not self._limiter.hold(self._client, size):
+            text = "no room for more contents"
+            raise AmqpError(ReplyCode.RESOURCE_ERROR, text, channel.contents.method)
+
+
+def _log_malformed(error: AmqpError) -> None:
+    log("malformed", front=FRONT_NAME, code=error.code, error=error.text)
--- a/pinspread/amqp/transport.py
+++ b/pinspread/amqp/transport.py
@@ -8,7 +8,9 @@
 from pamqp import commands, heartbeat
 
 from pinspread.amqp import frames
+from pinspread.amqp.content import ContentAssembler
 from pinspread.amqp.errors import AmqpError
+from pinspread.amqp.frame_stream import FrameStream
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
 from pinspread.policy.events import Outcome
@@ -127,7 +129,7 @@
         self.route = endpoint.route
         self.endpoint = endpoint.id
         self.clock = clock
-        self.wire = frames.FrameStream(connection, clock)
+        self.wire = FrameStream(connection, clock)
         self.waiters = {}  # delivery tag -> PendingConfirm
         self.published = 0
         self.lost = ""
@@ -140,20 +142,20 @@
         """Open the connection and a channel in confirm mode."""
         wire = self.wire
         await wire.connection.write(frames.PROTOCOL_HEADER)
-        await wire.method("Connection.Start")
+        await wire.read_method("Connection.Start")
         capabilities = {"connection.blocked": True, "publisher_confirms": True, "basic.nack": True}
         properties = {"product": "pinspread", "capabilities": capabilities}
         await wire.send(commands.Connection.StartOk(properties, "PLAIN", login, "en_US"))
-        tune = await wire.method("Connection.Tune")
+        tune = await wire.read_method("Connection.Tune")
         wire.frame_max = min(tune.frame_max or frames.FRAME_MAX, frames.FRAME_MAX)
         self.heartbeat_s = min(tune.heartbeat, heartbeat_s) if tune.heartbeat else heartbeat_s
         await wire.send(commands.Connection.TuneOk(1, wire.frame_max, self.heartbeat_s))
         await wire.send(commands.Connection.Open(self.route.get("vhost", "/")))
-        await wire.method("Connection.OpenOk")
+        await wire.read_method("Connection.OpenOk")
         await wire.send(commands.Channel.Open(), 1)
-        await wire.method("Channel.OpenOk")
+        await wire.read_method("Channel.OpenOk")
         await wire.send(commands.Confirm.Select(), 1)
-        await wire.method("Confirm.SelectOk")
+        await wire.read_method("Confirm.SelectOk")
 
     async def publish(self, attempt, waiter) -> AttemptResult:
         """Write one publish and wait for its end; whatever cuts the write short ends the connection."""
@@ -219,16 +221,16 @@
 
     async def _beat(self, scope):
         try:
-            await self.wire.beat(self.heartbeat_s)
+            await self.wire.exchange_heartbeats(self.heartbeat_s)
         except OSError as error:
             self.drop(str(error))
         scope.cancel()
 
     async def _follow(self):
-        contents = frames.ContentAssembler()
+        contents = ContentAssembler()
         while not self.lost:
             try:
-                channel, found = await self.wire.frame()
+                channel, found = await self.wire.read_frame()
                 if isinstance(found, heartbeat.Heartbeat):
                     continue
                 if channel == 0:
--- a/pinspread/testbed/stand_ins.py
+++ b/pinspread/testbed/stand_ins.py
@@ -13,6 +13,8 @@
 
 from pinspread import sockets
 from pinspread.amqp import frames
+from pinspread.amqp.content import ContentAssembler
+from pinspread.amqp.frame_stream import FrameStream
 from pinspread.core.clock import Clock
 
 SECOND = 1_000_000_000
@@ -129,15 +131,15 @@
 
     def __init__(self, wire):
         self.wire = wire
-        self.contents = frames.ContentAssembler()
+        self.contents = ContentAssembler()
 
     @classmethod
     async def open(cls, address, confirms=True):
-        self = cls(frames.FrameStream(await sockets.dial(address), Clock()))
+        self = cls(FrameStream(await sockets.dial(address), Clock()))
         await self.wire.connection.write(frames.PROTOCOL_HEADER)
-        await self.wire.method("Connection.Start")
+        await self.wire.read_method("Connection.Start")
         await self.wire.send(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"))
-        await self.wire.method("Connection.Tune")
+        await self.wire.read_method("Connection.Tune")
         await self.wire.send(commands.Connection.TuneOk(8, 4096, 0))
         await self.ask(commands.Connection.Open("/"), channel=0)
         await self.ask(commands.Channel.Open())
@@ -154,7 +156,7 @@
         """The next (method, properties, body)."""
         with anyio.fail_after(5):
             while True:
-                channel, found = await self.wire.frame()
+                channel, found = await self.wire.read_frame()
                 if channel == 0 and isinstance(found, base.Frame):
                     return found, None, None
                 if channel and (whole := self.contents.feed(found)):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -13,6 +13,8 @@
 
 from pinspread import sockets
 from pinspread.amqp import frames
+from pinspread.amqp.content import ContentAssembler
+from pinspread.amqp.frame_stream import FrameStream
 from pinspread.amqp.server import AmqpFront
 from pinspread.amqp.transport import BrokerTransport
 from pinspread.config import settings
@@ -75,7 +77,7 @@
     room = sockets.ConnectionLimiter(clock, legs, leg_bytes)
     core.transports["http"] = HttpTransport(clock, pool, told.connect_timeout_us)
     core.fronts["resp"] = resp = front.RespFront(core, notices, room)
-    core.fronts["amqp"] = amqp = AmqpFront(core, room=room)
+    core.fronts["amqp"] = amqp = AmqpFront(core, limiter=room)
     core.subscribe = Discovery(platform, core, told).ask
     async with anyio.create_task_group() as tasks:
         core.transports["amqp"] = BrokerTransport(clock, tasks, told.connect_timeout_us)
@@ -125,25 +127,25 @@
             await wire.send(method)
 
     async def serve(self, connection):
-        wire = frames.FrameStream(connection, Clock())
+        wire = FrameStream(connection, Clock())
         try:
-            if await wire.greeting() != frames.PROTOCOL_HEADER:
+            if await wire.read_protocol_header() != frames.PROTOCOL_HEADER:
                 return
             await wire.send(commands.Connection.Start(0, 9, {}, "PLAIN", "en_US"))
-            self.logins.add((await wire.method("Connection.StartOk")).response)
+            self.logins.add((await wire.read_method("Connection.StartOk")).response)
             await wire.send(commands.Connection.Tune(8, 4096, 1))
-            await wire.method("Connection.TuneOk")
-            await wire.method("Connection.Open")
+            await wire.read_method("Connection.TuneOk")
+            await wire.read_method("Connection.Open")
             await wire.send(commands.Connection.OpenOk())
-            await wire.method("Channel.Open")
+            await wire.read_method("Channel.Open")
             await wire.send(commands.Channel.OpenOk(), 1)
-            await wire.method("Confirm.Select")
+            await wire.read_method("Confirm.Select")
             await wire.send(commands.Confirm.SelectOk(), 1)
             self.links.add(wire)
-            contents, tag = frames.ContentAssembler(), 0
+            contents, tag = ContentAssembler(), 0
             while True:
                 await self.reading.wait()
-                channel, found = await wire.frame()
+                channel, found = await wire.read_frame()
                 if channel == 0:
                     continue
                 whole = contents.feed(found)
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -7,6 +7,7 @@
 
 from pinspread.amqp import frames
 from pinspread.amqp.errors import ReplyCode
+from pinspread.amqp.frame_stream import FrameStream
 from pinspread.sockets import dial
 
 pytestmark = pytest.mark.anyio
@@ -77,7 +78,7 @@
         for n in (1, 2):
             await client.publish(f"m{n}", for_ms=50 * n)
             await client.next()
-        await until(lambda: len(rig.engine.fronts["amqp"].queue("ends").waiting) == 2)
+        await until(lambda: len(rig.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
         await client.consume(prefetch=1)
         told, method = await client.end(ack=False)
         await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, True), 1)
@@ -148,20 +149,20 @@
     async with engine(tmp_path) as rig:
         rig.engine.fronts["amqp"].heartbeat_s = 1
         client = await AmqpClient.open(rig.amqp)  # it chose no heartbeats
-        beating = frames.FrameStream(client.wire.connection, client.wire.clock)
+        beating = FrameStream(client.wire.connection, client.wire.clock)
         with anyio.move_on_after(0.2):
-            await beating.frame()
-        wire = frames.FrameStream(await dial(rig.amqp), rig.engine.clock)
+            await beating.read_frame()
+        wire = FrameStream(await dial(rig.amqp), rig.engine.clock)
         await wire.connection.write(frames.PROTOCOL_HEADER)
-        await wire.method("Connection.Start")
+        await wire.read_method("Connection.Start")
         await wire.send(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"))
-        await wire.method("Connection.Tune")
+        await wire.read_method("Connection.Tune")
         await wire.send(commands.Connection.TuneOk(8, 4096, 1))
         await wire.send(commands.Connection.Open("/"))
-        await wire.method("Connection.OpenOk")
+        await wire.read_method("Connection.OpenOk")
         with pytest.raises(OSError), anyio.fail_after(4):
             while True:
-                assert (await wire.frame())[1].name == "Heartbeat"
+                assert (await wire.read_frame())[1].name == "Heartbeat"
         assert len(rig.engine.fronts["amqp"].sessions) == 1
 
 
@@ -207,10 +208,10 @@
 
 
 async def test_a_silent_client_is_closed_in_time_and_one_that_does_not_read_is_ended(tmp_path, monkeypatch):
-    from pinspread.amqp import server
+    from pinspread.amqp import frame_writer, session
 
-    monkeypatch.setattr(server, "GREET_S", 0.2)
-    monkeypatch.setattr(server, "MOST_UNSENT", 100_000)
+    monkeypatch.setattr(session, "HANDSHAKE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(frame_writer, "MAX_UNSENT_BYTES", 100_000)
     async with engine(tmp_path) as rig:
         silent = await dial(rig.amqp)
         with anyio.fail_after(1):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -6,6 +6,7 @@
 from pamqp import commands
 
 from pinspread.amqp import frames
+from pinspread.amqp.content import ContentAssembler
 from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.config import settings
 from pinspread.http import transport as http
@@ -163,7 +164,7 @@
             data = bytearray(data)
             for _ in range(chance.randrange(1, 4)):
                 data[chance.randrange(len(data))] = chance.randrange(256)
-            view, contents = memoryview(data), frames.ContentAssembler(100)
+            view, contents = memoryview(data), ContentAssembler(100)
             try:
                 while len(view) and (found := parse(view)) and found[0] is not None:
                     if parse is resp.parse:
@@ -178,7 +179,7 @@
 def test_a_returned_end_and_its_body_are_assembled_from_split_frames():
     method = commands.Basic.Return(312, "NO_ROUTE", "", "x")
     data = frames.marshal_content(method, commands.Basic.Properties(message_id="m"), b"y" * 9000, 1, 4096)
-    view, contents, found = memoryview(data), frames.ContentAssembler(), None
+    view, contents, found = memoryview(data), ContentAssembler(), None
     while len(view):
         _, what, size = frames.parse_frame(view, 4096)
         found = contents.feed(what)
