--- a/pinspread/amqp/content.py
+++ b/pinspread/amqp/content.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from pamqp import base, commands, header
+from pamqp import base, commands, header, heartbeat
 
 from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.amqp.frames import Payload
@@ -62,7 +62,6 @@
             raise AmqpError(ReplyCode.UNEXPECTED_FRAME, "a content without its method")
         if isinstance(payload, header.ContentHeader):
             return self._feed_header(self.method, payload)
-        assert isinstance(payload, memoryview)  # heartbeats are of channel 0, and have no place in a content
         return self._feed_body(self.method, payload)
 
     def _feed_method(self, method: base.Frame) -> ReceivedMethod | None:
@@ -79,10 +78,11 @@
         self._header = content_header
         return self._complete(method, content_header)
 
-    def _feed_body(self, method: base.Frame, data: memoryview) -> ReceivedMethod | None:
+    def _feed_body(self, method: base.Frame, data: memoryview | heartbeat.Heartbeat) -> ReceivedMethod | None:
         content_header = self._header
         if content_header is None:
             raise AmqpError(ReplyCode.UNEXPECTED_FRAME, "a body before its header", method)
+        assert isinstance(data, memoryview)  # heartbeats are of channel 0
         self._received += len(data)
         if self._received > content_header.body_size:
             raise AmqpError(ReplyCode.FRAME_ERROR, "a body longer than its header says", method)
