--- a/pinspread/amqp/publishing.py
+++ b/pinspread/amqp/publishing.py
@@ -64,7 +64,7 @@
     tenant = _text(headers, TENANT_HEADER)
     destination_text = str(headers.get(DESTINATION_HEADER)) if headers else ""
     destination = resp.number(destination_text, DESTINATION_HEADER, resp.MOST_DEST)
-    unknown = engine.unknown(class_name, tenant, destination)
+    unknown = engine.unknown_reason(class_name, tenant, destination)
     if unknown:
         raise resp.CommandError(unknown)
     message_id = resp.name(str(properties.message_id or "").encode(), MESSAGE_ID_PROPERTY)
@@ -78,9 +78,9 @@
     return Message(
         number=0,  # the engine gives it one
         id=message_id,
-        cls=class_name,
+        class_name=class_name,
         tenant=tenant,
-        dest=destination,
+        destination=destination,
         key=key,
         idempotency_key=idempotency_key,
         deadline_unix_us=engine.clock.unix(engine.clock.now()) + expires_in_ms * US_PER_MS,
@@ -92,7 +92,7 @@
 
 def _expires_in_ms(engine: DeliveryEngine, class_name: str, properties: commands.Basic.Properties) -> int:
     """How long the message may take, in milliseconds: as the publisher says, or as its class has it."""
-    default_ms = engine.settings.delivery_rules[class_name].cls.deadline_ns // NS_PER_MS
+    default_ms = engine.settings.delivery_rules[class_name].traffic_class.deadline_ns // NS_PER_MS
     return resp.number(properties.expiration or str(default_ms), EXPIRATION_PROPERTY, resp.MOST_FOR_MS)
 
 
@@ -151,7 +151,7 @@
 
     def _confirm(self, channel: Channel, tag: int) -> None:
         """Confirm a message, which is in the journal; with replication, once it is on the replicas."""
-        if self._engine.copies is None:
+        if self._engine.replication is None:
             self._writer.send(channel.number, commands.Basic.Ack(tag, False))
         else:
             self._engine.tasks.start_soon(self._confirm_when_replicated, channel, tag)
--- a/pinspread/amqp/server.py
+++ b/pinspread/amqp/server.py
@@ -36,7 +36,7 @@
         sessions: The open connections.
     """
 
-    tells_delivery = True
+    reports_delivery = True
     ordered_by_notice = False  # a key goes on once its result is in the journal: consumers may be long away
 
     def __init__(
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -78,7 +78,7 @@
     core.transports["http"] = HttpTransport(clock, pool, told.connect_timeout_us)
     core.fronts["resp"] = resp = front.RespFront(core, notices, room)
     core.fronts["amqp"] = amqp = AmqpFront(core, limiter=room)
-    core.subscribe = Discovery(platform, core, told).ask
+    core.subscribe = Discovery(platform, core, told).poll
     async with anyio.create_task_group() as tasks:
         core.transports["amqp"] = BrokerTransport(clock, tasks, told.connect_timeout_us)
         (resp_sock, address), (amqp_sock, amqp_address) = listener(), listener()
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -25,9 +25,9 @@
 from pinspread.core.messages import AttemptResult
 from pinspread.discovery import client as discovery
 from pinspread.hot_restart import transfer as succession
-from pinspread.leases.service import Leases
-from pinspread.membership.service import Membership, Plan
-from pinspread.membership.swim import Tuning
+from pinspread.leases.service import LeaseService
+from pinspread.membership.service import MembershipConfig, MembershipService
+from pinspread.membership.swim import SwimConfig
 from pinspread.policy.events import EndpointState, Outcome
 from pinspread.replication.service import ReplicationService
 from pinspread.simulation import losses, trace
@@ -76,15 +76,19 @@
 
         enable = disable
 
-    names = {"members": Membership.name, "leases": Leases.name, "copies": ReplicationService.name}
+    names = {
+        "members": MembershipService.name,
+        "leases": LeaseService.name,
+        "copies": ReplicationService.name,
+    }
     views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
     return admin.AdminServer(EndpointAdmin(), background_services=views)
 
 
 def members_view():
     """A member's own view, as the door shows it, but for the time."""
-    plan = Plan("a", "127.0.0.1:7001", "127.0.0.1:7001", (), b"fleet-a", Tuning())
-    found = Membership(plan, seed=1).view()
+    plan = MembershipConfig("a", "127.0.0.1:7001", "127.0.0.1:7001", (), b"fleet-a", SwimConfig())
+    found = MembershipService(plan, seed=1).view()
     for one in found["members"]:
         one["since_us"] = 0
     return found
@@ -120,12 +124,12 @@
 
 RESULT = {
     "wait_us": "retry_after_us",
-    "over": "over",
+    "over": "no_longer_wanted",
     "note": "note",
     "idle_us": "idle_us",
     "opened": "opened",
-    "left": "left",
-    "limit": "limit",
+    "left": "limit_remaining",
+    "limit": "limit_per_s",
 }
 
 
@@ -158,14 +162,14 @@
     link = succession.Link(link_socket)
     await succession.Succession(SimpleNamespace(), "")._give(link, given)
     successor = succession.Successor(link)
-    successor.ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
+    successor.attempt_ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
     successor.apply_retry_after("s-1", 1500)
-    successor.probed("s-2", outcome("OK", opened=True))
+    successor.health_check_ended("s-2", outcome("OK", opened=True))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(successor.run)
         try:
             with anyio.fail_after(0.2):
-                await successor.ban("s-3", True)
+                await successor.set_blocked("s-3", True)
         except TimeoutError:
             pass
         tasks.cancel_scope.cancel()
