--- /dev/null
+++ b/pinspread/amqp/broker_connection.py
@@ -0,0 +1,273 @@
+"""One connection to a broker, with one channel in confirm mode."""
+
+import anyio
+from pamqp import commands, heartbeat
+from pamqp.common import FieldTable
+
+from pinspread.amqp import headers as names
+from pinspread.amqp.content import ContentAssembler, ReceivedMethod
+from pinspread.amqp.errors import AmqpError
+from pinspread.amqp.frame_stream import FrameStream
+from pinspread.amqp.frames import FRAME_MAX, PROTOCOL_HEADER, Payload, marshal_content
+from pinspread.amqp.pending_confirm import PendingConfirm
+from pinspread.core.clock import Clock
+from pinspread.core.log import log
+from pinspread.core.messages import Attempt, AttemptResult, Endpoint
+from pinspread.policy.events import Outcome
+from pinspread.sockets import Connection
+
+CONNECTION_CHANNEL = 0
+CHANNEL = 1  # the only one that is opened
+CHANNEL_MAX = 1
+PERSISTENT = 2  # the delivery mode of messages that outlive the broker's restart
+BLOCKED_RETRY_US = 1_000_000  # a broker that blocks publishers gives no time: try again after this
+BLOCKED = "the broker blocks publishers"
+US_PER_MS = 1000
+CLIENT_PROPERTIES: FieldTable = {
+    "product": "pinspread",
+    "capabilities": {"connection.blocked": True, "publisher_confirms": True, "basic.nack": True},
+}
+MECHANISM = "PLAIN"
+LOCALE = "en_US"
+
+
+def blocked_result() -> AttemptResult:
+    """The result of an attempt while the broker blocks publishers."""
+    return AttemptResult(Outcome.OVERLOADED, BLOCKED_RETRY_US, note=BLOCKED)
+
+
+class BrokerConnection:
+    """One connection to a broker.
+
+    Args:
+        endpoint: The broker, as discovery lists it.
+        connection: The TCP connection.
+        clock: The clock of the process.
+
+    Attributes:
+        address: The broker's `host:port` when the connection was opened.
+        stream: The frames of the connection.
+        pending: The publishes that wait for their confirms, by their delivery tags.
+        closed_reason: Why the connection is closed; empty while it is open.
+        delisted: Discovery does not list the broker any more: the connection ends with its last publish.
+        unblocked: Set while the broker takes publishes.
+    """
+
+    def __init__(self, endpoint: Endpoint, connection: Connection, clock: Clock) -> None:
+        self.address = endpoint.address
+        self.stream = FrameStream(connection, clock)
+        self.pending: dict[int, PendingConfirm] = {}
+        self.closed_reason = ""
+        self.delisted = False
+        self.unblocked = anyio.Event()
+        self.unblocked.set()
+        self._endpoint_id = endpoint.id
+        self._route = endpoint.route
+        self._clock = clock
+        self._published = 0  # the delivery tag of the latest publish
+        self._heartbeat_s = 0
+        self._contents = ContentAssembler()
+
+    async def open(self, login: str, heartbeat_s: int) -> None:
+        """Open the AMQP connection, and a channel in confirm mode.
+
+        Args:
+            login: The response to the PLAIN mechanism.
+            heartbeat_s: The longest heartbeat interval, in seconds; the broker may ask for a shorter one.
+
+        Raises:
+            OSError: The broker closes the connection.
+            AmqpError: The broker breaks the protocol.
+        """
+        stream = self.stream
+        await stream.connection.write(PROTOCOL_HEADER)
+        await stream.read_method("Connection.Start")
+        await stream.send(commands.Connection.StartOk(CLIENT_PROPERTIES, MECHANISM, login, LOCALE))
+        tune = await stream.read_method("Connection.Tune")
+        assert isinstance(tune, commands.Connection.Tune)
+        stream.frame_max = min(tune.frame_max or FRAME_MAX, FRAME_MAX)
+        self._heartbeat_s = min(tune.heartbeat, heartbeat_s) if tune.heartbeat else heartbeat_s
+        await stream.send(commands.Connection.TuneOk(CHANNEL_MAX, stream.frame_max, self._heartbeat_s))
+        await stream.send(commands.Connection.Open(self._route.get("vhost", "/")))
+        await stream.read_method("Connection.OpenOk")
+        await stream.send(commands.Channel.Open(), CHANNEL)
+        await stream.read_method("Channel.OpenOk")
+        await stream.send(commands.Confirm.Select(), CHANNEL)
+        await stream.read_method("Confirm.SelectOk")
+
+    # --- publishing -------------------------------------------------------------------------------------
+
+    async def publish(self, attempt: Attempt, confirm: PendingConfirm) -> AttemptResult:
+        """Publish a message, and wait until it is known what became of it.
+
+        Whatever cuts the write short ends the connection.
+
+        Args:
+            attempt: The attempt.
+            confirm: Shows at each moment how far the publish has come.
+
+        Raises:
+            OSError: The connection is lost, or was lost before.
+        """
+        async with self.stream.lock:
+            self._check_open()
+            if not self.unblocked.is_set():
+                return blocked_result()
+            reason = attempt.check_before_write()
+            if reason:
+                return AttemptResult(Outcome.NOT_SENT, note=reason)
+            await self._write(attempt, confirm)
+        return await confirm.wait()
+
+    def _check_open(self) -> None:
+        """Raise if the connection is closed, or the broker has just closed it."""
+        connection = self.stream.connection
+        if not self.closed_reason and not connection.quiet() and connection.ended():
+            self.close("closed by the broker")
+        if self.closed_reason:
+            raise ConnectionError(self.closed_reason)
+
+    async def _write(self, attempt: Attempt, confirm: PendingConfirm) -> None:
+        self._published += 1
+        confirm.started = True
+        confirm.key = attempt.message.id, attempt.number
+        self.pending[self._published] = confirm
+        connection = self.stream.connection
+        data = self._marshal(attempt)
+        connection.left = len(data)
+        try:
+            await connection.write(data)
+        except BaseException:
+            # On a connection that went on, the next publish's bytes would be taken for the rest of this one.
+            self.close("a publish was cut short")
+            raise
+        finally:
+            confirm.written = not connection.left
+
+    def _marshal(self, attempt: Attempt) -> bytes:
+        """The frames of a publish: mandatory, so that what is unroutable comes back."""
+        message = attempt.message
+        remaining_us = message.deadline_unix_us - self._clock.unix(self._clock.now())
+        headers: FieldTable = {
+            names.CLASS: message.class_name,
+            names.TENANT: message.tenant,
+            names.ATTEMPT: attempt.number,
+        }
+        if message.idempotency_key:
+            headers[names.IDEMPOTENCY_KEY] = message.idempotency_key
+        if message.key:
+            headers[names.KEY] = f"{message.key:016x}"
+        properties = commands.Basic.Properties(
+            headers=headers,
+            delivery_mode=PERSISTENT,
+            message_id=message.id,
+            expiration=str(max(1, remaining_us // US_PER_MS)),
+        )
+        exchange = self._route.get("exchange", "")
+        routing_key = self._route.get("routing_key", f"partner.{message.destination}")
+        method = commands.Basic.Publish(0, exchange, routing_key, mandatory=True)
+        return marshal_content(method, properties, message.body, CHANNEL, self.stream.frame_max)
+
+    # --- what the broker sends --------------------------------------------------------------------------
+
+    async def run(self) -> None:
+        """Handle what the broker sends until the connection is closed."""
+        try:
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(self._exchange_heartbeats, tasks.cancel_scope)
+                await self._read_frames()
+                tasks.cancel_scope.cancel()
+        finally:
+            self.close(self.closed_reason or "the process ends")
+
+    async def _exchange_heartbeats(self, scope: anyio.CancelScope) -> None:
+        try:
+            await self.stream.exchange_heartbeats(self._heartbeat_s)
+        except OSError as error:
+            self.close(str(error))
+        scope.cancel()
+
+    async def _read_frames(self) -> None:
+        while not self.closed_reason:
+            try:
+                channel, payload = await self.stream.read_frame()
+                await self._handle(channel, payload)
+            except (OSError, AmqpError) as error:
+                self.close(str(error))
+
+    async def _handle(self, channel: int, payload: Payload) -> None:
+        if isinstance(payload, heartbeat.Heartbeat):
+            return
+        if channel == CONNECTION_CHANNEL:
+            await self._handle_on_connection(payload)
+            return
+        received = self._contents.feed(payload)
+        if received is not None:
+            await self._handle_on_channel(received)
+
+    async def _handle_on_connection(self, payload: Payload) -> None:
+        if isinstance(payload, commands.Connection.Blocked):
+            log("broker_blocked", endpoint=self._endpoint_id, reason=payload.reason)
+            if self.unblocked.is_set():
+                self.unblocked = anyio.Event()
+        elif isinstance(payload, commands.Connection.Unblocked):
+            self.unblocked.set()
+        elif isinstance(payload, commands.Connection.Close):
+            await self.stream.send(commands.Connection.CloseOk())
+            self.close(f"closed by the broker: {payload.reply_code} {payload.reply_text}")
+
+    async def _handle_on_channel(self, received: ReceivedMethod) -> None:
+        method = received.method
+        if isinstance(method, commands.Basic.Return):
+            self._mark_returned(received.properties)
+        elif isinstance(method, commands.Basic.Ack | commands.Basic.Nack):
+            self._confirm(method)
+        elif isinstance(method, commands.Channel.Close):
+            await self.stream.send(commands.Channel.CloseOk(), CHANNEL)
+            self.close(f"channel closed by the broker: {method.reply_code} {method.reply_text}")
+
+    def _mark_returned(self, properties: commands.Basic.Properties | None) -> None:
+        """Note that a publish was unroutable; its confirm comes behind the return."""
+        assert properties is not None  # a return is complete only with its content
+        key = properties.message_id, (properties.headers or {}).get(names.ATTEMPT)
+        for confirm in self.pending.values():
+            if confirm.key == key:
+                confirm.returned = True
+
+    def _confirm(self, method: commands.Basic.Ack | commands.Basic.Nack) -> None:
+        tag = method.delivery_tag or 0
+        tags = [one for one in self.pending if one <= tag] if method.multiple else [tag]
+        for one in tags:
+            confirm = self.pending.pop(one, None)
+            if confirm is not None:
+                confirm.confirm(isinstance(method, commands.Basic.Ack))
+        self.close_if_unused()
+
+    # --- closing ----------------------------------------------------------------------------------------
+
+    def delist(self) -> None:
+        """Close the connection once nothing is pending: the broker is not listed any more."""
+        self.delisted = True
+        self.close_if_unused()
+
+    def close_if_unused(self) -> None:
+        """Close the connection if nothing is pending, and nothing more will go there."""
+        if self.delisted and not self.pending and not self.closed_reason:
+            self.close("gone from the list")
+
+    def close(self, reason: str) -> None:
+        """Close the connection, and settle what is pending."""
+        if not self.closed_reason:
+            self.closed_reason = reason
+            log(
+                "broker_connection_lost",
+                endpoint=self._endpoint_id,
+                reason=reason,
+                unconfirmed=len(self.pending),
+            )
+            anyio.notify_closing(self.stream.connection.sock)
+            self.stream.connection.close()
+        for confirm in self.pending.values():
+            confirm.connection_lost(reason)
+        self.pending.clear()
+        self.unblocked.set()
--- a/pinspread/amqp/publishing.py
+++ b/pinspread/amqp/publishing.py
@@ -5,6 +5,7 @@
 
 from pamqp import commands
 
+from pinspread.amqp import headers as names
 from pinspread.amqp.channel import DEFAULT_EXCHANGE, Channel
 from pinspread.amqp.content import ReceivedMethod
 from pinspread.amqp.errors import AmqpError, ReplyCode
@@ -20,16 +21,6 @@
 NS_PER_MS = 1_000_000
 US_PER_MS = 1000
 
-# Names on the wire: the headers of a publish, the message property for its id, and what a rejection bears.
-CLASS_HEADER = "class"
-TENANT_HEADER = "tenant"
-KEY_HEADER = "key"
-DESTINATION_HEADER = "dest"
-IDEMPOTENCY_KEY_HEADER = "idempotency-key"
-MESSAGE_ID_PROPERTY = "message-id"
-EXPIRATION_PROPERTY = "expiration"
-RETRY_AFTER_HEADER = "after-ms"
-
 
 def parse_key(text: str) -> int:
     """Read an ordering key: hexadecimal ones are the same on all fronts, others are hashed; 0 is none."""
@@ -60,21 +51,21 @@
 
 def _read_message(engine: DeliveryEngine, properties: commands.Basic.Properties, body: bytes) -> Message:
     headers = properties.headers or {}
-    class_name = _text(headers, CLASS_HEADER)
-    tenant = _text(headers, TENANT_HEADER)
-    destination_text = str(headers.get(DESTINATION_HEADER)) if headers else ""
-    destination = resp.number(destination_text, DESTINATION_HEADER, resp.MOST_DEST)
+    class_name = _text(headers, names.CLASS)
+    tenant = _text(headers, names.TENANT)
+    destination_text = str(headers.get(names.DESTINATION)) if headers else ""
+    destination = resp.number(destination_text, names.DESTINATION, resp.MOST_DEST)
     unknown = engine.unknown_reason(class_name, tenant, destination)
     if unknown:
         raise resp.CommandError(unknown)
-    message_id = resp.name(str(properties.message_id or "").encode(), MESSAGE_ID_PROPERTY)
+    message_id = resp.name(str(properties.message_id or "").encode(), names.MESSAGE_ID)
     if not properties.reply_to:
-        raise resp.CommandError("reply-to is missing")
-    idempotency_key = _text(headers, IDEMPOTENCY_KEY_HEADER)
+        raise resp.CommandError(f"{names.REPLY_TO} is missing")
+    idempotency_key = _text(headers, names.IDEMPOTENCY_KEY)
     if idempotency_key:
-        resp.name(idempotency_key.encode(), IDEMPOTENCY_KEY_HEADER)
+        resp.name(idempotency_key.encode(), names.IDEMPOTENCY_KEY)
     expires_in_ms = _expires_in_ms(engine, class_name, properties)
-    key = parse_key(str(headers.get(KEY_HEADER) or "0"))
+    key = parse_key(str(headers.get(names.KEY) or "0"))
     return Message(
         number=0,  # the engine gives it one
         id=message_id,
@@ -93,7 +84,7 @@
 def _expires_in_ms(engine: DeliveryEngine, class_name: str, properties: commands.Basic.Properties) -> int:
     """How long the message may take, in milliseconds: as the publisher says, or as its class has it."""
     default_ms = engine.settings.delivery_rules[class_name].traffic_class.deadline_ns // NS_PER_MS
-    return resp.number(properties.expiration or str(default_ms), EXPIRATION_PROPERTY, resp.MOST_FOR_MS)
+    return resp.number(properties.expiration or str(default_ms), names.EXPIRATION, resp.MOST_FOR_MS)
 
 
 class Publisher:
@@ -142,7 +133,7 @@
         assert isinstance(method, commands.Basic.Publish)
         assert properties is not None
         assert body is not None
-        properties.headers = dict(properties.headers or {}) | {RETRY_AFTER_HEADER: retry_after_ms}
+        properties.headers = dict(properties.headers or {}) | {names.RETRY_AFTER_MS: retry_after_ms}
         returned = commands.Basic.Return(
             ReplyCode.RESOURCE_ERROR, f"BUSY {retry_after_ms}", DEFAULT_EXCHANGE, method.routing_key
         )
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -75,7 +75,7 @@
         await Client(rig.address).enqueue(id_="p1")
         await until(lambda: broker.effects == ["p1"])
         rig.update_endpoints(address, "b", 1, "amqp", state=EndpointState.REMOVED)
-        assert not transport.links and not transport.dialling and broker.links
+        assert not transport.connections and not transport.connect_locks and broker.links
         for wire in broker.links:
             await wire.send(commands.Basic.Ack(1, False), 1)
         await until(lambda: not rig.engine.messages_by_id and not broker.links)
@@ -87,15 +87,15 @@
         client = Client(rig.address)
         await client.enqueue(id_="p1")
         await until(lambda: broker.effects == ["p1"])
-        link = rig.engine.transports["amqp"].links["b"]
-        link.wire.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        link = rig.engine.transports["amqp"].connections["b"]
+        link.stream.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         (theirs,) = broker.links
         theirs.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         broker.reading = anyio.Event()
         for n in range(2, 9):  # more than what fits into the sockets while nobody reads
             await client.enqueue(id_=f"p{n}", body=b"x" * 65_536)
-        await until(lambda: link.wire.connection.left)
-        cut = link.waiters[max(link.waiters)].id[0]
+        await until(lambda: link.stream.connection.left)
+        cut = link.pending[max(link.pending)].key[0]
         broker.kill()
         broker.reading.set()
         await until(lambda: cut in broker.effects)
