--- a/pinspread/amqp/broker_connection.py
+++ b/pinspread/amqp/broker_connection.py
@@ -122,7 +122,7 @@
     def _check_open(self) -> None:
         """Raise if the connection is closed, or the broker has just closed it."""
         connection = self.stream.connection
-        if not self.closed_reason and not connection.quiet() and connection.ended():
+        if not self.closed_reason and not connection.is_idle() and connection.is_finished():
             self.close("closed by the broker")
         if self.closed_reason:
             raise ConnectionError(self.closed_reason)
@@ -134,7 +134,7 @@
         self.pending[self._published] = confirm
         connection = self.stream.connection
         data = self._marshal(attempt)
-        connection.left = len(data)
+        connection.unsent_bytes = len(data)
         try:
             await connection.write(data)
         except BaseException:
@@ -142,7 +142,7 @@
             self.close("a publish was cut short")
             raise
         finally:
-            confirm.written = not connection.left
+            confirm.written = not connection.unsent_bytes
 
     def _marshal(self, attempt: Attempt) -> bytes:
         """The frames of a publish: mandatory, so that what is unroutable comes back."""
--- a/pinspread/amqp/frame_writer.py
+++ b/pinspread/amqp/frame_writer.py
@@ -38,7 +38,7 @@
         if len(self._unsent) > MAX_UNSENT_BYTES:
             # Without a limit, all that a client does not read would be kept in memory.
             log("amqp_connection_lost", error="the client does not read")
-            self._stream.connection.end()
+            self._stream.connection.shutdown()
 
     async def run(self) -> None:
         """Write what waits until cancelled, or until the connection fails with OSError."""
--- a/pinspread/amqp/session.py
+++ b/pinspread/amqp/session.py
@@ -84,7 +84,7 @@
         try:
             if not await self._open():
                 return
-            self._client.kept = True  # heartbeats show when the client has gone
+            self._client.has_heartbeat = True  # heartbeats show when the client has gone
             async with anyio.create_task_group() as tasks:
                 scope = tasks.cancel_scope
                 tasks.start_soon(self._run_part, self._writer.run, scope)
@@ -247,7 +247,7 @@
     def _reserve_contents(self, channel: Channel) -> None:
         """Have the memory counted that incomplete contents take, for all clients share a limit of it."""
         size = sum(one.contents.buffered for one in self._channels.values())
-        if not self._limiter.hold(self._client, size):
+        if not self._limiter.reserve(self._client, size):
             text = "no room for more contents"
             raise AmqpError(ReplyCode.RESOURCE_ERROR, text, channel.contents.method)
 
--- a/pinspread/hot_restart/transfer.py
+++ b/pinspread/hot_restart/transfer.py
@@ -20,7 +20,13 @@
 import anyio.lowlevel
 import orjson
 
-from pinspread.core.handover import HandoverSource, HandoverStep, HandoverTarget, SourceState, TargetState
+from pinspread.core.handover import (
+    HandoverSource,
+    HandoverStep,
+    HandoverTarget,
+    SourceState,
+    TargetState,
+)
 from pinspread.core.log import log
 from pinspread.core.messages import AttemptResult, Endpoint
 from pinspread.errors import JournalFormatError
@@ -30,6 +36,8 @@
 from pinspread.sockets import Connection, IdleConnection
 
 NAME = "handover"  # of the socket, in the folder that lasts
+# What the packet between processes calls the fields of an IdleConnection.
+CONNECTION_FIELDS = {"spoke": "answered", "asked": "submitted", "errors": "errors"}
 HELLO, NO, LEAVE, STATE, LEG, IDLE, SOCKET, YOURS, TAKEN, ENDED, HEED, PROBED, BAN, BANNED = range(14)
 PACKET = 32 * 1024
 MOST_PIECES = 2048  # of one message: 64 MB
@@ -255,7 +263,7 @@
             await link.send(NO, orjson.dumps({"why": str(error), "busy": False}))
         raise
     except (OSError, ValueError, TimeoutError, KeyError) as error:
-        log("handover_broke", error=str(error) or type(error).__name__, state=taker.state.value)
+        log("handover_broke", error=str(error) or type(error).__name__, state=taker.state.value.value)
         # Danger: without its *taken* heard, the old process serves on, or is gone and the lock free.
         owner.release()
         if isinstance(error, ValueError):
@@ -293,7 +301,8 @@
         head, _, rest = data.partition(b"\n")
         told = orjson.loads(head)
         size = told.pop("unread")
-        found.legs.append(IdleConnection(_adopted(fd), unread=rest[:size], unsent=rest[size:], **told))
+        fields = {CONNECTION_FIELDS[name]: value for name, value in told.items()}
+        found.legs.append(IdleConnection(_adopted(fd), unread=rest[:size], unsent=rest[size:], **fields))
     elif kind == IDLE and fd is not None:
         found.idle.append((*orjson.loads(data), _adopted(fd)))
     elif kind == SOCKET and fd is not None:
@@ -310,7 +319,8 @@
         return Connection(sock)
     except OSError:  # its other side has reset it: that shows at the first use
         connection = Connection.__new__(Connection)
-        connection.sock, connection.left, connection.idle_us, connection.over = sock, 0, 0, False
+        connection.sock, connection.unsent_bytes = sock, 0
+        connection.idle_since_us, connection.finished = 0, False
         return connection
 
 
@@ -500,7 +510,9 @@
             if do is not HandoverStep.TRANSFER:
                 return
         except (OSError, ValueError, TimeoutError) as error:
-            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value)
+            log(
+                "handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value.value
+            )
             return
         successor = Successor(link)
         given = await self.service.rest(successor)
@@ -512,7 +524,9 @@
                 log("handover_declined", why=orjson.loads(data)["why"])
             do = self.giver.taken_over() if kind == TAKEN else self.giver.exchange_failed()
         except (OSError, ValueError, TimeoutError, KeyError) as error:
-            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value)
+            log(
+                "handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value.value
+            )
             do = self.giver.exchange_failed()
         if do is HandoverStep.REACQUIRE_LOCK:
             link.close()
@@ -537,7 +551,8 @@
     async def _give(self, link, given):
         await link.send(STATE, given["blob"])
         for kept in given["legs"]:
-            told = {n: getattr(kept, n) for n in ("spoke", "asked", "errors")} | {"unread": len(kept.unread)}
+            told = {name: getattr(kept, field) for name, field in CONNECTION_FIELDS.items()}
+            told["unread"] = len(kept.unread)
             data = orjson.dumps(told) + b"\n" + kept.unread + kept.unsent
             await link.send(LEG, data, kept.connection.sock.fileno())
         for id_, address, idle_us, connection in given["idle"]:
