--- a/pinspread/amqp/__init__.py
+++ b/pinspread/amqp/__init__.py
@@ -1,1 +1,1 @@
-"""AMQP 0-9-1: the second front and its next-hop transport."""
+"""AMQP 0-9-1: the front that clients use, and the transport to brokers as endpoints."""
--- a/pinspread/amqp/broker_connection.py
+++ b/pinspread/amqp/broker_connection.py
@@ -260,7 +260,7 @@
         if not self.closed_reason:
             self.closed_reason = reason
             log(
-                "broker_connection_lost",
+                "broker_connection_closed",
                 endpoint=self._endpoint_id,
                 reason=reason,
                 unconfirmed=len(self.pending),
@@ -268,6 +268,6 @@
             anyio.notify_closing(self.stream.connection.sock)
             self.stream.connection.close()
         for confirm in self.pending.values():
-            confirm.connection_lost(reason)
+            confirm.connection_closed(reason)
         self.pending.clear()
         self.unblocked.set()
--- a/pinspread/amqp/frame_writer.py
+++ b/pinspread/amqp/frame_writer.py
@@ -37,7 +37,7 @@
         self._wake.set()
         if len(self._unsent) > MAX_UNSENT_BYTES:
             # Without a limit, all that a client does not read would be kept in memory.
-            log("amqp_connection_lost", error="the client does not read")
+            log("amqp_connection_closed", error="the client does not read")
             self._stream.connection.shutdown()
 
     async def run(self) -> None:
--- a/pinspread/amqp/pending_confirm.py
+++ b/pinspread/amqp/pending_confirm.py
@@ -60,6 +60,6 @@
         else:
             self.resolve(Outcome.ERROR, "nack")
 
-    def connection_lost(self, reason: str) -> None:
-        """Take the loss of the connection: what was written in full may have run, the rest never did."""
+    def connection_closed(self, reason: str) -> None:
+        """Take the end of the connection: what was written in full may have run, the rest never did."""
         self.resolve(Outcome.RESET if self.written else Outcome.CONNECT_FAILED, reason)
--- a/pinspread/amqp/session.py
+++ b/pinspread/amqp/session.py
@@ -87,9 +87,9 @@
             self._client.has_heartbeat = True  # heartbeats show when the client has gone
             async with anyio.create_task_group() as tasks:
                 scope = tasks.cancel_scope
-                tasks.start_soon(self._run_part, self._writer.run, scope)
-                tasks.start_soon(self._run_part, self._exchange_heartbeats, scope)
-                await self._run_part(self._read_frames, scope)
+                tasks.start_soon(self._run_until_end, self._writer.run, scope)
+                tasks.start_soon(self._run_until_end, self._exchange_heartbeats, scope)
+                await self._run_until_end(self._read_frames, scope)
         finally:
             for channel in self._channels.values():
                 channel.close()
@@ -100,12 +100,12 @@
         close = commands.Connection.Close(ReplyCode.CONNECTION_FORCED, "shutting down", 0, 0)
         self._writer.send(CONNECTION_CHANNEL, close)
 
-    async def _run_part(self, part: Callable[[], Awaitable[None]], scope: anyio.CancelScope) -> None:
-        """Run a part of the session; its end, or the loss of the connection, ends all parts."""
+    async def _run_until_end(self, work: Callable[[], Awaitable[None]], scope: anyio.CancelScope) -> None:
+        """Run one task of the session; its end, or the loss of the connection, ends all tasks."""
         try:
-            await part()
+            await work()
         except OSError as error:
-            log("amqp_connection_lost", error=str(error))
+            log("amqp_connection_closed", error=str(error))
         scope.cancel()
 
     async def _exchange_heartbeats(self) -> None:
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -1,4 +1,4 @@
-"""The AMQP next-hop transport against a stand-in broker that breaks at seeded random points."""
+"""The transport to AMQP brokers against a stand-in broker that breaks at seeded random points."""
 
 import random
 import signal
@@ -35,7 +35,7 @@
         ("return", "returned", 0, None),  # unroutable: it never ran, and may be tried again
     ],
 )
-async def test_what_a_brokers_word_proves_of_a_payment(tmp_path, todo, state, effects, tries):
+async def test_what_a_brokers_answer_proves_of_a_payment(tmp_path, todo, state, effects, tries):
     seen = []
     broker = Broker(lambda _, id_: seen.append(id_) or todo)
     async with standing(broker) as address, engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
@@ -47,7 +47,7 @@
         assert len(seen) > 1 if tries is None else len(seen) == tries
 
 
-async def test_a_broker_that_stays_blocked_counts_as_a_told_wait_and_one_that_is_gone_does_not(tmp_path):
+async def test_a_broker_that_stays_blocked_counts_as_retry_after_and_one_that_is_gone_does_not(tmp_path):
     broker = Broker()
     async with engine(tmp_path) as rig:
         async with standing(broker) as address:
@@ -67,7 +67,7 @@
         assert not rig.engine.retry_after_until_us
 
 
-async def test_a_broker_that_is_gone_is_forgotten_with_the_last_publish_that_is_out(tmp_path):
+async def test_a_broker_that_is_gone_is_forgotten_with_its_last_pending_publish(tmp_path):
     broker = Broker(lambda broker, id_: "wait")
     async with standing(broker) as address, engine(tmp_path) as rig:
         transport = rig.engine.transports["amqp"]
@@ -117,8 +117,8 @@
         await until(lambda: broker.effects == ["p1", "p2"])
 
 
-async def test_no_payment_takes_effect_twice_though_broker_and_courier_are_killed(tmp_path):
-    """A few thousand payments; the broker breaks at random points, and the courier is killed too."""
+async def test_no_payment_takes_effect_twice_though_broker_and_instance_are_killed(tmp_path):
+    """A few thousand payments; the broker breaks at random points, and the instance is killed too."""
     chance, moments = random.Random(20), random.Random(21)
     breaks = kills = 0
 
@@ -147,7 +147,7 @@
                         broker.kill()
                         kills += 1
                     await until(lambda rig=rig: len(rig.engine.open_messages) < 80, 20)
-                # the courier is killed here, with whatever is out or held
+                # the instance is killed here, with whatever is in flight or queued
         async with engine(tmp_path, notices, endpoints=endpoints) as rig:
             await until(lambda: not rig.engine.messages_by_id, 30)
     ended = {line["id"] for line in platform.lines}
@@ -183,7 +183,7 @@
         assert len(first) > 20 and first == sorted(first)
 
 
-async def test_a_told_wait_holds_for_messages_of_both_fronts(tmp_path):
+async def test_a_retry_after_holds_for_messages_of_both_fronts(tmp_path):
     answers = [(429, [("Retry-After", "0.4")], b"")]
     endpoint = HttpStandIn(lambda request: answers.pop() if answers else (200, [], b""))
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
@@ -197,7 +197,7 @@
 
 
 class Application:
-    """A courier of its own process, off the platform, whose only partner is a broker."""
+    """An instance in a process of its own, off the platform, whose only endpoint is a broker."""
 
     def __init__(self, folder, broker, notices):
         self.address = own_address()
@@ -219,7 +219,7 @@
         self.process = subprocess.Popen(command, stdout=subprocess.DEVNULL)
 
     async def client(self):
-        """A client, once the courier answers."""
+        """A client, once the instance answers."""
         client = Client(self.address)
         with anyio.fail_after(10):
             while True:
@@ -234,7 +234,7 @@
         await anyio.to_thread.run_sync(self.process.wait)
 
 
-async def test_a_process_killed_outright_among_payments_repeats_none(tmp_path):
+async def test_a_process_killed_amid_payments_repeats_none(tmp_path):
     chance = random.Random(3)
     broker, platform = Broker(), HttpStandIn(lambda request: (204, [], b""))
     broker.plan = lambda _, id_: "kill" if chance.random() < 0.01 else "ack"
--- a/tests/test_amqp_bytes.py
+++ b/tests/test_amqp_bytes.py
@@ -63,7 +63,7 @@
         data = RANDOM_NAME.sub(rb"\g<1>0000000000000000", data)
         self.step("program", MEMORY_ADDRESS.sub(rb"\g<1>000000000000", data).hex())
 
-    async def ask(self, *data):
+    async def exchange(self, *data):
         """Write bytes, and read what the program says to them."""
         await self.say(*data)
         await self.hear()
@@ -72,10 +72,10 @@
         """The program closes the connection and says nothing more before it."""
         with anyio.fail_after(5):
             try:
-                rest = await self.stream.receive()
+                remaining = await self.stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
-                rest = b""
-        self.step("closed", rest.hex())
+                remaining = b""
+        self.step("closed", remaining.hex())
 
     async def silent(self):
         """The program says nothing more."""
@@ -110,8 +110,8 @@
 
 def publish(data=b"x", exchange="", channel=1, properties=None, **headers):
     """A publish with its content."""
-    told = {"class": "payment", "tenant": "north", "dest": 1} | headers
-    given = {"headers": told, "message_id": "m1", "expiration": "60000", "reply_to": "ends"}
+    fields = {"class": "payment", "tenant": "north", "dest": 1} | headers
+    given = {"headers": fields, "message_id": "m1", "expiration": "60000", "reply_to": "ends"}
     given |= properties or {}
     step = FRAME_MAX - 8
     return b"".join(
@@ -136,19 +136,19 @@
 
 async def opened(dialogue, channels=(1,), confirms=True):
     """Open the connection and channels."""
-    await dialogue.ask(GREETING)
-    await dialogue.ask(method(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"), 0))
+    await dialogue.exchange(GREETING)
+    await dialogue.exchange(method(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"), 0))
     await dialogue.say(method(commands.Connection.TuneOk(8, FRAME_MAX, 0), 0))
-    await dialogue.ask(method(commands.Connection.Open("/"), 0))
+    await dialogue.exchange(method(commands.Connection.Open("/"), 0))
     for channel in channels:
-        await dialogue.ask(method(commands.Channel.Open(), channel))
+        await dialogue.exchange(method(commands.Channel.Open(), channel))
         if confirms:
-            await dialogue.ask(method(commands.Confirm.Select(), channel))
+            await dialogue.exchange(method(commands.Confirm.Select(), channel))
 
 
 async def ended(dialogue):
     """Close the connection as a client does."""
-    await dialogue.ask(method(commands.Connection.Close(200, "bye", 0, 0), 0))
+    await dialogue.exchange(method(commands.Connection.Close(200, "bye", 0, 0), 0))
     await dialogue.closed()
 
 
@@ -162,18 +162,20 @@
     ]
     async with engine(folder) as rig:
         async with client(dialogue, rig):
-            await dialogue.ask(b"AMQP\0\1\0\0")
+            await dialogue.exchange(b"AMQP\0\1\0\0")
             await dialogue.closed()
         async with client(dialogue, rig):
-            await dialogue.ask(GREETING)
-            await dialogue.ask(method(commands.Channel.Open(), 0))
+            await dialogue.exchange(GREETING)
+            await dialogue.exchange(method(commands.Channel.Open(), 0))
             await dialogue.say(method(commands.Connection.CloseOk(), 0))
             await dialogue.closed()
         for methods in early:
             async with client(dialogue, rig):
-                await dialogue.ask(GREETING)
-                await dialogue.ask(method(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"), 0))
-                await dialogue.ask(*(method(m, 0) for m in methods))
+                await dialogue.exchange(GREETING)
+                await dialogue.exchange(
+                    method(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"), 0)
+                )
+                await dialogue.exchange(*(method(m, 0) for m in methods))
                 await dialogue.say(method(commands.Connection.CloseOk(), 0))
                 await dialogue.closed()
 
@@ -182,26 +184,28 @@
     """A publisher whose messages are accepted, and rejected with when to come back."""
     async with engine(folder) as rig, client(dialogue, rig):
         await opened(dialogue, channels=(1, 3))
-        await dialogue.ask(publish())
-        await dialogue.ask(publish())  # the same id once more: it is accepted already
-        more = {"key": "5c0f", "idempotency-key": "k1", "class": "booking-change"}
-        await dialogue.ask(publish(b"y" * 9000, channel=3, properties={"message_id": "m2"}, **more))
+        await dialogue.exchange(publish())
+        await dialogue.exchange(publish())  # the same id once more: it is accepted already
+        headers = {"key": "5c0f", "idempotency-key": "k1", "class": "booking-change"}
+        await dialogue.exchange(publish(b"y" * 9000, channel=3, properties={"message_id": "m2"}, **headers))
         rig.engine.stopping = True
-        await dialogue.ask(publish(b"any\0body", properties={"message_id": "m3"}))
-        await dialogue.ask(publish(b"z" * 9000, channel=3, properties={"message_id": "m4"}, key="booking-7"))
-        await dialogue.ask(publish(b"", properties={"message_id": "m5", "content_type": "text/plain"}))
+        await dialogue.exchange(publish(b"any\0body", properties={"message_id": "m3"}))
+        await dialogue.exchange(
+            publish(b"z" * 9000, channel=3, properties={"message_id": "m4"}, key="booking-7")
+        )
+        await dialogue.exchange(publish(b"", properties={"message_id": "m5", "content_type": "text/plain"}))
         parts = publish(b"in parts", properties={"message_id": "m6"})
         for at in range(0, len(parts), 16):
             await dialogue.say(parts[at : at + 16])
         await dialogue.hear()
-        await dialogue.ask(publish())  # accepted before
-        await dialogue.ask(method(commands.Channel.Flow(True)))
-        await dialogue.ask(method(commands.Channel.Flow(False), 3))
-        await dialogue.ask(method(commands.Basic.Qos(0, 7)))
-        await dialogue.ask(method(commands.Confirm.Select(), 3))
+        await dialogue.exchange(publish())  # accepted before
+        await dialogue.exchange(method(commands.Channel.Flow(True)))
+        await dialogue.exchange(method(commands.Channel.Flow(False), 3))
+        await dialogue.exchange(method(commands.Basic.Qos(0, 7)))
+        await dialogue.exchange(method(commands.Confirm.Select(), 3))
         await dialogue.say(method(commands.Confirm.Select(nowait=True), 3))
-        await dialogue.ask(method(commands.Channel.Close(200, "done", 0, 0)))
-        await dialogue.ask(method(commands.Channel.Open()))
+        await dialogue.exchange(method(commands.Channel.Close(200, "done", 0, 0)))
+        await dialogue.exchange(method(commands.Channel.Open()))
         await ended(dialogue)
 
 
@@ -209,17 +213,17 @@
     """Declaring queues and subscribing to them."""
     async with engine(folder) as rig, client(dialogue, rig):
         await opened(dialogue, confirms=False)
-        await dialogue.ask(method(commands.Queue.Declare(0, "q")))
-        await dialogue.ask(method(commands.Queue.Declare(0, "")))
-        await dialogue.ask(method(commands.Basic.Consume(0, "q", "c1")))
-        await dialogue.ask(method(commands.Basic.Consume(0, "q", "")))
+        await dialogue.exchange(method(commands.Queue.Declare(0, "q")))
+        await dialogue.exchange(method(commands.Queue.Declare(0, "")))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "q", "c1")))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "q", "")))
         await dialogue.say(method(commands.Basic.Consume(0, "q", "c3", nowait=True)))
         await dialogue.say(method(commands.Queue.Declare(0, "q2", nowait=True)))
-        await dialogue.ask(method(commands.Queue.Declare(0, "q", passive=True)))
-        await dialogue.ask(method(commands.Basic.Cancel("c1")))
+        await dialogue.exchange(method(commands.Queue.Declare(0, "q", passive=True)))
+        await dialogue.exchange(method(commands.Basic.Cancel("c1")))
         await dialogue.say(method(commands.Basic.Cancel("c3", nowait=True)))
-        await dialogue.ask(method(commands.Basic.Cancel("unknown")))
-        await dialogue.ask(method(commands.Queue.Declare(0, "q", passive=True)))
+        await dialogue.exchange(method(commands.Basic.Cancel("unknown")))
+        await dialogue.exchange(method(commands.Queue.Declare(0, "q", passive=True)))
         await ended(dialogue)
 
 
@@ -254,14 +258,14 @@
     async with engine(folder) as rig, client(dialogue, rig):
         await opened(dialogue, confirms=False)
         reopen = method(commands.Channel.CloseOk()) + method(commands.Channel.Open())
-        await dialogue.ask(publish())  # confirms are not selected
+        await dialogue.exchange(publish())  # confirms are not selected
         for wrong in soft_errors():
-            await dialogue.ask(reopen)
-            await dialogue.ask(method(commands.Confirm.Select()))
+            await dialogue.exchange(reopen)
+            await dialogue.exchange(method(commands.Confirm.Select()))
             # What crosses the close is not answered.
-            await dialogue.ask(wrong, method(commands.Basic.Qos(0, 1)))
-        await dialogue.ask(method(commands.Channel.Close(200, "crossing", 0, 0)))
-        await dialogue.ask(method(commands.Channel.Open()))
+            await dialogue.exchange(wrong, method(commands.Basic.Qos(0, 1)))
+        await dialogue.exchange(method(commands.Channel.Close(200, "crossing", 0, 0)))
+        await dialogue.exchange(method(commands.Channel.Open()))
         await ended(dialogue)
 
 
@@ -299,19 +303,19 @@
         for wrong in hard_errors():
             async with client(dialogue, rig):
                 await opened(dialogue)
-                await dialogue.ask(wrong)
+                await dialogue.exchange(wrong)
                 # Nothing is answered behind the Close.
                 await dialogue.say(method(commands.Basic.Qos(0, 1)), method(commands.Connection.CloseOk(), 0))
                 await dialogue.closed()
     (folder / "small").mkdir()
     async with engine(folder / "small", leg_bytes=10_000) as rig, client(dialogue, rig):
         await opened(dialogue)
-        await dialogue.ask(publish(b"x" * 60_000)[:-100])
+        await dialogue.exchange(publish(b"x" * 60_000)[:-100])
         await dialogue.say(method(commands.Connection.CloseOk(), 0))
         await dialogue.closed()
 
 
-def message(id_, **more):
+def message(id_, **changes):
     """A message as the engine hands it to the front for its final result."""
     given = {
         "number": 1,
@@ -326,7 +330,7 @@
         "front": "amqp",
         "reply": {"to": "ends"},
     }
-    return Message(**(given | more))
+    return Message(**(given | changes))
 
 
 class Results:
@@ -336,21 +340,21 @@
         self.dialogue = dialogue
         self.front = front
         self.tasks = tasks
-        self.heard = []
+        self.acknowledged_ids = []
 
     def put(self, id_, state, after_ms=0):
         self.tasks.start_soon(self._notify, id_, FinalResult(state, after_ms))
 
     async def _notify(self, id_, final):
         await self.front.notify(message(id_), final)
-        self.heard.append(id_)
+        self.acknowledged_ids.append(id_)
 
     async def acknowledged(self, *ids):
         """These are, and no others."""
-        await until(lambda: len(self.heard) >= len(ids))
-        self.dialogue.step("acknowledged", *self.heard)
-        assert set(self.heard) == set(ids)
-        self.heard = []
+        await until(lambda: len(self.acknowledged_ids) >= len(ids))
+        self.dialogue.step("acknowledged", *self.acknowledged_ids)
+        assert set(self.acknowledged_ids) == set(ids)
+        self.acknowledged_ids = []
 
 
 @asynccontextmanager
@@ -368,36 +372,36 @@
         queue.put("m1", states.DELIVERED)
         queue.put("m2", states.FAILED)
         await anyio.sleep(0.02)
-        await dialogue.ask(method(commands.Queue.Declare(0, "ends", passive=True)))
-        await dialogue.ask(method(commands.Basic.Consume(0, "ends", "c")))
+        await dialogue.exchange(method(commands.Queue.Declare(0, "ends", passive=True)))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
         queue.put("m3", states.RETURNED, 1500)
         await dialogue.hear()
         queue.put("m4", states.RETURNED)
         await dialogue.hear()
         await dialogue.say(method(commands.Basic.Ack(2)))
         await queue.acknowledged("m2")
-        await dialogue.ask(method(commands.Basic.Nack(3, False, True)))  # m3 comes again
-        await dialogue.ask(method(commands.Basic.Reject(1, True)))  # m1 comes again
+        await dialogue.exchange(method(commands.Basic.Nack(3, False, True)))  # m3 comes again
+        await dialogue.exchange(method(commands.Basic.Reject(1, True)))  # m1 comes again
         await dialogue.say(method(commands.Basic.Nack(4, False, False)))  # m4 is not wanted
         await queue.acknowledged("m4")
-        await dialogue.ask(method(commands.Basic.Nack(6, True, True)))  # m1 and m3
+        await dialogue.exchange(method(commands.Basic.Nack(6, True, True)))  # m1 and m3
         await dialogue.say(method(commands.Basic.Ack(0, True)))
         await queue.acknowledged("m1", "m3")
         await dialogue.say(method(commands.Basic.Ack(0, True)))  # nothing is out: not an error
-        await dialogue.ask(method(commands.Basic.Cancel("c")))
+        await dialogue.exchange(method(commands.Basic.Cancel("c")))
         # Prefetch, two consumers in turns, and what a closed channel had not acknowledged.
-        await dialogue.ask(method(commands.Basic.Qos(0, 1)), method(commands.Basic.Qos(0, 1), 2))
-        await dialogue.ask(method(commands.Basic.Consume(0, "ends", "d")))
-        await dialogue.ask(method(commands.Basic.Consume(0, "ends", "e"), 2))
+        await dialogue.exchange(method(commands.Basic.Qos(0, 1)), method(commands.Basic.Qos(0, 1), 2))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "d")))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "e"), 2))
         for number in range(5, 9):
             queue.put(f"m{number}", states.DELIVERED)
         await dialogue.hear()
-        await dialogue.ask(method(commands.Basic.Ack(1), 2))
+        await dialogue.exchange(method(commands.Basic.Ack(1), 2))
         await queue.acknowledged("m6")
-        await dialogue.ask(method(commands.Channel.Close(200, "done", 0, 0)))
-        await dialogue.ask(method(commands.Basic.Ack(2), 2))
+        await dialogue.exchange(method(commands.Channel.Close(200, "done", 0, 0)))
+        await dialogue.exchange(method(commands.Basic.Ack(2), 2))
         await queue.acknowledged("m7")
-        await dialogue.ask(method(commands.Basic.Ack(3, True), 2))
+        await dialogue.exchange(method(commands.Basic.Ack(3, True), 2))
         await queue.acknowledged("m5")
         await dialogue.say(method(commands.Basic.Reject(4, False), 2))
         await queue.acknowledged("m8")
@@ -409,13 +413,13 @@
     async with engine(folder) as rig, results(dialogue, rig) as queue:
         async with client(dialogue, rig):
             await opened(dialogue, confirms=False)
-            await dialogue.ask(method(commands.Basic.Consume(0, "ends", "c")))
+            await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
             queue.put("m1", FinalState.FAILED)
             await dialogue.hear()
         await anyio.sleep(0.05)
         async with client(dialogue, rig):
             await opened(dialogue, confirms=False)
-            await dialogue.ask(method(commands.Basic.Consume(0, "ends", "c")))
+            await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
             await dialogue.say(method(commands.Basic.Ack(1)))
             await queue.acknowledged("m1")
             await queue.front.close()
@@ -478,11 +482,11 @@
         await self.accept()
         await dialogue.hear()
         start = commands.Connection.Start(0, 9, {"product": "broker"}, "PLAIN", "en_US")
-        await dialogue.ask(method(start, 0))
-        await dialogue.ask(method(commands.Connection.Tune(*tune), 0))
-        await dialogue.ask(method(commands.Connection.OpenOk(), 0))
-        await dialogue.ask(method(commands.Channel.OpenOk()))
-        await dialogue.ask(method(commands.Confirm.SelectOk()))
+        await dialogue.exchange(method(start, 0))
+        await dialogue.exchange(method(commands.Connection.Tune(*tune), 0))
+        await dialogue.exchange(method(commands.Connection.OpenOk(), 0))
+        await dialogue.exchange(method(commands.Channel.OpenOk()))
+        await dialogue.exchange(method(commands.Confirm.SelectOk()))
 
 
 def _readable(sock):
@@ -543,7 +547,7 @@
         await side.send(message("p8"), timeout_us=100_000)()
         result = side.send(message("p9"))
         await dialogue.silent()
-        await dialogue.ask(method(commands.Connection.Unblocked(), 0))
+        await dialogue.exchange(method(commands.Connection.Unblocked(), 0))
         await dialogue.say(method(commands.Basic.Ack(7)))
         await result()
         await dialogue.silent()
@@ -555,12 +559,12 @@
         route = {"vhost": "/pay", "exchange": "in", "routing_key": "orders"}
         result = side.send(message("p1"), route)
         await side.greeted(tune=(0, 0, 30))
-        await dialogue.ask(method(commands.Channel.Close(404, "no exchange", 60, 40)))
+        await dialogue.exchange(method(commands.Channel.Close(404, "no exchange", 60, 40)))
         await result()
         await dialogue.closed()
         result = side.send(message("p2"))
         await side.greeted(tune=(8, 200_000, 0))
-        await dialogue.ask(method(commands.Connection.Close(320, "shutting down", 0, 0), 0))
+        await dialogue.exchange(method(commands.Connection.Close(320, "shutting down", 0, 0), 0))
         await result()
         await dialogue.closed()
         result = side.send(message("p3"))
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -1,4 +1,4 @@
-"""The AMQP front against a stand-in client: one test a rule, on real sockets."""
+"""The AMQP front against a stand-in client: one test for each rule, on real sockets."""
 
 import anyio
 import pytest
@@ -22,7 +22,9 @@
     ("status", "cls", "state"),
     [(200, "payment", "delivered"), (500, "payment", "failed"), (503, "status-update", "returned")],
 )
-async def test_a_taken_message_is_acked_and_its_one_end_goes_to_reply_to(tmp_path, status, cls, state):
+async def test_an_accepted_message_is_acked_and_its_one_final_result_goes_to_reply_to(
+    tmp_path, status, cls, state
+):
     endpoint = HttpStandIn(lambda request: (status, [], b""))
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = await AmqpClient.open(rig.amqp)
@@ -38,7 +40,7 @@
         assert endpoint.requests[0][3]["request-id"] == "m1"
 
 
-async def test_a_busy_answer_is_a_return_with_when_to_come_back_and_then_a_nack(tmp_path):
+async def test_a_rejection_is_a_return_with_when_to_publish_again_and_then_a_nack(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1")
@@ -52,7 +54,7 @@
         assert isinstance(method, commands.Basic.Nack) and method.delivery_tag == 2
 
 
-async def test_an_end_is_kept_until_acked_over_consumers_and_restarts(tmp_path):
+async def test_a_final_result_is_kept_until_acked_over_consumers_and_restarts(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1", for_ms=100)  # no next hop: returned when its time is up
@@ -72,7 +74,7 @@
         assert not rig.engine.messages_by_id
 
 
-async def test_prefetch_bounds_what_is_out_and_requeued_ends_come_first(tmp_path):
+async def test_prefetch_limits_unacked_deliveries_and_requeued_results_come_first(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         for n in (1, 2):
@@ -108,7 +110,7 @@
         (lambda c: c.wire.write(frames.FRAME_HEAD.pack(3, 1, 1) + b"x\xce"), ReplyCode.UNEXPECTED_FRAME),
     ],
 )
-async def test_errors_have_the_specifications_reply_codes_and_nothing_is_taken(tmp_path, send, code):
+async def test_errors_have_the_specifications_reply_codes_and_nothing_is_accepted(tmp_path, send, code):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await send(client)
@@ -132,14 +134,14 @@
         assert (await client.next())[0].reply_code == ReplyCode.PRECONDITION_FAILED
 
 
-async def test_a_client_hears_that_the_process_ends(tmp_path):
+async def test_a_client_is_told_that_the_process_ends(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await rig.engine.fronts["amqp"].close()
         assert (await client.next())[0].reply_code == ReplyCode.CONNECTION_FORCED
 
 
-async def test_another_protocol_hears_the_greeting(tmp_path):
+async def test_another_protocol_is_answered_with_the_protocol_header(tmp_path):
     async with engine(tmp_path) as rig:
         host, port = rig.amqp.split(":")
         stream = await anyio.connect_tcp(host, int(port))
@@ -147,7 +149,7 @@
         assert await stream.receive() == frames.PROTOCOL_HEADER
 
 
-async def test_a_silent_client_is_dropped_and_a_beating_one_kept(tmp_path):
+async def test_a_silent_client_is_closed_and_one_with_heartbeats_stays(tmp_path):
     async with engine(tmp_path) as rig:
         rig.engine.fronts["amqp"].heartbeat_s = 1
         client = await AmqpClient.open(rig.amqp)  # it chose no heartbeats
@@ -188,7 +190,7 @@
 
 
 @pytest.mark.parametrize(("status", "again"), [(200, False), (500, False), (503, True)])
-async def test_an_id_that_is_over_is_not_delivered_again_but_a_returned_one_may_be(tmp_path, status, again):
+async def test_a_finished_id_is_not_delivered_again_but_a_returned_one_may_be(tmp_path, status, again):
     endpoint = HttpStandIn(lambda request: (status, [], b""))
     async with standing(endpoint) as address:
         async with engine(tmp_path, endpoints=[(address,)]) as rig:
@@ -227,7 +229,7 @@
         client.close()
 
 
-async def test_a_publish_for_an_unknown_partner_ends_the_channel(tmp_path):
+async def test_a_publish_for_an_unknown_destination_closes_the_channel(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1", dest=2)
@@ -237,7 +239,7 @@
         )
 
 
-async def test_contents_that_are_never_whole_share_a_bound_of_memory(tmp_path):
+async def test_contents_that_are_never_complete_share_a_limit_of_memory(tmp_path):
     async with engine(tmp_path, leg_bytes=10_000) as rig:
         client = await AmqpClient.open(rig.amqp)
         whole = frames.marshal_content(
