--- a/pinspread/config/application.py
+++ b/pinspread/config/application.py
@@ -206,11 +206,11 @@
     sync: bool = False
 
     def plan(self, folder):
-        """What `pinspread.replication.service` runs by; what lasts goes below `folder`."""
-        from pinspread.replication import service as copying
+        """What `pinspread.replication` runs by; what lasts goes below `folder`."""
+        from pinspread.replication.config import ReplicationConfig
 
         us = 1_000_000
-        return copying.ReplicationConfig(
+        return ReplicationConfig(
             self.listen,
             self.folder or os.path.join(folder, "copies"),
             self.count,
--- /dev/null
+++ b/pinspread/replication/fleet.py
@@ -0,0 +1,56 @@
+"""What replication reads of membership: which nodes there are, in which state, and where."""
+
+from typing import TYPE_CHECKING
+
+from pinspread.membership.swim import ALIVE, DEAD, LEFT, SUSPECT
+
+if TYPE_CHECKING:
+    from pinspread.membership.service import Membership
+
+UNKNOWN = ""  # the state of a node that membership has no row of
+
+
+class FleetView:
+    """The fleet as this node's membership sees it."""
+
+    def __init__(self, membership: "Membership") -> None:
+        self._membership = membership
+        self.node_id: str = membership.plan.id
+        self.key: bytes = membership.plan.fleet
+
+    def live_ids(self) -> list[str]:
+        """Return the other nodes that are alive, suspects among them."""
+        return [node.id for node in self._membership.member.others(ALIVE, SUSPECT)]
+
+    def knows(self, node_id: str) -> bool:
+        """Return whether membership has a row of the node, in whatever state."""
+        return node_id in self._membership.member.table
+
+    def state(self, node_id: str) -> str:
+        """Return the node's state, or `UNKNOWN`."""
+        node = self._membership.member.table.get(node_id)
+        return node.state if node else UNKNOWN
+
+    def address(self, node_id: str) -> str | None:
+        """Return the `HOST:PORT` that the node advertises, None if it is unknown."""
+        node = self._membership.member.table.get(node_id)
+        return node.address if node else None
+
+
+def is_up(state: str) -> bool:
+    """Return whether a node in this state is taken to run."""
+    return state in (ALIVE, SUSPECT)
+
+
+def is_alive(state: str) -> bool:
+    """Return whether a node in this state runs and is not under suspicion."""
+    return state == ALIVE
+
+
+def is_lost(state: str, absent_us: int, absence_timeout_us: int) -> bool:
+    """Return whether a node's work is due for another node.
+
+    A node that starts hears of no death before its start. Were unknown nodes not counted as lost after a
+    while, what a lost node promised would stay with replicas that were restarted after it.
+    """
+    return state == DEAD or (state in (UNKNOWN, LEFT) and absent_us >= absence_timeout_us)
--- /dev/null
+++ b/pinspread/replication/journal_bytes.py
@@ -0,0 +1,80 @@
+"""What replication does with the bytes of a journal: whole records, replay, and dropping messages."""
+
+import tempfile
+from collections.abc import Iterator, Set
+from dataclasses import dataclass
+from pathlib import Path
+
+from pinspread.core import journal as journals
+from pinspread.core.journal import Journal
+from pinspread.core.messages import Message
+
+_NO_LIMIT_BYTES = 1 << 30
+
+
+@dataclass(frozen=True)
+class ReplayedJournal:
+    """What the records of a journal come to.
+
+    Attributes:
+        open_messages: Those that are still owed, in the order accepted.
+        finished_ids: Ids of those that are over.
+    """
+
+    open_messages: list[Message]
+    finished_ids: set[str]
+
+
+def record_sizes(data: bytes) -> Iterator[int]:
+    """Yield the size in bytes of each whole record at the start of the data."""
+    for payload in journals.records(data):
+        yield journals.HEAD_BYTES + len(payload)
+
+
+def record_count(data: bytes) -> int:
+    """Return how many whole records the data starts with."""
+    return sum(1 for _ in record_sizes(data))
+
+
+def whole_length(data: bytes) -> int:
+    """Return how many bytes at the start of the data are whole records."""
+    return int(journals.whole(data))
+
+
+def is_intact(data: bytes) -> bool:
+    """Return whether the data is whole records, or ends in one that was cut short as it was written."""
+    length = whole_length(data)
+    return length == len(data) or bool(journals.cut(data, length))
+
+
+def replay(data: bytes) -> ReplayedJournal:
+    """Read a journal's bytes.
+
+    Raises:
+        JournalFormatError: A record is of a form that this version does not know.
+        OSError: The temporary folder cannot be written.
+    """
+    with tempfile.TemporaryDirectory() as folder:
+        journal = Journal(folder, _NO_LIMIT_BYTES)
+        journal.path.write_bytes(data)
+        journal.read()
+        return ReplayedJournal(list(journal.live.values()), set(journal.past))
+
+
+def drop_messages(folder: Path, limit_bytes: int, ids: Set[str]) -> int:
+    """Rewrite the journal in a folder without the messages that others owe by now.
+
+    Returns:
+        How many of them it held.
+
+    Raises:
+        JournalFormatError: A record is of a form that this version does not know.
+        JournalFullError: The new file cannot be written.
+    """
+    journal = Journal(str(folder), limit_bytes)
+    journal.read()
+    dropped = [message for message in journal.live.values() if message.id in ids]
+    journal.drop(dropped)
+    journal.begin()
+    journal.close()
+    return len(dropped)
--- /dev/null
+++ b/pinspread/replication/peers.py
@@ -0,0 +1,138 @@
+"""Connections to other nodes, and questions to one or all of them.
+
+Streams are TCP, from the node's own address; each request has one answer.
+"""
+
+from collections.abc import AsyncIterator, Collection
+from contextlib import asynccontextmanager
+from typing import TYPE_CHECKING, Any, Protocol, cast
+
+import anyio
+
+from pinspread.membership.framing import GONE, Frames
+from pinspread.replication import protocol
+from pinspread.replication.protocol import AnswerT, DatagramError, Envelope, Refusal, Request
+from pinspread.sockets.connections import split_address
+
+if TYPE_CHECKING:
+    from anyio.abc import ByteStream
+
+    from pinspread.replication.config import ReplicationConfig
+    from pinspread.replication.fleet import FleetView
+    from pinspread.replication.node import ReplicationNode
+    from pinspread.replication.replica_server import ReplicaServer
+
+CALL_TIMEOUT_S = 1.0  # for a connection, and for one request with its answer
+# What a stream that ends, breaks or stalls raises; none of it is a fault of what was said on it.
+CONNECTION_ERRORS = (*GONE, TimeoutError)
+
+
+class FrameStream(Protocol):
+    """Messages both ways on one connection."""
+
+    async def get(self) -> dict[str, Any]:
+        """Return the next message."""
+
+    async def put(self, message: dict[str, Any]) -> None:
+        """Send one message."""
+
+
+def open_frames(stream: "ByteStream", key: bytes) -> FrameStream:
+    """Return the frames of replication on a stream, sealed with the fleet's key."""
+    frames: FrameStream = Frames(stream, key, protocol.MAGIC, protocol.MAX_FRAME_BYTES)
+    return frames
+
+
+class PeerSession:
+    """One connection to another node."""
+
+    def __init__(self, frames: FrameStream, node_id: str, peer: str) -> None:
+        self._frames = frames
+        self._node_id = node_id
+        self._peer = peer
+
+    async def call(self, request: Request[AnswerT]) -> AnswerT:
+        """Send a request and return its answer.
+
+        Raises:
+            TimeoutError: There was no answer within `CALL_TIMEOUT_S`.
+            RefusedError: The other node refused.
+            DatagramError: The answer is not well-formed.
+        """
+        with anyio.fail_after(CALL_TIMEOUT_S):
+            await self._frames.put(protocol.encode_request(request, self._node_id, self._peer))
+            message = await self._frames.get()
+        return protocol.decode_answer(request, message)
+
+
+class PeerConnector:
+    """Opens connections to other nodes, at the port that all nodes listen on."""
+
+    def __init__(self, config: "ReplicationConfig", fleet: "FleetView") -> None:
+        self._fleet = fleet
+        self._host, self._port = split_address(config.listen)
+
+    @asynccontextmanager
+    async def connect(self, peer: str) -> AsyncIterator[PeerSession]:
+        """Connect to a node; the connection ends with the block.
+
+        Raises:
+            OSError: It cannot be reached, or is no member.
+            TimeoutError: It did not answer within `CALL_TIMEOUT_S`.
+        """
+        stream, frames = await self._dial(peer)
+        async with stream:
+            yield PeerSession(frames, self._fleet.node_id, peer)
+
+    async def _dial(self, peer: str) -> "tuple[ByteStream, FrameStream]":
+        address = self._fleet.address(peer)
+        if address is None:
+            raise OSError(f"{peer} is no member")
+        with anyio.fail_after(CALL_TIMEOUT_S):
+            host = split_address(address)[0]
+            stream = await anyio.connect_tcp(host, self._port, local_host=self._host)
+        return stream, open_frames(stream, self._fleet.key)
+
+
+class PeerClient:
+    """Asks other nodes, and this one as if it were another."""
+
+    def __init__(self, node: "ReplicationNode", connector: PeerConnector, server: "ReplicaServer") -> None:
+        self._node = node
+        self._connector = connector
+        self._server = server
+
+    async def ask(self, peer: str, request: Request[AnswerT]) -> AnswerT | None:
+        """Ask one node; None if it cannot be reached, does not answer or refuses."""
+        if peer == self._node.id:
+            return await self._ask_self(request)
+        try:
+            async with self._connector.connect(peer) as session:
+                return await session.call(request)
+        except CONNECTION_ERRORS:
+            return None
+        except DatagramError as error:
+            self._node.events("copies_refused", by=peer, why=str(error))
+            return None
+
+    async def _ask_self(self, request: Request[AnswerT]) -> AnswerT | None:
+        node_id = self._node.id
+        answer = await self._server.answer(Envelope(node_id, node_id, request))
+        if isinstance(answer, Refusal):
+            return None
+        return cast("AnswerT", answer)  # the server answers each request with an answer of its type
+
+    async def ask_all(self, request: Request[AnswerT], but: Collection[str] = ()) -> dict[str, AnswerT]:
+        """Ask this node and all live ones at once, except `but`; return the answers that came."""
+        answers: dict[str, AnswerT] = {}
+
+        async def ask_one(peer: str) -> None:
+            answer = await self.ask(peer, request)
+            if answer is not None and not isinstance(answer, Refusal):
+                answers[peer] = answer
+
+        async with anyio.create_task_group() as tasks:
+            for peer in [self._node.id, *self._node.fleet.live_ids()]:
+                if peer not in but:
+                    tasks.start_soon(ask_one, peer)
+        return answers
--- a/pinspread/replication/placement.py
+++ b/pinspread/replication/placement.py
@@ -1,17 +1,23 @@
-"""Who keeps copies of whose work: rendezvous hashing over the live members (Thaler and Ravishankar, 1998).
+"""Which nodes store replicas of whose journal: rendezvous hashing (Thaler and Ravishankar, 1998).
 
-A member that comes or goes moves only what it keeps or would keep. No I/O, no clock.
+A node that comes or goes moves only the replicas that it stores or would store. No I/O, no clock.
 """
 
+from collections.abc import Iterable
+
 import xxhash
 
 
-def order(owner: str, members) -> list[str]:
-    """The other members, the one with the highest weight for this owner first."""
-    others = [m for m in set(members) if m != owner]
-    return sorted(others, key=lambda m: (-xxhash.xxh64_intdigest(f"{owner}\0{m}".encode()), m))
+def ranked_candidates(owner: str, node_ids: Iterable[str]) -> list[str]:
+    """Return the other nodes, the one with the highest weight for this owner first."""
+    others = [node_id for node_id in set(node_ids) if node_id != owner]
+    return sorted(others, key=lambda node_id: (-_weight(owner, node_id), node_id))
+
+
+def replicas_of(owner: str, node_ids: Iterable[str], count: int) -> list[str]:
+    """Return the nodes that store the owner's replicas; fewer than `count` if there are fewer."""
+    return ranked_candidates(owner, node_ids)[:count]
 
 
-def keepers(owner: str, members, count: int) -> list[str]:
-    """The members that keep copies of the owner's work; fewer if there are fewer."""
-    return order(owner, members)[:count]
+def _weight(owner: str, node_id: str) -> int:
+    return xxhash.xxh64_intdigest(f"{owner}\0{node_id}".encode())
--- /dev/null
+++ b/pinspread/replication/protocol.py
@@ -0,0 +1,282 @@
+"""The frames between nodes: typed requests and answers, and their form on the wire.
+
+A frame is a head of 12 bytes with the magic `PSC` and a msgpack map, as `membership.codec` seals them. The
+keys of these maps are named here and nowhere else. Each request has one answer.
+"""
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, Generic, TypeVar, cast
+
+from pinspread.membership.codec import DatagramError as DatagramError
+from pinspread.membership.codec import is_a, need
+from pinspread.replication.snapshots import ReplicaSnapshot
+
+MAGIC = b"PSC"
+MAX_FRAME_BYTES = 64 << 20  # a whole journal; [journal] disk_mb bounds it in fact
+MAX_SHOWN_KIND = 64  # characters of an unknown kind in a log line
+
+WireMessage = dict[str, Any]
+AnswerT = TypeVar("AnswerT")
+
+
+class RefusedError(DatagramError):
+    """The other node refused a request; the text is its reason."""
+
+
+# --- answers ----------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True)
+class ReplicaContent:
+    """What a replica holds: its generation, size in bytes, and the checksum of each range."""
+
+    generation: int
+    size: int
+    checksums: list[int]
+
+
+@dataclass(frozen=True)
+class Acknowledgement:
+    """The replica has stored `size` bytes of a generation."""
+
+    generation: int
+    size: int
+
+
+@dataclass(frozen=True)
+class Consent:
+    """What was asked for is done, or may be done."""
+
+
+@dataclass(frozen=True)
+class Refusal:
+    """The request is not granted, and nothing was changed."""
+
+    reason: str
+
+
+Answer = ReplicaContent | Acknowledgement | Consent | ReplicaSnapshot | Refusal
+
+
+# --- requests ---------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True)
+class Request(Generic[AnswerT]):
+    """A request about one owner's journal; the type parameter is its answer's type."""
+
+    owner: str
+
+
+@dataclass(frozen=True)
+class AnnounceReplicas(Request[ReplicaContent]):
+    """The owner is about to send: it names all of its replicas and asks what this one holds."""
+
+    fencing_token: int
+    replicas: list[str]
+
+
+@dataclass(frozen=True)
+class AppendData(Request[Acknowledgement]):
+    """The owner sends bytes of its journal.
+
+    Attributes:
+        fencing_token: Of the owner's lease of its own work.
+        generation: Of the journal.
+        base: How many bytes make the generation whole.
+        offset: Where the data begins, in bytes.
+        data: The bytes; what the replica holds behind them is cut off.
+    """
+
+    fencing_token: int
+    generation: int
+    base: int
+    offset: int
+    data: bytes
+
+
+@dataclass(frozen=True)
+class FetchSnapshot(Request[ReplicaSnapshot]):
+    """Ask for the replica and fence it: from now on nobody with an older token may append."""
+
+    fencing_token: int
+
+
+@dataclass(frozen=True)
+class ReadSnapshot(Request[ReplicaSnapshot]):
+    """Ask for the replica and change nothing."""
+
+
+@dataclass(frozen=True)
+class CompleteTakeover(Request[Consent | Refusal]):
+    """The sender has taken the owner's work over for good, under this token."""
+
+    fencing_token: int
+
+
+@dataclass(frozen=True)
+class RequestRemoval(Request[Consent | Refusal]):
+    """A node that the owner has chosen once asks the owner whether it may remove its replica."""
+
+
+@dataclass(frozen=True)
+class Envelope:
+    """A request as it came.
+
+    Attributes:
+        sender: The node that sent it.
+        recipient: The node that it is for.
+        request: What is asked.
+        has_negative_number: Whether any number of the message is below 0, which no request has.
+    """
+
+    sender: str
+    recipient: str
+    request: Request[Any]
+    has_negative_number: bool = False
+
+
+@dataclass(frozen=True)
+class _Layout:
+    """The wire form of a request.
+
+    Attributes:
+        request_type: The class of the request.
+        fields: Wire key -> the request's attribute and the type that the value must have.
+        only_from_owner: Only the owner sends it. Its keys then begin with the addresses and the token, as
+            the form on the wire always was.
+    """
+
+    request_type: type[Request[Any]]
+    fields: Mapping[str, tuple[str, type[Any]]]
+    only_from_owner: bool = False
+
+
+_ADDRESS_TYPES = {"from": str, "to": str, "owner": str}
+_TOKEN: dict[str, tuple[str, type[Any]]] = {"token": ("fencing_token", int)}
+_LAYOUTS: dict[str, _Layout] = {
+    "send": _Layout(AnnounceReplicas, _TOKEN | {"keepers": ("replicas", list)}, only_from_owner=True),
+    "data": _Layout(
+        AppendData,
+        _TOKEN
+        | {
+            "generation": ("generation", int),
+            "base": ("base", int),
+            "at": ("offset", int),
+            "bytes": ("data", bytes),
+        },
+        only_from_owner=True,
+    ),
+    "fetch": _Layout(FetchSnapshot, _TOKEN),
+    "read": _Layout(ReadSnapshot, {}),
+    "done": _Layout(CompleteTakeover, _TOKEN),
+    "spare": _Layout(RequestRemoval, {}),
+}
+_KINDS: dict[type[Request[Any]], str] = {layout.request_type: kind for kind, layout in _LAYOUTS.items()}
+
+
+def is_only_from_owner(request: Request[Any]) -> bool:
+    """Return whether a request of this type may come from the owner alone."""
+    return _LAYOUTS[_KINDS[type(request)]].only_from_owner
+
+
+def encode_request(request: Request[Any], sender: str, recipient: str) -> WireMessage:
+    """Return the map that goes on the wire."""
+    kind = _KINDS[type(request)]
+    layout = _LAYOUTS[kind]
+    fields = {key: getattr(request, name) for key, (name, _) in layout.fields.items()}
+    address = {"from": sender, "to": recipient}
+    if layout.only_from_owner:
+        token = {"token": fields.pop("token")}
+        return address | {"owner": request.owner} | token | {"t": kind} | fields
+    return {"t": kind, "owner": request.owner} | fields | address
+
+
+def decode_request(message: WireMessage) -> Envelope:
+    """Return the request in a map.
+
+    Raises:
+        DatagramError: The kind is unknown, or a field is missing or of another type.
+    """
+    kind = message.get("t")
+    if kind not in _LAYOUTS:
+        raise DatagramError(f"kind {str(kind)[:MAX_SHOWN_KIND]!r}")
+    layout = _LAYOUTS[kind]
+    need(message, _ADDRESS_TYPES | {key: type_ for key, (_, type_) in layout.fields.items()})
+    values = {name: message[key] for key, (name, _) in layout.fields.items()}
+    request = layout.request_type(message["owner"], **values)
+    negative = any(is_a(value, int) and value < 0 for value in message.values())
+    return Envelope(message["from"], message["to"], request, negative)
+
+
+def encode_answer(answer: Answer) -> WireMessage:
+    """Return the map that goes on the wire."""
+    match answer:
+        case ReplicaContent(generation, size, checksums):
+            return {"t": "have", "generation": generation, "size": size, "sums": checksums}
+        case Acknowledgement(generation, size):
+            return {"t": "ack", "generation": generation, "size": size}
+        case Consent():
+            return {"t": "ack"}
+        case Refusal(reason):
+            return {"t": "no", "why": reason}
+        case ReplicaSnapshot():
+            return _encode_snapshot(answer)
+
+
+def _encode_snapshot(snapshot: ReplicaSnapshot) -> WireMessage:
+    return {
+        "t": "copy",
+        "generation": snapshot.generation,
+        "bytes": snapshot.data,
+        "keepers": snapshot.replicas,
+        "tried": snapshot.takeover_candidates,
+        "adopted": snapshot.takeover_token,
+    }
+
+
+def decode_answer(request: Request[AnswerT], message: WireMessage) -> AnswerT:
+    """Return the answer to a request.
+
+    Raises:
+        RefusedError: The other node refused.
+        DatagramError: A field is missing or of another type.
+    """
+    if message.get("t") == "no":
+        raise RefusedError(str(message.get("why")))
+    return cast("AnswerT", _ANSWER_DECODERS[type(request)](message))
+
+
+def _decode_content(message: WireMessage) -> ReplicaContent:
+    need(message, {"generation": int, "size": int, "sums": list})
+    return ReplicaContent(message["generation"], message["size"], message["sums"])
+
+
+def _decode_acknowledgement(message: WireMessage) -> Acknowledgement:
+    need(message, {"generation": int, "size": int})
+    return Acknowledgement(message["generation"], message["size"])
+
+
+def _decode_snapshot(message: WireMessage) -> ReplicaSnapshot:
+    return ReplicaSnapshot(
+        message["generation"],
+        message["bytes"],
+        message["keepers"],
+        message["tried"],
+        message["adopted"],
+    )
+
+
+def _decode_consent(message: WireMessage) -> Consent | Refusal:
+    return Consent() if message.get("t") == "ack" else Refusal(f"answered {message.get('t')}")
+
+
+_ANSWER_DECODERS: dict[type[Request[Any]], Callable[[WireMessage], object]] = {
+    AnnounceReplicas: _decode_content,
+    AppendData: _decode_acknowledgement,
+    FetchSnapshot: _decode_snapshot,
+    ReadSnapshot: _decode_snapshot,
+    CompleteTakeover: _decode_consent,
+    RequestRemoval: _decode_consent,
+}
--- /dev/null
+++ b/pinspread/replication/recovery.py
@@ -0,0 +1,191 @@
+"""Restoring this node's own journal at a start, and giving up what others have taken over."""
+
+from dataclasses import dataclass
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import anyio
+
+from pinspread.core.log import log
+from pinspread.errors import JournalFullError
+from pinspread.replication import journal_bytes, snapshots
+from pinspread.replication.ownership import is_first_token
+from pinspread.replication.store import GenerationFile
+
+if TYPE_CHECKING:
+    from pinspread.core.engine import DeliveryEngine
+    from pinspread.replication.node import ReplicationNode
+    from pinspread.replication.primary import Primary
+    from pinspread.replication.snapshots import ReplicaSnapshot, Snapshots
+    from pinspread.replication.survey import ReplicaSurvey
+
+JOIN_TIMEOUT_S = 2.0  # how long a start waits for other nodes before it takes itself for the first
+JOIN_POLL_S = 0.05
+LEASE_POLL_S = 0.02
+RETRY_S = 0.2
+CONFIRM_INTERVAL_S = 0.1
+DAMAGED_FILE = "journal.damaged"
+
+
+@dataclass(frozen=True)
+class ReleasedWork:
+    """What of this node's work others owe by now.
+
+    Attributes:
+        ids: Of the messages.
+        taken_over: Whether all of the work was taken over for good.
+        complete: Whether all that was taken over must be known by this, or was waited for long enough.
+    """
+
+    ids: set[str]
+    taken_over: bool
+    complete: bool
+
+
+@dataclass(frozen=True)
+class OwnJournal:
+    """The journal as it lies on this node's disk; `data` is empty if there is none."""
+
+    exists: bool
+    data: bytes
+
+    @property
+    def is_intact(self) -> bool:
+        """Whether it is there and undamaged; a record that was cut short as it was written is no damage."""
+        return self.exists and journal_bytes.is_intact(self.data)
+
+    @property
+    def is_damaged(self) -> bool:
+        """Whether it holds data that cannot be read to its end."""
+        return bool(self.data) and not self.is_intact
+
+    @classmethod
+    def read(cls, path: Path) -> "OwnJournal":
+        """Read it; OSError if the disk does not give it."""
+        if not path.exists():
+            return cls(False, b"")
+        return cls(True, path.read_bytes())
+
+
+class JournalRecovery:
+    """Brings this node's journal to what the replicas know, at a start and after its lease was lost."""
+
+    def __init__(
+        self, node: "ReplicationNode", engine: "DeliveryEngine", primary: "Primary", survey: "ReplicaSurvey"
+    ) -> None:
+        self._node = node
+        self._engine = engine
+        self._primary = primary
+        self._survey = survey
+
+    # --- at a start ---------------------------------------------------------------------------------
+
+    async def recover(self) -> None:
+        """Hold the lease of the own work, and have its journal as the replicas have it if that is newer.
+
+        Raises:
+            OSError: The journal cannot be read or written.
+            JournalFormatError: It is of a form that this version does not know.
+        """
+        await self._wait_for_fleet()
+        self._node.ownership.request(self._node.id)
+        while True:
+            token = await self._acquire_lease()
+            found = await self._survey.fetch(self._node.id, token)
+            if self._may_go_by(found, token):
+                released = await self._released_work(found)
+                if released.complete:
+                    break
+            await anyio.sleep(RETRY_S)
+        self.restore(found, released)
+        generations = (snapshot.generation for snapshot in found.values())
+        self._primary.log.generation_floor = max(generations, default=0)
+        self._node.ownership.confirmed_fencing_token = token
+
+    async def _wait_for_fleet(self) -> None:
+        with anyio.move_on_after(JOIN_TIMEOUT_S):
+            while not self._node.fleet.live_ids():
+                await anyio.sleep(JOIN_POLL_S)
+
+    async def _acquire_lease(self) -> int:
+        while not (token := self._node.ownership.own_token()):
+            await anyio.sleep(LEASE_POLL_S)
+        return token
+
+    def _may_go_by(self, found: "Snapshots", token: int) -> bool:
+        """Return whether nothing that was promised is missing.
+
+        Without its own journal, what this node promised may be on a replica that does not answer yet. Only a
+        node that is granted its lease for the first time has promised nothing before.
+        """
+        if self._read_own_journal().is_intact or is_first_token(token):
+            return True
+        return self._survey.is_complete(self._node.id, found)
+
+    def _read_own_journal(self) -> OwnJournal:
+        return OwnJournal.read(self._engine.journal.path)
+
+    def restore(self, found: "Snapshots", released: ReleasedWork) -> None:
+        """Replace the journal's file by a newer replica, and drop from it what others owe by now."""
+        newest = snapshots.newest_of(found.values())
+        own = self._read_own_journal()
+        if newest and self._is_newer(newest, own):
+            self._replace_journal(newest, own)
+        elif own.is_damaged:
+            at = journal_bytes.whole_length(own.data)
+            log("copies_lost", id=self._node.id, at=at, warning="damaged, and no newer copy was found")
+        if released.ids:
+            self._drop_released(released)
+
+    def _is_newer(self, newest: "ReplicaSnapshot", own: OwnJournal) -> bool:
+        if not own.is_intact:
+            return True
+        own_generation = GenerationFile(self._engine.journal.path).read()
+        own_length = journal_bytes.whole_length(own.data)
+        return (newest.generation, len(newest.data)) > (own_generation, own_length)
+
+    def _replace_journal(self, newest: "ReplicaSnapshot", own: OwnJournal) -> None:
+        path = self._engine.journal.path
+        why = "damaged" if own.is_damaged else "older" if own.exists else "missing"
+        self._node.events("copies_restored", why=why, bytes=len(newest.data), was=len(own.data))
+        if own.is_damaged:
+            path.with_name(DAMAGED_FILE).write_bytes(own.data)
+        path.write_bytes(newest.data)
+
+    def _drop_released(self, released: ReleasedWork) -> None:
+        folder = self._engine.journal.path.parent
+        count = journal_bytes.drop_messages(folder, self._engine.settings.disk_bytes, released.ids)
+        self._node.events("copies_gave_up", count=count, adopted=released.taken_over)
+
+    # --- after the lease was lost -------------------------------------------------------------------
+
+    async def run(self) -> None:
+        """Confirm each new token of the own work's lease, until cancelled."""
+        while True:
+            await anyio.sleep(CONFIRM_INTERVAL_S)
+            token = self._node.ownership.own_token()
+            is_confirmed = token == self._node.ownership.confirmed_fencing_token
+            if token and not is_confirmed and self._engine.serving:
+                await self._confirm(token)
+
+    async def _confirm(self, token: int) -> None:
+        """Give up what others took over meanwhile, then let the engine promise again."""
+        found = await self._survey.fetch(self._node.id, token)
+        released = await self._released_work(found)
+        if not released.complete or self._node.ownership.own_token() != token:
+            return
+        try:
+            count = self._engine.release(released.ids)
+        except JournalFullError as error:
+            self._node.events("copies_kept_on", error=str(error))
+            return
+        self._node.ownership.confirmed_fencing_token = token
+        self._node.events("copies_gave_up", count=count, adopted=released.taken_over)
+
+    async def _released_work(self, found: "Snapshots") -> ReleasedWork:
+        ids, complete = await self._survey.ids_held_by_candidates(found, but=self._node.id)
+        newest = snapshots.newest_of(found.values())
+        taken_over = snapshots.is_taken_over(found)
+        if newest and taken_over:
+            ids |= {message.id for message in journal_bytes.replay(newest.data).open_messages}
+        return ReleasedWork(ids, taken_over, complete)
--- /dev/null
+++ b/pinspread/replication/snapshots.py
@@ -0,0 +1,87 @@
+"""Replicas as nodes answer with them: which is the newest, and whether all that matters has answered.
+
+Decisions alone, with no I/O and no clock.
+"""
+
+from collections.abc import Collection, Iterable, Mapping
+from dataclasses import dataclass, replace
+
+from pinspread.replication.journal_bytes import whole_length
+
+
+@dataclass(frozen=True)
+class ReplicaSnapshot:
+    """One node's replica of an owner's journal, at one time.
+
+    Attributes:
+        generation: Of the data; 0 if the node holds nothing.
+        data: The newest whole generation.
+        replicas: The nodes that the owner replicates to, as it last told this one.
+        takeover_candidates: Nodes that have begun to take the owner's work over.
+        takeover_token: The token under which the work was taken over for good; 0 if it was not.
+    """
+
+    generation: int
+    data: bytes
+    replicas: list[str]
+    takeover_candidates: list[str]
+    takeover_token: int
+
+
+Snapshots = Mapping[str, ReplicaSnapshot]  # by the node that answered
+
+
+def newest_of(snapshots: Iterable[ReplicaSnapshot]) -> ReplicaSnapshot | None:
+    """Return the longest of the newest generation; None if none holds anything."""
+    held = (snapshot for snapshot in snapshots if snapshot.generation)
+    return max(held, key=lambda snapshot: (snapshot.generation, len(snapshot.data)), default=None)
+
+
+def is_taken_over(snapshots: Snapshots) -> bool:
+    """Return whether the newest generation was taken over for good, as one of the replicas says."""
+    newest = newest_of(snapshots.values())
+    return newest is not None and any(
+        snapshot.takeover_token and snapshot.generation == newest.generation
+        for snapshot in snapshots.values()
+    )
+
+
+def takeover_candidates(snapshots: Snapshots) -> set[str]:
+    """Return all nodes that have begun to take the work over."""
+    return {candidate for snapshot in snapshots.values() for candidate in snapshot.takeover_candidates}
+
+
+def replica_sets(snapshots: Snapshots) -> list[list[str]]:
+    """Return the owner's replicas as each holder of the newest generation was told."""
+    newest = newest_of(snapshots.values())
+    if newest is None:
+        return []
+    return [s.replicas for s in snapshots.values() if s.generation == newest.generation]
+
+
+def covers_promises(
+    answered: Collection[str], chosen: Collection[Collection[str]], replica_count: int, required_acks: int
+) -> bool:
+    """Return whether all that was promised must be among the replicas that answered.
+
+    A promise is on `required_acks` of the `replica_count` replicas, so `replica_count - required_acks + 1` of
+    them have one that holds it.
+
+    Args:
+        answered: The nodes that answered, those that hold nothing among them.
+        chosen: The owner's replicas as each holder was told, which differ while the owner changes them.
+        replica_count: How many replicas the owner wants.
+        required_acks: How many it waits for.
+    """
+    return bool(chosen) and all(
+        len(set(answered) & set(replicas)) >= max(1, min(replica_count, len(replicas)) - required_acks + 1)
+        for replicas in chosen
+    )
+
+
+def without_torn_tails(snapshots: Snapshots) -> dict[str, ReplicaSnapshot]:
+    """Return the snapshots, the data of each up to its last whole record."""
+    return {
+        node_id: replace(snapshot, data=snapshot.data[: whole_length(snapshot.data)])
+        for node_id, snapshot in snapshots.items()
+    }
--- a/pinspread/replication/store.py
+++ b/pinspread/replication/store.py
@@ -1,83 +1,182 @@
-"""A keeper's files: one folder an owner, with the copy's bytes and what is known of it."""
+"""Replication's files: a folder for each owner's replica, and the generation of the node's own journal.
+
+An owner's folder holds `meta` (JSON, what is known beside the data), `journal.N` (the data of generation N)
+and `coming` (a generation that is not whole yet). The stored keys of `meta` are named here and nowhere else.
+"""
 
 import os
-from dataclasses import asdict
+from collections.abc import Iterator
 from pathlib import Path
 
 import anyio
 import orjson
 
 from pinspread.core.log import log
-from pinspread.replication import log as copies
+from pinspread.replication.replica import Replica, WriteTarget
 
-LASTS = ("owner", "token", "keepers", "tried", "adopted")
+# The keys of the `meta` file, and the fields of `Replica` that they hold.
+STORED_FIELDS = {
+    "owner": "owner",
+    "token": "fencing_token",
+    "keepers": "replicas",
+    "tried": "takeover_candidates",
+    "adopted": "takeover_token",
+}
+META_FILE = "meta"
+INCOMING_FILE = "coming"
+GENERATION_FILE = "copies.generation"
 
 
 class ReplicaStore:
-    """One owner's copy on disk; `kept` decides, this writes. OSError if the disk does not take it."""
+    """One owner's replica on disk. Methods raise OSError if the disk does not take what they write.
+
+    Attributes:
+        replica: Decides; the store writes.
+        lock: Held by whoever decides by `replica` and writes.
+    """
 
-    def __init__(self, folder: Path, owner: str):
+    def __init__(self, folder: Path, owner: str) -> None:
         self.folder = folder / owner
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.kept = copies.Replica(owner)
-        self.lock = anyio.Lock()  # whoever decides by `kept` and writes
+        self.replica = Replica(owner)
+        self.lock = anyio.Lock()
+        self._read_meta()
+        self._find_newest_generation()
+
+    def _read_meta(self) -> None:
         try:
-            for name, value in orjson.loads((self.folder / "meta").read_bytes()).items():
-                setattr(self.kept, name, value)
+            for key, value in orjson.loads((self.folder / META_FILE).read_bytes()).items():
+                if key in STORED_FIELDS:
+                    setattr(self.replica, STORED_FIELDS[key], value)
         except FileNotFoundError:
             pass
         except (orjson.JSONDecodeError, AttributeError) as error:
-            log("copies_meta_damaged", owner=owner, error=str(error))
-        for path in self.folder.glob("journal.*"):
-            if path.suffix[1:].isdigit() and int(path.suffix[1:]) > self.kept.generation:
-                self.kept.generation, self.kept.size = int(path.suffix[1:]), path.stat().st_size
+            log("copies_meta_damaged", owner=self.replica.owner, error=str(error))
 
-    def save(self):
-        """Write what is known beside the bytes; before it is said."""
-        fresh = self.folder / "meta.new"
-        found = asdict(self.kept)
-        fresh.write_bytes(orjson.dumps({name: found[name] for name in LASTS}))
-        os.replace(fresh, self.folder / "meta")
+    def _find_newest_generation(self) -> None:
+        for path in self.folder.glob("journal.*"):
+            suffix = path.suffix[1:]
+            if suffix.isdigit() and int(suffix) > self.replica.generation:
+                self.replica.generation = int(suffix)
+                self.replica.size = path.stat().st_size
 
-    def _path(self, generation):
-        return self.folder / f"journal.{generation}"
+    def save(self) -> None:
+        """Write what is known beside the data; called before it is told to another node."""
+        fresh = self.folder / f"{META_FILE}.new"
+        stored = {key: getattr(self.replica, name) for key, name in STORED_FIELDS.items()}
+        fresh.write_bytes(orjson.dumps(stored))
+        os.replace(fresh, self.folder / META_FILE)
 
     def data(self) -> bytes:
-        """The newest whole generation."""
-        path = self._path(self.kept.generation)
+        """Return the newest whole generation."""
+        path = self._journal_path(self.replica.generation)
         return path.read_bytes() if path.exists() else b""
 
-    def clear(self):
-        """Let the bytes go; what is known of tokens stays."""
-        for path in [*self.folder.glob("journal.*"), *self.folder.glob("coming")]:
+    def clear(self) -> None:
+        """Remove the data; what is known of tokens stays."""
+        for path in [*self.folder.glob("journal.*"), *self.folder.glob(INCOMING_FILE)]:
             path.unlink()
-        kept = self.kept
-        kept.generation = kept.size = kept.coming = kept.coming_size = kept.coming_base = 0
+        self.replica.clear()
         self.save()
 
-    def write(self, where: str, at: int, data: bytes, sync: bool = False):
-        """Put bytes at a place of the old or the new file, and cut what is behind them."""
-        path = self.folder / "coming" if where == "new" else self._path(self.kept.generation)
-        fd = os.open(path, os.O_CREAT | os.O_WRONLY, 0o600)
-        try:
-            os.ftruncate(fd, at)
-            while data:
-                done = os.pwrite(fd, data, at)
-                data, at = data[done:], at + done
-            if sync:
-                os.fdatasync(fd)
-        finally:
-            os.close(fd)
-        before = self.kept.generation
-        if where == "new" and self.kept.whole():
-            os.replace(path, self._path(self.kept.generation))
+    def write(self, target: WriteTarget, offset: int, data: bytes, sync: bool = False) -> None:
+        """Write data at an offset of a file, and cut what is behind it.
+
+        Args:
+            target: The file, as `Replica.place` decided.
+            offset: In bytes.
+            data: What to write.
+            sync: Return only once it is on the disk.
+        """
+        incoming = target is WriteTarget.INCOMING
+        path = self.folder / INCOMING_FILE if incoming else self._journal_path(self.replica.generation)
+        _write_at(path, offset, data, sync)
+        previous = self.replica.generation
+        if incoming and self.replica.promote_incoming():
+            os.replace(path, self._journal_path(self.replica.generation))
             self.save()
             if sync:
                 _sync_folder(self.folder)
-            self._path(before).unlink(missing_ok=True)
+            self._journal_path(previous).unlink(missing_ok=True)
+
+    def _journal_path(self, generation: int) -> Path:
+        return self.folder / f"journal.{generation}"
+
+
+class ReplicaStores:
+    """The stores of all owners that this node has, or had, a replica of."""
+
+    def __init__(self, folder: Path) -> None:
+        self.folder = folder
+        self._stores: dict[str, ReplicaStore] = {}
+
+    def open(self) -> None:
+        """Read what the folder holds; OSError if that cannot be done."""
+        self.folder.mkdir(parents=True, exist_ok=True)
+        for path in self.folder.iterdir():
+            if path.is_dir():
+                self._stores[path.name] = ReplicaStore(self.folder, path.name)
+
+    def get_or_create(self, owner: str) -> ReplicaStore:
+        """Return an owner's store, made if there is none; OSError if its folder cannot be had."""
+        if owner not in self._stores:
+            self._stores[owner] = ReplicaStore(self.folder, owner)
+        return self._stores[owner]
+
+    def owners(self) -> list[str]:
+        """Return the owners, in the order that they came."""
+        return list(self._stores)
+
+    def __getitem__(self, owner: str) -> ReplicaStore:
+        """Return an owner's store; KeyError if there is none."""
+        return self._stores[owner]
+
+    def __contains__(self, owner: str) -> bool:
+        """Return whether there is a store of the owner."""
+        return owner in self._stores
+
+    def __iter__(self) -> Iterator[str]:
+        """Iterate over the owners."""
+        return iter(self._stores)
+
+    def __len__(self) -> int:
+        """Return how many owners there are."""
+        return len(self._stores)
+
+
+class GenerationFile:
+    """The file beside the node's own journal that says which generation the journal is."""
+
+    def __init__(self, journal_path: Path) -> None:
+        self.path = journal_path.parent / GENERATION_FILE
+
+    def read(self) -> int:
+        """Return the generation, 0 if the file does not say."""
+        if not self.path.exists():
+            return 0
+        text = self.path.read_text()
+        return int(text) if text.isdigit() else 0
+
+    def write(self, generation: int) -> None:
+        """Store the generation; OSError if the disk does not take it."""
+        self.path.write_text(str(generation))
+
+
+def _write_at(path: Path, offset: int, data: bytes, sync: bool) -> None:
+    fd = os.open(path, os.O_CREAT | os.O_WRONLY, 0o600)
+    try:
+        os.ftruncate(fd, offset)
+        while data:
+            written = os.pwrite(fd, data, offset)
+            data = data[written:]
+            offset += written
+        if sync:
+            os.fdatasync(fd)
+    finally:
+        os.close(fd)
 
 
-def _sync_folder(folder):
+def _sync_folder(folder: Path) -> None:
     """Have the names of its files on the disk."""
     fd = os.open(folder, os.O_RDONLY)
     try:
--- /dev/null
+++ b/pinspread/replication/survey.py
@@ -0,0 +1,103 @@
+"""Collecting all replicas of one owner's journal, and knowing when they are all that matters."""
+
+from enum import Enum
+from typing import TYPE_CHECKING
+
+from pinspread.core.log import log
+from pinspread.replication import clock, snapshots
+from pinspread.replication.journal_bytes import replay
+from pinspread.replication.protocol import FetchSnapshot, ReadSnapshot
+from pinspread.replication.snapshots import Snapshots
+
+if TYPE_CHECKING:
+    from pinspread.replication.node import ReplicationNode
+    from pinspread.replication.peers import PeerClient
+
+
+class SurveyPurpose(Enum):
+    """What replicas are asked for; waits for each are apart. The values stand in log lines."""
+
+    OWN_WORK = "own"
+    TAKEN_OVER_WORK = "taken over by"
+
+
+class ReplicaSurvey:
+    """Asks all live nodes for replicas, and bounds the wait for those that do not answer."""
+
+    def __init__(self, node: "ReplicationNode", peers: "PeerClient") -> None:
+        self._node = node
+        self._peers = peers
+        self._incomplete_since_us: dict[tuple[SurveyPurpose, str], int] = {}
+
+    async def fetch(self, owner: str, token: int) -> Snapshots:
+        """Return every live node's replica of an owner's journal, fenced against all older tokens."""
+        answers = await self._peers.ask_all(FetchSnapshot(owner, token), but=(owner,))
+        return _checked(answers)
+
+    def is_complete(
+        self, owner: str, found: Snapshots, purpose: SurveyPurpose = SurveyPurpose.OWN_WORK
+    ) -> bool:
+        """Return whether what was promised must be among these replicas, or was waited for long enough."""
+        replica_sets = snapshots.replica_sets(found)
+        # A replica that the owner has just chosen anew may not answer, and hold what the others lack.
+        if snapshots.covers_promises(
+            found, replica_sets, self._node.config.replica_count, self._node.config.required_acks
+        ):
+            self._incomplete_since_us.pop((purpose, owner), None)
+            return True
+        return self._has_waited_enough(owner, found, replica_sets, purpose)
+
+    def _has_waited_enough(
+        self, owner: str, found: Snapshots, replica_sets: list[list[str]], purpose: SurveyPurpose
+    ) -> bool:
+        key = (purpose, owner)
+        is_first = key not in self._incomplete_since_us
+        since_us = self._incomplete_since_us.setdefault(key, clock.monotonic_us())
+        is_late = clock.monotonic_us() - since_us >= self._node.config.incomplete_timeout_us
+        if is_first or is_late:
+            self._node.events(
+                "copies_unsure" if is_late else "copies_awaited",
+                owner=owner,
+                wanted=purpose.value,
+                answered=sorted(found),
+                of=replica_sets,
+            )
+        if is_late:
+            del self._incomplete_since_us[key]
+        return is_late
+
+    def forget(self, owner: str) -> None:
+        """Forget a wait for replicas of an owner whose work is not due for another any more."""
+        self._incomplete_since_us.pop((SurveyPurpose.OWN_WORK, owner), None)
+
+    async def ids_held_by_candidates(self, found: Snapshots, but: str) -> tuple[set[str], bool]:
+        """Return the ids in the journals of others that have begun to take this work over.
+
+        Args:
+            found: The replicas of this work.
+            but: A node that is left out: this one.
+
+        Returns:
+            The ids, and whether these replicas must hold all of them, or were waited for long enough.
+        """
+        ids: set[str] = set()
+        complete = True
+        for candidate in snapshots.takeover_candidates(found) - {but}:
+            journals = _checked(await self._peers.ask_all(ReadSnapshot(candidate)))
+            # What it took over and has begun to send would be sent from here as well.
+            complete = self.is_complete(candidate, journals, SurveyPurpose.TAKEN_OVER_WORK) and complete
+            newest = snapshots.newest_of(journals.values())
+            if newest:
+                replayed = replay(newest.data)
+                ids |= {message.id for message in replayed.open_messages} | replayed.finished_ids
+        return ids, complete
+
+
+def _checked(answers: Snapshots) -> Snapshots:
+    """Return the answers up to the last whole record of each; what is cut off is logged."""
+    whole = snapshots.without_torn_tails(answers)
+    for node_id, snapshot in whole.items():
+        place, size = len(snapshot.data), len(answers[node_id].data)
+        if place < size:
+            log("copies_damaged", at=node_id, place=place, size=size, mono_us=clock.monotonic_us())
+    return whole
--- /dev/null
+++ b/pinspread/replication/takeover.py
@@ -0,0 +1,95 @@
+"""Taking one lost node's work over, under the lease of that work."""
+
+from enum import Enum, auto
+from typing import TYPE_CHECKING
+
+from pinspread.replication import snapshots
+from pinspread.replication.journal_bytes import replay
+from pinspread.replication.protocol import CompleteTakeover
+
+if TYPE_CHECKING:
+    from pinspread.core.engine import DeliveryEngine
+    from pinspread.core.messages import Message
+    from pinspread.replication.node import ReplicationNode
+    from pinspread.replication.peers import PeerClient
+    from pinspread.replication.primary import Primary
+    from pinspread.replication.survey import ReplicaSurvey
+
+
+class TakeoverResult(Enum):
+    """How an attempt to take over has ended."""
+
+    DEFERRED = auto()  # not all that matters is known, or the lease was lost: tried again
+    ALREADY_DONE = auto()  # another node has taken the work over for good
+    TAKEN_OVER = auto()
+
+
+class Takeover:
+    """Collects a lost owner's replicas and has the engine owe what is in them."""
+
+    def __init__(
+        self,
+        node: "ReplicationNode",
+        engine: "DeliveryEngine",
+        primary: "Primary",
+        peers: "PeerClient",
+        survey: "ReplicaSurvey",
+    ) -> None:
+        self._node = node
+        self._engine = engine
+        self._primary = primary
+        self._peers = peers
+        self._survey = survey
+        self._accepted_ids: dict[str, set[str]] = {}  # by owner
+
+    async def attempt(self, owner: str, token: int) -> TakeoverResult:
+        """Take an owner's work over, if all that it promised is among the replicas that answer.
+
+        Args:
+            owner: The lost node.
+            token: The fencing token of its work's lease, which this node holds.
+
+        Raises:
+            JournalFullError: The work does not fit into this node's journal; part of it may be owed here.
+            JournalFormatError: The owner's journal is of a form that this version does not know.
+            OSError: A disk does not take what is written.
+        """
+        found = await self._survey.fetch(owner, token)
+        newest = snapshots.newest_of(found.values())
+        if newest is None or not self._survey.is_complete(owner, found):
+            return TakeoverResult.DEFERRED
+        if snapshots.is_taken_over(found):
+            return TakeoverResult.ALREADY_DONE
+        held_by_others, complete = await self._survey.ids_held_by_candidates(found, but=self._node.id)
+        if not complete:
+            return TakeoverResult.DEFERRED
+        messages = replay(newest.data).open_messages
+        # The lease may have ended while the others were asked; the owner or another may act by now.
+        if self._node.ownership.token(owner) != token or self._primary.blocked_reason():
+            return TakeoverResult.DEFERRED
+        self._accept(owner, token, messages, held_by_others)
+        return await self._complete(owner, token)
+
+    def _accept(self, owner: str, token: int, messages: "list[Message]", held_by_others: set[str]) -> None:
+        """Have the engine owe what no other node has taken over before."""
+        accepted = [message for message in messages if message.id not in held_by_others]
+        count = self._engine.take_over(accepted)
+        self._accepted_ids[owner] = {message.id for message in accepted}
+        self._node.events("copies_taken_over", owner=owner, token=token, count=count, held=len(messages))
+
+    async def _complete(self, owner: str, token: int) -> TakeoverResult:
+        """Say to all that the work was taken over, once it is on this node's own replicas."""
+        while not await self._primary.wait_replicated():
+            if self._node.ownership.token(owner) != token:
+                return TakeoverResult.DEFERRED
+        await self._peers.ask_all(CompleteTakeover(owner, token))
+        return TakeoverResult.TAKEN_OVER
+
+    async def stand_down(self, owner: str) -> None:
+        """Contend no longer for an owner's work, once all that was taken over of it has ended."""
+        self._survey.forget(owner)
+        # Given back sooner, the owner would send its next message of a key before this node's last.
+        still_open = self._accepted_ids.get(owner, set()) & self._engine.ids.keys()
+        if owner != self._node.id and not still_open:
+            self._accepted_ids.pop(owner, None)
+            await self._node.ownership.release(owner)
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -19,8 +19,13 @@
 from pinspread.leases import state_machine as lease
 from pinspread.membership import codec as wire
 from pinspread.membership import swim
-from pinspread.replication import service as copying
-from pinspread.replication import store as shelf
+from pinspread.replication import clock, protocol
+from pinspread.replication.config import ReplicationConfig
+from pinspread.replication.peers import PeerSession
+from pinspread.replication.recovery import ReleasedWork
+from pinspread.replication.service import ReplicationService
+from pinspread.replication.snapshots import ReplicaSnapshot
+from pinspread.replication.store import GENERATION_FILE, ReplicaStore
 
 KEY = b"fleet-a"
 ADDRESSES = {name: f"127.0.0.1:{port}" for name, port in (("a", 7001), ("b", 7002), ("c", 7003))}
@@ -30,7 +35,7 @@
 MEMBERS_MAGIC, LEASES_MAGIC, COPIES_MAGIC, VOTERS_MAGIC = (
     wire.MAGIC,
     leases.MAGIC,
-    copying.MAGIC,
+    protocol.MAGIC,
     quorum.MAGIC,
 )
 pack, unpack_member, unpack, DatagramError = wire.pack, wire.unpack, wire.whole, wire.DatagramError
@@ -98,48 +103,107 @@
 
 def copier(id_, folder, holds):
     """A member's copies; `holds(task)` is the token that it holds."""
-    told = copying.ReplicationConfig(ADDRESSES[id_], str(folder), check_us=10_000)
+    told = ReplicationConfig(ADDRESSES[id_], str(folder), check_interval_us=10_000)
     told_leases = SimpleNamespace(holds=holds)
-    found = copying.ReplicationService(told, membership(id_, lambda: 0), told_leases)
-    found.folder.mkdir(parents=True, exist_ok=True)
+    found = ReplicationService(told, membership(id_, lambda: 0), told_leases)
+    found.stores.open()
     return found
 
 
+def with_journal(found, path):
+    """Let it copy the journal at a path."""
+    found.attach(SimpleNamespace(journal=SimpleNamespace(path=Path(path))))
+
+
+def chosen_to_copy(found, others, token):
+    """It has chosen these others, and knows under this token what was taken over."""
+    found.primary.replicas, found.node.ownership.confirmed_fencing_token = others, token
+
+
+def rewritten(found, data):
+    """Its journal was written anew."""
+    found.primary.rewritten(data)
+
+
+def appended(found, data):
+    """Its journal has grown."""
+    found.primary.appended(data)
+
+
+def generation_of(found):
+    return found.primary.log.generation
+
+
+async def send_on(found, other, pipe, token):
+    """Send its journal on a stream for as long as it holds the token."""
+    await found.primary.send_journal(other, PeerSession(pipe, found.node.id, other), token)
+
+
+async def answered(found, message):
+    """What it answers to a message, both in their form on the wire."""
+    return await found.server.handle(message)
+
+
+def dials(found, dial, live):
+    """It gets its streams from `dial`, and takes these others to live."""
+    found.connector._dial, found.node.fleet.live_ids = dial, lambda: live
+
+
+async def fetch_all(found, owner, token):
+    """All copies of an owner's journal, each in its form on the wire."""
+    copies = await found.recovery._survey.fetch(owner, token)
+    return {other: protocol.encode_answer(copy) for other, copy in copies.items()}
+
+
+async def read_all(found, owner):
+    await found.peers.ask_all(protocol.ReadSnapshot(owner))
+
+
+async def done_all(found, owner, token):
+    await found.peers.ask_all(protocol.CompleteTakeover(owner, token))
+
+
+async def ask_fetch(found, other, owner, token):
+    await found.peers.ask(other, protocol.FetchSnapshot(owner, token))
+
+
+async def ask_spare(found, other, owner):
+    await found.peers.ask(other, protocol.RequestRemoval(owner))
+
+
 @contextmanager
 def standing_clock():
     """Copies read this time of the machine and this Unix time."""
     with (
-        mock.patch.object(copying, "machine_us", lambda: 5_000_000),
-        mock.patch.object(copying, "machine_unix_us", lambda: 1_790_000_000_000_000),
+        mock.patch.object(clock, "monotonic_us", lambda: 5_000_000),
+        mock.patch.object(clock, "unix_us", lambda: 1_790_000_000_000_000),
     ):
         yield
 
 
-GENERATION_FILE = copying.GENERATION
-
-
 def told_copy(folder, owner):
     """What a keeper knows of a copy that lies in its folder, and the bytes."""
-    found = shelf.ReplicaStore(Path(folder), owner)
-    kept = found.kept
-    told = {"owner": kept.owner, "token": kept.token, "keepers": kept.keepers, "tried": kept.tried}
-    told |= {"adopted": kept.adopted, "generation": kept.generation, "size": kept.size}
+    found = ReplicaStore(Path(folder), owner)
+    kept = found.replica
+    told = {"owner": kept.owner, "token": kept.fencing_token, "keepers": kept.replicas}
+    told |= {"tried": kept.takeover_candidates, "adopted": kept.takeover_token}
+    told |= {"generation": kept.generation, "size": kept.size}
     return told | {"data": found.data().decode("latin-1")}
 
 
 def rewrite_copy(folder, owner):
     """Write what is known of a copy again."""
-    shelf.ReplicaStore(Path(folder), owner).save()
+    ReplicaStore(Path(folder), owner).save()
 
 
 def restore(folder, generation, data):
     """A start of a courier with its journal in the folder, and one copy of it elsewhere."""
     a = copier("a", Path(folder) / "copies", lambda task: 7)
-    a.engine = SimpleNamespace(journal=SimpleNamespace(path=Path(folder) / "journal"))
-    found = {"generation": generation, "bytes": data, "keepers": ["b"], "tried": [], "adopted": 0}
+    with_journal(a, Path(folder) / "journal")
+    found = ReplicaSnapshot(generation, data, ["b"], [], 0)
 
     async def in_a_loop():  # the log takes the time from the loop once its clock is set
-        a._restore({"b": found}, set(), False)
+        a.recovery.restore({"b": found}, ReleasedWork(set(), False, True))
 
     anyio.run(in_a_loop)
 
@@ -268,7 +332,7 @@
         pass
 
     async def put(self, message):
-        self.answer = await self.other._answer(self._seen(message))
+        self.answer = await answered(self.other, self._seen(message))
 
     async def get(self):
         return self._seen(self.answer)
@@ -294,15 +358,16 @@
         a = copier("a", folder / "a" / "copies", lambda task: token.pop(0) if token else 7)
         b = copier("b", folder / "b" / "copies", lambda task: 0)
         c = copier("c", folder / "c" / "copies", lambda task: 0)
-        a.engine = SimpleNamespace(journal=SimpleNamespace(path=folder / "a" / "journal"))
-        a.targets, a.sure = ["b"], 7
-        a.rewritten(records[0])
-        a.appended(records[1])
-        await a._send_on("b", Pipe(b, taken), 7)
+        with_journal(a, folder / "a" / "journal")
+        with_journal(c, folder / "c" / "journal")
+        chosen_to_copy(a, ["b"], 7)
+        rewritten(a, records[0])
+        appended(a, records[1])
+        await send_on(a, "b", Pipe(b, taken), 7)
         views["owner"], views["keeper"] = a.view(), b.view()
-        a.rewritten(records[1] + records[2])
-        await a._send_on("b", Pipe(b, taken), 7)
-        generation = a.source.generation
+        rewritten(a, records[1] + records[2])
+        await send_on(a, "b", Pipe(b, taken), 7)
+        generation = generation_of(a)
         half = {"t": "data", "from": "c", "to": "b", "owner": "c", "token": 3, "generation": 9, "at": 0}
         frames = Pipe(b, taken)
         for message in (
@@ -316,12 +381,12 @@
             pipe = Pipe({"a": a, "b": b}[other], taken)
             return pipe, pipe
 
-        c._dial, c._live = dial, lambda: ["b"]
-        found = await c._fetch_all("a", 8)
-        await c._ask_all({"t": "read", "owner": "a"})
-        await c._ask_all({"t": "done", "owner": "a", "token": 8})
-        await c._ask("b", {"t": "fetch", "owner": "a", "token": 2})
-        await c._ask("a", {"t": "spare", "owner": "a"})
+        dials(c, dial, ["b"])
+        found = await fetch_all(c, "a", 8)
+        await read_all(c, "a")
+        await done_all(c, "a", 8)
+        await ask_fetch(c, "b", "a", 2)
+        await ask_spare(c, "a", "a")
         views["keeper after"] = b.view()
     kept = files(folder / "b" / "copies")
     generation_file = (folder / "a" / GENERATION_FILE).read_bytes()
