--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -12,7 +12,7 @@
 from pinspread.core.messages import Endpoint
 from pinspread.http.transport import Exchange
 from pinspread.policy.events import EndpointState, UpdateScope
-from pinspread.sockets.connections import dial, split_address
+from pinspread.sockets import dial, split_address
 
 # What a silent watch misses counts as told 6 s after it fell silent. An empty line comes every 2 s, so this
 # leaves time for a second watch that is silent as well.
@@ -143,7 +143,7 @@
         self.failed = 0  # watches in a row that did not come up
         self.random = random.Random(told.seed)
         self.tasks = None
-        self.first = anyio.Event()  # the list as it is now has been read, or can't be had
+        self.first_answer = anyio.Event()  # the list as it is now has been read, or can't be had
         self.current = None  # the watch that is followed
         self.before = ""  # where the last one was up
         self.trying = []  # those that are not up yet
@@ -156,11 +156,11 @@
         # Danger: the configuration's list may be old, and an agent that is away tells no newer one: what the
         # process before was told of drains would be forgotten, and what is owed would go there.
         self.left.read()
-        known = self.told.known
+        known = self.told.cached_endpoints
         well = isinstance(known, dict) and isinstance(known.get("hosts"), list)
         self._learn(self.left.over(known) if well else known, UpdateScope.CACHED)
 
-    def rest(self) -> dict:
+    def snapshot(self) -> dict:
         """What another process needs to follow on from here."""
         return {"address": self.address, "seq": self.seq}
 
@@ -170,7 +170,7 @@
         if found.get("address") == self.address:
             self.seq = found["seq"]
 
-    def ask(self):
+    def poll(self):
         """The module asks for the list's changes: the watch brings them anyhow."""
         self.engine.update_endpoints(UpdateScope.DELTA, [])
 
@@ -180,7 +180,7 @@
         if (old.kinds, old.zones) != (told.kinds, told.zones):
             self._anew()
 
-    def move(self, address):
+    def change_address(self, address):
         """Discovery is at another address from now on; the old watch goes on until the new one is up."""
         if address != self.address:
             self.address = address
@@ -214,7 +214,9 @@
         if speaks and now_us < watch.silent_us:
             return watch.silent_us - now_us
         if len(self.trying) >= (
-            len({self.address, self.before} - {""}) if self.told.module.polled_discovery else MOST_TRYING
+            len({self.address, self.before} - {""})
+            if self.told.policy_settings.polled_discovery
+            else MOST_TRYING
         ):
             return SECOND_US  # the end of one wakes
         return self.again_us - now_us
@@ -250,14 +252,16 @@
             return  # another one has taken its place, or will
         if self.failed < MOST_LOGGED:
             log("watch_broke", address=watch.address, error=str(error) or type(error).__name__)
-        self.first.set()
-        alone = not self.told.module.polled_discovery  # an agent of its own, which is no burden to others
+        self.first_answer.set()
+        alone = (
+            not self.told.policy_settings.polled_discovery
+        )  # an agent of its own, which is no burden to others
         if alone and isinstance(error, TimeoutError):
             self.failed += 1
             return  # the next is open already
         # One that turns callers away is asked by turns; the first after one that broke comes soon.
         soon = alone and (watch.up or isinstance(error, ConnectionRefusedError))
-        again = again_s(self.failed, 1 if soon else self.told.module.senders, self.random.random())
+        again = again_s(self.failed, 1 if soon else self.told.policy_settings.senders, self.random.random())
         self.again_us = self.engine.clock.now() + int(again * SECOND_US)
         self.failed += 1
 
@@ -278,7 +282,7 @@
 
     async def _watch(self, watch):
         address = watch.address
-        asked = self.told.module.polled_discovery
+        asked = self.told.policy_settings.polled_discovery
         connection = None
         try:
             with anyio.fail_after(ASKED_S if asked else HEAD_S):
@@ -304,7 +308,7 @@
                 for news in lines.fed(piece):
                     if news is not None:
                         self._learn(news, moved=address != self.address)
-                    self.first.set()  # None, an empty line: nothing has changed
+                    self.first_answer.set()  # None, an empty line: nothing has changed
                     self._spoke(watch, LINE_S)
         finally:
             if connection is not None:
@@ -313,7 +317,7 @@
     def _spoke(self, watch, next_s):
         # Danger: half a line, or one that trickles in, says no more than silence; only whole ones count.
         # Where all ask one service, watches that fall silent in one instant are opened anew by chance.
-        if self.told.module.polled_discovery and self.told.module.senders > FEW:
+        if self.told.policy_settings.polled_discovery and self.told.policy_settings.senders > FEW:
             next_s += SPREAD_S * self.random.random()
         watch.silent_us = self.engine.clock.now() + int(next_s * SECOND_US)
 
--- a/pinspread/replication/journal_bytes.py
+++ b/pinspread/replication/journal_bytes.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from pinspread.core import journal as journals
+from pinspread.core import journal_records
 from pinspread.core.journal import Journal
 from pinspread.core.messages import Message
 
@@ -27,8 +27,8 @@
 
 def record_sizes(data: bytes) -> Iterator[int]:
     """Yield the size in bytes of each whole record at the start of the data."""
-    for payload in journals.records(data):
-        yield journals.HEAD_BYTES + len(payload)
+    for payload in journal_records.payloads(data):
+        yield journal_records.HEADER_BYTES + len(payload)
 
 
 def record_count(data: bytes) -> int:
@@ -38,13 +38,13 @@
 
 def whole_length(data: bytes) -> int:
     """Return how many bytes at the start of the data are whole records."""
-    return int(journals.whole(data))
+    return journal_records.complete_bytes(data)
 
 
 def is_intact(data: bytes) -> bool:
     """Return whether the data is whole records, or ends in one that was cut short as it was written."""
     length = whole_length(data)
-    return length == len(data) or bool(journals.cut(data, length))
+    return length == len(data) or journal_records.is_truncated(data, length)
 
 
 def replay(data: bytes) -> ReplayedJournal:
@@ -58,7 +58,7 @@
         journal = Journal(folder, _NO_LIMIT_BYTES)
         journal.path.write_bytes(data)
         journal.read()
-        return ReplayedJournal(list(journal.live.values()), set(journal.past))
+        return ReplayedJournal(list(journal.open_messages.values()), set(journal.finished_ids))
 
 
 def drop_messages(folder: Path, limit_bytes: int, ids: Set[str]) -> int:
@@ -73,8 +73,8 @@
     """
     journal = Journal(str(folder), limit_bytes)
     journal.read()
-    dropped = [message for message in journal.live.values() if message.id in ids]
-    journal.drop(dropped)
+    dropped = [message for message in journal.open_messages.values() if message.id in ids]
+    journal.release(dropped)
     journal.begin()
     journal.close()
     return len(dropped)
--- a/pinspread/replication/peers.py
+++ b/pinspread/replication/peers.py
@@ -12,7 +12,7 @@
 from pinspread.membership.framing import GONE, Frames
 from pinspread.replication import protocol
 from pinspread.replication.protocol import AnswerT, DatagramError, Envelope, Refusal, Request
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 if TYPE_CHECKING:
     from anyio.abc import ByteStream
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -20,7 +20,7 @@
 from pinspread.replication.store import GenerationFile, ReplicaStores
 from pinspread.replication.survey import ReplicaSurvey
 from pinspread.replication.takeover import Takeover
-from pinspread.sockets.connections import split_address
+from pinspread.sockets import split_address
 
 if TYPE_CHECKING:
     from anyio.abc import Listener, SocketStream
@@ -80,8 +80,8 @@
 
     def attach(self, engine: "DeliveryEngine") -> None:
         """Replicate the engine's journal from now on."""
-        engine.copies = self
-        engine.journal.tap = self.primary
+        engine.replication = self
+        engine.journal.observer = self.primary
         self.primary.generation_file = GenerationFile(engine.journal.path)
         survey = ReplicaSurvey(self.node, self.peers)
         takeover = Takeover(self.node, engine, self.primary, self.peers, survey)
@@ -108,10 +108,10 @@
             tasks.start_soon(self.recovery.run)
             await self.primary.run(tasks)
 
-    async def leave(self) -> None:
+    async def announce_departure(self) -> None:
         """Nothing to say at SIGTERM: what is out still ends, and that is replicated."""
 
-    async def part(self) -> None:
+    async def close(self) -> None:
         """All that was out has ended: have it replicated, then give the lease of the own work back."""
         if self.node.ownership.own_token():
             with anyio.move_on_after(CLOSE_TIMEOUT_S):
--- a/pinspread/replication/takeover.py
+++ b/pinspread/replication/takeover.py
@@ -89,7 +89,7 @@
         """Contend no longer for an owner's work, once all that was taken over of it has ended."""
         self._survey.forget(owner)
         # Given back sooner, the owner would send its next message of a key before this node's last.
-        still_open = self._accepted_ids.get(owner, set()) & self._engine.ids.keys()
+        still_open = self._accepted_ids.get(owner, set()) & self._engine.messages_by_id.keys()
         if owner != self._node.id and not still_open:
             self._accepted_ids.pop(owner, None)
             await self._node.ownership.release(owner)
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -19,6 +19,7 @@
 import orjson
 from standins import Client, HttpStandIn, configuration, host, own_address, standing, until
 
+from pinspread import sockets
 from pinspread.admin import server as admin
 from pinspread.config import settings
 from pinspread.core.messages import AttemptResult
@@ -30,7 +31,6 @@
 from pinspread.policy.events import EndpointState, Outcome
 from pinspread.replication.service import ReplicationService
 from pinspread.simulation import losses, trace
-from pinspread.sockets import connections as sockets
 
 DATA = Path(__file__).parent / "data" / "stored"
 
@@ -78,7 +78,7 @@
 
     names = {"members": Membership.name, "leases": Leases.name, "copies": ReplicationService.name}
     views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
-    return admin.AdminServer(EndpointAdmin(), companions=views)
+    return admin.AdminServer(EndpointAdmin(), background_services=views)
 
 
 def members_view():
@@ -120,12 +120,12 @@
 
 RESULT = {
     "wait_us": "retry_after_us",
-    "over": "over",
+    "over": "no_longer_wanted",
     "note": "note",
     "idle_us": "idle_us",
     "opened": "opened",
-    "left": "left",
-    "limit": "limit",
+    "left": "limit_remaining",
+    "limit": "limit_per_s",
 }
 
 
@@ -158,14 +158,14 @@
     link = succession.Link(link_socket)
     await succession.Succession(SimpleNamespace(), "")._give(link, given)
     successor = succession.Successor(link)
-    successor.ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
+    successor.attempt_ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
     successor.apply_retry_after("s-1", 1500)
-    successor.probed("s-2", outcome("OK", opened=True))
+    successor.health_check_ended("s-2", outcome("OK", opened=True))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(successor.run)
         try:
             with anyio.fail_after(0.2):
-                await successor.ban("s-3", True)
+                await successor.set_blocked("s-3", True)
         except TimeoutError:
             pass
         tasks.cancel_scope.cancel()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pinspread.core import journal as journals
+from pinspread.core import journal_records
 from pinspread.core.journal import Journal
 from pinspread.core.messages import FinalResult, FinalState, Message
 from pinspread.errors import JournalFullError
@@ -72,7 +72,7 @@
 
 
 def test_lag_counts_the_records_that_a_replica_lacks_and_since_when():
-    log, record = ReplicationLog(required_acks=1), journals._record(b"x" * 12)
+    log, record = ReplicationLog(required_acks=1), journal_records.frame(b"x" * 12)
     log.rewrite(record * 3, 10, 1000)
     log.append(record, 5000)
     log.acknowledged = {"a": (10, 80), "b": (10, 59), "c": (9, 80)}
@@ -193,13 +193,15 @@
             self[:] = data
 
     journal, tap = Journal(str(tmp_path), 3_000_000), Tap()
-    journal.tap = tap
-    journal.open()
+    journal.observer = tap
+    journal.recover()
     for n in range(1, 6):
-        journal.taken(message(n))
-    journal.attempt_started(journal.live[2], 0, 77)
-    journal.adopted(message(9, attempts=2, may_have_run_unix_us=55, final=FinalResult(FinalState.FAILED, 3)))
-    journal.ended(journal.live[1])
+        journal.message_accepted(message(n))
+    journal.attempt_started(journal.open_messages[2], 0, 77)
+    journal.message_taken_over(
+        message(9, attempts=2, may_have_run_unix_us=55, final=FinalResult(FinalState.FAILED, 3))
+    )
+    journal.message_ended(journal.open_messages[1])
     assert bytes(tap) == journal.path.read_bytes()
     replayed = replay(bytes(tap))
     live, past = replayed.open_messages, replayed.finished_ids
@@ -207,20 +209,24 @@
     assert live[0].in_flight_since_unix_us == 77 and live[-1].final == FinalResult(FinalState.FAILED, 3)
     assert (live[-1].attempts, live[-1].may_have_run_unix_us) == (2, 55)
     tap[200] ^= 1
-    assert journals.whole(tap) < 200 and not journals.cut(tap, journals.whole(tap))
+    assert journal_records.complete_bytes(tap) < 200 and not journal_records.is_truncated(
+        tap, journal_records.complete_bytes(tap)
+    )
     cut = journal.path.read_bytes()[:-3]
-    assert journals.whole(cut) < len(cut) and journals.cut(cut, journals.whole(cut))
-    journal.drop([journal.live[3]])
-    assert "id3" in journal.past and 3 not in journal.live
+    assert journal_records.complete_bytes(cut) < len(cut) and journal_records.is_truncated(
+        cut, journal_records.complete_bytes(cut)
+    )
+    journal.release([journal.open_messages[3]])
+    assert "id3" in journal.finished_ids and 3 not in journal.open_messages
 
 
 def test_what_is_taken_over_stays_within_the_journals_room(tmp_path):
     journal = Journal(str(tmp_path), 3000)
-    journal.open()
+    journal.recover()
     with pytest.raises(JournalFullError):
         for n in range(1, 100):
-            journal.adopted(message(n))
-    assert 1 < len(journal.live) < 20 and journal.path.stat().st_size <= 1440
+            journal.message_taken_over(message(n))
+    assert 1 < len(journal.open_messages) < 20 and journal.path.stat().st_size <= 1440
 
 
 class Held:
