--- /dev/null
+++ b/tests/test_failover.py
@@ -0,0 +1,179 @@
+"""Failover without a network: work of a lost node is taken over, and a start goes by what replicas say.
+
+The engine and the leases are specified by their classes, so that a name that they do not have fails here.
+"""
+
+from types import SimpleNamespace
+from unittest import mock
+
+import anyio
+import pytest
+from test_replication import message
+
+from pinspread.core.engine import DeliveryEngine
+from pinspread.core.journal import Journal
+from pinspread.errors import JournalFullError
+from pinspread.leases.service import Leases
+from pinspread.membership.service import Membership, Plan
+from pinspread.membership.swim import ALIVE, DEAD, Tuning
+from pinspread.replication.config import ReplicationConfig
+from pinspread.replication.protocol import FetchSnapshot, ReadSnapshot
+from pinspread.replication.service import ReplicationService
+from pinspread.replication.snapshots import ReplicaSnapshot
+from pinspread.replication.store import ReplicaStore
+
+TOKEN = 5
+DISK_BYTES = 3_000_000
+QUICK = {"ack_timeout_us": 1000, "allow_unreplicated": True, "takeover_stagger_us": 0}
+
+
+def journal_of(folder, *numbers):
+    """The bytes of a journal that owes the messages of these numbers."""
+    folder.mkdir()
+    journal = Journal(str(folder), DISK_BYTES)
+    journal.recover()
+    for number in numbers:
+        journal.message_accepted(message(number))
+    journal.close()
+    return journal.path.read_bytes()
+
+
+@pytest.fixture
+def engine(tmp_path):
+    found = mock.create_autospec(DeliveryEngine, instance=True)
+    (tmp_path / "own").mkdir()
+    found.journal = Journal(str(tmp_path / "own"), DISK_BYTES)
+    found.settings = SimpleNamespace(disk_bytes=DISK_BYTES)
+    found.serving, found.stopping, found.messages_by_id = True, False, {}
+    return found
+
+
+@pytest.fixture
+def service(tmp_path, engine):
+    membership = Membership(Plan("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", Tuning()))
+    membership.member.apply(["a", "127.0.0.2:1", 0, ALIVE, "a"], 0)
+    leases = mock.create_autospec(Leases, instance=True)
+    leases.holds.return_value = TOKEN
+    found = ReplicationService(
+        ReplicationConfig("127.0.0.1:0", str(tmp_path / "replicas"), **QUICK), membership, leases
+    )
+    found.membership, found.leases = membership, leases
+    found.stores.open()
+    found.attach(engine)
+    return found
+
+
+def store_of_lost_node(service, data, replicas):
+    """The node "a" has sent a journal to this one, and is dead."""
+    sent = {"from": "a", "to": "k", "owner": "a", "token": 3}
+
+    async def play():
+        await service.server.handle(sent | {"t": "send", "keepers": replicas})
+        part = {"t": "data", "generation": 7, "base": 1, "at": 0, "bytes": data}
+        await service.server.handle(sent | part)
+
+    anyio.run(play)
+    service.node.ownership.confirmed_fencing_token = TOKEN
+    service.membership.member.apply(["a", "127.0.0.2:1", 0, DEAD, "k"], 0)
+    return service.stores["a"]
+
+
+def check(service):
+    anyio.run(service.failover.check_owner, "a")
+
+
+def test_what_a_lost_node_owed_is_taken_over_once_and_its_lease_is_held_until_that_has_ended(
+    service, engine, tmp_path
+):
+    store = store_of_lost_node(service, journal_of(tmp_path / "a", 1, 2), ["k"])
+    engine.take_over.return_value = 2
+    check(service)
+    service.leases.want.assert_called_with("work.a")
+    (taken,) = engine.take_over.call_args.args
+    assert [m.id for m in taken] == ["id1", "id2"]
+    assert store.replica.takeover_token == TOKEN
+    assert ReplicaStore(tmp_path / "replicas", "a").replica.takeover_token == TOKEN
+    engine.messages_by_id = {"id2": taken[1]}
+    check(service)
+    service.leases.unwant.assert_not_called()
+    engine.messages_by_id = {}
+    check(service)
+    service.leases.unwant.assert_called_once_with("work.a")
+    engine.take_over.assert_called_once()
+
+
+def test_nothing_is_taken_over_without_the_lease_nor_while_a_replica_may_hold_more(service, engine, tmp_path):
+    store_of_lost_node(service, journal_of(tmp_path / "a", 1), ["k", "b"])
+    check(service)  # "b" has not answered
+    service.leases.holds.return_value = 0
+    check(service)
+    engine.take_over.assert_not_called()
+    assert not service.stores["a"].replica.takeover_token
+
+
+def test_nothing_is_taken_over_when_the_lease_ends_while_the_others_are_asked(service, engine, tmp_path):
+    store_of_lost_node(service, journal_of(tmp_path / "a", 1), ["k"])
+    service.leases.holds.side_effect = [TOKEN, TOKEN + 1]
+    check(service)
+    engine.take_over.assert_not_called()
+
+
+def test_a_journal_that_is_full_leaves_the_rest_for_the_next_try(service, engine, tmp_path):
+    store = store_of_lost_node(service, journal_of(tmp_path / "a", 1), ["k"])
+    engine.take_over.side_effect = JournalFullError("what is owed fills the journal")
+    check(service)
+    assert not store.replica.takeover_token
+    engine.take_over.side_effect, engine.take_over.return_value = None, 1
+    check(service)
+    assert store.replica.takeover_token == TOKEN
+
+
+def answering(service, own, journal_of_candidate):
+    """The node "a" holds a replica of this node's journal, and has begun to take it over."""
+
+    async def ask_all(request, but=()):
+        if request == FetchSnapshot("k", TOKEN):
+            return {"a": own}
+        assert request == ReadSnapshot("a")
+        return {"a": ReplicaSnapshot(4, journal_of_candidate, ["a"], [], 0)}
+
+    return mock.patch.object(service.peers, "ask_all", ask_all)
+
+
+def test_a_start_without_its_journal_gets_it_back_without_what_others_took_over(service, engine, tmp_path):
+    own = ReplicaSnapshot(7, journal_of(tmp_path / "k", 1, 2, 3), ["a"], ["a"], 0)
+    with answering(service, own, journal_of(tmp_path / "a", 2)):
+        anyio.run(service.before_recovery)
+    assert [m.id for m in engine.journal.recover()] == ["id1", "id3"]
+    assert engine.journal.finished_ids.keys() == {"id2"}
+    assert service.node.ownership.confirmed_fencing_token == TOKEN
+    assert service.primary.log.generation > 7  # the next generation is above what replicas have
+
+
+def test_a_start_gives_up_all_that_was_taken_over_for_good(service, engine, tmp_path):
+    own = ReplicaSnapshot(7, journal_of(tmp_path / "k", 1, 2, 3), ["a"], ["a"], 6)
+    with answering(service, own, journal_of(tmp_path / "a", 2)):
+        anyio.run(service.before_recovery)
+    assert engine.journal.recover() == []
+
+
+def test_after_a_lost_lease_nothing_is_promised_until_what_others_took_over_is_given_up(
+    service, engine, tmp_path
+):
+    own = ReplicaSnapshot(7, journal_of(tmp_path / "k", 1, 2), ["a"], ["a"], 0)
+    given_up = anyio.Event()
+    engine.release.side_effect = lambda ids: given_up.set() or 1
+    service.node.ownership.confirmed_fencing_token = TOKEN - 1
+    assert "not known yet" in service.blocked_reason()
+
+    async def play():
+        with anyio.fail_after(5):
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(service.recovery.run)
+                await given_up.wait()
+                tasks.cancel_scope.cancel()
+
+    with answering(service, own, journal_of(tmp_path / "a", 2)):
+        anyio.run(play)
+    engine.release.assert_called_once_with({"id2"})
+    assert service.blocked_reason() == ""
