--- a/pinspread/replication/journal_bytes.py
+++ b/pinspread/replication/journal_bytes.py
@@ -36,14 +36,14 @@
     return sum(1 for _ in record_sizes(data))
 
 
-def whole_length(data: bytes) -> int:
+def complete_length(data: bytes) -> int:
     """Return how many bytes at the start of the data are whole records."""
     return journal_records.complete_bytes(data)
 
 
 def is_intact(data: bytes) -> bool:
     """Return whether the data is whole records, or ends in one that was cut short as it was written."""
-    length = whole_length(data)
+    length = complete_length(data)
     return length == len(data) or journal_records.is_truncated(data, length)
 
 
--- a/pinspread/replication/ownership.py
+++ b/pinspread/replication/ownership.py
@@ -26,18 +26,18 @@
         """Return the fencing token under which this node may act for the owner's work now, else 0."""
         return int(self._leases.holds(WORK + owner))
 
-    def own_token(self) -> int:
+    def local_token(self) -> int:
         """Return the fencing token of this node's own work, 0 without the lease."""
         return self.token(self._node_id)
 
-    def confirmed_own_token(self) -> int:
+    def confirmed_local_token(self) -> int:
         """Return the own work's token if it is confirmed, else 0."""
-        token = self.own_token()
+        token = self.local_token()
         return token if token == self.confirmed_fencing_token else 0
 
     def blocked_reason(self) -> str:
         """Return why this node may not act for its own work now; empty if it may."""
-        token = self.own_token()
+        token = self.local_token()
         if not token:
             return "the lease of its own work is lost"
         if token != self.confirmed_fencing_token:
@@ -52,7 +52,7 @@
         """Contend no longer; a lease that is held is given back."""
         await self._leases.unwant(WORK + owner)
 
-    async def settle(self) -> None:
+    async def wait_agreed(self) -> None:
         """Let what was given back be agreed on before the process ends."""
         await self._leases.settle()
 
--- a/pinspread/replication/peers.py
+++ b/pinspread/replication/peers.py
@@ -102,10 +102,10 @@
         self._connector = connector
         self._server = server
 
-    async def ask(self, peer: str, request: Request[AnswerT]) -> AnswerT | None:
+    async def call(self, peer: str, request: Request[AnswerT]) -> AnswerT | None:
         """Ask one node; None if it cannot be reached, does not answer or refuses."""
         if peer == self._node.id:
-            return await self._ask_self(request)
+            return await self._call_locally(request)
         try:
             async with self._connector.connect(peer) as session:
                 return await session.call(request)
@@ -115,24 +115,24 @@
             self._node.events("copies_refused", by=peer, why=str(error))
             return None
 
-    async def _ask_self(self, request: Request[AnswerT]) -> AnswerT | None:
+    async def _call_locally(self, request: Request[AnswerT]) -> AnswerT | None:
         node_id = self._node.id
         answer = await self._server.answer(Envelope(node_id, node_id, request))
         if isinstance(answer, Refusal):
             return None
         return cast("AnswerT", answer)  # the server answers each request with an answer of its type
 
-    async def ask_all(self, request: Request[AnswerT], but: Collection[str] = ()) -> dict[str, AnswerT]:
+    async def call_all(self, request: Request[AnswerT], but: Collection[str] = ()) -> dict[str, AnswerT]:
         """Ask this node and all live ones at once, except `but`; return the answers that came."""
         answers: dict[str, AnswerT] = {}
 
-        async def ask_one(peer: str) -> None:
-            answer = await self.ask(peer, request)
+        async def call_one(peer: str) -> None:
+            answer = await self.call(peer, request)
             if answer is not None and not isinstance(answer, Refusal):
                 answers[peer] = answer
 
         async with anyio.create_task_group() as tasks:
             for peer in [self._node.id, *self._node.fleet.live_ids()]:
                 if peer not in but:
-                    tasks.start_soon(ask_one, peer)
+                    tasks.start_soon(call_one, peer)
         return answers
--- a/pinspread/replication/primary.py
+++ b/pinspread/replication/primary.py
@@ -54,7 +54,7 @@
         self._acknowledged = anyio.Event()
         self._grown = anyio.Event()
         self._last_unreplicated_us = 0
-        self._last_late_us = 0
+        self._last_overdue_us = 0
 
     # --- the journal's observer ---------------------------------------------------------------------
 
@@ -95,7 +95,7 @@
         if self.node.config.allow_unreplicated:
             self._warn_unreplicated()
             return True
-        self._warn_late()
+        self._warn_overdue()
         return False
 
     def _warn_unreplicated(self) -> None:
@@ -103,10 +103,10 @@
             self._last_unreplicated_us = clock.monotonic_us()
             self.node.events("copies_alone", warning="promised on one disk: too few copies")
 
-    def _warn_late(self) -> None:
-        if clock.monotonic_us() - self._last_late_us > WARNING_INTERVAL_US:
-            self._last_late_us = clock.monotonic_us()
-            lags = {replica: self.log.lag(replica, self._last_late_us) for replica in self.replicas}
+    def _warn_overdue(self) -> None:
+        if clock.monotonic_us() - self._last_overdue_us > WARNING_INTERVAL_US:
+            self._last_overdue_us = clock.monotonic_us()
+            lags = {replica: self.log.lag(replica, self._last_overdue_us) for replica in self.replicas}
             self.node.events("copies_late", behind=lags)
 
     def informed_replicas(self) -> list[str]:
@@ -165,7 +165,7 @@
                 await anyio.sleep(RECONNECT_S)
 
     async def _connect_and_send(self, replica: str) -> None:
-        token = self.node.ownership.confirmed_own_token()
+        token = self.node.ownership.confirmed_local_token()
         # Sent before it is known what was taken over, this journal would pass for that.
         if not token or not self.log.generation:
             return
@@ -186,7 +186,7 @@
             self.connected.add(replica)
             with anyio.move_on_after(min(MAX_IDLE_S, self.node.config.check_interval_us / 1e6)):
                 await self._grown.wait()
-            if self.node.ownership.own_token() != token:
+            if self.node.ownership.local_token() != token:
                 return
 
     def notify_acknowledged(self) -> None:
--- a/pinspread/replication/recovery.py
+++ b/pinspread/replication/recovery.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class OwnJournal:
+class LocalJournal:
     """The journal as it lies on this node's disk; `data` is empty if there is none."""
 
     exists: bool
@@ -60,7 +60,7 @@
         return bool(self.data) and not self.is_intact
 
     @classmethod
-    def read(cls, path: Path) -> "OwnJournal":
+    def read(cls, path: Path) -> "LocalJournal":
         """Read it; OSError if the disk does not give it."""
         if not path.exists():
             return cls(False, b"")
@@ -108,7 +108,7 @@
                 await anyio.sleep(JOIN_POLL_S)
 
     async def _acquire_lease(self) -> int:
-        while not (token := self._node.ownership.own_token()):
+        while not (token := self._node.ownership.local_token()):
             await anyio.sleep(LEASE_POLL_S)
         return token
 
@@ -118,38 +118,38 @@
         Without its own journal, what this node promised may be on a replica that does not answer yet. Only a
         node that is granted its lease for the first time has promised nothing before.
         """
-        if self._read_own_journal().is_intact or is_first_token(token):
+        if self._read_local_journal().is_intact or is_first_token(token):
             return True
         return self._survey.is_complete(self._node.id, found)
 
-    def _read_own_journal(self) -> OwnJournal:
-        return OwnJournal.read(self._engine.journal.path)
+    def _read_local_journal(self) -> LocalJournal:
+        return LocalJournal.read(self._engine.journal.path)
 
     def restore(self, found: "Snapshots", released: ReleasedWork) -> None:
         """Replace the journal's file by a newer replica, and drop from it what others owe by now."""
         newest = snapshots.newest_of(found.values())
-        own = self._read_own_journal()
-        if newest and self._is_newer(newest, own):
-            self._replace_journal(newest, own)
-        elif own.is_damaged:
-            at = journal_bytes.whole_length(own.data)
+        local = self._read_local_journal()
+        if newest and self._is_newer(newest, local):
+            self._replace_journal(newest, local)
+        elif local.is_damaged:
+            at = journal_bytes.complete_length(local.data)
             log("copies_lost", id=self._node.id, at=at, warning="damaged, and no newer copy was found")
         if released.ids:
             self._drop_released(released)
 
-    def _is_newer(self, newest: "ReplicaSnapshot", own: OwnJournal) -> bool:
-        if not own.is_intact:
+    def _is_newer(self, newest: "ReplicaSnapshot", local: LocalJournal) -> bool:
+        if not local.is_intact:
             return True
-        own_generation = GenerationFile(self._engine.journal.path).read()
-        own_length = journal_bytes.whole_length(own.data)
-        return (newest.generation, len(newest.data)) > (own_generation, own_length)
+        local_generation = GenerationFile(self._engine.journal.path).read()
+        local_length = journal_bytes.complete_length(local.data)
+        return (newest.generation, len(newest.data)) > (local_generation, local_length)
 
-    def _replace_journal(self, newest: "ReplicaSnapshot", own: OwnJournal) -> None:
+    def _replace_journal(self, newest: "ReplicaSnapshot", local: LocalJournal) -> None:
         path = self._engine.journal.path
-        why = "damaged" if own.is_damaged else "older" if own.exists else "missing"
-        self._node.events("copies_restored", why=why, bytes=len(newest.data), was=len(own.data))
-        if own.is_damaged:
-            path.with_name(DAMAGED_FILE).write_bytes(own.data)
+        why = "damaged" if local.is_damaged else "older" if local.exists else "missing"
+        self._node.events("copies_restored", why=why, bytes=len(newest.data), was=len(local.data))
+        if local.is_damaged:
+            path.with_name(DAMAGED_FILE).write_bytes(local.data)
         path.write_bytes(newest.data)
 
     def _drop_released(self, released: ReleasedWork) -> None:
@@ -163,7 +163,7 @@
         """Confirm each new token of the own work's lease, until cancelled."""
         while True:
             await anyio.sleep(CONFIRM_INTERVAL_S)
-            token = self._node.ownership.own_token()
+            token = self._node.ownership.local_token()
             is_confirmed = token == self._node.ownership.confirmed_fencing_token
             if token and not is_confirmed and self._engine.serving:
                 await self._confirm(token)
@@ -172,7 +172,7 @@
         """Give up what others took over meanwhile, then let the engine promise again."""
         found = await self._survey.fetch(self._node.id, token)
         released = await self._released_work(found)
-        if not released.complete or self._node.ownership.own_token() != token:
+        if not released.complete or self._node.ownership.local_token() != token:
             return
         try:
             count = self._engine.release(released.ids)
@@ -183,7 +183,7 @@
         self._node.events("copies_gave_up", count=count, adopted=released.taken_over)
 
     async def _released_work(self, found: "Snapshots") -> ReleasedWork:
-        ids, complete = await self._survey.ids_held_by_candidates(found, but=self._node.id)
+        ids, complete = await self._survey.ids_in_candidates_journals(found, but=self._node.id)
         newest = snapshots.newest_of(found.values())
         taken_over = snapshots.is_taken_over(found)
         if newest and taken_over:
--- a/pinspread/replication/retention.py
+++ b/pinspread/replication/retention.py
@@ -30,7 +30,7 @@
         if clock.monotonic_us() < due_us:
             return
         self._next_question_us[owner] = clock.monotonic_us() + interval_us
-        answer = await self._peers.ask(owner, RequestRemoval(owner))
+        answer = await self._peers.call(owner, RequestRemoval(owner))
         if isinstance(answer, Consent):
             store = self._stores[owner]
             async with store.lock:
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -113,8 +113,8 @@
 
     async def close(self) -> None:
         """All that was out has ended: have it replicated, then give the lease of the own work back."""
-        if self.node.ownership.own_token():
+        if self.node.ownership.local_token():
             with anyio.move_on_after(CLOSE_TIMEOUT_S):
                 await self.wait_replicated()
             await self.node.ownership.release(self.node.id)
-            await self.node.ownership.settle()
+            await self.node.ownership.wait_agreed()
--- a/pinspread/replication/snapshots.py
+++ b/pinspread/replication/snapshots.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from pinspread.replication.journal_bytes import whole_length
+from pinspread.replication.journal_bytes import complete_length
 
 
 @dataclass(frozen=True)
@@ -33,8 +33,8 @@
 
 def newest_of(snapshots: Iterable[ReplicaSnapshot]) -> ReplicaSnapshot | None:
     """Return the longest of the newest generation; None if none holds anything."""
-    held = (snapshot for snapshot in snapshots if snapshot.generation)
-    return max(held, key=lambda snapshot: (snapshot.generation, len(snapshot.data)), default=None)
+    with_data = (snapshot for snapshot in snapshots if snapshot.generation)
+    return max(with_data, key=lambda snapshot: (snapshot.generation, len(snapshot.data)), default=None)
 
 
 def is_taken_over(snapshots: Snapshots) -> bool:
@@ -82,6 +82,6 @@
 def without_torn_tails(snapshots: Snapshots) -> dict[str, ReplicaSnapshot]:
     """Return the snapshots, the data of each up to its last whole record."""
     return {
-        node_id: replace(snapshot, data=snapshot.data[: whole_length(snapshot.data)])
+        node_id: replace(snapshot, data=snapshot.data[: complete_length(snapshot.data)])
         for node_id, snapshot in snapshots.items()
     }
--- a/pinspread/replication/status.py
+++ b/pinspread/replication/status.py
@@ -14,7 +14,7 @@
     """Return this node's replicas with their lag, and what it stores of others."""
     log, now_us = primary.log, clock.monotonic_us()
     end = log.end()
-    own = [_replica_status(primary, replica, now_us) for replica in primary.replicas]
+    replicas = [_replica_status(primary, replica, now_us) for replica in primary.replicas]
     stored = [_store_status(stores, owner) for owner in sorted(stores)]
     return {
         "id": primary.node.id,
@@ -24,7 +24,7 @@
         "records": len(log.record_ends),
         "sent_bytes": primary.sent_bytes,
         "barred": primary.blocked_reason(),
-        "copies": own,
+        "copies": replicas,
         "keeps": stored,
     }
 
--- a/pinspread/replication/store.py
+++ b/pinspread/replication/store.py
@@ -62,10 +62,10 @@
 
     def save(self) -> None:
         """Write what is known beside the data; called before it is told to another node."""
-        fresh = self.folder / f"{META_FILE}.new"
+        new_path = self.folder / f"{META_FILE}.new"
         stored = {key: getattr(self.replica, name) for key, name in STORED_FIELDS.items()}
-        fresh.write_bytes(orjson.dumps(stored))
-        os.replace(fresh, self.folder / META_FILE)
+        new_path.write_bytes(orjson.dumps(stored))
+        os.replace(new_path, self.folder / META_FILE)
 
     def data(self) -> bytes:
         """Return the newest whole generation."""
--- a/pinspread/replication/survey.py
+++ b/pinspread/replication/survey.py
@@ -17,8 +17,8 @@
 class SurveyPurpose(Enum):
     """What replicas are asked for; waits for each are apart. The values stand in log lines."""
 
-    OWN_WORK = "own"
-    TAKEN_OVER_WORK = "taken over by"
+    OWNERS_JOURNAL = "own"
+    CANDIDATES_JOURNAL = "taken over by"
 
 
 class ReplicaSurvey:
@@ -31,11 +31,11 @@
 
     async def fetch(self, owner: str, token: int) -> Snapshots:
         """Return every live node's replica of an owner's journal, fenced against all older tokens."""
-        answers = await self._peers.ask_all(FetchSnapshot(owner, token), but=(owner,))
+        answers = await self._peers.call_all(FetchSnapshot(owner, token), but=(owner,))
         return _checked(answers)
 
     def is_complete(
-        self, owner: str, found: Snapshots, purpose: SurveyPurpose = SurveyPurpose.OWN_WORK
+        self, owner: str, found: Snapshots, purpose: SurveyPurpose = SurveyPurpose.OWNERS_JOURNAL
     ) -> bool:
         """Return whether what was promised must be among these replicas, or was waited for long enough."""
         replica_sets = snapshots.replica_sets(found)
@@ -53,24 +53,24 @@
         key = (purpose, owner)
         is_first = key not in self._incomplete_since_us
         since_us = self._incomplete_since_us.setdefault(key, clock.monotonic_us())
-        is_late = clock.monotonic_us() - since_us >= self._node.config.incomplete_timeout_us
-        if is_first or is_late:
+        is_overdue = clock.monotonic_us() - since_us >= self._node.config.incomplete_timeout_us
+        if is_first or is_overdue:
             self._node.events(
-                "copies_unsure" if is_late else "copies_awaited",
+                "copies_unsure" if is_overdue else "copies_awaited",
                 owner=owner,
                 wanted=purpose.value,
                 answered=sorted(found),
                 of=replica_sets,
             )
-        if is_late:
+        if is_overdue:
             del self._incomplete_since_us[key]
-        return is_late
+        return is_overdue
 
     def forget(self, owner: str) -> None:
         """Forget a wait for replicas of an owner whose work is not due for another any more."""
-        self._incomplete_since_us.pop((SurveyPurpose.OWN_WORK, owner), None)
+        self._incomplete_since_us.pop((SurveyPurpose.OWNERS_JOURNAL, owner), None)
 
-    async def ids_held_by_candidates(self, found: Snapshots, but: str) -> tuple[set[str], bool]:
+    async def ids_in_candidates_journals(self, found: Snapshots, but: str) -> tuple[set[str], bool]:
         """Return the ids in the journals of others that have begun to take this work over.
 
         Args:
@@ -83,9 +83,9 @@
         ids: set[str] = set()
         complete = True
         for candidate in snapshots.takeover_candidates(found) - {but}:
-            journals = _checked(await self._peers.ask_all(ReadSnapshot(candidate)))
+            journals = _checked(await self._peers.call_all(ReadSnapshot(candidate)))
             # What it took over and has begun to send would be sent from here as well.
-            complete = self.is_complete(candidate, journals, SurveyPurpose.TAKEN_OVER_WORK) and complete
+            complete = self.is_complete(candidate, journals, SurveyPurpose.CANDIDATES_JOURNAL) and complete
             newest = snapshots.newest_of(journals.values())
             if newest:
                 replayed = replay(newest.data)
@@ -95,9 +95,9 @@
 
 def _checked(answers: Snapshots) -> Snapshots:
     """Return the answers up to the last whole record of each; what is cut off is logged."""
-    whole = snapshots.without_torn_tails(answers)
-    for node_id, snapshot in whole.items():
+    complete = snapshots.without_torn_tails(answers)
+    for node_id, snapshot in complete.items():
         place, size = len(snapshot.data), len(answers[node_id].data)
         if place < size:
             log("copies_damaged", at=node_id, place=place, size=size, mono_us=clock.monotonic_us())
-    return whole
+    return complete
--- a/pinspread/replication/takeover.py
+++ b/pinspread/replication/takeover.py
@@ -60,19 +60,19 @@
             return TakeoverResult.DEFERRED
         if snapshots.is_taken_over(found):
             return TakeoverResult.ALREADY_DONE
-        held_by_others, complete = await self._survey.ids_held_by_candidates(found, but=self._node.id)
+        ids_elsewhere, complete = await self._survey.ids_in_candidates_journals(found, but=self._node.id)
         if not complete:
             return TakeoverResult.DEFERRED
         messages = replay(newest.data).open_messages
         # The lease may have ended while the others were asked; the owner or another may act by now.
         if self._node.ownership.token(owner) != token or self._primary.blocked_reason():
             return TakeoverResult.DEFERRED
-        self._accept(owner, token, messages, held_by_others)
+        self._accept(owner, token, messages, ids_elsewhere)
         return await self._complete(owner, token)
 
-    def _accept(self, owner: str, token: int, messages: "list[Message]", held_by_others: set[str]) -> None:
+    def _accept(self, owner: str, token: int, messages: "list[Message]", ids_elsewhere: set[str]) -> None:
         """Have the engine owe what no other node has taken over before."""
-        accepted = [message for message in messages if message.id not in held_by_others]
+        accepted = [message for message in messages if message.id not in ids_elsewhere]
         count = self._engine.take_over(accepted)
         self._accepted_ids[owner] = {message.id for message in accepted}
         self._node.events("copies_taken_over", owner=owner, token=token, count=count, held=len(messages))
@@ -82,7 +82,7 @@
         while not await self._primary.wait_replicated():
             if self._node.ownership.token(owner) != token:
                 return TakeoverResult.DEFERRED
-        await self._peers.ask_all(CompleteTakeover(owner, token))
+        await self._peers.call_all(CompleteTakeover(owner, token))
         return TakeoverResult.TAKEN_OVER
 
     async def stand_down(self, owner: str) -> None:
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -156,19 +156,19 @@
 
 
 async def read_all(found, owner):
-    await found.peers.ask_all(protocol.ReadSnapshot(owner))
+    await found.peers.call_all(protocol.ReadSnapshot(owner))
 
 
 async def done_all(found, owner, token):
-    await found.peers.ask_all(protocol.CompleteTakeover(owner, token))
+    await found.peers.call_all(protocol.CompleteTakeover(owner, token))
 
 
 async def ask_fetch(found, other, owner, token):
-    await found.peers.ask(other, protocol.FetchSnapshot(owner, token))
+    await found.peers.call(other, protocol.FetchSnapshot(owner, token))
 
 
 async def ask_spare(found, other, owner):
-    await found.peers.ask(other, protocol.RequestRemoval(owner))
+    await found.peers.call(other, protocol.RequestRemoval(owner))
 
 
 @contextmanager
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -3,6 +3,7 @@
 The engine and the leases are specified by their classes, so that a name that they do not have fails here.
 """
 
+from dataclasses import replace
 from types import SimpleNamespace
 from unittest import mock
 
@@ -17,7 +18,7 @@
 from pinspread.membership.service import Membership, Plan
 from pinspread.membership.swim import ALIVE, DEAD, Tuning
 from pinspread.replication.config import ReplicationConfig
-from pinspread.replication.protocol import FetchSnapshot, ReadSnapshot
+from pinspread.replication.protocol import Consent, FetchSnapshot, ReadSnapshot, Refusal, RequestRemoval
 from pinspread.replication.service import ReplicationService
 from pinspread.replication.snapshots import ReplicaSnapshot
 from pinspread.replication.store import ReplicaStore
@@ -128,16 +129,39 @@
     assert store.replica.takeover_token == TOKEN
 
 
+def test_a_replica_that_is_not_chosen_any_more_goes_once_its_owner_consents(service, tmp_path):
+    store = store_of_lost_node(service, journal_of(tmp_path / "a", 1), ["k"])
+    membership = service.membership
+    membership.member.apply(["a", "127.0.0.2:1", 1, ALIVE, "a"], 0)
+    membership.member.apply(["f", "127.0.0.3:1", 0, ALIVE, "f"], 0)  # comes before this node
+    service.node.config = replace(service.node.config, replica_count=1, check_interval_us=0)
+    answers, asked = [None, Refusal("not yet"), Consent()], []
+
+    async def call(peer, request):
+        asked.append((peer, request))
+        return answers.pop(0)
+
+    with mock.patch.object(service.peers, "call", call):
+        check(service)
+        check(service)
+        assert store.replica.generation == 7 and store.data()
+        check(service)
+        assert not store.replica.generation and not store.data()
+        assert store.replica.fencing_token == 3  # the token outlasts the data
+        check(service)
+    assert asked == [("a", RequestRemoval("a"))] * 3
+
+
 def answering(service, own, journal_of_candidate):
     """The node "a" holds a replica of this node's journal, and has begun to take it over."""
 
-    async def ask_all(request, but=()):
+    async def call_all(request, but=()):
         if request == FetchSnapshot("k", TOKEN):
             return {"a": own}
         assert request == ReadSnapshot("a")
         return {"a": ReplicaSnapshot(4, journal_of_candidate, ["a"], [], 0)}
 
-    return mock.patch.object(service.peers, "ask_all", ask_all)
+    return mock.patch.object(service.peers, "call_all", call_all)
 
 
 def test_a_start_without_its_journal_gets_it_back_without_what_others_took_over(service, engine, tmp_path):
