--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -189,13 +189,15 @@
 
     background_services = []
     if file.members:  # Danger: serving loads membership only where a file turns it on
-        from pinspread.membership.service import Membership
+        from pinspread.membership.service import MembershipService
 
-        background_services.append(Membership(file.members.plan(), records(file)))
+        background_services.append(MembershipService(file.members.plan(), records(file)))
     if file.leases:
-        from pinspread.leases.service import Leases
+        from pinspread.leases.service import LeaseService
 
-        background_services.append(Leases(file.leases.plan(file.journal.folder), background_services[0]))
+        background_services.append(
+            LeaseService(file.leases.plan(file.journal.folder), background_services[0])
+        )
     if file.copies:
         from pinspread.replication.service import ReplicationService
 
--- a/pinspread/replication/clock.py
+++ b/pinspread/replication/clock.py
@@ -2,12 +2,7 @@
 
 import time
 
-from pinspread.membership.service import machine_us
-
-
-def monotonic_us() -> int:
-    """Return the machine's monotonic time in microseconds."""
-    return int(machine_us())
+from pinspread.membership.clock import monotonic_us as monotonic_us
 
 
 def unix_us() -> int:
--- a/pinspread/replication/failover.py
+++ b/pinspread/replication/failover.py
@@ -10,6 +10,7 @@
 
 if TYPE_CHECKING:
     from pinspread.core.engine import DeliveryEngine
+    from pinspread.membership.members import MemberState
     from pinspread.replication.node import ReplicationNode
     from pinspread.replication.retention import ReplicaRetention
     from pinspread.replication.store import ReplicaStores
@@ -59,7 +60,7 @@
         elif self._is_our_turn(owner):
             await self._try_to_take_over(owner)
 
-    def _is_due(self, owner: str, state: str) -> bool:
+    def _is_due(self, owner: str, state: "MemberState | None") -> bool:
         """Return whether an owner is lost and its work is here and not taken over yet."""
         now_us = clock.monotonic_us()
         absent_us = now_us - self._absent_since_us.setdefault(owner, now_us)
--- a/pinspread/replication/ownership.py
+++ b/pinspread/replication/ownership.py
@@ -2,11 +2,11 @@
 
 from typing import TYPE_CHECKING
 
-from pinspread.leases import state_machine
-from pinspread.leases.service import WORK
+from pinspread.leases.service import WORK_TASK_PREFIX
+from pinspread.leases.state_machine import FIRST_TOKEN
 
 if TYPE_CHECKING:
-    from pinspread.leases.service import Leases
+    from pinspread.leases.service import LeaseService
 
 
 class WorkLeases:
@@ -17,14 +17,14 @@
             work others have taken over; 0 before the first.
     """
 
-    def __init__(self, leases: "Leases", node_id: str) -> None:
+    def __init__(self, leases: "LeaseService", node_id: str) -> None:
         self._leases = leases
         self._node_id = node_id
         self.confirmed_fencing_token = 0
 
     def token(self, owner: str) -> int:
         """Return the fencing token under which this node may act for the owner's work now, else 0."""
-        return int(self._leases.holds(WORK + owner))
+        return self._leases.fencing_token(WORK_TASK_PREFIX + owner)
 
     def local_token(self) -> int:
         """Return the fencing token of this node's own work, 0 without the lease."""
@@ -46,17 +46,17 @@
 
     def request(self, owner: str) -> None:
         """Contend for the lease of the owner's work until it is released."""
-        self._leases.want(WORK + owner)
+        self._leases.contend(WORK_TASK_PREFIX + owner)
 
     async def release(self, owner: str) -> None:
         """Contend no longer; a lease that is held is given back."""
-        await self._leases.unwant(WORK + owner)
+        await self._leases.withdraw(WORK_TASK_PREFIX + owner)
 
-    async def wait_agreed(self) -> None:
+    async def flush(self) -> None:
         """Let what was given back be agreed on before the process ends."""
-        await self._leases.settle()
+        await self._leases.flush_proposals()
 
 
 def is_first_token(token: int) -> bool:
     """Return whether the lease is granted for the first time: nothing was promised under it before."""
-    return token == int(state_machine.FIRST)
+    return token == FIRST_TOKEN
--- a/pinspread/replication/peers.py
+++ b/pinspread/replication/peers.py
@@ -5,11 +5,11 @@
 
 from collections.abc import AsyncIterator, Collection
 from contextlib import asynccontextmanager
-from typing import TYPE_CHECKING, Any, Protocol, cast
+from typing import TYPE_CHECKING, cast
 
 import anyio
 
-from pinspread.membership.framing import GONE, Frames
+from pinspread.membership.framing import FrameStream
 from pinspread.replication import protocol
 from pinspread.replication.protocol import AnswerT, DatagramError, Envelope, Refusal, Request
 from pinspread.sockets import split_address
@@ -23,24 +23,11 @@
     from pinspread.replication.replica_server import ReplicaServer
 
 CALL_TIMEOUT_S = 1.0  # for a connection, and for one request with its answer
-# What a stream that ends, breaks or stalls raises; none of it is a fault of what was said on it.
-CONNECTION_ERRORS = (*GONE, TimeoutError)
-
-
-class FrameStream(Protocol):
-    """Messages both ways on one connection."""
-
-    async def get(self) -> dict[str, Any]:
-        """Return the next message."""
-
-    async def put(self, message: dict[str, Any]) -> None:
-        """Send one message."""
 
 
 def open_frames(stream: "ByteStream", key: bytes) -> FrameStream:
     """Return the frames of replication on a stream, sealed with the fleet's key."""
-    frames: FrameStream = Frames(stream, key, protocol.MAGIC, protocol.MAX_FRAME_BYTES)
-    return frames
+    return FrameStream(stream, key, protocol.MAGIC, protocol.MAX_FRAME_BYTES)
 
 
 class PeerSession:
@@ -55,13 +42,13 @@
         """Send a request and return its answer.
 
         Raises:
-            TimeoutError: There was no answer within `CALL_TIMEOUT_S`.
+            OSError: The connection has ended, or there was no answer within `CALL_TIMEOUT_S`.
             RefusedError: The other node refused.
             DatagramError: The answer is not well-formed.
         """
         with anyio.fail_after(CALL_TIMEOUT_S):
-            await self._frames.put(protocol.encode_request(request, self._node_id, self._peer))
-            message = await self._frames.get()
+            await self._frames.send(protocol.encode_request(request, self._node_id, self._peer))
+            message = await self._frames.receive()
         return protocol.decode_answer(request, message)
 
 
@@ -77,8 +64,7 @@
         """Connect to a node; the connection ends with the block.
 
         Raises:
-            OSError: It cannot be reached, or is no member.
-            TimeoutError: It did not answer within `CALL_TIMEOUT_S`.
+            OSError: It cannot be reached within `CALL_TIMEOUT_S`, or is no member.
         """
         stream, frames = await self._dial(peer)
         async with stream:
@@ -109,7 +95,7 @@
         try:
             async with self._connector.connect(peer) as session:
                 return await session.call(request)
-        except CONNECTION_ERRORS:
+        except OSError:
             return None
         except DatagramError as error:
             self._node.events("copies_refused", by=peer, why=str(error))
--- a/pinspread/replication/primary.py
+++ b/pinspread/replication/primary.py
@@ -10,7 +10,6 @@
 
 from pinspread.replication import clock, placement
 from pinspread.replication.log import ReplicationLog
-from pinspread.replication.peers import CONNECTION_ERRORS
 from pinspread.replication.protocol import DatagramError
 from pinspread.replication.transfer import JournalTransfer
 
@@ -169,7 +168,7 @@
         # Sent before it is known what was taken over, this journal would pass for that.
         if not token or not self.log.generation:
             return
-        with suppress(*CONNECTION_ERRORS):
+        with suppress(OSError):
             async with self._connector.connect(replica) as session:
                 await self.send_journal(replica, session, token)
 
--- a/pinspread/replication/protocol.py
+++ b/pinspread/replication/protocol.py
@@ -9,7 +9,7 @@
 from typing import Any, Generic, TypeVar, cast
 
 from pinspread.membership.codec import DatagramError as DatagramError
-from pinspread.membership.codec import is_a, need
+from pinspread.membership.codec import is_of_type, require_fields
 from pinspread.replication.snapshots import ReplicaSnapshot
 
 MAGIC = b"PSC"
@@ -203,10 +203,10 @@
     if kind not in _LAYOUTS:
         raise DatagramError(f"kind {str(kind)[:MAX_SHOWN_KIND]!r}")
     layout = _LAYOUTS[kind]
-    need(message, _ADDRESS_TYPES | {key: type_ for key, (_, type_) in layout.fields.items()})
+    require_fields(message, _ADDRESS_TYPES | {key: type_ for key, (_, type_) in layout.fields.items()})
     values = {name: message[key] for key, (name, _) in layout.fields.items()}
     request = layout.request_type(message["owner"], **values)
-    negative = any(is_a(value, int) and value < 0 for value in message.values())
+    negative = any(is_of_type(value, int) and value < 0 for value in message.values())
     return Envelope(message["from"], message["to"], request, negative)
 
 
@@ -249,12 +249,12 @@
 
 
 def _decode_content(message: WireMessage) -> ReplicaContent:
-    need(message, {"generation": int, "size": int, "sums": list})
+    require_fields(message, {"generation": int, "size": int, "sums": list})
     return ReplicaContent(message["generation"], message["size"], message["sums"])
 
 
 def _decode_acknowledgement(message: WireMessage) -> Acknowledgement:
-    need(message, {"generation": int, "size": int})
+    require_fields(message, {"generation": int, "size": int})
     return Acknowledgement(message["generation"], message["size"])
 
 
--- a/pinspread/replication/replica_server.py
+++ b/pinspread/replication/replica_server.py
@@ -8,7 +8,7 @@
 
 from pinspread.replication import protocol
 from pinspread.replication.log import range_checksums
-from pinspread.replication.peers import CONNECTION_ERRORS, open_frames
+from pinspread.replication.peers import open_frames
 from pinspread.replication.protocol import (
     Acknowledgement,
     AnnounceReplicas,
@@ -58,12 +58,12 @@
         try:
             async with stream:
                 while True:
-                    message = await frames.get()
-                    await frames.put(await self.handle(message))
+                    message = await frames.receive()
+                    await frames.send(await self.handle(message))
         except DatagramError as error:
             self._node.events("copies_refused", why=str(error))
-        except CONNECTION_ERRORS:
-            pass
+        except OSError:
+            pass  # the other side has ended the connection
 
     async def handle(self, message: dict[str, Any]) -> dict[str, Any]:
         """Answer a message in its form on the wire; DatagramError if it is not well-formed."""
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -26,8 +26,8 @@
     from anyio.abc import Listener, SocketStream
 
     from pinspread.core.engine import DeliveryEngine
-    from pinspread.leases.service import Leases
-    from pinspread.membership.service import Membership
+    from pinspread.leases.service import LeaseService
+    from pinspread.membership.service import MembershipService
 
 CLOSE_TIMEOUT_S = 0.1  # what the last records may take of the 3.7 s of SIGTERM
 
@@ -52,7 +52,9 @@
     failover: Failover
     _listener: "Listener[SocketStream]"
 
-    def __init__(self, config: ReplicationConfig, membership: "Membership", leases: "Leases") -> None:
+    def __init__(
+        self, config: ReplicationConfig, membership: "MembershipService", leases: "LeaseService"
+    ) -> None:
         fleet = FleetView(membership)
         ownership = WorkLeases(leases, fleet.node_id)
         self.node = ReplicationNode(config, fleet, ownership, EventLogger(fleet.node_id))
@@ -117,4 +119,4 @@
             with anyio.move_on_after(CLOSE_TIMEOUT_S):
                 await self.wait_replicated()
             await self.node.ownership.release(self.node.id)
-            await self.node.ownership.wait_agreed()
+            await self.node.ownership.flush()
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -9,15 +9,15 @@
 import anyio
 
 from pinspread import sockets
-from pinspread.amqp.broker import GUEST, BrokerTransport
-from pinspread.amqp.front import NAME as AMQP
-from pinspread.amqp.front import AmqpFront
+from pinspread.amqp.server import FRONT_NAME as AMQP
+from pinspread.amqp.server import AmqpFront
+from pinspread.amqp.transport import GUEST_LOGIN, BrokerTransport
 from pinspread.config import settings
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
-from pinspread.core.log import log, use
+from pinspread.core.log import log, use_clock
 from pinspread.discovery.client import Discovery
 from pinspread.errors import JournalFormatError, JournalFullError
 from pinspread.http.transport import HttpTransport, Pool
@@ -36,7 +36,7 @@
     amqp: settings.AmqpFile,
     reread,
     discover=None,
-    login=GUEST,
+    login=GUEST_LOGIN,
     background_services=(),
     early=(),
 ):
@@ -55,7 +55,7 @@
         self.told, self.amqp, self.login = told, amqp, login
         self.background_services = list(background_services)
         self.clock = clock = Clock()
-        use(clock)
+        use_clock(clock)
         self.owner = FolderLock(told.state)
         journal = Journal(told.state, told.disk_bytes)
         self.engine = engine = DeliveryEngine(
@@ -302,7 +302,7 @@
 
 def _chosen(legs, most):
     """As many legs as may be open twice for a moment; others end, first those that wait for nothing."""
-    legs.sort(key=lambda kept: (not (kept.unread or kept.unsent), not kept.asked, not kept.spoke))
+    legs.sort(key=lambda kept: (not (kept.unread or kept.unsent), not kept.submitted, not kept.answered))
     for kept in legs[most:]:
         kept.connection.close()
     return legs[:most]
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -14,9 +14,10 @@
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.journal import Journal
 from pinspread.errors import JournalFullError
-from pinspread.leases.service import Leases
-from pinspread.membership.service import Membership, Plan
-from pinspread.membership.swim import ALIVE, DEAD, Tuning
+from pinspread.leases.service import LeaseService
+from pinspread.membership.members import MemberState
+from pinspread.membership.service import MembershipConfig, MembershipService
+from pinspread.membership.swim import SwimConfig
 from pinspread.replication.config import ReplicationConfig
 from pinspread.replication.protocol import Consent, FetchSnapshot, ReadSnapshot, Refusal, RequestRemoval
 from pinspread.replication.service import ReplicationService
@@ -51,10 +52,12 @@
 
 @pytest.fixture
 def service(tmp_path, engine):
-    membership = Membership(Plan("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", Tuning()))
-    membership.member.apply(["a", "127.0.0.2:1", 0, ALIVE, "a"], 0)
-    leases = mock.create_autospec(Leases, instance=True)
-    leases.holds.return_value = TOKEN
+    membership = MembershipService(
+        MembershipConfig("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", SwimConfig())
+    )
+    membership.member.apply(["a", "127.0.0.2:1", 0, MemberState.ALIVE, "a"], 0)
+    leases = mock.create_autospec(LeaseService, instance=True)
+    leases.fencing_token.return_value = TOKEN
     found = ReplicationService(
         ReplicationConfig("127.0.0.1:0", str(tmp_path / "replicas"), **QUICK), membership, leases
     )
@@ -75,7 +78,7 @@
 
     anyio.run(play)
     service.node.ownership.confirmed_fencing_token = TOKEN
-    service.membership.member.apply(["a", "127.0.0.2:1", 0, DEAD, "k"], 0)
+    service.membership.member.apply(["a", "127.0.0.2:1", 0, MemberState.DEAD, "k"], 0)
     return service.stores["a"]
 
 
@@ -89,24 +92,24 @@
     store = store_of_lost_node(service, journal_of(tmp_path / "a", 1, 2), ["k"])
     engine.take_over.return_value = 2
     check(service)
-    service.leases.want.assert_called_with("work.a")
+    service.leases.contend.assert_called_with("work.a")
     (taken,) = engine.take_over.call_args.args
     assert [m.id for m in taken] == ["id1", "id2"]
     assert store.replica.takeover_token == TOKEN
     assert ReplicaStore(tmp_path / "replicas", "a").replica.takeover_token == TOKEN
     engine.messages_by_id = {"id2": taken[1]}
     check(service)
-    service.leases.unwant.assert_not_called()
+    service.leases.withdraw.assert_not_called()
     engine.messages_by_id = {}
     check(service)
-    service.leases.unwant.assert_called_once_with("work.a")
+    service.leases.withdraw.assert_called_once_with("work.a")
     engine.take_over.assert_called_once()
 
 
 def test_nothing_is_taken_over_without_the_lease_nor_while_a_replica_may_hold_more(service, engine, tmp_path):
     store_of_lost_node(service, journal_of(tmp_path / "a", 1), ["k", "b"])
     check(service)  # "b" has not answered
-    service.leases.holds.return_value = 0
+    service.leases.fencing_token.return_value = 0
     check(service)
     engine.take_over.assert_not_called()
     assert not service.stores["a"].replica.takeover_token
@@ -114,7 +117,7 @@
 
 def test_nothing_is_taken_over_when_the_lease_ends_while_the_others_are_asked(service, engine, tmp_path):
     store_of_lost_node(service, journal_of(tmp_path / "a", 1), ["k"])
-    service.leases.holds.side_effect = [TOKEN, TOKEN + 1]
+    service.leases.fencing_token.side_effect = [TOKEN, TOKEN + 1]
     check(service)
     engine.take_over.assert_not_called()
 
@@ -132,8 +135,8 @@
 def test_a_replica_that_is_not_chosen_any_more_goes_once_its_owner_consents(service, tmp_path):
     store = store_of_lost_node(service, journal_of(tmp_path / "a", 1), ["k"])
     membership = service.membership
-    membership.member.apply(["a", "127.0.0.2:1", 1, ALIVE, "a"], 0)
-    membership.member.apply(["f", "127.0.0.3:1", 0, ALIVE, "f"], 0)  # comes before this node
+    membership.member.apply(["a", "127.0.0.2:1", 1, MemberState.ALIVE, "a"], 0)
+    membership.member.apply(["f", "127.0.0.3:1", 0, MemberState.ALIVE, "f"], 0)  # comes before this node
     service.node.config = replace(service.node.config, replica_count=1, check_interval_us=0)
     answers, asked = [None, Refusal("not yet"), Consent()], []
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -14,8 +14,9 @@
 from pinspread.core.messages import FinalResult, FinalState, Message
 from pinspread.errors import JournalFullError
 from pinspread.membership import codec as wire
-from pinspread.membership.service import Membership, Plan
-from pinspread.membership.swim import ALIVE, Tuning
+from pinspread.membership.members import MemberState
+from pinspread.membership.service import MembershipConfig, MembershipService
+from pinspread.membership.swim import SwimConfig
 from pinspread.replication import fleet, placement
 from pinspread.replication.config import ReplicationConfig
 from pinspread.replication.journal_bytes import replay
@@ -97,8 +98,8 @@
         ("dead", 0, 1),
         ("left", 9, 0),
         ("left", 10, 1),
-        ("", 9, 0),
-        ("", 10, 1),
+        (None, 9, 0),
+        (None, 10, 1),
     ],
 )
 def test_whose_work_is_due_for_another(state, for_us, lost):
@@ -230,15 +231,17 @@
 
 
 class Held:
-    def holds(self, task):
+    def fencing_token(self, task):
         return 5
 
 
 @pytest.fixture
 def service(tmp_path):
-    membership = Membership(Plan("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", Tuning()))
-    membership.member.apply(["a", "127.0.0.2:1", 0, ALIVE, "a"], 0)
-    membership.member.apply(["b", "127.0.0.3:1", 0, ALIVE, "b"], 0)
+    membership = MembershipService(
+        MembershipConfig("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", SwimConfig())
+    )
+    membership.member.apply(["a", "127.0.0.2:1", 0, MemberState.ALIVE, "a"], 0)
+    membership.member.apply(["b", "127.0.0.3:1", 0, MemberState.ALIVE, "b"], 0)
     return ReplicationService(ReplicationConfig("127.0.0.1:0", str(tmp_path)), membership, Held())
 
 
@@ -338,7 +341,7 @@
     assert service.blocked_reason() == ""
     monkeypatch.setattr(service.node, "config", ReplicationConfig("127.0.0.1:0", ""))
     assert "copies" in service.blocked_reason()
-    monkeypatch.setattr(Held, "holds", lambda self, task: 0)
+    monkeypatch.setattr(Held, "fencing_token", lambda self, task: 0)
     assert "lease" in service.blocked_reason()
 
 
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -10,8 +10,9 @@
 from test_replication import message
 
 from pinspread.core.journal import Journal
-from pinspread.membership.service import Membership, Plan
-from pinspread.membership.swim import ALIVE, Tuning
+from pinspread.membership.members import MemberState
+from pinspread.membership.service import MembershipConfig, MembershipService
+from pinspread.membership.swim import SwimConfig
 from pinspread.replication.config import ReplicationConfig
 from pinspread.replication.service import ReplicationService
 
@@ -38,20 +39,22 @@
     def __init__(self, node_id):
         self.task, self.released = f"work.{node_id}", False
 
-    def holds(self, task):
+    def fencing_token(self, task):
         return TOKEN if task == self.task and not self.released else 0
 
-    async def unwant(self, task):
+    async def withdraw(self, task):
         self.released = self.released or task == self.task
 
-    async def settle(self):
+    async def flush_proposals(self):
         pass
 
 
 def node(id_, port, folder):
-    membership = Membership(Plan(id_, f"{HOSTS[id_]}:1", f"{HOSTS[id_]}:1", (), b"fleet", Tuning()))
+    membership = MembershipService(
+        MembershipConfig(id_, f"{HOSTS[id_]}:1", f"{HOSTS[id_]}:1", (), b"fleet", SwimConfig())
+    )
     for other in HOSTS:
-        membership.member.apply([other, f"{HOSTS[other]}:1", 0, ALIVE, other], 0)
+        membership.member.apply([other, f"{HOSTS[other]}:1", 0, MemberState.ALIVE, other], 0)
     config = ReplicationConfig(
         f"{HOSTS[id_]}:{port}", str(folder / id_ / "replicas"), ack_timeout_us=5_000_000
     )
