--- a/tests/standins.py
+++ b/tests/standins.py
@@ -13,6 +13,8 @@
 
 from pinspread import sockets
 from pinspread.amqp import frames
+from pinspread.amqp.content import ContentAssembler
+from pinspread.amqp.frame_stream import FrameStream
 from pinspread.amqp.server import AmqpFront
 from pinspread.amqp.transport import BrokerTransport
 from pinspread.config import settings
@@ -20,12 +22,14 @@
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.journal import Journal
 from pinspread.core.messages import Endpoint
-from pinspread.discovery.client import Discovery
+from pinspread.discovery.client import DiscoveryClient
 from pinspread.http import transport as http
-from pinspread.http.transport import HttpTransport, Pool
+from pinspread.http.pool import ConnectionPool
+from pinspread.http.transport import HttpTransport
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.resp import front
+from pinspread.resp.notifications import NotificationSender
 from pinspread.testbed.stand_ins import (
     AmqpClient,
     Client,
@@ -70,13 +74,13 @@
     clock = Clock()
     journal = Journal(told.state, told.disk_bytes)
     core = DeliveryEngine(DeliveryPolicy(told.policy_settings, told.seed), told, clock, journal)
-    pool = Pool(clock, told.keepalive_us)
-    notices = front.NotificationSender(platform)
+    pool = ConnectionPool(clock, told.keepalive_us)
+    notices = NotificationSender(platform)
     room = sockets.ConnectionLimiter(clock, legs, leg_bytes)
     core.transports["http"] = HttpTransport(clock, pool, told.connect_timeout_us)
     core.fronts["resp"] = resp = front.RespFront(core, notices, room)
-    core.fronts["amqp"] = amqp = AmqpFront(core, room=room)
-    core.subscribe = Discovery(platform, core, told).poll
+    core.fronts["amqp"] = amqp = AmqpFront(core, limiter=room)
+    core.subscribe = DiscoveryClient(platform, core, told).poll
     async with anyio.create_task_group() as tasks:
         core.transports["amqp"] = BrokerTransport(clock, tasks, told.connect_timeout_us)
         (resp_sock, address), (amqp_sock, amqp_address) = listener(), listener()
@@ -125,25 +129,25 @@
             await wire.send(method)
 
     async def serve(self, connection):
-        wire = frames.FrameStream(connection, Clock())
+        wire = FrameStream(connection, Clock())
         try:
-            if await wire.greeting() != frames.PROTOCOL_HEADER:
+            if await wire.read_protocol_header() != frames.PROTOCOL_HEADER:
                 return
             await wire.send(commands.Connection.Start(0, 9, {}, "PLAIN", "en_US"))
-            self.logins.add((await wire.method("Connection.StartOk")).response)
+            self.logins.add((await wire.read_method("Connection.StartOk")).response)
             await wire.send(commands.Connection.Tune(8, 4096, 1))
-            await wire.method("Connection.TuneOk")
-            await wire.method("Connection.Open")
+            await wire.read_method("Connection.TuneOk")
+            await wire.read_method("Connection.Open")
             await wire.send(commands.Connection.OpenOk())
-            await wire.method("Channel.Open")
+            await wire.read_method("Channel.Open")
             await wire.send(commands.Channel.OpenOk(), 1)
-            await wire.method("Confirm.Select")
+            await wire.read_method("Confirm.Select")
             await wire.send(commands.Confirm.SelectOk(), 1)
             self.links.add(wire)
-            contents, tag = frames.ContentAssembler(), 0
+            contents, tag = ContentAssembler(), 0
             while True:
                 await self.reading.wait()
-                channel, found = await wire.frame()
+                channel, found = await wire.read_frame()
                 if channel == 0:
                     continue
                 whole = contents.feed(found)
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -1,4 +1,4 @@
-"""The AMQP front against a stand-in client: one test a rule, on real sockets."""
+"""The AMQP front against a stand-in client: one test for each rule, on real sockets."""
 
 import anyio
 import pytest
@@ -7,6 +7,7 @@
 
 from pinspread.amqp import frames
 from pinspread.amqp.errors import ReplyCode
+from pinspread.amqp.frame_stream import FrameStream
 from pinspread.sockets import dial
 
 pytestmark = pytest.mark.anyio
@@ -21,7 +22,9 @@
     ("status", "cls", "state"),
     [(200, "payment", "delivered"), (500, "payment", "failed"), (503, "status-update", "returned")],
 )
-async def test_a_taken_message_is_acked_and_its_one_end_goes_to_reply_to(tmp_path, status, cls, state):
+async def test_an_accepted_message_is_acked_and_its_one_final_result_goes_to_reply_to(
+    tmp_path, status, cls, state
+):
     endpoint = HttpStandIn(lambda request: (status, [], b""))
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = await AmqpClient.open(rig.amqp)
@@ -37,7 +40,7 @@
         assert endpoint.requests[0][3]["request-id"] == "m1"
 
 
-async def test_a_busy_answer_is_a_return_with_when_to_come_back_and_then_a_nack(tmp_path):
+async def test_a_rejection_is_a_return_with_when_to_publish_again_and_then_a_nack(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1")
@@ -51,7 +54,7 @@
         assert isinstance(method, commands.Basic.Nack) and method.delivery_tag == 2
 
 
-async def test_an_end_is_kept_until_acked_over_consumers_and_restarts(tmp_path):
+async def test_a_final_result_is_kept_until_acked_over_consumers_and_restarts(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1", for_ms=100)  # no next hop: returned when its time is up
@@ -71,13 +74,13 @@
         assert not rig.engine.messages_by_id
 
 
-async def test_prefetch_bounds_what_is_out_and_requeued_ends_come_first(tmp_path):
+async def test_prefetch_limits_unacked_deliveries_and_requeued_results_come_first(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         for n in (1, 2):
             await client.publish(f"m{n}", for_ms=50 * n)
             await client.next()
-        await until(lambda: len(rig.engine.fronts["amqp"].queue("ends").waiting) == 2)
+        await until(lambda: len(rig.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
         await client.consume(prefetch=1)
         told, method = await client.end(ack=False)
         await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, True), 1)
@@ -107,7 +110,7 @@
         (lambda c: c.wire.write(frames.FRAME_HEAD.pack(3, 1, 1) + b"x\xce"), ReplyCode.UNEXPECTED_FRAME),
     ],
 )
-async def test_errors_have_the_specifications_reply_codes_and_nothing_is_taken(tmp_path, send, code):
+async def test_errors_have_the_specifications_reply_codes_and_nothing_is_accepted(tmp_path, send, code):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await send(client)
@@ -131,14 +134,14 @@
         assert (await client.next())[0].reply_code == ReplyCode.PRECONDITION_FAILED
 
 
-async def test_a_client_hears_that_the_process_ends(tmp_path):
+async def test_a_client_is_told_that_the_process_ends(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await rig.engine.fronts["amqp"].close()
         assert (await client.next())[0].reply_code == ReplyCode.CONNECTION_FORCED
 
 
-async def test_another_protocol_hears_the_greeting(tmp_path):
+async def test_another_protocol_is_answered_with_the_protocol_header(tmp_path):
     async with engine(tmp_path) as rig:
         host, port = rig.amqp.split(":")
         stream = await anyio.connect_tcp(host, int(port))
@@ -146,24 +149,24 @@
         assert await stream.receive() == frames.PROTOCOL_HEADER
 
 
-async def test_a_silent_client_is_dropped_and_a_beating_one_kept(tmp_path):
+async def test_a_silent_client_is_closed_and_one_with_heartbeats_stays(tmp_path):
     async with engine(tmp_path) as rig:
         rig.engine.fronts["amqp"].heartbeat_s = 1
         client = await AmqpClient.open(rig.amqp)  # it chose no heartbeats
-        beating = frames.FrameStream(client.wire.connection, client.wire.clock)
+        beating = FrameStream(client.wire.connection, client.wire.clock)
         with anyio.move_on_after(0.2):
-            await beating.frame()
-        wire = frames.FrameStream(await dial(rig.amqp), rig.engine.clock)
+            await beating.read_frame()
+        wire = FrameStream(await dial(rig.amqp), rig.engine.clock)
         await wire.connection.write(frames.PROTOCOL_HEADER)
-        await wire.method("Connection.Start")
+        await wire.read_method("Connection.Start")
         await wire.send(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"))
-        await wire.method("Connection.Tune")
+        await wire.read_method("Connection.Tune")
         await wire.send(commands.Connection.TuneOk(8, 4096, 1))
         await wire.send(commands.Connection.Open("/"))
-        await wire.method("Connection.OpenOk")
+        await wire.read_method("Connection.OpenOk")
         with pytest.raises(OSError), anyio.fail_after(4):
             while True:
-                assert (await wire.frame())[1].name == "Heartbeat"
+                assert (await wire.read_frame())[1].name == "Heartbeat"
         assert len(rig.engine.fronts["amqp"].sessions) == 1
 
 
@@ -187,7 +190,7 @@
 
 
 @pytest.mark.parametrize(("status", "again"), [(200, False), (500, False), (503, True)])
-async def test_an_id_that_is_over_is_not_delivered_again_but_a_returned_one_may_be(tmp_path, status, again):
+async def test_a_finished_id_is_not_delivered_again_but_a_returned_one_may_be(tmp_path, status, again):
     endpoint = HttpStandIn(lambda request: (status, [], b""))
     async with standing(endpoint) as address:
         async with engine(tmp_path, endpoints=[(address,)]) as rig:
@@ -209,10 +212,10 @@
 
 
 async def test_a_silent_client_is_closed_in_time_and_one_that_does_not_read_is_ended(tmp_path, monkeypatch):
-    from pinspread.amqp import server
+    from pinspread.amqp import frame_writer, session
 
-    monkeypatch.setattr(server, "GREET_S", 0.2)
-    monkeypatch.setattr(server, "MOST_UNSENT", 100_000)
+    monkeypatch.setattr(session, "HANDSHAKE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(frame_writer, "MAX_UNSENT_BYTES", 100_000)
     async with engine(tmp_path) as rig:
         silent = await dial(rig.amqp)
         with anyio.fail_after(1):
@@ -226,7 +229,7 @@
         client.close()
 
 
-async def test_a_publish_for_an_unknown_partner_ends_the_channel(tmp_path):
+async def test_a_publish_for_an_unknown_destination_closes_the_channel(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1", dest=2)
@@ -236,7 +239,7 @@
         )
 
 
-async def test_contents_that_are_never_whole_share_a_bound_of_memory(tmp_path):
+async def test_contents_that_are_never_complete_share_a_limit_of_memory(tmp_path):
     async with engine(tmp_path, leg_bytes=10_000) as rig:
         client = await AmqpClient.open(rig.amqp)
         whole = frames.marshal_content(
