--- a/tests/test_lease.py
+++ b/tests/test_leases.py
@@ -7,6 +7,7 @@
 from pinspread.leases.state_machine import Answer, Claim, Command, LeaseRecord, Request
 
 TERMS = lease.LeaseTerms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
+A = lease.Contender("t", "a")
 
 
 @pytest.mark.parametrize(
@@ -61,15 +62,15 @@
 
 
 def test_a_claim_counts_from_before_it_asked_and_ends_when_a_renewal_is_refused():
-    claim, request = lease.tick(Claim(), TERMS, "t", "a", 100, 7)
+    claim, request = lease.tick(Claim(), TERMS, A, 100, 7)
     assert request == Request("ask", "t", "a", 0, 7)
-    assert lease.tick(claim, TERMS, "t", "a", 150, 8) == (claim, None)
-    claim, again = lease.tick(claim, TERMS, "t", "a", 200, 8)
+    assert lease.tick(claim, TERMS, A, 150, 8) == (claim, None)
+    claim, again = lease.tick(claim, TERMS, A, 200, 8)
     assert again == request  # the same number, so that it is granted once
     claim = lease.apply_answer(claim, Answer("t", 7, "ok", 5), TERMS, 600)
     assert claim.token == 5 and claim.expiry_us == 1100
     assert lease.may_act(claim, TERMS, 1029) and not lease.may_act(claim, TERMS, 1030)
-    claim, renewal = lease.tick(claim, TERMS, "t", "a", 601, 9)
+    claim, renewal = lease.tick(claim, TERMS, A, 601, 9)
     assert renewal == Request("keep", "t", "a", 5, 9)
     assert (
         lease.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
@@ -78,7 +79,7 @@
     assert kept.expiry_us == 1601
     lost = lease.apply_answer(claim, Answer("t", 9, "not the holder"), TERMS, 700)
     assert not lease.may_act(lost, TERMS, 700)
-    silent, _ = lease.tick(claim, TERMS, "t", "a", 1100, 10)
+    silent, _ = lease.tick(claim, TERMS, A, 1100, 10)
     assert silent.token == 0
 
 
@@ -95,14 +96,14 @@
 
 
 def without_the_version(row, command):
-    arg = row.version if command.kind == lease.CommandKind.GRANT else command.arg
-    return lease.apply_command(row, command._replace(arg=arg))
+    expected = row.version if command.kind == lease.CommandKind.GRANT else command.expected
+    return lease.apply_command(row, command._replace(expected=expected))
 
 
 def test_no_order_of_events_within_six_steps_gives_two_holders():
     found = modelcheck.explore(modelcheck.Bounds(depth=6))
-    assert found["whole"] and not found["violation"], found
-    assert found["states"] > 500_000
+    assert found.complete and not found.violation, found
+    assert found.states > 500_000
 
 
 @pytest.mark.parametrize(
@@ -117,17 +118,17 @@
 )
 def test_the_check_finds_two_holders_where_a_rule_is_taken_out(rules):
     found = modelcheck.explore(modelcheck.Bounds(depth=6), rules)
-    assert "may act" in found["violation"], found
-    assert 3 <= len(found["steps"]) <= 7
+    assert "may act" in found.violation, found
+    assert 3 <= len(found.steps) <= 7
 
 
 def test_acts_of_a_holder_that_paused_are_refused_by_the_fence_alone():
-    bounds = modelcheck.Bounds(depth=9, voters=1, jumps=0, drift=0, numbers=2, log=2, acts=True)
+    bounds = modelcheck.Bounds(depth=9, voters=1, jumps=0, drift=0, requests=2, log=2, acts=True)
     terms = modelcheck.TERMS._replace(lease_us=2, drift_us=0)
     found = modelcheck.explore(bounds, terms=terms)
-    assert found["whole"] and not found["violation"], found
+    assert found.complete and not found.violation, found
     unfenced = modelcheck.explore(bounds, modelcheck.Rules(fenced=False), terms)
-    assert unfenced["violation"] == "the resource took token 1 after 2", unfenced
+    assert unfenced.violation == "the resource took token 1 after 2", unfenced
 
 
 def test_the_stand_in_resource_refuses_an_older_token_and_what_is_no_act():
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -11,6 +11,7 @@
 
 from pinspread.core.journal import Journal
 from pinspread.membership.members import MemberState
+from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
 from pinspread.replication.config import ReplicationConfig
@@ -54,7 +55,7 @@
         MembershipConfig(id_, f"{HOSTS[id_]}:1", f"{HOSTS[id_]}:1", (), b"fleet", SwimConfig())
     )
     for other in HOSTS:
-        membership.member.apply([other, f"{HOSTS[other]}:1", 0, MemberState.ALIVE, other], 0)
+        membership.member.apply(Update(other, f"{HOSTS[other]}:1", 0, MemberState.ALIVE, other), 0)
     config = ReplicationConfig(
         f"{HOSTS[id_]}:{port}", str(folder / id_ / "replicas"), ack_timeout_us=5_000_000
     )
