--- a/benchmarks/record_decisions.py
+++ b/benchmarks/record_decisions.py
@@ -7,11 +7,12 @@
 are given in addition what it lacks: answers to asks for the list, told limits, and the mark of what a restart owed.
 Streams named `site-*` come from a driver of its own (`Site`), which feeds a sender random yet plausible outcomes of
 every kind. The same code gives the same files, byte for byte. Make them anew only after a change of decisions that
-was meant, in a commit that says why; `--lines` records nothing and prints which lines of `pinspread/decide.py` the
+was meant, in a commit that says why; `--lines` records nothing and prints which lines of `pinspread/policy` the
 recordings never reach.
 """
 
 import argparse
+import ast
 import gzip
 import random
 import sys
@@ -23,8 +24,8 @@
 
 import test_recorded_decisions as recorded  # noqa: E402
 
-from pinspread.policy import delivery_policy as decide  # noqa: E402
 from pinspread.policy.actions import CheckHealth, Fail, Reject, Send, SetTimer, Subscribe  # noqa: E402
+from pinspread.policy.delivery_policy import DeliveryPolicy  # noqa: E402
 from pinspread.policy.events import (  # noqa: E402
     AttemptCompleted,
     ClientCancelled,
@@ -58,7 +59,7 @@
 
     def __init__(self, name, settings, seed, most_turns):
         self.name, self.most_turns = name, most_turns
-        self.sender = decide.DeliveryPolicy(settings, seed)
+        self.sender = DeliveryPolicy(settings, seed)
         self.lines = [recorded.text([seed, recorded.SETTINGS.write(settings)])]
         self.now = self.actions = 0
         self.digest = ""
@@ -654,11 +655,13 @@
 
 
 def lines_left():
-    """Print the lines of the module that no recording reaches; those run at its import are left out."""
-    file, reached = decide.__file__, set()
+    """Print the lines of the policy that no recording reaches; those run at import are left out."""
+    folder = Path(recorded.__file__).parents[1] / "pinspread" / "policy"
+    files = {str(file): set() for file in sorted(folder.glob("*.py"))}
 
     def in_file(frame, what, _):
-        if frame.f_code.co_filename != file:
+        reached = files.get(frame.f_code.co_filename)
+        if reached is None:
             return None
         reached.add(frame.f_lineno)
         return in_file
@@ -668,17 +671,19 @@
     for name in names:
         recorded.replay(name)
     sys.settrace(None)
-    source = Path(file).read_text()
-    there, codes = set(), [compile(source, file, "exec")]
-    while codes:
-        code = codes.pop()
-        codes += [one for one in code.co_consts if hasattr(one, "co_lines")]
-        if code.co_name not in ("<module>", "Sender"):
-            there |= {line for _, _, line in code.co_lines() if line and line != code.co_firstlineno}
-    left = sorted(there - reached)
-    print(f"{len(there) - len(left)} of {len(there)} lines reached")
-    for line in left:
-        print(f"{line}: {source.splitlines()[line - 1].strip()}")
+    for file, reached in files.items():
+        source = Path(file).read_text()
+        there, codes = set(), [compile(source, file, "exec")]
+        classes = {node.name for node in ast.parse(source).body if isinstance(node, ast.ClassDef)}
+        while codes:
+            code = codes.pop()
+            codes += [one for one in code.co_consts if hasattr(one, "co_lines")]
+            if code.co_name not in classes | {"<module>"}:
+                there |= {line for _, _, line in code.co_lines() if line and line != code.co_firstlineno}
+        left = sorted(there - reached)
+        print(f"{Path(file).name}: {len(there) - len(left)} of {len(there)} lines reached")
+        for line in left:
+            print(f"{line}: {source.splitlines()[line - 1].strip()}")
 
 
 def main():
--- a/pinspread/hot_restart/transfer.py
+++ b/pinspread/hot_restart/transfer.py
@@ -25,8 +25,14 @@
 from pinspread.core.messages import AttemptResult, Endpoint
 from pinspread.errors import JournalFormatError
 from pinspread.policy import actions, events, settings, state
-from pinspread.policy import delivery_policy as decide
+from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.policy.discovery import Discovery
+from pinspread.policy.dispatch import Dispatcher
 from pinspread.policy.events import Outcome
+from pinspread.policy.load_balancing import LoadBalancer
+from pinspread.policy.outlier_detection import OutlierDetector
+from pinspread.policy.rate_limit import RateLimitPolicy
+from pinspread.policy.retry_budget import RetryBudget
 from pinspread.sockets.connections import Connection, IdleConnection
 
 NAME = "handover"  # of the socket, in the folder that lasts
@@ -120,8 +126,10 @@
     return [c for c in vars(module).values() if isinstance(c, type) and c.__module__ == module.__name__]
 
 
+# The policy and its parts: their state is in plain attributes.
+POLICIES = (DeliveryPolicy, RateLimitPolicy, Discovery, LoadBalancer, OutlierDetector, Dispatcher)
 SENT = {cls: cls for module in (state, settings, events, actions) for cls in _classes(module)} | {
-    cls: cls for cls in (decide.DeliveryPolicy, Endpoint, deque, Random)
+    cls: cls for cls in (*POLICIES, RetryBudget, Endpoint, deque, Random)
 }
 _BY_NAME = {(c.__module__, c.__name__): c for c in SENT}
 _BY_NAME["collections", "deque"] = deque
@@ -139,7 +147,12 @@
 
 def shape(sender) -> str:
     """What a state of this version looks like: the parts of each class that goes over."""
-    parts = [sorted(vars(sender))]
+    parts = [sorted(vars(sender)), sorted(vars(sender.context))]
+    parts += [
+        [type(part).__name__, *sorted(vars(part))]
+        for part in vars(sender).values()
+        if isinstance(part, POLICIES)
+    ]
     for cls in SENT:
         names = [f.name for f in fields(cls)] if is_dataclass(cls) else list(getattr(cls, "__slots__", ()))
         parts.append([cls.__name__, *map(str, names)])
@@ -150,7 +163,7 @@
     """The state that the process before has sent; Garbled if it is none."""
     try:
         found = _Reader(io.BytesIO(data)).load()
-        if not isinstance(found, dict) or type(found["sender"]) is not decide.DeliveryPolicy:
+        if not isinstance(found, dict) or type(found["sender"]) is not DeliveryPolicy:
             raise HandoverFormatError("no state")
         return found
     except HandoverFormatError:
--- /dev/null
+++ b/pinspread/policy/dispatch.py
@@ -0,0 +1,285 @@
+"""Dispatch: the queues, which messages get the free slots, which are given up, what follows an attempt."""
+
+from collections import deque
+from heapq import heappop, heappush
+
+from pinspread.policy.actions import CheckHealth, Fail, Reject, Send
+from pinspread.policy.events import AttemptCompleted, MessageAccepted, Outcome
+from pinspread.policy.outlier_detection import NOT_SENT_STEP, SUSPECT_FROM, OutlierDetector
+from pinspread.policy.retry_budget import JITTER, backoff_ns
+from pinspread.policy.settings import DeduplicationScope, Idempotency
+from pinspread.policy.state import NEVER, Call, Destination, QueuedMessage, TrackedEndpoint
+
+MAY_HAVE_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR)
+PAUSES_KEPT = 256  # ordering pauses that are kept before those that are over are dropped
+RECOVERED_WAIT = 0.5  # share of its time left after which a recovered message waits for Retry-After only
+SPARE_PLACES = 0.05  # share of the places for queued messages that is kept free for what comes in
+LEAST_PRIORITY = 0.25  # share of its weight under which a refused message gives way to fresh ones
+
+
+class Dispatcher:
+    """Sends, retries and gives up messages; owns those that have not ended, and the slots."""
+
+    def __init__(self, outliers: OutlierDetector) -> None:
+        self.context, self.limits, self.outliers = outliers.context, outliers.limits, outliers
+        self.messages: dict[int, QueuedMessage] = {}  # by request
+        self.waiting: dict[int, Destination] = {}  # destinations with a queue, by number
+        self.expiry: list[tuple[int, int]] = []  # heap of (when a message's time is over, its request)
+        self.keys: dict[int, deque[QueuedMessage]] = {}  # by ordering key, in the order accepted
+        self.ordering_pauses: dict[int, int] = {}  # by ordering key: until when it pauses
+        self.attempts: dict[tuple[int, int], tuple[QueuedMessage, Call, bool]] = {}  # bool: is a retry
+        self.calls_in_flight = self.turn = 0  # `turn` counts calls
+        self.wake_ns = NEVER
+
+    def accept(self, event: MessageAccepted, destination: Destination) -> None:
+        """Queue a message for its destination, behind its key's earlier ones."""
+        now_ns, settings = self.context.now_ns, self.context.settings
+        rules = event.traffic_class or settings.classes[event.class_index]
+        max_attempts = event.max_attempts or settings.max_attempts
+        message = QueuedMessage(event, rules, destination, now_ns, max_attempts)
+        if event.recovered:
+            message.overdue_from_ns = now_ns + int(RECOVERED_WAIT * (message.deadline_ns - now_ns))
+        self.messages[message.request] = message
+        heappush(self.expiry, (message.deadline_ns, message.request))
+        self._enqueue(message)
+        if message.key:
+            self.keys.setdefault(message.key, deque()).append(message)
+        if event.may_have_run_ns:  # before a restart (rule 2)
+            self._mark_may_have_run(message, event.may_have_run_ns, event.may_have_run_zone)
+        if event.attempts and not self.may_repeat(message, now_ns):
+            self.reject_or_fail(message)
+
+    def _enqueue(self, message: QueuedMessage) -> None:
+        message.destination.queue[message.request] = message
+        self.waiting[message.destination.number] = message.destination
+
+    def end(self, message: QueuedMessage) -> None:
+        """Forget an ended message; its key goes on once no attempt of it is in flight (rule 6)."""
+        self.messages.pop(message.request, None)
+        message.destination.queue.pop(message.request, None)
+        if message.key and not message.in_flight:
+            same_key = self.keys[message.key]
+            same_key.remove(message)
+            if not same_key:
+                del self.keys[message.key]
+
+    def complete(self, event: AttemptCompleted) -> None:
+        """Account for an attempt's outcome; then retry, give up, or be done."""
+        message, call, retry = self.attempts.pop((event.request, event.attempt))
+        message.in_flight = False
+        call.remaining -= 1
+        if call.remaining == 0:
+            self.calls_in_flight -= 1
+            message.destination.calls_in_flight -= 1
+            del call.endpoint.calls[call]
+            if not call.endpoint.calls:
+                self.outliers.balancer.unused[call.endpoint] = True
+        message.destination.retry_budget.record(event.outcome, retry)
+        self.outliers.record_attempt(call, event)
+        if event.outcome in MAY_HAVE_RUN:
+            self._record_unknown(message, call, event.outcome)
+        if event.done or message.request not in self.messages:
+            self.end(message)
+        else:
+            self._enqueue(message)
+            self._retry_or_give_up(message, call, event)
+
+    def _record_unknown(self, message: QueuedMessage, call: Call, outcome: Outcome) -> None:
+        if message.key and outcome is not Outcome.ERROR:  # the next of its key must not overtake it
+            now_ns = self.context.now_ns
+            if len(self.ordering_pauses) > PAUSES_KEPT:
+                self.ordering_pauses = {k: at for k, at in self.ordering_pauses.items() if at > now_ns}
+            self.ordering_pauses[message.key] = now_ns + self.context.settings.ordering_pause_ns
+        if not message.may_have_run_ns:
+            self._mark_may_have_run(message, call.sent_ns, call.endpoint.zone)
+
+    def _mark_may_have_run(self, message: QueuedMessage, sent_ns: int, zone: int) -> None:
+        message.may_have_run_ns, message.may_have_run_zone = sent_ns, zone
+        if message.traffic_class.effect is Idempotency.WITH_KEY:
+            heappush(self.expiry, (message.may_repeat_until_ns(), message.request))
+
+    def _retry_or_give_up(self, message: QueuedMessage, call: Call, event: AttemptCompleted) -> None:
+        sent, limiter = event.outcome is not Outcome.NOT_SENT, call.endpoint.limiter
+        message.max_attempts += event.unsent  # barred ones would use up all attempts within milliseconds
+        if event.unsent or sent:
+            step = NOT_SENT_STEP if event.unsent else message.failures
+            message.ready_ns = self.context.now_ns + backoff_ns(self.context.random, step)
+        message.failures += sent
+        at_ns = max(self.context.now_ns, message.ready_ns, limiter.retry_after_until_ns)
+        at_ns = max(at_ns, limiter.backoff_until_ns, limiter.next_call_ns)
+        least = LEAST_PRIORITY * message.traffic_class.priority_weight  # at a limit, fresh ones go first
+        stale = event.outcome is Outcome.OVERLOADED and self._priority(message, at_ns) < least
+        if stale or not self.may_repeat(message, at_ns):
+            self.reject_or_fail(message)
+
+    def may_repeat(self, message: QueuedMessage, at_ns: int) -> bool:
+        """Whether another attempt at that time is in time, not one too many and harmless (rule 2)."""
+        if at_ns >= message.deadline_ns or message.attempts >= message.max_attempts:
+            return False
+        effect = message.traffic_class.effect
+        if not message.may_have_run_ns or effect is Idempotency.IDEMPOTENT:
+            return True
+        return effect is Idempotency.WITH_KEY and at_ns < message.may_repeat_until_ns()
+
+    def reject_or_fail(self, message: QueuedMessage) -> None:
+        """Answer at once: rejected where handing it in again is harmless, else failed (rules 1 and 2)."""
+        settings, rules, now_ns = self.context.settings, message.traffic_class, self.context.now_ns
+        harmless = not message.may_have_run_ns or rules.effect is Idempotency.IDEMPOTENT
+        if not harmless and rules.effect is Idempotency.WITH_KEY and rules.group is DeduplicationScope.ALL:
+            harmless = now_ns + settings.max_retry_after_ns < message.may_repeat_until_ns()
+        if harmless:
+            opens_ns = self.outliers.destination_opens_ns(message.destination)
+            wait_ns = min(max(opens_ns - now_ns, 0), settings.max_retry_after_ns)
+            self.context.actions.append(Reject(message.request, wait_ns * settings.retry_after_allowed))
+        else:
+            self.context.actions.append(Fail(message.request))
+        self.end(message)
+
+    def dispatch(self) -> int:
+        """Use the free slots, passing over destinations with a queue only; give the time to look again."""
+        while self.expiry and self.expiry[0][0] <= self.context.now_ns:
+            message = self.messages.get(heappop(self.expiry)[1])
+            if message and not message.in_flight and not self.may_repeat(message, self.context.now_ns):
+                self.reject_or_fail(message)
+        self._shed_load()
+        self.waiting = {number: d for number, d in self.waiting.items() if d.queue}
+        self.wake_ns = NEVER
+        self._fill_slots()
+        for destination in self.waiting.values():
+            self._plan_wake(destination)
+        return self.wake_ns
+
+    def _shed_load(self) -> None:  # the longest queue gives way: that of a destination that is out
+        now_ns, places = self.context.now_ns, self.context.settings.max_held_messages
+        places -= max(1, int(places * SPARE_PLACES))
+        while len(self.messages) > places:
+            longest = max(self.waiting.values(), key=lambda d: len(d.queue), default=None)
+            queued = longest.queue.values() if longest else ()
+            held = [m for m in queued if not m.may_have_run_ns and (m.attempts or m.overdue_from_ns == NEVER)]
+            if not held:
+                break
+            self.reject_or_fail(min(held, key=lambda m: (self._priority(m, now_ns), m.accepted_ns)))
+
+    def _fill_slots(self) -> None:
+        now_ns, slots = self.context.now_ns, self.context.settings.max_concurrent_calls
+        opens_ns, overdue = self.outliers.destination_opens_ns, self._is_overdue
+        ready = [
+            d for d in self.waiting.values() if opens_ns(d, any(map(overdue, d.queue.values()))) <= now_ns
+        ]
+        best = {d.number: min(map(self._urgency, d.queue.values()))[0] for d in ready}
+        while ready and self.calls_in_flight < slots:  # by turns, and by priority where slots are scarce
+            destination = min(ready, key=lambda d: (d.calls_in_flight, best[d.number], d.last_turn))
+            if destination.calls_in_flight >= max(1, slots - self.calls_in_flight):
+                break  # a hung destination or a burst may hold as many slots as it leaves free
+            if not self._serve(destination):
+                ready.remove(destination)
+
+    def _is_overdue(self, message: QueuedMessage) -> bool:
+        return message.overdue_from_ns <= self.context.now_ns and not message.attempts
+
+    def _plan_wake(self, destination: Destination) -> None:
+        now_ns, endpoints = self.context.now_ns, destination.endpoints.values()
+        opens_ns = self.outliers.destination_opens_ns(destination)
+        self._wake_at(opens_ns)  # a suspect endpoint opens with its next outcome
+        for message in list(destination.queue.values()):
+            at_ns = opens_ns
+            if message.overdue_from_ns < NEVER and not message.attempts:
+                # Rates alone would not let out in time all that a fleet recovers after it was killed.
+                at_ns = min((e.limiter.retry_after_until_ns for e in endpoints), default=NEVER)
+                overdue_ns = self.outliers.destination_opens_ns(destination, True)
+                self._wake_at(max(message.overdue_from_ns, overdue_ns))
+            if at_ns < NEVER and not self.may_repeat(message, at_ns):
+                self.reject_or_fail(message)  # its waits are longer than its time
+                continue
+            at_ns = self._ready_from_ns(message)
+            self.wake_ns = min(self.wake_ns, message.deadline_ns, at_ns if at_ns > now_ns else NEVER)
+
+    def _wake_at(self, at_ns: int) -> None:
+        if at_ns > self.context.now_ns:
+            self.wake_ns = min(self.wake_ns, at_ns)
+
+    def _serve(self, destination: Destination) -> bool:
+        now_ns, opens_ns = self.context.now_ns, self.outliers.opens_ns
+        endpoints = [e for e in destination.endpoints.values() if opens_ns(e, True) <= now_ns]
+        for endpoint in sorted(endpoints, key=self.outliers.balancer.preference):
+            if messages := self._sendable(destination, endpoint):
+                self._call(endpoint, messages)
+                return True
+        return False
+
+    def _sendable(self, destination: Destination, endpoint: TrackedEndpoint) -> list[QueuedMessage]:
+        ready = [m for m in destination.queue.values() if self.may_send(m, endpoint)]
+        ready.sort(key=self._urgency)
+        if ready and endpoint.failure_rate > SUSPECT_FROM:
+            ready = self._for_suspect(endpoint, ready)
+        if endpoint.ejected or endpoint.warming_since_ns:
+            return ready[:1]
+        return ready[: self.context.settings.kind(endpoint.kind).max_bundle_size]
+
+    def _for_suspect(self, endpoint: TrackedEndpoint, ready: list[QueuedMessage]) -> list[QueuedMessage]:
+        # Each failure loses an unsafe message: others or health checks find out, or unsafe ones one by one.
+        if safe := [m for m in ready if m.traffic_class.effect is not Idempotency.NOT_IDEMPOTENT]:
+            return safe
+        if endpoint.calls or endpoint.health_check_out or endpoint.next_health_check_ns > self.context.now_ns:
+            self._wake_at(endpoint.next_health_check_ns)  # if past, the end of what is in flight wakes
+            return []
+        if self.context.settings.health_checks_allowed and not endpoint.health_check_passed:
+            endpoint.health_check_out = True
+            if endpoint.warming_since_ns:  # a health check weighs like a call there (rule 4)
+                endpoint.next_call_ns = self.limits.ramp_next_ns(endpoint, 1.0)
+            self.context.actions.append(CheckHealth(endpoint.id))
+            return []
+        return ready[:1]
+
+    def _call(self, endpoint: TrackedEndpoint, messages: list[QueuedMessage]) -> None:
+        destination, budget = endpoint.destination, endpoint.destination.retry_budget
+        call = Call(endpoint, self.context.now_ns, len(messages))
+        endpoint.calls[call] = True
+        self.calls_in_flight += 1
+        destination.calls_in_flight += 1
+        self.turn = destination.last_turn = self.turn + 1
+        self.limits.record_call(endpoint.limiter)
+        if endpoint.warming_since_ns:
+            endpoint.next_call_ns = self.limits.ramp_next_ns(endpoint, self.context.random.uniform(*JITTER))
+        for message in messages:
+            retry = message.attempts > 0
+            if retry and not budget.allows_retry():
+                call.remaining -= 1
+                continue
+            budget.retries_in_flight += retry
+            self.attempts[message.request, message.attempts] = (message, call, retry)
+            message.attempts, message.in_flight = message.attempts + 1, True
+            del destination.queue[message.request]
+            timeout_ns = self.outliers.timeout_ns(message, endpoint, self.calls_in_flight)
+            self.context.actions.append(Send(message.request, endpoint.id, timeout_ns))
+
+    def may_send(self, message: QueuedMessage, endpoint: TrackedEndpoint) -> bool:
+        """The one gate: whether all rules and waits let this message go to this endpoint now."""
+        now_ns, rules = self.context.now_ns, message.traffic_class
+        zoned = rules.effect is Idempotency.WITH_KEY and rules.group is DeduplicationScope.ZONE
+        if zoned and message.may_have_run_ns and endpoint.zone != message.may_have_run_zone:
+            return False
+        if message.in_flight or not self.may_repeat(message, now_ns) or self._ready_from_ns(message) > now_ns:
+            return False
+        return self.outliers.opens_ns(endpoint, self._is_overdue(message)) <= now_ns
+
+    def _ready_from_ns(self, message: QueuedMessage) -> int:
+        if message.attempts and not message.destination.retry_budget.allows_retry():
+            return NEVER
+        if message.key and self.keys[message.key][0] is not message:
+            return NEVER  # rule 6
+        return max(message.ready_ns, 0 if message.attempts else self.ordering_pauses.get(message.key, 0))
+
+    def _priority(self, message: QueuedMessage, at_ns: int) -> float:
+        rules, objective_ns = message.traffic_class, message.traffic_class.latency_objective_ns
+        late_ns = at_ns - (message.deadline_ns - rules.deadline_ns) - objective_ns
+        if late_ns <= 0:
+            return rules.priority_weight
+        if self.context.settings.value_halves:
+            share: float = 0.5 ** (late_ns / objective_ns)
+        else:
+            share = 1 - (1 - rules.late_value_share) * late_ns / max(1, rules.deadline_ns - objective_ns)
+        return rules.priority_weight * max(share, rules.late_value_share)
+
+    def _urgency(self, message: QueuedMessage) -> tuple[float, int]:
+        return (-self._priority(message, self.context.now_ns), message.accepted_ns)
--- /dev/null
+++ b/pinspread/policy/load_balancing.py
@@ -0,0 +1,59 @@
+"""Load balancing: the order of a destination's endpoints, and when idle connections are closed."""
+
+from pinspread.policy.actions import Disconnect
+from pinspread.policy.events import EndpointId
+from pinspread.policy.rate_limit import REFUSAL_GAIN, RateLimitPolicy
+from pinspread.policy.state import SECOND, TrackedEndpoint
+
+SATURATED_FROM = 0.1  # share of calls to a kind whose connection failed, from which tables are full
+SATURATED_TO = 0.015  # and under which they are no longer
+LET_GO = 0.1  # share of idle connections that very many senders close, to learn of full tables
+ROUTE_SPREAD = 0.3  # price by chance between endpoints with limits of their own, to spread senders
+
+
+class LoadBalancer:
+    """Orders endpoints and closes idle connections; owns what is known of the kinds' connection tables."""
+
+    def __init__(self, limits: RateLimitPolicy, endpoints: dict[EndpointId, TrackedEndpoint]) -> None:
+        self.context, self.limits, self.endpoints = limits.context, limits, endpoints
+        self.saturation: dict[int, float] = {}  # by kind: share of calls whose connection failed
+        self.saturated: set[int] = set()  # kinds whose connection tables seem full
+        self.reports_opened = False  # whether the caller knows which connections were opened for a call
+        self.unused: dict[TrackedEndpoint, bool] = {}  # whose last call in flight ended in this turn
+
+    def preference(self, endpoint: TrackedEndpoint) -> tuple[int, int, float, float]:
+        """Sort key: fewest calls in flight, a failure counting as one; then the call's price, and chance."""
+        settings, zone = self.context.settings, endpoint.zone
+        idle = self.context.now_ns - endpoint.last_outcome_ns < settings.keepalive_ns and not endpoint.ejected
+        cost = settings.handshake_price * (not idle) + settings.cross_zone_price * (zone != settings.zone)
+        if endpoint.limiter is not endpoint.destination.limiter:  # all senders must not prefer the same one
+            fee = settings.zone_fees[zone] if zone < len(settings.zone_fees) else 0.0
+            cost += ROUTE_SPREAD * endpoint.rank + fee
+        calls = len(endpoint.calls) + endpoint.failed
+        return calls, endpoint.last_outcome_ns if endpoint.ejected else 0, cost, endpoint.rank
+
+    def record_connection(self, kind: int, turned_away: bool, weight: float) -> None:
+        """Account for whether a new connection was turned away."""
+        share = self.saturation.get(kind, 0.0)
+        share = self.saturation[kind] = share + REFUSAL_GAIN * weight * (turned_away - share)
+        if share > SATURATED_FROM and kind not in self.saturated:
+            self.saturated.add(kind)
+            self.unused |= {e: True for e in self.endpoints.values() if e.kind == kind}
+        elif share < SATURATED_TO:
+            self.saturated.discard(kind)
+
+    def keeps_connections(self, endpoint: TrackedEndpoint) -> bool:
+        """Whether idle connections may stay open; those of many senders fill small tables."""
+        few = self.context.small_fleet_share
+        if few == 1:
+            return True
+        if endpoint.kind not in self.saturated:
+            return self.context.random.random() > LET_GO * (1 - few)  # without one it learns of full tables
+        return self.limits.delivered_rate(endpoint) * few**2 * self.context.settings.keepalive_ns >= SECOND
+
+    def close_unused(self) -> None:
+        """Close the connections that became idle in this turn, where they should not stay."""
+        for endpoint in self.unused:
+            if not endpoint.calls and not self.keeps_connections(endpoint):
+                self.context.actions.append(Disconnect(endpoint.id))
+        self.unused = {}
--- /dev/null
+++ b/pinspread/policy/outlier_detection.py
@@ -0,0 +1,202 @@
+"""Outlier detection: failure rates, ejection, health checks, time-outs, and when endpoints may be called."""
+
+from pinspread.policy.events import AttemptCompleted, HealthCheckCompleted, Outcome
+from pinspread.policy.load_balancing import LoadBalancer
+from pinspread.policy.retry_budget import JITTER, backoff_ns
+from pinspread.policy.settings import Idempotency
+from pinspread.policy.state import MS, NEVER, SECOND, Call, Destination, QueuedMessage, TrackedEndpoint
+
+EJECTED_FROM = 0.5  # failure rate above which an endpoint is ejected
+SUSPECT_FROM = 0.25  # failure rate above which no unsafe message goes while others can find out
+FAILURE_WEIGHT = 0.3  # weight of the newest outcome in the failure rate: two failures in a row eject
+RECENT_SUCCESS_NS = 2 * SECOND  # since which an endpoint with overdue calls may be checked again
+FEW_HARD_FAILURES = 3  # from which a short outage was one
+SHORT_OUTAGE = 0.33  # share of the slow start's time under which a silence was no outage
+LATENCY_GAIN = 0.125  # weight of the newest latency in the mean and in the deviation
+TIMEOUT_DEVIATIONS = 4  # a time-out is twice (mean + this many deviations)
+LEAST_TIMEOUT_NS = SECOND  # a jam must not turn into lost calls
+MOST_TIMEOUT_NS = 3 * SECOND  # unless the mean latency is over half of it
+MOST_TIMEOUT_FACTOR = 2.0  # growth of time-outs while they strike: hung calls must not hold the slots
+UNSAFE_FACTOR = 2.5  # for messages that are not idempotent, which a time-out loses
+UNSAFE_CROWDED_FACTOR = 1.5  # the same where half the slots are taken
+LOST_SHARE = 0.15  # slot time of lost calls, as a share of answers', that ends LEAST_TIMEOUT_NS
+LOST_GAIN = 0.05  # weight of the newest call in the share of lost calls
+SILENCE_NS = 300 * MS  # least silence, with calls in flight, that makes an endpoint suspect
+NOT_SENT_STEP = 2  # backoff step after a health check or call that could not be sent: 160 ms median
+
+
+class OutlierDetector:
+    """Judges endpoints by their outcomes; owns the share of calls lost while later ones are answered."""
+
+    def __init__(self, balancer: LoadBalancer) -> None:
+        self.context, self.limits, self.balancer = balancer.context, balancer.limits, balancer
+        self.lost_share = 0.0
+
+    def opens_ns(self, endpoint: TrackedEndpoint, overdue: bool = False) -> int:
+        """From when an endpoint may be called; `overdue` messages wait for no backoff or rate."""
+        if not endpoint.usable:
+            return NEVER  # rule 3
+        limiter, at_ns = endpoint.limiter, endpoint.limiter.retry_after_until_ns  # rule 5
+        if not overdue:
+            at_ns = max(at_ns, limiter.backoff_until_ns, limiter.next_call_ns)
+        if endpoint.ejected:
+            checked_ns = max((self._check_ends_ns(e) for e in endpoint.siblings() if e.ejected), default=0)
+            return max(at_ns, endpoint.next_health_check_ns, checked_ns)
+        if endpoint.warming_since_ns:
+            at_ns = max(at_ns, endpoint.next_call_ns)
+        if len(endpoint.calls) > 1:  # silence, not one lost call: a hung endpoint must not take all slots
+            since_ns = max(endpoint.last_outcome_ns, next(iter(endpoint.calls)).sent_ns)
+            if self.context.now_ns - since_ns > self._usual_answer_ns(endpoint):
+                at_ns = max(at_ns, self._check_ends_ns(endpoint))
+        return at_ns
+
+    def destination_opens_ns(self, destination: Destination, overdue: bool = False) -> int:
+        """From when any endpoint of a destination may be called."""
+        return min((self.opens_ns(e, overdue) for e in destination.endpoints.values()), default=NEVER)
+
+    def _check_ends_ns(self, endpoint: TrackedEndpoint) -> int:  # a lost check must not keep it shut
+        if not (endpoint.calls or endpoint.health_check_out):
+            return 0
+        if endpoint.health_check_out or self.context.now_ns - endpoint.last_success_ns > RECENT_SUCCESS_NS:
+            return NEVER
+        return next(reversed(endpoint.calls)).sent_ns + int(self._usual_answer_ns(endpoint))
+
+    def _record_refusal(self, endpoint: TrackedEndpoint, retry_after_ns: int, sent_ns: int) -> None:
+        if sent_ns < endpoint.limiter.last_refusal_ns:
+            return  # sent before the last refusal was known: the same one
+        if endpoint.ejected:
+            self._eject(endpoint)
+        self.limits.record_refusal(endpoint, retry_after_ns)
+
+    def record_attempt(self, call: Call, event: AttemptCompleted) -> None:
+        """Account for an attempt's outcome, for that of its call only once."""
+        endpoint, limiter, retry_after_ns = call.endpoint, call.endpoint.limiter, event.retry_after_ns
+        if event.limit_per_s > 0:
+            limiter.limit, limiter.remaining = event.limit_per_s, event.limit_remaining
+        if retry_after_ns:  # the messages of a bundle may be told different waits
+            self.limits.apply_retry_after(endpoint, retry_after_ns)
+        if not call.fresh:
+            return
+        call.fresh = False
+        endpoint.last_outcome_ns = self.context.now_ns
+        self.balancer.reports_opened |= event.opened
+        if event.outcome is Outcome.OVERLOADED:
+            if event.opened and not retry_after_ns and not limiter.refusals:  # perhaps of a full table
+                self.balancer.record_connection(endpoint.kind, True, 1 - self.context.small_fleet_share)
+            self._record_refusal(endpoint, retry_after_ns, call.sent_ns)
+        elif event.outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
+            self._record_outcome(call, event.outcome, event.elapsed_ns)
+
+    def _record_outcome(self, call: Call, outcome: Outcome, elapsed_ns: int) -> None:
+        endpoint, sent_ns, failed = call.endpoint, call.sent_ns, outcome is not Outcome.OK
+        told = self.balancer.reports_opened  # else an outage may pass for a full connection table
+        unanswered = outcome is not Outcome.ERROR and endpoint.failure_rate < SUSPECT_FROM and not told
+        if unanswered or not failed:
+            weight = self.context.small_fleet_share if told else 1.0
+            self.balancer.record_connection(endpoint.kind, failed, weight)
+        if not failed:
+            endpoint.answered_ns = max(endpoint.answered_ns, sent_ns)
+        if not failed or outcome is Outcome.TIMEOUT:  # a lost one shows by those answered around it
+            missed = endpoint.failed and not endpoint.hard_failures
+            lost = endpoint.answered_ns > sent_ns if failed else missed
+            self.lost_share += LOST_GAIN * (lost - self.lost_share)
+        single = outcome in (Outcome.TIMEOUT, Outcome.RESET)  # a call or a connection, at first
+        if single and endpoint.last_success_ns > sent_ns and not endpoint.ejected:
+            return  # a single lost call while the rest is answered is no outage and no slowness
+        endpoint.failure_rate += FAILURE_WEIGHT * (failed - endpoint.failure_rate)
+        endpoint.failed = failed
+        endpoint.hard_failures += failed and not single
+        if failed:
+            self._record_failure(endpoint, outcome, sent_ns)
+        else:
+            self._record_success(endpoint, elapsed_ns)
+
+    def _record_failure(self, endpoint: TrackedEndpoint, outcome: Outcome, sent_ns: int) -> None:
+        for sibling in endpoint.siblings() if outcome is not Outcome.RESET else ():  # outages mostly take all
+            if sibling is not endpoint and sibling.last_success_ns < sent_ns:
+                sibling.failure_rate += FAILURE_WEIGHT * (1 - sibling.failure_rate)
+                if sibling.failure_rate > EJECTED_FROM and not sibling.ejected:
+                    self._eject(sibling)
+        if outcome is Outcome.TIMEOUT:
+            endpoint.timeout_factor = min(endpoint.timeout_factor * 2, MOST_TIMEOUT_FACTOR)
+        endpoint.ejected |= endpoint.failure_rate > EJECTED_FROM
+        self._plan_health_check(endpoint)
+
+    def _record_success(self, endpoint: TrackedEndpoint, elapsed_ns: int) -> None:
+        now_ns, slow_start_ns = self.context.now_ns, self.context.settings.slow_start_ns
+        shut = self.limits.record_success(endpoint)
+        short = now_ns - endpoint.last_success_ns < SHORT_OUTAGE * slow_start_ns  # lost calls are no outage
+        lossy = endpoint.hard_failures < FEW_HARD_FAILURES and short
+        endpoint.hard_failures, endpoint.last_success_ns = 0, now_ns
+        error = elapsed_ns - endpoint.latency_mean_ns
+        if not endpoint.latency_mean_ns:
+            endpoint.latency_mean_ns, endpoint.latency_deviation_ns = float(elapsed_ns), elapsed_ns / 2
+        else:
+            endpoint.latency_mean_ns += LATENCY_GAIN * error
+            endpoint.latency_deviation_ns += LATENCY_GAIN * (abs(error) - endpoint.latency_deviation_ns)
+        endpoint.timeout_factor = max(1.0, endpoint.timeout_factor / 2)
+        if endpoint.ejected or shut:  # judged at the second success, a long outage would look short
+            endpoint.warming_since_ns = endpoint.warming_since_ns if lossy else now_ns
+        if endpoint.failure_rate > EJECTED_FROM and (endpoint.ejected or shut):
+            endpoint.next_health_check_ns = now_ns  # one success among failures: check at once
+            self._share_ramp(endpoint)
+        else:
+            endpoint.ejected, endpoint.health_checks = False, 0
+        if endpoint.warming_since_ns and now_ns - endpoint.warming_since_ns > slow_start_ns:
+            endpoint.warming_since_ns = 0
+        self.limits.record_delivery(endpoint)
+
+    def _share_ramp(self, endpoint: TrackedEndpoint) -> None:
+        many = self.context.small_fleet_share < 1  # their checks would overload what warms up (rule 4)
+        for sibling in endpoint.siblings() if many and endpoint.warming_since_ns else ():
+            if sibling.ejected:
+                sibling.warming_since_ns = endpoint.warming_since_ns
+                next_ns = self.limits.ramp_next_ns(sibling, self.context.random.uniform(*JITTER))
+                sibling.next_health_check_ns = max(sibling.next_health_check_ns, next_ns)
+
+    def _eject(self, endpoint: TrackedEndpoint) -> None:  # only spaced single calls from now on (rule 4)
+        endpoint.ejected = True
+        self._plan_health_check(endpoint)
+
+    def _plan_health_check(self, endpoint: TrackedEndpoint) -> None:
+        endpoint.health_check_passed = False
+        wait_ns = self.limits.wait_ns(endpoint, endpoint.health_checks)
+        endpoint.next_health_check_ns = self.context.now_ns + wait_ns
+        endpoint.health_checks += 1
+        for sibling in endpoint.siblings() if endpoint.ejected else ():
+            sibling.next_health_check_ns = max(sibling.next_health_check_ns, endpoint.next_health_check_ns)
+
+    def on_health_check(self, endpoint: TrackedEndpoint, event: HealthCheckCompleted) -> None:
+        """Account for a health check; a good one lets one message try."""
+        now_ns = self.context.now_ns
+        endpoint.health_check_out = False
+        if event.outcome is Outcome.OK:
+            endpoint.health_check_passed = True  # it may be answered where calls fail: the rate stays
+            endpoint.next_health_check_ns = now_ns
+        elif event.outcome is Outcome.OVERLOADED:
+            if event.retry_after_ns:
+                self.limits.apply_retry_after(endpoint, event.retry_after_ns)
+            self._record_refusal(endpoint, event.retry_after_ns, now_ns)
+        elif event.outcome is Outcome.NOT_SENT:  # asked for again at once, it would be barred at once
+            next_ns = now_ns + backoff_ns(self.context.random, NOT_SENT_STEP)
+            endpoint.next_health_check_ns = max(endpoint.next_health_check_ns, next_ns)
+        else:
+            endpoint.failure_rate += FAILURE_WEIGHT * (1 - endpoint.failure_rate)
+            self._eject(endpoint)
+
+    def _usual_answer_ns(self, endpoint: TrackedEndpoint) -> float:
+        return max(SILENCE_NS, endpoint.latency_mean_ns + TIMEOUT_DEVIATIONS * endpoint.latency_deviation_ns)
+
+    def timeout_ns(self, message: QueuedMessage, endpoint: TrackedEndpoint, calls_in_flight: int) -> int:
+        """How long an attempt may wait for its answer."""
+        crowded = 2 * calls_in_flight >= self.context.settings.max_concurrent_calls
+        unsafe, mean_ns = message.traffic_class.effect is Idempotency.NOT_IDEMPOTENT, endpoint.latency_mean_ns
+        factor = (UNSAFE_CROWDED_FACTOR if crowded else UNSAFE_FACTOR) if unsafe else 1.0
+        slow_ns = mean_ns + TIMEOUT_DEVIATIONS * endpoint.latency_deviation_ns
+        learned_ns = 2 * slow_ns or message.traffic_class.latency_objective_ns
+        # Where single calls get lost, those that wait for their time-outs would hold all slots.
+        lossy = crowded and self.lost_share * LEAST_TIMEOUT_NS > LOST_SHARE * mean_ns
+        least_ns = SILENCE_NS if lossy else LEAST_TIMEOUT_NS
+        wait_ns = int(max(least_ns, learned_ns) * factor * endpoint.timeout_factor)
+        left_ns = message.deadline_ns - self.context.now_ns
+        return max(1, min(wait_ns, max(MOST_TIMEOUT_NS, int(2 * mean_ns)), left_ns))
--- /dev/null
+++ b/pinspread/policy/rate_limit.py
@@ -0,0 +1,159 @@
+"""Rates: fair shares, what refusals and successes make of them, waits between looks, and slow start."""
+
+from math import exp, sqrt
+
+from pinspread.policy.retry_budget import BACKOFF_FACTOR, JITTER, backoff_ns
+from pinspread.policy.state import MS, NEVER, SECOND, PolicyContext, RateLimiter, TrackedEndpoint
+
+LONGEST_WAIT_NS = SECOND  # longest wait of few senders between health checks or after refusals
+HEALTH_CHECK_SHARE = 0.3  # health checks of all senders, as a share of the usual calls; half: 0.03 lower
+RATE_GAIN = 0.08  # growth of a rate with each success
+LITTLE_LEFT = 0.15  # remaining share of a limit under which a sender waits as after a refusal
+EXHAUSTED_CUT = 0.6  # factor on the usual rate after a refusal by an exhausted limit
+BURST_POWER = 0.2  # power of the fleet's size by which one sender may exceed its fair share
+CUT_POWER = 0.3  # power of the fleet's size by which a refusal cuts the rate of one of many senders
+LEAST_RATE = 1.5  # calls a second that no rate falls below, so that recovery can be seen
+RATE_SPAN_S = 8.0  # span of the mean of delivered rates
+USUAL_RATE_SPAN_S = 60.0  # fading time of the usual rate: longer than outages and throttled times
+FEW = 4  # senders that need not mind their sum
+SHUT_AFTER = 4  # refusals in a row from which a destination may be shut
+SHUT_SPAN_NS = SECOND  # and their least duration: a limit lets something through in that time
+LONG_RETRY_AFTER_NS = 2500 * MS  # longer ones are no rate limit: the destination is shut
+WEIGHT_TRUST = 0.67  # share of what rough listed weights promise that is counted on
+EXHAUSTED = 0.6  # share of a kind's refusals with little left of the limit, from which they exhaust it
+REFUSAL_GAIN = 0.12  # weight of the newest refusal in that share, and of the newest connection in its own
+RAMP_SAFETY = 0.8  # share of the permitted overload that a slow start uses: arrivals vary by chance
+LEAST_RAMP_RATE = 1.0  # calls a second of all senders to a warming endpoint of which nothing is known
+
+
+class RateLimitPolicy:
+    """How fast this sender calls endpoints; owns how often each kind's limits were exhausted."""
+
+    def __init__(self, context: PolicyContext) -> None:
+        self.context = context
+        self.exhausted: dict[int, float] = {}  # by kind: share of refusals with little left of the limit
+
+    def record_call(self, limiter: RateLimiter) -> None:
+        """Put the limiter's next call off by the rate that this sender may have there."""
+        room = limiter.limit * max(LITTLE_LEFT, limiter.remaining)
+        rate = min(limiter.rate or room, room or limiter.rate)  # lest a burst exhausts the limit for all
+        if rate:
+            limiter.next_call_ns = max(self.context.now_ns, limiter.next_call_ns) + int(SECOND / rate)
+
+    def fair_share(self, endpoint: TrackedEndpoint) -> float:
+        """This sender's even share of the reported or listed limit, in calls a second; 0: not known."""
+        settings = self.context.settings
+        trust = 1.0 if settings.weights_exact else WEIGHT_TRUST
+        weight = endpoint.weight * trust if settings.weights_known else 0.0
+        return (endpoint.limiter.limit or weight) / settings.senders
+
+    def max_rate(self, endpoint: TrackedEndpoint) -> float:
+        """The highest rate of one of many senders where limits are listed; else no bound."""
+        few = self.context.small_fleet_share
+        most = self.fair_share(endpoint) * FEW / few**BURST_POWER
+        return most if few < 1 and self.context.settings.weights_known else NEVER
+
+    def delivered_rate(self, endpoint: TrackedEndpoint) -> float:
+        """Calls a second delivered at an endpoint, up to its last success."""
+        age = exp((endpoint.first_seen_ns - endpoint.delivered_ns) / (RATE_SPAN_S * SECOND))
+        rate = endpoint.delivered / (RATE_SPAN_S * (1.02 - age))
+        endpoint.usual_rate = max(endpoint.usual_rate, rate)  # from a rate after refusals no ramp would end
+        return rate
+
+    def record_delivery(self, endpoint: TrackedEndpoint) -> None:
+        """Count a success in."""
+        aged = (endpoint.delivered_ns - self.context.now_ns) / SECOND
+        endpoint.delivered = endpoint.delivered * exp(aged / RATE_SPAN_S) + 1
+        endpoint.usual_rate *= exp(aged / USUAL_RATE_SPAN_S)
+        endpoint.delivered_ns = self.context.now_ns
+        self.delivered_rate(endpoint)
+
+    def _own_rate(self, endpoint: TrackedEndpoint) -> float:
+        return sum(self.delivered_rate(e) for e in endpoint.siblings())
+
+    def wait_ns(self, endpoint: TrackedEndpoint, n: int, steps: int = 1, refused: bool = False) -> int:
+        """The wait before look `n`: the backoff's, or the longest one divided in `steps` steps."""
+        longest_ns = self.longest_wait_ns(endpoint, refused)
+        if longest_ns <= LONGEST_WAIT_NS:
+            return min(backoff_ns(self.context.random, n), longest_ns)
+        return int(longest_ns * self.context.random.uniform(*JITTER) / BACKOFF_FACTOR ** max(0, steps - n))
+
+    def longest_wait_ns(self, endpoint: TrackedEndpoint, refused: bool = False) -> int:
+        """The longest wait between looks; looks of many senders must not overload what recovers."""
+        age = exp((endpoint.last_success_ns - self.context.now_ns) / (RATE_SPAN_S * SECOND))
+        usual = max(self._own_rate(endpoint) * age, self.fair_share(endpoint))
+        if not (refused and endpoint.limiter.limit):
+            usual = max(HEALTH_CHECK_SHARE * usual, SECOND / max(SECOND, self.context.settings.slow_start_ns))
+        return int(max(LONGEST_WAIT_NS, SECOND / max(self.context.small_fleet_share, usual)))
+
+    def apply_retry_after(self, endpoint: TrackedEndpoint, retry_after_ns: int) -> None:
+        """Keep a Retry-After that an attempt or a health check was answered with (rule 5)."""
+        limiter, until_ns = endpoint.limiter, self.context.now_ns + retry_after_ns
+        limiter.retry_after_until_ns = max(limiter.retry_after_until_ns, until_ns)
+        if retry_after_ns > LONG_RETRY_AFTER_NS:
+            for sibling in endpoint.siblings():  # all senders come back at that instant (rule 4)
+                self.start_ramp(sibling, limiter.retry_after_until_ns)
+
+    def record_refusal(self, endpoint: TrackedEndpoint, retry_after_ns: int) -> None:
+        """Lower the rate, lest a fleet keeps a limit exhausted; back off on top of a Retry-After."""
+        limiter, now_ns, few = endpoint.limiter, self.context.now_ns, self.context.small_fleet_share
+        many, looks = 1 - few, SECOND / self.longest_wait_ns(endpoint, refused=True)
+        low = bool(limiter.limit) and limiter.remaining < LITTLE_LEFT
+        share = self.exhausted.get(endpoint.kind, 0.8)
+        share = self.exhausted[endpoint.kind] = share + REFUSAL_GAIN * (low - share)
+        exhausted = low and share > EXHAUSTED
+        usual = max(self.fair_share(endpoint) or LEAST_RATE * few, looks, self._own_rate(endpoint))
+        if not limiter.refusals:
+            limiter.refusals_since_ns = now_ns
+            limiter.rate = usual - many * max(0.0, usual - (limiter.rate or usual))
+        if many or not limiter.refusals:
+            cut = EXHAUSTED_CUT if exhausted else few**CUT_POWER
+            limiter.rate = max(many * few * LEAST_RATE, limiter.rate * cut)
+        if many and retry_after_ns <= LONG_RETRY_AFTER_NS:  # many that were told the same follow in turns
+            wait_ns = int(SECOND / limiter.rate * self.context.random.random())
+            limiter.backoff_until_ns = now_ns + retry_after_ns + wait_ns
+        elif exhausted or not retry_after_ns:
+            steps = 1 if exhausted and not retry_after_ns else 3
+            wait_ns = self.wait_ns(endpoint, limiter.refusals + 1, steps, refused=True)
+            limiter.backoff_until_ns = now_ns + retry_after_ns + wait_ns
+        if exhausted:  # a burst that goes on to the next endpoint at once exhausts one limit after the other
+            for other in endpoint.destination.endpoints.values():
+                if other.limiter is not limiter and now_ns - other.last_success_ns > SHUT_SPAN_NS:
+                    self._back_off(other)
+        limiter.last_refusal_ns, limiter.refusals = now_ns, limiter.refusals + 1
+
+    def _back_off(self, endpoint: TrackedEndpoint) -> None:
+        until_ns = self.context.now_ns + self.wait_ns(endpoint, 1, 3, refused=True)
+        endpoint.limiter.backoff_until_ns = max(endpoint.limiter.backoff_until_ns, until_ns)
+
+    def record_success(self, endpoint: TrackedEndpoint) -> bool:
+        """Raise the rate after a success; true if it ends refusals that looked like a shut destination."""
+        limiter, now_ns = endpoint.limiter, self.context.now_ns
+        shut = limiter.refusals >= SHUT_AFTER and now_ns - limiter.refusals_since_ns > SHUT_SPAN_NS
+        limiter.refusals = 0
+        if limiter.limit and limiter.remaining < LITTLE_LEFT:
+            self._back_off(endpoint)  # the next call would be refused, which exhausts some limits further
+            return shut
+        few = self.context.small_fleet_share
+        aged = (now_ns - endpoint.last_success_ns) / (RATE_SPAN_S * SECOND)
+        gain = max(RATE_GAIN, aged, limiter.remaining / 4 if limiter.limit else 0.0)
+        gain *= few if limiter.rate > self.fair_share(endpoint) else few ** (-2 * CUT_POWER)
+        limiter.rate = min(limiter.rate * (1 + min(few**-CUT_POWER, gain)), self.max_rate(endpoint))
+        return shut
+
+    def start_ramp(self, endpoint: TrackedEndpoint, since_ns: int) -> None:
+        """Begin a slow start; the first call of each sender comes at a random time."""
+        endpoint.warming_since_ns = since_ns
+        endpoint.next_call_ns = self.ramp_next_ns(endpoint, self.context.random.random())
+
+    def ramp_next_ns(self, endpoint: TrackedEndpoint, calls: float) -> int:
+        """When this sender's part of the ramp has grown by so many calls (rule 4)."""
+        settings, first = self.context.settings, self.context.settings.slow_start_fraction
+        share = self.fair_share(endpoint) / max(1, sum(e.usable for e in endpoint.siblings()))
+        usual = max(endpoint.usual_rate, share, LEAST_RAMP_RATE / settings.senders)
+        span = max(1, settings.slow_start_ns) / SECOND
+        since = min(span, max(0, self.context.now_ns - endpoint.warming_since_ns) / SECOND)
+        rise = max(1e-9, (1 - first) / (2 * span))
+        spent = first * since + rise * since**2 + calls / (RAMP_SAFETY * settings.overload_multiple * usual)
+        then = (sqrt(first**2 + 4 * rise * spent) - first) / (2 * rise)  # capacity rises evenly to all
+        return endpoint.warming_since_ns + int(min(then, span) * SECOND)
--- a/pinspread/policy/state.py
+++ b/pinspread/policy/state.py
@@ -1,90 +1,120 @@
-"""What a sender remembers: messages, calls, limits, endpoints, destinations. No decisions."""
+"""What a sender remembers: messages, calls, limits, endpoints, destinations; units of time. No decisions."""
 
-from pinspread.policy.events import EndpointState
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from random import Random
+from typing import TYPE_CHECKING
+
+from pinspread.policy.actions import Action
+from pinspread.policy.events import EndpointEntry, EndpointId, EndpointState, MessageAccepted
+from pinspread.policy.settings import Settings, TrafficClass
+
+if TYPE_CHECKING:
+    from pinspread.policy.retry_budget import RetryBudget
+
+MS = 1_000_000  # of the clock's nanoseconds
+SECOND = 1_000 * MS
+NEVER = 1 << 62  # later than any time of the clock
+
+
+class PolicyContext:
+    """What all parts of one policy share: the turn's time and actions, settings, random numbers.
+
+    Attributes:
+        now_ns: The time of the present turn, in nanoseconds of the caller's clock.
+        actions: The actions of the present turn, in order.
+        small_fleet_share: 1 with few senders; the less of it, the more senders there are.
+    """
+
+    def __init__(self, settings: Settings, random: Random) -> None:
+        """Share these settings and this source of random numbers."""
+        self.settings = settings
+        self.random = random
+        self.now_ns = 0
+        self.actions: list[Action] = []
+        self.small_fleet_share = 1.0
 
 
 class QueuedMessage:
-    """A message that is held or out."""
+    """A message that is queued or in flight."""
 
     __slots__ = (
+        "accepted_ns",
         "attempts",
         "class_index",
         "deadline_ns",
         "destination",
-        "due_ns",
         "failures",
+        "in_flight",
         "key",
+        "max_attempts",
         "may_have_run_ns",
         "may_have_run_zone",
-        "most",
-        "out",
+        "overdue_from_ns",
         "ready_ns",
         "request",
-        "traffic_class",
-        "taken_ns",
         "tenant",
+        "traffic_class",
     )
 
-    def __init__(self, event, traffic_class, destination, now):
+    def __init__(
+        self,
+        event: MessageAccepted,
+        traffic_class: TrafficClass,
+        destination: Destination,
+        now_ns: int,
+        max_attempts: int,
+    ) -> None:
+        """Record a message that was accepted at `now_ns` under the rules of `traffic_class`."""
         self.request = event.request
         self.class_index = event.class_index
-        self.traffic_class = traffic_class  # the settings of its class
+        self.traffic_class = traffic_class
         self.destination = destination
         self.tenant = event.tenant
         self.key = event.key if traffic_class.in_order else 0
         self.deadline_ns = event.deadline_ns
-        self.taken_ns = now
-        self.ready_ns = now  # its backoff runs until then
-        self.due_ns = 1 << 62  # from then on it waits for no pace of this sender's own; owed since a restart
-        self.most = 0  # attempts that it may have
-        self.attempts = 0
-        self.failures = 0
-        self.out = False
+        self.accepted_ns = now_ns
+        self.ready_ns = now_ns  # its backoff runs until then
+        self.overdue_from_ns = NEVER  # recovered at a restart: from then on only Retry-After holds it back
+        self.max_attempts = max_attempts
+        self.attempts = event.attempts
+        self.failures = event.attempts
+        self.in_flight = False
         self.may_have_run_ns = 0  # when the earliest attempt was sent that may have run; 0: none
         self.may_have_run_zone = 0
 
-    def may_repeat_until_ns(self):
+    def may_repeat_until_ns(self) -> int:
         """When the destination stops dropping repeats of a keyed message that may have run."""
         return self.may_have_run_ns + self.traffic_class.deduplication_window_ns
 
 
 class Call:
-    """One call that is out: one slot, one fate, one message or a bundle."""
+    """One call in flight: one slot, one fate, one message or a bundle."""
 
-    __slots__ = ("endpoint", "fresh", "left", "sent_ns")
+    __slots__ = ("endpoint", "fresh", "remaining", "sent_ns")
 
-    def __init__(self, endpoint, now):
+    def __init__(self, endpoint: TrackedEndpoint, now_ns: int, messages: int) -> None:
+        """Record a call that was sent at `now_ns` with so many messages."""
         self.endpoint = endpoint
-        self.sent_ns = now
-        self.left = 0
+        self.sent_ns = now_ns
+        self.remaining = messages  # without an outcome yet
         self.fresh = True  # no outcome has come yet
 
 
+@dataclass(slots=True, eq=False)
 class RateLimiter:
-    """A limit that endpoints share: told and untold waits, and a pace. One a destination, or one a route."""
+    """A limit that endpoints share, one per destination or one per endpoint."""
 
-    __slots__ = (
-        "left",
-        "limit",
-        "next_ns",
-        "rate",
-        "refusals",
-        "refused_ns",
-        "refused_since_ns",
-        "told_ns",
-        "wait_ns",
-    )
-
-    def __init__(self):
-        self.told_ns = 0
-        self.wait_ns = 0
-        self.refusals = 0
-        self.refused_since_ns = 0
-        self.refused_ns = 0
-        self.rate = 0.0  # calls a second; 0: no refusal has set a pace
-        self.limit = 0.0  # the limit for all senders together, as told in answers; 0: not told
-        self.left = 1.0  # the share of it that was left then
-        self.next_ns = 0
+    retry_after_until_ns: int = 0  # as told by the destination
+    backoff_until_ns: int = 0  # as chosen by this sender after refusals
+    refusals: int = 0  # in a row
+    refusals_since_ns: int = 0
+    last_refusal_ns: int = 0
+    rate: float = 0.0  # calls a second; 0: no refusal has set one
+    limit: float = 0.0  # calls a second for all senders together, as reported in answers; 0: not reported
+    remaining: float = 1.0  # the share of the limit that was left then
+    next_call_ns: int = 0
 
 
 class TrackedEndpoint:
@@ -92,86 +122,90 @@
 
     __slots__ = (
         "answered_ns",
-        "base",
         "calls",
-        "cold_ns",
-        "count",
-        "counted_ns",
+        "delivered",
+        "delivered_ns",
         "destination",
-        "dev_ns",
-        "doubt",
-        "down",
-        "errors",
+        "ejected",
         "failed",
-        "first_ns",
-        "gone_ns",
-        "heard_ns",
+        "failure_rate",
+        "first_seen_ns",
+        "hard_failures",
+        "health_check_out",
+        "health_check_passed",
+        "health_checks",
         "id",
         "kind",
-        "line",
-        "mean_ns",
-        "next_ns",
-        "probed",
-        "probing",
+        "last_outcome_ns",
+        "last_success_ns",
+        "latency_deviation_ns",
+        "latency_mean_ns",
+        "limiter",
+        "next_call_ns",
+        "next_health_check_ns",
         "rank",
-        "served_ns",
-        "stretch",
-        "trial_ns",
-        "trials",
+        "removed_since_ns",
+        "timeout_factor",
         "usable",
+        "usual_rate",
+        "warming_since_ns",
         "weight",
         "zone",
     )
 
-    def __init__(self, entry, destination, line, now, rank):
-        self.id = entry.endpoint
+    def __init__(
+        self, entry: EndpointEntry, destination: Destination, limiter: RateLimiter, now_ns: int, rank: float
+    ) -> None:
+        """Record an endpoint that was listed for the first time at `now_ns`."""
+        self.id: EndpointId = entry.endpoint
         self.destination = destination
-        self.line = line
-        self.usable = False
-        self.calls = {}  # calls out, oldest first
-        self.mean_ns = 0.0
-        self.dev_ns = 0.0
-        self.stretch = 1.0
-        self.heard_ns = now
-        self.first_ns = now
-        self.served_ns = 0  # when the last success came
+        self.limiter = limiter
+        self.calls: dict[Call, bool] = {}  # in flight, oldest first
+        self.latency_mean_ns = 0.0
+        self.latency_deviation_ns = 0.0
+        self.timeout_factor = 1.0
+        self.last_outcome_ns = now_ns
+        self.first_seen_ns = now_ns
+        self.last_success_ns = 0
         self.answered_ns = 0  # when the newest call was sent that succeeded
-        self.count = 0.0  # successes, fading
-        self.counted_ns = now
-        self.doubt = 0.0
-        self.down = False
-        self.errors = 0  # failures since its last success that were more than a time-out or a reset
+        self.delivered = 0.0  # successes, fading
+        self.delivered_ns = now_ns  # when they were counted last
+        self.failure_rate = 0.0
+        self.ejected = False
+        self.hard_failures = 0  # since its last success, other than time-outs and resets
         self.failed = False  # its latest outcome was a failure
-        self.trials = 0
-        self.trial_ns = 0
-        self.probing = False
-        self.probed = False
-        self.cold_ns = 0  # since when it is taken to be cold; 0: it is not
-        self.base = 0.0  # the most delivered there lately, calls a second
-        self.next_ns = 0
-        self.gone_ns = 0  # since when the list does not have it any more; 0: it has
+        self.health_checks = 0
+        self.next_health_check_ns = 0
+        self.health_check_out = False
+        self.health_check_passed = False
+        self.warming_since_ns = 0  # 0: it is not warming up
+        self.usual_rate = 0.0  # the most delivered there lately, calls a second
+        self.next_call_ns = 0  # while it warms up
+        self.removed_since_ns = 0  # since when it is off the list; 0: it is listed
         self.rank = rank  # this sender's order among endpoints that are as good
         self.update(entry)
 
-    def update(self, entry):
+    def update(self, entry: EndpointEntry) -> None:
         """Take over what the list says."""
         self.zone = entry.zone
         self.kind = entry.kind
         self.weight = entry.weight
         self.usable = entry.state is EndpointState.READY
 
+    def siblings(self) -> list[TrackedEndpoint]:
+        """The endpoints of its destination, itself included, that share its limiter."""
+        limiter = self.limiter
+        return [e for e in self.destination.endpoints.values() if e.limiter is limiter]
+
 
+@dataclass(slots=True, eq=False)
 class Destination:
-    """A destination: its bucket, its endpoints, its queue."""
-
-    __slots__ = ("calls_out", "endpoints", "line", "number", "queue", "retries_out", "served", "tokens")
-
-    def __init__(self, number, tokens):
-        self.number = number
-        self.endpoints = {}
-        self.line = RateLimiter()
-        self.queue = {}  # messages held for it, in order of arrival
-        self.tokens = tokens
-        self.retries_out = 0
-        self.calls_out = 0
-        self.served = 0  # number of the turn in which it last got a slot
+    """A destination: its retry budget, its endpoints, its queue."""
+
+    number: int
+    retry_budget: RetryBudget
+    endpoints: dict[EndpointId, TrackedEndpoint] = field(default_factory=dict)
+    limiter: RateLimiter = field(default_factory=RateLimiter)
+    queue: dict[int, QueuedMessage] = field(default_factory=dict)  # by request, in order of arrival
+    calls_in_flight: int = 0
+    last_turn: int = 0  # number of the turn in which it last got a slot
--- a/pinspread/simulation/experiment.py
+++ b/pinspread/simulation/experiment.py
@@ -25,10 +25,10 @@
 
 class Variant(Part):
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9 ._-]{0,62}$")]
-    constants: dict[str, Any] = {}  # of decide.py
+    constants: dict[str, Any] = {}  # of the policy
     settings: dict[str, Any] = {}  # fields of interface.Settings
     world: dict[str, Any] = {}  # tables that replace the world's, key by key
-    module: str = ""  # a folder with decide.py, interface.py and state.py
+    module: str = ""  # a folder with the modules of a policy
     revision: str = ""  # or a git revision
     module_seed: int = 0  # another seed for the module's own chance, on the same days
 
--- a/pinspread/simulation/load.py
+++ b/pinspread/simulation/load.py
@@ -10,7 +10,7 @@
 from itertools import count
 
 from pinspread.policy.actions import Send, SetTimer
-from pinspread.policy.delivery_policy import MS, SECOND, DeliveryPolicy
+from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import (
     AttemptCompleted,
     EndpointEntry,
@@ -21,6 +21,7 @@
     UpdateScope,
 )
 from pinspread.policy.settings import DestinationKind, Settings, TrafficClass
+from pinspread.policy.state import MS, SECOND
 
 OK, FULL = Outcome.OK, Outcome.OVERLOADED
 
--- a/pinspread/simulation/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from pinspread.policy import delivery_policy as decide
+from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointEntry, EndpointState, UpdateScope
 from pinspread.policy.settings import DestinationKind, Idempotency, Settings, Tenant, TrafficClass
 from pinspread.simulation import destination as partner
@@ -36,7 +36,7 @@
         self.world, self.day = world, day
         self.engine = Engine(world.couriers.count + len(day.partners))
         self.module_seed = day.seed if module_seed is None else module_seed
-        self.sender = sender or decide.DeliveryPolicy
+        self.sender = sender or DeliveryPolicy
         self.settings = module_settings(world, day, settings or {})
         self.checker = Checker(self.settings.classes, self.settings.max_attempts)
         self.partners, self.endpoints = partners_of(day, self.engine, world, self.checker)
--- a/pinspread/simulation/variants.py
+++ b/pinspread/simulation/variants.py
@@ -40,6 +40,41 @@
 }
 
 
+# What an experiment's file calls constants of the policy, where the policy's own word differs.
+CONSTANT_KEYS = {
+    "ASK_AGAIN": "POLL_BACKOFF",
+    "ASK_SPREAD": "FIRST_POLL_SPREAD",
+    "BASE_SPAN_S": "USUAL_RATE_SPAN_S",
+    "CAUTION": "SUSPECT_FROM",
+    "CLUMP_SHARE": "BURST_POWER",
+    "CREEP": "LEAST_RAMP_RATE",
+    "CROWDED": "SATURATED_FROM",
+    "CROWDED_STRETCH": "UNSAFE_CROWDED_FACTOR",
+    "CROWD_GAIN": "REFUSAL_GAIN",
+    "CUT": "CUT_POWER",
+    "DOUBT": "EJECTED_FROM",
+    "DOUBT_WEIGHT": "FAILURE_WEIGHT",
+    "DRAINED": "EXHAUSTED",
+    "FEW_ERRORS": "FEW_HARD_FAILURES",
+    "GONE_KEPT_NS": "REMOVED_KEPT_NS",
+    "HOLD_SPARE": "SPARE_PLACES",
+    "LATELY_NS": "RECENT_SUCCESS_NS",
+    "LEAST_WORTH": "LEAST_PRIORITY",
+    "LONG_TOLD_NS": "LONG_RETRY_AFTER_NS",
+    "LOOKS": "HEALTH_CHECK_SHARE",
+    "LOST": "LOST_SHARE",
+    "MOOT_STEP": "NOT_SENT_STEP",
+    "MOST_STRETCH": "MOST_TIMEOUT_FACTOR",
+    "OWED_WAIT": "RECOVERED_WAIT",
+    "PACE_GAIN": "RATE_GAIN",
+    "RESTS_KEPT": "PAUSES_KEPT",
+    "ROOMY": "SATURATED_TO",
+    "TIMEOUT_SPREAD": "TIMEOUT_DEVIATIONS",
+    "UNSAFE_STRETCH": "UNSAFE_FACTOR",
+    "USED_UP_PACE": "EXHAUSTED_CUT",
+}
+
+
 class VariantError(ValueError):
     """A version of the policy that cannot be had; the text says why."""
 
@@ -117,10 +152,11 @@
 
 
 def constants_of(found: dict) -> set:
-    """The constants that a version's main module sets."""
-    tree = ast.parse(found.get("delivery_policy") or found["decide"])
-    targets = [t for node in tree.body if type(node) is ast.Assign for t in node.targets]
-    return {t.id for t in targets if type(t) is ast.Name and t.id.isupper()}
+    """The constants that a version's modules set, by their own words and those of experiments' files."""
+    trees = [ast.parse(text) for text in found.values()]
+    targets = [t for tree in trees for node in tree.body if type(node) is ast.Assign for t in node.targets]
+    names = {t.id for t in targets if type(t) is ast.Name and t.id.isupper() and not t.id.startswith("_")}
+    return names | {key for key, name in CONSTANT_KEYS.items() if name in names}
 
 
 def settings_of(found: dict) -> set:
@@ -132,19 +168,22 @@
 
 
 class Constants:
-    """For the length of a `with`, the module's constants have a variant's values."""
+    """For the length of a `with`, the policy's constants have a variant's values."""
 
     def __init__(self, values: dict):
         self.values = values
-        self.old = {}
+        self.old = []
 
     def __enter__(self):
-        module = importlib.import_module("pinspread.policy.delivery_policy")
-        for name, value in self.values.items():
-            self.old[name] = getattr(module, name)
-            setattr(module, name, tuple(value) if isinstance(value, list) else value)
+        importlib.import_module("pinspread.policy.delivery_policy")  # and with it all of its parts
+        modules = [module for name, module in sys.modules.items() if name.startswith("pinspread.policy.")]
+        for key, value in self.values.items():
+            name = key if any(hasattr(module, key) for module in modules) else CONSTANT_KEYS[key]
+            # A module that imports a constant has a name of its own for it.
+            for module in [module for module in modules if hasattr(module, name)]:
+                self.old.append((module, name, getattr(module, name)))
+                setattr(module, name, tuple(value) if isinstance(value, list) else value)
 
     def __exit__(self, *_):
-        module = importlib.import_module("pinspread.policy.delivery_policy")
-        for name, value in self.old.items():
+        for module, name, value in self.old:
             setattr(module, name, value)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,9 +12,10 @@
 from pinspread.core.messages import DeliveryRules, Endpoint
 from pinspread.discovery import client as discovery
 from pinspread.http import transport as http
-from pinspread.policy import delivery_policy as decide
+from pinspread.policy import outlier_detection
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.policy.settings import DeduplicationScope
+from pinspread.policy.state import MS
 from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
@@ -262,7 +263,8 @@
 
 @pytest.mark.parametrize("bar", ["told wait", "notice"])
 async def test_what_bars_a_call_behind_its_choice_uses_up_no_attempt(tmp_path, monkeypatch, bar):
-    monkeypatch.setattr(decide, "MOST_TIMEOUT_NS", 2000 * decide.MS if bar == "told wait" else 50 * decide.MS)
+    longest_ns = 2000 * MS if bar == "told wait" else 50 * MS
+    monkeypatch.setattr(outlier_detection, "MOST_TIMEOUT_NS", longest_ns)
     untold = b"HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 9\r\n\r\n"  # its body never comes
     endpoint = HttpStandIn(lambda request: (200, [], b"") if request[3]["request-id"] == "second" else untold)
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
--- a/tests/test_decide.py
+++ b/tests/test_delivery_policy.py
@@ -2,14 +2,15 @@
 
 import subprocess
 import sys
+import tomllib
 from dataclasses import replace
 from pathlib import Path
 
 import pytest
 
-from pinspread.policy import delivery_policy as decide
+from pinspread.policy import outlier_detection, rate_limit, retry_budget
 from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer, Subscribe
-from pinspread.policy.delivery_policy import MS, SECOND, DeliveryPolicy
+from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import (
     AttemptCompleted,
     ClientCancelled,
@@ -22,7 +23,9 @@
     TimerFired,
     UpdateScope,
 )
+from pinspread.policy.outlier_detection import OutlierDetector
 from pinspread.policy.settings import DeduplicationScope, DestinationKind, Idempotency, Settings, TrafficClass
+from pinspread.policy.state import MS, SECOND
 
 OK, FULL, ERROR = Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR
 TIMEOUT, CONNECT_FAILED = Outcome.TIMEOUT, Outcome.CONNECT_FAILED
@@ -128,7 +131,7 @@
 
     @property
     def bucket(self):
-        return self.sender.destinations[1]
+        return self.sender.discovery.destinations[1]
 
 
 # --- the design ----------------------------------------------------------------------------------
@@ -136,16 +139,18 @@
 
 def test_bucket_starts_full_and_only_failed_retries_cost():
     desk = Desk()
-    assert desk.bucket.tokens == decide.BUCKET_CAP == 10
+    assert desk.bucket.retry_budget.tokens == retry_budget.BUCKET_CAP == 10
     desk.take()
     desk.end(1, CONNECT_FAILED)
-    assert desk.bucket.tokens == 10  # a first attempt costs nothing
+    assert desk.bucket.retry_budget.tokens == 10  # a first attempt costs nothing
     assert desk.sent(desk.turn(after=20 * MS)) == [1]
     desk.end(1, CONNECT_FAILED)
-    assert desk.bucket.tokens == 9  # the failed retry took one
+    assert desk.bucket.retry_budget.tokens == 9  # the failed retry took one
     assert desk.sent(desk.turn(after=80 * MS)) == [1]
     desk.end(1, OK)
-    assert desk.bucket.tokens == pytest.approx(9.1)  # a successful one takes none and brings a tenth
+    assert desk.bucket.retry_budget.tokens == pytest.approx(
+        9.1
+    )  # a successful one takes none and brings a tenth
 
 
 @pytest.mark.parametrize("verdict", [Outcome.NOT_SENT, CONNECT_FAILED, TIMEOUT])
@@ -160,20 +165,20 @@
 
 def test_ten_successes_bring_a_token_up_to_the_cap():
     desk = Desk()
-    desk.bucket.tokens = 3.0
+    desk.bucket.retry_budget.tokens = 3.0
     for n in range(1, 11):
         desk.take()
         desk.end(n)
-    assert desk.bucket.tokens == pytest.approx(4.0)
-    desk.bucket.tokens = decide.BUCKET_CAP
+    assert desk.bucket.retry_budget.tokens == pytest.approx(4.0)
+    desk.bucket.retry_budget.tokens = retry_budget.BUCKET_CAP
     desk.take()
     desk.end(11)
-    assert desk.bucket.tokens == decide.BUCKET_CAP
+    assert desk.bucket.retry_budget.tokens == retry_budget.BUCKET_CAP
 
 
 def test_empty_bucket_stops_retries_but_not_first_attempts():
     desk = Desk(endpoints=(("a", 1), ("b", 1)))
-    desk.bucket.tokens = 0.95
+    desk.bucket.retry_budget.tokens = 0.95
     desk.take()
     desk.end(1, ERROR)
     assert desk.sent(desk.turn(after=SECOND)) == []
@@ -184,7 +189,7 @@
 def test_waits_grow_fourfold_with_jitter():
     sender = Desk().sender
     for n in range(6):
-        waits = [sender.backoff(n) for _ in range(300)]
+        waits = [retry_budget.backoff_ns(sender.context.random, n) for _ in range(300)]
         middle = 10 * MS * 4**n
         assert 0.5 * middle <= min(waits) < 0.6 * middle
         assert 1.4 * middle < max(waits) <= 1.5 * middle
@@ -234,7 +239,7 @@
     assert desk.sent(desk.take(3)) == [1, 2]  # the rest of the slots are left to others
     assert desk.sent(desk.take(2, destination=2)) == [4]  # two out here, none there
     assert desk.sent(desk.end(1)) == [3]  # one out each: the one served longest ago
-    assert desk.sender.calls_out == 3
+    assert desk.sender.dispatcher.calls_in_flight == 3
 
 
 def test_short_slots_go_to_what_is_worth_most_among_destinations_with_as_few_calls_out():
@@ -251,12 +256,12 @@
     ends = set()
     for seed in range(12):
         desk = Desk(senders=50)
-        desk.sender.random.seed(seed)
+        desk.sender.context.random.seed(seed)
         desk.take()
         desk.end(1, FULL, retry_after_ns=SECOND, limit_remaining=0.0, limit_per_s=3.0)
-        line = desk.sender.endpoints["a"].line
-        assert line.wait_ns > line.told_ns == desk.now + SECOND
-        ends.add(line.wait_ns // (50 * MS))
+        line = desk.sender.discovery.endpoints["a"].limiter
+        assert line.backoff_until_ns > line.retry_after_until_ns == desk.now + SECOND
+        ends.add(line.backoff_until_ns // (50 * MS))
     assert len(ends) > 5
 
 
@@ -274,7 +279,7 @@
 def test_bundle_takes_one_slot():
     desk = Desk(kind=1, max_concurrent_calls=4)
     assert desk.sent(desk.take(4)) == [1, 2, 3, 4]
-    assert desk.sender.calls_out == 2
+    assert desk.sender.dispatcher.calls_in_flight == 2
 
 
 # --- the rules -----------------------------------------------------------------------------------
@@ -301,9 +306,9 @@
     desk = Desk()
     desk.take()
     desk.turn(ClientCancelled(1))
-    assert desk.sender.calls_out == 1
+    assert desk.sender.dispatcher.calls_in_flight == 1
     assert desk.end(1, TIMEOUT, done=True) == []
-    assert desk.sender.calls_out == 0 and not desk.sender.messages
+    assert desk.sender.dispatcher.calls_in_flight == 0 and not desk.sender.messages
 
 
 def test_rule_2_unsafe_message_is_retried_only_where_nothing_ran():
@@ -323,13 +328,13 @@
 def test_rule_2_keyed_message_is_sent_again_only_inside_its_window():
     desk = Desk(endpoints=(("a", 1), ("b", 1)))
     desk.take(cls=KEYED)
-    desk.bucket.tokens = 0.0
+    desk.bucket.retry_budget.tokens = 0.0
     desk.end(1, ERROR)
     assert desk.turn(after=10 * SECOND - 50 * MS - 1) == []
-    desk.bucket.tokens = 5.0
+    desk.bucket.retry_budget.tokens = 5.0
     message = desk.sender.messages[1]
-    assert desk.sender.may_repeat(message, desk.now)
-    assert not desk.sender.may_repeat(message, desk.now + 1)
+    assert desk.sender.dispatcher.may_repeat(message, desk.now)
+    assert not desk.sender.dispatcher.may_repeat(message, desk.now + 1)
     assert desk.turn(after=1) == [Fail(1)]
 
 
@@ -340,9 +345,9 @@
     desk.end(1, ERROR)
     message = desk.sender.messages[1]
     desk.now += SECOND
-    desk.sender.now = desk.now
-    assert desk.sender.may_send(message, desk.sender.endpoints["a"])
-    assert not desk.sender.may_send(message, desk.sender.endpoints["b"])
+    desk.sender.context.now_ns = desk.now
+    assert desk.sender.dispatcher.may_send(message, desk.sender.discovery.endpoints["a"])
+    assert not desk.sender.dispatcher.may_send(message, desk.sender.discovery.endpoints["b"])
 
 
 def test_rule_2_never_two_attempts_out():
@@ -387,8 +392,8 @@
     for seed in range(20):
         sender = DeliveryPolicy(settings(polled_discovery=True, max_poll_interval_ns=10 * SECOND), seed)
         sender.handle(1, [EndpointsChanged(UpdateScope.CACHED, [])])
-        firsts.add(sender.ask_ns // (500 * MS))
-        assert sender.ask_ns <= 3 * SECOND + 1
+        firsts.add(sender.discovery.next_poll_ns // (500 * MS))
+        assert sender.discovery.next_poll_ns <= 3 * SECOND + 1
     assert len(firsts) >= 4
     pushed = Desk()
     pushed.turn(EndpointsChanged(UpdateScope.FAILED, []))
@@ -404,14 +409,14 @@
 
 def test_endpoints_that_are_gone_are_forgotten_once_nothing_is_out_and_an_heir_is_there():
     desk = Desk()
-    known = desk.sender.endpoints
+    known = desk.sender.discovery.endpoints
 
     def listed(name, state, after=0):
         desk.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry(name, 1, state=state)]), after=after)
 
     desk.take()
     listed("a", EndpointState.REMOVED)
-    kept = desk.sender.settings.slow_start_ns + SECOND
+    kept = desk.sender.context.settings.slow_start_ns + SECOND
     listed("a", EndpointState.REMOVED, after=kept)
     assert "a" in known  # a call is out, and nobody has learned from it
     listed("b", EndpointState.READY)
@@ -430,8 +435,8 @@
     desk.take(4)
     for n in range(1, 5):
         desk.end(n, CONNECT_FAILED, after=MS)
-    endpoint = desk.sender.endpoints["a"]
-    assert endpoint.down
+    endpoint = desk.sender.discovery.endpoints["a"]
+    assert endpoint.ejected
     gaps = []
     for _ in range(4):
         waited = 0
@@ -440,7 +445,7 @@
             waited += 1
         assert len(endpoint.calls) == 1
         assert desk.take() == []  # no first try beside the trial
-        out = next(m.request for m in desk.sender.messages.values() if m.out)
+        out = next(m.request for m in desk.sender.messages.values() if m.in_flight)
         desk.end(out, CONNECT_FAILED, after=MS)
         gaps.append(waited)
     assert gaps[-1] > gaps[0] and gaps[-1] <= 1000
@@ -451,52 +456,59 @@
     for n in range(1, 101):  # ten a second for ten seconds
         desk.take(after=50 * MS)
         desk.end(n, after=50 * MS)
-    endpoint = desk.sender.endpoints["a"]
-    before = desk.sender.delivered(endpoint)
+    endpoint = desk.sender.discovery.endpoints["a"]
+    before = desk.sender.limits.delivered_rate(endpoint)
     assert 8 < before < 12
-    endpoint.down, endpoint.doubt, endpoint.errors = True, 0.6, decide.FEW_ERRORS
+    endpoint.ejected, endpoint.failure_rate, endpoint.hard_failures = (
+        True,
+        0.6,
+        outlier_detection.FEW_HARD_FAILURES,
+    )
     desk.take(80, life=60 * SECOND)
-    while not endpoint.cold_ns:
-        out = [r for r, m in desk.sender.messages.items() if m.out]
+    while not endpoint.warming_since_ns:
+        out = [r for r, m in desk.sender.messages.items() if m.in_flight]
         desk.end(out[0], after=5 * MS) if out else desk.turn(after=5 * MS)
     sends = []
     start = desk.now
     while desk.now < start + 2 * SECOND:
-        for request in [r for r, m in desk.sender.messages.items() if m.out]:
+        for request in [r for r, m in desk.sender.messages.items() if m.in_flight]:
             sends.append(request)
             desk.end(request, after=MS)
         desk.turn(after=4 * MS)
-    settings_ = desk.sender.settings
+    settings_ = desk.sender.context.settings
     share = settings_.slow_start_fraction + (1 - settings_.slow_start_fraction) * 0.2
-    assert 3 <= len(sends) <= settings_.overload_multiple * share * endpoint.base * 2
+    assert 3 <= len(sends) <= settings_.overload_multiple * share * endpoint.usual_rate * 2
 
 
 def test_rule_4_without_history_the_return_creeps():
     desk = Desk(senders=2)
-    endpoint = desk.sender.endpoints["a"]
-    endpoint.cold_ns = desk.sender.now = desk.now
+    endpoint = desk.sender.discovery.endpoints["a"]
+    endpoint.warming_since_ns = desk.sender.context.now_ns = desk.now
     # half a call a second for each sender with all capacity; a call is due when its part has grown to one
-    assert desk.sender.ramp_next(endpoint, 1.0) > desk.now + 3 * SECOND
-    desk.sender.settings.senders = 500
-    assert desk.sender.ramp_next(endpoint, 1.0) == desk.now + desk.sender.settings.slow_start_ns  # warm
+    assert desk.sender.limits.ramp_next_ns(endpoint, 1.0) > desk.now + 3 * SECOND
+    desk.sender.context.settings.senders = 500
+    assert (
+        desk.sender.limits.ramp_next_ns(endpoint, 1.0)
+        == desk.now + desk.sender.context.settings.slow_start_ns
+    )  # warm
 
 
 def test_rule_4_end_of_a_told_shutting_is_a_cold_return_for_all_who_were_told():
     starts = []
     for seed in range(60):
         desk = Desk(senders=60)
-        desk.sender.random.seed(seed)
+        desk.sender.context.random.seed(seed)
         desk.take(after=SECOND)
         desk.end(1, FULL, retry_after_ns=8 * SECOND, limit_remaining=1.0, limit_per_s=6.0)
         desk.turn(after=8 * SECOND)
         waited = 0
-        while not desk.sender.endpoints["a"].calls:
+        while not desk.sender.discovery.endpoints["a"].calls:
             desk.turn(after=50 * MS)
             waited += 50 * MS
         starts.append(waited)
     # capacity starts at a quarter of 6 a second: twice that for two seconds are 6 calls and the rise
     assert sum(at < 2 * SECOND for at in starts) <= 10
-    assert max(starts) <= desk.sender.settings.slow_start_ns
+    assert max(starts) <= desk.sender.context.settings.slow_start_ns
 
 
 def test_rule_6_one_key_goes_one_at_a_time_in_order():
@@ -541,12 +553,12 @@
         lost = desk.ids - 1
         desk.end(desk.ids)
         desk.end(lost, TIMEOUT, after=SECOND, done=True)
-    endpoint = desk.sender.endpoints["a"]
-    assert not endpoint.down and endpoint.stretch == 1.0
+    endpoint = desk.sender.discovery.endpoints["a"]
+    assert not endpoint.ejected and endpoint.timeout_factor == 1.0
     desk.take(2)
     desk.end(desk.ids, TIMEOUT, after=SECOND, done=True)
     desk.end(desk.ids - 1, TIMEOUT, after=MS, done=True)
-    assert endpoint.down  # nothing was answered since these went out
+    assert endpoint.ejected  # nothing was answered since these went out
 
 
 def test_a_lost_call_keeps_nobody_from_an_endpoint_that_has_answered_lately():
@@ -556,8 +568,8 @@
     assert len(desk.sent(desk.take(2))) == 2  # both get lost
     assert desk.sent(desk.take(after=301 * MS)) == [4]  # overdue: another look
     assert desk.sent(desk.take(after=50 * MS)) == []  # and one at a time
-    endpoint = desk.sender.endpoints["a"]
-    endpoint.down = True
+    endpoint = desk.sender.discovery.endpoints["a"]
+    endpoint.ejected = True
     assert desk.sent(desk.turn(after=260 * MS)) == [5]  # a look that is lost is over too
     desk.take(after=2 * SECOND)
     assert desk.sent(desk.turn(after=SECOND)) == []  # it has not answered for long: one look, to its end
@@ -575,13 +587,21 @@
         free = next(a.timeout_ns for a in desk.take() if type(a) is Send)
         short = next(a.timeout_ns for a in desk.take(2, destination=2) if type(a) is Send)
         desk.take()
-        return free, short, desk.sender.timeout(next(iter(desk.sender.messages.values())), endpoint(desk))
+        return (
+            free,
+            short,
+            desk.sender.outliers.timeout_ns(
+                next(iter(desk.sender.messages.values())),
+                endpoint(desk),
+                desk.sender.dispatcher.calls_in_flight,
+            ),
+        )
 
     def endpoint(desk):
-        return desk.sender.endpoints["a"]
+        return desk.sender.discovery.endpoints["a"]
 
     free, _, short = waits(TIMEOUT)
-    assert free >= SECOND > short >= decide.SILENCE_NS
+    assert free >= SECOND > short >= outlier_detection.SILENCE_NS
     assert waits(OK)[2] >= SECOND  # nothing lost
 
 
@@ -596,8 +616,12 @@
         desk.take(after=5 * SECOND)
         desk.end(desk.ids, after=20 * MS)
     desk.take(2)
-    waits = desk.sender.timeout(next(iter(desk.sender.messages.values())), desk.sender.endpoints["a"])
-    assert (waits < decide.LEAST_TIMEOUT_NS) is shorter
+    waits = desk.sender.outliers.timeout_ns(
+        next(iter(desk.sender.messages.values())),
+        desk.sender.discovery.endpoints["a"],
+        desk.sender.dispatcher.calls_in_flight,
+    )
+    assert (waits < outlier_detection.LEAST_TIMEOUT_NS) is shorter
 
 
 def test_resets_speak_for_connections_and_leave_no_ramp_behind():
@@ -605,14 +629,14 @@
     for _ in range(2):  # both have answered
         desk.take()
         desk.end(desk.ids)
-    a, b = desk.sender.endpoints.values()
+    a, b = desk.sender.discovery.endpoints.values()
     for _ in range(4):
         desk.take(2)
         desk.end(desk.ids, Outcome.RESET, after=MS, done=True)
         desk.end(desk.ids - 1, after=MS)
         desk.turn(after=200 * MS)
-    assert not a.down and not b.down and not a.cold_ns and not b.cold_ns
-    assert a.errors == b.errors == 0
+    assert not a.ejected and not b.ejected and not a.warming_since_ns and not b.warming_since_ns
+    assert a.hard_failures == b.hard_failures == 0
 
 
 def test_slow_destination_leaves_slots_to_others():
@@ -644,7 +668,7 @@
     desk.take()
     desk.end(1, FULL)
     assert desk.take() == []
-    assert desk.sender.endpoints["a"].line.rate >= decide.LEAST_RATE
+    assert desk.sender.discovery.endpoints["a"].limiter.rate >= rate_limit.LEAST_RATE
 
 
 def test_routes_apart_wait_alone():
@@ -660,12 +684,12 @@
 
 SCRIPT = """
 import hashlib, sys; sys.path.insert(0, "tests")
-from test_decide import *
+from test_delivery_policy import *
 desk = Desk(endpoints=(("a", 1), ("b", 1), ("c", 2)))
 log = []
 for n in range(300):
     log += desk.take(cls=n % 5, destination=1 + n % 3, key=n % 4, after=20 * MS)
-    out = [r for r, m in desk.sender.messages.items() if m.out]
+    out = [r for r, m in desk.sender.messages.items() if m.in_flight]
     if out:
         outcome = list(Outcome)[n % 8]
         log += desk.end(out[0], outcome)
@@ -699,17 +723,25 @@
 
 
 def test_the_module_stays_within_its_limits():
-    lines = Path(decide.__file__).read_text().splitlines()
-    assert sum(bool(line.strip()) for line in lines) <= 800
-    assert max(map(len, lines)) <= 110
-    assert "pinspread/policy/settings.py" in lines[0]
+    root = Path(__file__).parents[1]
+    listed = tomllib.loads((root / "deploy/balancer.toml").read_text())["policy"]
+    undecided = {"__init__.py", "actions.py", "events.py", "settings.py", "state.py"}  # types only
+    there = {path.name for path in (root / "pinspread/policy").iterdir() if path.suffix == ".py"}
+    assert {Path(name).name for name in listed} == there - undecided and len(listed) == len(set(listed))
+    texts = [(root / name).read_text().splitlines() for name in listed]
+    assert sum(bool(line.strip()) for lines in texts for line in lines) <= 800
+    assert max(len(line) for lines in texts for line in lines) <= 110
+    assert (
+        "pinspread/policy/settings.py"
+        in (root / "pinspread/policy/delivery_policy.py").read_text().splitlines()[0]
+    )
 
 
 @pytest.mark.parametrize(("senders", "closes"), [(2, False), (8, True), (200, True)])
 def test_idle_connections_are_closed_where_tables_are_full(senders, closes):
     desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 80)], senders=senders)
-    endpoint = desk.sender.endpoints["e1"]
-    endpoint.first_ns -= 9 * SECOND
+    endpoint = desk.sender.discovery.endpoints["e1"]
+    endpoint.first_seen_ns -= 9 * SECOND
     assert Disconnect("e1") not in desk.end(desk.sent(desk.take())[0])  # nothing told of a full table
     for n in (2, 3):  # one destination after the other takes no connection at first
         closed = desk.end(desk.sent(desk.take(destination=n))[0], CONNECT_FAILED)
@@ -717,13 +749,13 @@
     assert (Disconnect("e1") in desk.end(desk.sent(desk.take())[0])) is closes
     for n in range(20, 50):  # all is well for long
         desk.end(desk.sent(desk.take(destination=n))[0])
-    assert desk.sender.keeps_connections(endpoint)
+    assert desk.sender.balancer.keeps_connections(endpoint)
 
 
 def test_an_outage_closes_no_connections_to_others_where_full_tables_are_told():
     for told in (True, False):
         desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 80)], senders=40)
-        desk.sender.endpoints["e1"].first_ns -= 9 * SECOND
+        desk.sender.discovery.endpoints["e1"].first_seen_ns -= 9 * SECOND
         desk.end(desk.sent(desk.take())[0], opened=told)
         for n in (2, 3, 4):
             desk.end(desk.sent(desk.take(destination=n))[0], CONNECT_FAILED)
@@ -743,9 +775,9 @@
         request = desk.sent(desk.take())[0]
         for opened in (first, True):
             desk.end(request, FULL, opened=opened)
-            while request in desk.sender.messages and not desk.sender.messages[request].out:
+            while request in desk.sender.messages and not desk.sender.messages[request].in_flight:
                 desk.turn(after=50 * MS)
-        assert bool(desk.sender.closing) is closing
+        assert bool(desk.sender.balancer.saturated) is closing
 
 
 @pytest.mark.parametrize(("senders", "closes"), [(3, False), (12, True), (40, True), (120, True)])
@@ -753,7 +785,7 @@
     cases = (({"opened": True}, True), ({}, False), ({"opened": True, "retry_after_ns": SECOND}, False))
     for fields, told in cases:
         desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 9)], senders=senders)
-        desk.sender.endpoints["e1"].first_ns -= 9 * SECOND
+        desk.sender.discovery.endpoints["e1"].first_seen_ns -= 9 * SECOND
         desk.end(desk.sent(desk.take())[0])
         for n in (2, 3, 4):
             desk.end(desk.sent(desk.take(destination=n))[0], FULL, **fields)
@@ -768,11 +800,11 @@
         desk.turn(after=20 * MS)
     desk.take(5)
     added = desk.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry("new", 1)]), after=SECOND)
-    assert desk.sent(added) == [] and desk.sender.endpoints["new"].down
+    assert desk.sent(added) == [] and desk.sender.discovery.endpoints["new"].ejected
     other = Desk(endpoints=(("a", 1), ("b", 1)))  # where a sibling is well it is an endpoint like any
-    other.sender.endpoints["a"].down = True
+    other.sender.discovery.endpoints["a"].ejected = True
     other.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry("new", 1)]))
-    assert not other.sender.endpoints["new"].down
+    assert not other.sender.discovery.endpoints["new"].ejected
 
 
 def test_failure_speaks_for_siblings_and_they_share_one_look():
@@ -783,8 +815,8 @@
     assert desk.sent(desk.turn(after=20 * MS)) == [1]
     assert desk.attempts[1][1] != first  # the retry prefers the one that has not failed
     desk.end(1, CONNECT_FAILED, after=MS)
-    both = desk.sender.endpoints.values()
-    assert all(endpoint.down for endpoint in both)
+    both = desk.sender.discovery.endpoints.values()
+    assert all(endpoint.ejected for endpoint in both)
     desk.take(3)
     desk.turn(after=20 * SECOND)
     assert sum(len(endpoint.calls) for endpoint in both) <= 1
@@ -799,20 +831,20 @@
         while not desk.sent(desk.turn(after=SECOND)):
             pass
     desk.end(1, CONNECT_FAILED, after=MS)
-    a, b = (desk.sender.endpoints[name] for name in "ab")
-    assert a.down and b.down
+    a, b = (desk.sender.discovery.endpoints[name] for name in "ab")
+    assert a.ejected and b.ejected
     sent = desk.sent(desk.take(2))
     while not (a.calls or b.calls):
         sent = desk.sent(desk.turn(after=SECOND))
     request = sent[0] if sent else 1
-    looked = desk.sender.endpoints[desk.attempts[request][1]]
+    looked = desk.sender.discovery.endpoints[desk.attempts[request][1]]
     other = b if looked is a else a
-    other.cold_ns = 1  # of an outage long ago
+    other.warming_since_ns = 1  # of an outage long ago
     desk.end(request, after=MS)
     assert (
-        other.down and (other.cold_ns == looked.cold_ns) == waits
+        other.ejected and (other.warming_since_ns == looked.warming_since_ns) == waits
     )  # one ramp, and it is looked at as it grows
-    assert not waits or other.trial_ns > desk.now + SECOND
+    assert not waits or other.next_health_check_ns > desk.now + SECOND
 
 
 def test_volley_of_refusals_counts_once():
@@ -820,13 +852,13 @@
     desk.take(6)
     for n in range(1, 7):
         desk.end(n, FULL, after=MS)
-    assert desk.sender.endpoints["a"].line.refusals == 1
+    assert desk.sender.discovery.endpoints["a"].limiter.refusals == 1
 
 
 def test_looks_of_many_senders_are_spread():
     few, many = Desk(senders=3), Desk(senders=200)
-    for desk, longest in ((few, SECOND), (many, many.sender.settings.slow_start_ns)):
-        assert desk.sender.longest_wait(desk.sender.endpoints["a"]) == longest
+    for desk, longest in ((few, SECOND), (many, many.sender.context.settings.slow_start_ns)):
+        assert desk.sender.limits.longest_wait_ns(desk.sender.discovery.endpoints["a"]) == longest
 
 
 def test_little_told_room_makes_a_sender_wait():
@@ -843,16 +875,16 @@
 def test_outage_is_looked_at_by_a_repeatable_message_and_by_a_probe_only_for_unsafe_ones():
     for cls, look in ((SAFE, Send), (UNSAFE, CheckHealth)):
         desk = Desk(health_checks_allowed=True)
-        endpoint = desk.sender.endpoints["a"]
-        endpoint.down, endpoint.doubt = True, 0.6
+        endpoint = desk.sender.discovery.endpoints["a"]
+        endpoint.ejected, endpoint.failure_rate = True, 0.6
         assert [type(action) for action in desk.take(cls=cls)] == [look]
 
 
 def test_work_of_an_event_does_not_grow_with_destinations_it_does_not_concern(monkeypatch):
     looks = []
-    opens = DeliveryPolicy.opens
+    opens_ns = OutlierDetector.opens_ns
     monkeypatch.setattr(
-        DeliveryPolicy, "opens", lambda self, e, *due: looks.append(e) or opens(self, e, *due)
+        OutlierDetector, "opens_ns", lambda self, e, *overdue: looks.append(e) or opens_ns(self, e, *overdue)
     )
     counts = []
     for others in (1, 400):
@@ -865,45 +897,47 @@
     assert counts[0] == counts[1] > 0
 
 
-@pytest.mark.parametrize(("errors", "ramps"), [(0, False), (2, False), (decide.FEW_ERRORS, True)])
+@pytest.mark.parametrize(
+    ("errors", "ramps"), [(0, False), (2, False), (outlier_detection.FEW_HARD_FAILURES, True)]
+)
 def test_lost_calls_between_successes_close_together_end_without_a_ramp(errors, ramps):
     desk = Desk()
     desk.take()
     desk.end(1)
-    endpoint = desk.sender.endpoints["a"]
-    endpoint.down, endpoint.doubt, endpoint.errors = True, 0.6, errors
+    endpoint = desk.sender.discovery.endpoints["a"]
+    endpoint.ejected, endpoint.failure_rate, endpoint.hard_failures = True, 0.6, errors
     assert desk.sent(desk.take(after=SECOND)) == [2]
     desk.end(2)
-    assert not endpoint.down
-    assert bool(endpoint.cold_ns) is ramps
+    assert not endpoint.ejected
+    assert bool(endpoint.warming_since_ns) is ramps
 
 
 def test_rule_4_first_look_of_many_senders_waits_near_the_longest():
     desk = Desk(senders=200)
-    endpoint = desk.sender.endpoints["a"]
-    looks = [desk.sender.wait(endpoint, 0) for _ in range(20)]
+    endpoint = desk.sender.discovery.endpoints["a"]
+    looks = [desk.sender.limits.wait_ns(endpoint, 0) for _ in range(20)]
     assert min(looks) >= 10 * SECOND / 8 and max(looks) <= 15 * SECOND
-    assert min(desk.sender.wait(endpoint, 1) for _ in range(20)) >= 5 * SECOND
+    assert min(desk.sender.limits.wait_ns(endpoint, 1) for _ in range(20)) >= 5 * SECOND
 
 
 def test_rule_4_a_probe_spends_the_ramp_of_a_cold_endpoint_as_a_call_does():
     desk = Desk(health_checks_allowed=True)
-    endpoint = desk.sender.endpoints["a"]
-    endpoint.cold_ns, endpoint.doubt, endpoint.base = desk.now, 0.4, 1.0
+    endpoint = desk.sender.discovery.endpoints["a"]
+    endpoint.warming_since_ns, endpoint.failure_rate, endpoint.usual_rate = desk.now, 0.4, 1.0
     assert [type(a) for a in desk.take(cls=UNSAFE)] == [CheckHealth]
-    assert endpoint.next_ns > desk.now
+    assert endpoint.next_call_ns > desk.now
     done = HealthCheckCompleted("a", OK, 20 * MS)
     assert not desk.sent(desk.turn(done, after=20 * MS))  # its message waits for the ramp
 
 
 def test_a_probe_that_was_never_sent_tells_nothing():
     desk = Desk(health_checks_allowed=True)
-    endpoint = desk.sender.endpoints["a"]
-    endpoint.doubt = 0.4
+    endpoint = desk.sender.discovery.endpoints["a"]
+    endpoint.failure_rate = 0.4
     desk.take(cls=UNSAFE)
-    assert endpoint.probing
+    assert endpoint.health_check_out
     desk.turn(HealthCheckCompleted("a", Outcome.NOT_SENT, 0), after=MS)
-    assert not endpoint.down and endpoint.doubt == 0.4
+    assert not endpoint.ejected and endpoint.failure_rate == 0.4
 
 
 def wake_ups(desk, span, events=()):
@@ -920,17 +954,17 @@
 
 def test_a_payment_that_waits_for_a_probe_does_not_wake_the_sender_again_and_again():
     desk = Desk(health_checks_allowed=True)
-    endpoint = desk.sender.endpoints["a"]
-    endpoint.doubt, endpoint.trial_ns = 0.4, desk.now - SECOND
+    endpoint = desk.sender.discovery.endpoints["a"]
+    endpoint.failure_rate, endpoint.next_health_check_ns = 0.4, desk.now - SECOND
     for number in (1, 2):
         taken = MessageAccepted(number, UNSAFE, 1, desk.now + 20 * SECOND)
         assert wake_ups(desk, SECOND, [taken]) <= 2
-    assert endpoint.probing
+    assert endpoint.health_check_out
 
 
 def test_a_barred_probe_is_not_asked_for_again_at_once():
     desk = Desk(health_checks_allowed=True)
-    desk.sender.endpoints["a"].doubt = 0.4
+    desk.sender.discovery.endpoints["a"].failure_rate = 0.4
     actions, probes = desk.take(cls=UNSAFE), 0
     for _ in range(1000):  # a second in which each probe is barred within a millisecond
         out = [a for a in actions if type(a) is CheckHealth]
@@ -941,7 +975,7 @@
 
 def test_rule_5_a_wait_told_to_a_probe_binds_as_one_told_to_a_call():
     desk = Desk(health_checks_allowed=True)
-    desk.sender.endpoints["a"].doubt = 0.4
+    desk.sender.discovery.endpoints["a"].failure_rate = 0.4
     desk.take(cls=UNSAFE)
     told = HealthCheckCompleted("a", FULL, 20 * MS, 2 * SECOND)
     assert not desk.turn(told, after=20 * MS)
@@ -951,15 +985,15 @@
 
 def test_rule_4_an_outage_ends_with_a_ramp_though_its_second_success_comes_soon_after_the_first():
     desk = Desk()
-    endpoint = desk.sender.endpoints["a"]
-    endpoint.down, endpoint.doubt, endpoint.errors = True, 0.9, 6
-    endpoint.served_ns = desk.now - 20 * SECOND
+    endpoint = desk.sender.discovery.endpoints["a"]
+    endpoint.ejected, endpoint.failure_rate, endpoint.hard_failures = True, 0.9, 6
+    endpoint.last_success_ns = desk.now - 20 * SECOND
     assert desk.sent(desk.take())
     desk.end(1)
-    assert endpoint.down  # one success among failures
+    assert endpoint.ejected  # one success among failures
     assert desk.sent(desk.take(after=50 * MS))
     desk.end(2)
-    assert not endpoint.down and endpoint.cold_ns
+    assert not endpoint.ejected and endpoint.warming_since_ns
 
 
 @pytest.mark.parametrize(
@@ -985,8 +1019,8 @@
 
 def test_unsafe_messages_are_waited_for_longer_while_slots_are_free():
     desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 9)])
-    for endpoint in desk.sender.endpoints.values():
-        endpoint.mean_ns = 100.0 * MS
+    for endpoint in desk.sender.discovery.endpoints.values():
+        endpoint.latency_mean_ns = 100.0 * MS
     waits = [a.timeout_ns for n in range(1, 9) for a in desk.take(cls=UNSAFE, destination=n)]
     roomy, crowded = waits[0], waits[-1]
     assert len(waits) == 8 and roomy / crowded == pytest.approx(2.5 / 1.5, rel=0.01)
@@ -995,20 +1029,24 @@
 @pytest.mark.parametrize(("mean_s", "most_s"), [(0.2, 3), (1.4, 3), (4, 8)])
 def test_time_outs_of_a_jam_do_not_grow_without_end(mean_s, most_s):
     desk = Desk()
-    endpoint = desk.sender.endpoints["a"]
-    endpoint.mean_ns, endpoint.dev_ns, endpoint.stretch = mean_s * SECOND, 5.0 * SECOND, 2.0
+    endpoint = desk.sender.discovery.endpoints["a"]
+    endpoint.latency_mean_ns, endpoint.latency_deviation_ns, endpoint.timeout_factor = (
+        mean_s * SECOND,
+        5.0 * SECOND,
+        2.0,
+    )
     (send,) = desk.take(cls=UNSAFE)
     assert send.timeout_ns == most_s * SECOND
 
 
 def test_what_a_restart_finds_untried_waits_for_no_pace_of_its_own_but_for_told_waits():
     desk = Desk(senders=200)
-    line = next(iter(desk.sender.endpoints.values())).line
-    line.wait_ns = line.next_ns = desk.now + 60 * SECOND  # untold, and longer than its time
+    line = next(iter(desk.sender.discovery.endpoints.values())).limiter
+    line.backoff_until_ns = line.next_call_ns = desk.now + 60 * SECOND  # untold, and longer than its time
     assert not desk.take(life=8 * SECOND, recovered=True)  # neither sent nor given up
     assert not desk.turn(after=3900 * MS)
     assert desk.sent(desk.turn(after=101 * MS)) == [1]
-    line.told_ns = desk.now + 2 * SECOND
+    line.retry_after_until_ns = desk.now + 2 * SECOND
     assert not desk.take(life=3 * SECOND, recovered=True)
     assert not desk.turn(after=1999 * MS)
     assert desk.sent(desk.turn(after=2 * MS)) == [2]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,8 @@
 from hypothesis import settings as sized
 from hypothesis import strategies as st
 
-from pinspread.policy import delivery_policy as decide
+from pinspread.policy import retry_budget
+from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointsChanged, EndpointState, Outcome, UpdateScope
 from pinspread.simulation import compare, experiment, fit, paper, runs, simulate, trace, variants
 from pinspread.simulation import metrics as accounts
@@ -217,58 +218,70 @@
 # --- the rules, by modules that break them ----------------------------------------------------------
 
 
-class Forgets(decide.DeliveryPolicy):
+class Forgets(DeliveryPolicy):
     """Gives late messages no answer."""
 
-    def give_up(self, message):
-        self.end(message)
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        self.dispatcher.reject_or_fail = self.dispatcher.end
 
 
-class Repeats(decide.DeliveryPolicy):
+class Repeats(DeliveryPolicy):
     """Sends a payment again though it may have run."""
 
-    def may_repeat(self, message, at):
-        return at < message.deadline_ns
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        self.dispatcher.may_repeat = lambda message, at_ns: at_ns < message.deadline_ns
 
 
-class Drains(decide.DeliveryPolicy):
+class Drains(DeliveryPolicy):
     """Does not take endpoints off."""
 
-    def on_list(self, event):
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        self.update = self.discovery.update
+        self.discovery.update = self.update_ready
+
+    def update_ready(self, event):
         for entry in event.entries:
             entry = replace(entry, state=EndpointState.READY)
-            super().on_list(EndpointsChanged(UpdateScope.DELTA, [entry]))
+            self.update(EndpointsChanged(UpdateScope.DELTA, [entry]))
 
 
-class Pushes(decide.DeliveryPolicy):
+class Pushes(DeliveryPolicy):
     """Looks and sends without waits at what is down or cold."""
 
-    def wait(self, endpoint, n, steps=1, refused=False):
-        return MS
-
-    def ramp_next(self, endpoint, calls):
-        return self.now
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        self.limits.wait_ns = lambda endpoint, n, steps=1, refused=False: MS
+        self.limits.ramp_next_ns = lambda endpoint, calls: self.context.now_ns
 
 
-class Hurries(decide.DeliveryPolicy):
+class Hurries(DeliveryPolicy):
     """Takes no told wait to heart."""
 
-    def heed(self, endpoint, wait_ns):
-        pass
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        self.limits.apply_retry_after = lambda endpoint, retry_after_ns: None
 
 
-class Overtakes(decide.DeliveryPolicy):
+class Overtakes(DeliveryPolicy):
     """Minds no key."""
 
-    def message_opens(self, message):
-        return message.ready_ns
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        self.dispatcher._ready_from_ns = lambda message: message.ready_ns
 
 
-class Starts(decide.DeliveryPolicy):
+class Starts(DeliveryPolicy):
     """Takes what was out when its process ended for never run."""
 
-    def on_message(self, event):
-        super().on_message(replace(event, may_have_run_ns=0))
+    def __init__(self, settings, seed):
+        super().__init__(settings, seed)
+        accept = self.dispatcher.accept
+        self.dispatcher.accept = lambda event, destination: accept(
+            replace(event, may_have_run_ns=0), destination
+        )
 
 
 BROKEN = dict(zip(RULES, (Forgets, Repeats, Drains, Pushes, Hurries, Overtakes), strict=True))
@@ -292,7 +305,7 @@
 def test_the_checker_catches_a_payment_that_is_sent_again_after_a_restart():
     kills = [{"kind": "kill", "at_s": at, "length_s": 1, "share": 1.0, "batch": 1.0} for at in (3, 6, 9)]
     busy = world(trouble=kills)
-    assert not play(busy, sender=decide.DeliveryPolicy)["broken"].get("repeat")
+    assert not play(busy, sender=DeliveryPolicy)["broken"].get("repeat")
     found = play(busy, sender=Starts)
     assert any("may have run" in b["why"] for b in found["breaks"])  # the checker's word
     assert found["payments_twice"] and found["broken"]["repeat"]  # and the ledger's
@@ -458,7 +471,7 @@
     found = runs.run(experiment.load(str(file)), str(tmp_path / "out"), 2, quiet=True)
     retries = {p["variant"]: sum(r["retries"] for r in p["runs"]) for p in found["points"]}
     assert retries["other"] == 0 < retries["as is"]
-    assert decide.BUCKET_CAP == 10
+    assert retry_budget.BUCKET_CAP == 10
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -468,13 +468,13 @@
 
 
 async def test_next_hops_that_are_replaced_all_day_leave_nothing_behind(tmp_path, monkeypatch):
-    from pinspread.policy import delivery_policy as decide
+    from pinspread.policy import discovery
 
-    monkeypatch.setattr(decide, "GONE_KEPT_NS", 0)
+    monkeypatch.setattr(discovery, "REMOVED_KEPT_NS", 0)
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, coldNs=0) as rig:
         core, client = rig.engine, Client(rig.address)
-        core.sender.settings.slow_start_ns = 0
+        core.sender.context.settings.slow_start_ns = 0
         for n in range(6):  # each at the address of the one before
             rig.update_endpoints(address, f"s-{n}")
             await client.enqueue(id_=f"m{n}")
@@ -485,8 +485,8 @@
         core.told_us[1] = waits = core.clock.now() + 10**9
         rig.update_endpoints(address, "last")
         await until(lambda: not core.inbox)
-        assert list(core.endpoints) == list(core.sender.endpoints) == ["last"]
-        assert list(core.sender.destinations[1].endpoints) == ["last"]
+        assert list(core.endpoints) == list(core.sender.discovery.endpoints) == ["last"]
+        assert list(core.sender.discovery.destinations[1].endpoints) == ["last"]
         assert core.told_us == {1: waits}  # what still binds is kept
         assert not core.transports["http"].pool.idle and endpoint.connections == 6
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -219,7 +219,7 @@
 
 def random_digest(sender):
     """A digest of the state of the sender's random generator."""
-    return hashlib.sha256(repr(sender.random.getstate()).encode()).hexdigest()[:16]
+    return hashlib.sha256(repr(sender.context.random.getstate()).encode()).hexdigest()[:16]
 
 
 # --- end of the adapter ---------------------------------------------------------------------------
