--- a/pinspread/policy/outlier_detection.py
+++ b/pinspread/policy/outlier_detection.py
@@ -89,10 +89,10 @@
 
     def _record_outcome(self, call: Call, outcome: Outcome, elapsed_ns: int) -> None:
         endpoint, sent_ns, failed = call.endpoint, call.sent_ns, outcome is not Outcome.OK
-        told = self.balancer.reports_opened  # else an outage may pass for a full connection table
-        unanswered = outcome is not Outcome.ERROR and endpoint.failure_rate < SUSPECT_FROM and not told
+        reported = self.balancer.reports_opened  # else an outage may pass for a full connection table
+        unanswered = outcome is not Outcome.ERROR and endpoint.failure_rate < SUSPECT_FROM and not reported
         if unanswered or not failed:
-            weight = self.context.small_fleet_share if told else 1.0
+            weight = self.context.small_fleet_share if reported else 1.0
             self.balancer.record_connection(endpoint.kind, failed, weight)
         if not failed:
             endpoint.answered_ns = max(endpoint.answered_ns, sent_ns)
--- a/pinspread/policy/rate_limit.py
+++ b/pinspread/policy/rate_limit.py
@@ -35,8 +35,8 @@
 
     def record_call(self, limiter: RateLimiter) -> None:
         """Put the limiter's next call off by the rate that this sender may have there."""
-        room = limiter.limit * max(LITTLE_LEFT, limiter.remaining)
-        rate = min(limiter.rate or room, room or limiter.rate)  # lest a burst exhausts the limit for all
+        capacity = limiter.limit * max(LITTLE_LEFT, limiter.remaining)
+        rate = min(limiter.rate or capacity, capacity or limiter.rate)  # a burst must not exhaust the limit
         if rate:
             limiter.next_call_ns = max(self.context.now_ns, limiter.next_call_ns) + int(SECOND / rate)
 
@@ -50,8 +50,8 @@
     def max_rate(self, endpoint: TrackedEndpoint) -> float:
         """The highest rate of one of many senders where limits are listed; else no bound."""
         few = self.context.small_fleet_share
-        most = self.fair_share(endpoint) * FEW / few**BURST_POWER
-        return most if few < 1 and self.context.settings.weights_known else NEVER
+        highest = self.fair_share(endpoint) * FEW / few**BURST_POWER
+        return highest if few < 1 and self.context.settings.weights_known else NEVER
 
     def delivered_rate(self, endpoint: TrackedEndpoint) -> float:
         """Calls a second delivered at an endpoint, up to its last success."""
@@ -97,12 +97,12 @@
     def record_refusal(self, endpoint: TrackedEndpoint, retry_after_ns: int) -> None:
         """Lower the rate, lest a fleet keeps a limit exhausted; back off on top of a Retry-After."""
         limiter, now_ns, few = endpoint.limiter, self.context.now_ns, self.context.small_fleet_share
-        many, looks = 1 - few, SECOND / self.longest_wait_ns(endpoint, refused=True)
+        many, check_rate = 1 - few, SECOND / self.longest_wait_ns(endpoint, refused=True)
         low = bool(limiter.limit) and limiter.remaining < LITTLE_LEFT
         share = self.exhausted.get(endpoint.kind, 0.8)
         share = self.exhausted[endpoint.kind] = share + REFUSAL_GAIN * (low - share)
         exhausted = low and share > EXHAUSTED
-        usual = max(self.fair_share(endpoint) or LEAST_RATE * few, looks, self._own_rate(endpoint))
+        usual = max(self.fair_share(endpoint) or LEAST_RATE * few, check_rate, self._own_rate(endpoint))
         if not limiter.refusals:
             limiter.refusals_since_ns = now_ns
             limiter.rate = usual - many * max(0.0, usual - (limiter.rate or usual))
--- a/pinspread/policy/settings.py
+++ b/pinspread/policy/settings.py
@@ -87,14 +87,9 @@
         """The kind of that place; what the settings do not name is a plain one."""
         return self.kinds[n] if 0 <= n < len(self.kinds) else DestinationKind()
 
-    def __post_init__(self):
+    def __post_init__(self) -> None:
         """Refuse values that no policy can work with, naming the setting as configuration files do."""
-        for field_name, setting in _POSITIVE.items():
-            if getattr(self, field_name) < 1:
-                raise ValueError(f"settings: {setting} must be at least 1, not {getattr(self, field_name)}")
-        for field_name, setting in _NOT_NEGATIVE.items():
-            if getattr(self, field_name) < 0:
-                raise ValueError(f"settings: {setting} must not be negative, not {getattr(self, field_name)}")
+        _check_bounds(self)
         if not self.classes:
             raise ValueError("settings: classes must name at least one class")
         if not self.kinds:
@@ -131,6 +126,15 @@
 }
 
 
+def _check_bounds(settings: Settings) -> None:
+    for field_name, setting in _POSITIVE.items():
+        if getattr(settings, field_name) < 1:
+            raise ValueError(f"settings: {setting} must be at least 1, not {getattr(settings, field_name)}")
+    for field_name, setting in _NOT_NEGATIVE.items():
+        if getattr(settings, field_name) < 0:
+            raise ValueError(f"settings: {setting} must not be negative, not {getattr(settings, field_name)}")
+
+
 def _check_class(n: int, traffic_class: TrafficClass) -> None:
     durations = {"aim_ns": traffic_class.latency_objective_ns, "deadline_ns": traffic_class.deadline_ns}
     for setting, duration_ns in durations.items():
