--- /dev/null
+++ b/pinspread/core/acceptance.py
@@ -0,0 +1,212 @@
+"""Acceptance: which messages the engine owes, from clients, from the journal and from other nodes."""
+
+from collections.abc import Collection, Iterable
+
+from pinspread.core.context import EngineContext
+from pinspread.core.endpoint_registry import EndpointRegistry
+from pinspread.core.log import log
+from pinspread.core.messages import FinalResult, FinalState, Message
+from pinspread.core.notifications import Notifications
+from pinspread.errors import JournalFullError, RejectedError
+from pinspread.policy.events import ClientCancelled, MessageAccepted
+
+REJECTED_RETRY_MS = (
+    1000  # when to come back if there is no room: about the wait that clients choose themselves
+)
+SHOWN_NAME_LENGTH = 32  # characters of an unknown name that the client is shown
+
+
+class Acceptance:
+    """Admits messages, records them before anything is promised, and tells the policy of them."""
+
+    def __init__(
+        self,
+        context: EngineContext,
+        registry: EndpointRegistry,
+        notifications: Notifications,
+    ) -> None:
+        self._context = context
+        self._messages = context.messages
+        self._registry = registry
+        self._notifications = notifications
+
+    # --- from clients -----------------------------------------------------------------------------
+
+    def unknown_reason(self, class_name: str, tenant: str, destination: int) -> str:
+        """Return which of these names nothing can be decided for; empty if all are known."""
+        settings = self._context.settings
+        if class_name not in settings.delivery_rules or tenant not in settings.tenants:
+            shown = class_name[:SHOWN_NAME_LENGTH], tenant[:SHOWN_NAME_LENGTH]
+            return f"unknown class or tenant: {shown[0]!r}, {shown[1]!r}"
+        # Accepted for a destination that does not exist, a message would take up a place until its time is
+        # up.
+        if self._registry.destinations and destination not in self._registry.destinations:
+            return f"unknown dest: {destination}"
+        return ""
+
+    def accept(self, message: Message) -> None:
+        """Accept a message; it is in the journal when this returns. One that is known changes nothing.
+
+        Raises:
+            RejectedError: It was not accepted, and says when to try again.
+        """
+        self._check_replication()
+        if self._is_duplicate(message):
+            return
+        self._check_capacity()
+        message.number = self._messages.next_number()
+        message.rules = self._context.settings.delivery_rules[message.class_name]
+        if not message.rules.traffic_class.in_order:
+            message.key = 0
+        try:
+            self._context.journal.message_accepted(message)
+        except JournalFullError as error:
+            raise RejectedError(REJECTED_RETRY_MS, str(error)) from None
+        self._messages.add_open(message)
+        self._tell_policy(message)
+        log(
+            "taken",
+            id=message.id,
+            cls=message.class_name,
+            dest=message.destination,
+            n=message.number,
+            tenant=message.tenant,
+            key=message.key,
+            size=len(message.body),
+            for_ms=(message.deadline_unix_us - self._context.clock.unix(self._context.clock.now())) // 1000,
+        )
+
+    def _check_replication(self) -> None:
+        # This holds for messages that are known as well: another node may have taken them over meanwhile.
+        replication = self._context.replication
+        if replication and (reason := replication.blocked_reason()):
+            raise RejectedError(REJECTED_RETRY_MS, reason)
+
+    def _is_duplicate(self, message: Message) -> bool:
+        """Whether the message was accepted already and is sent once more, as on a new connection."""
+        known = self._messages.by_id.get(message.id)
+        if known is not None and known.final is not None and known.final.state is FinalState.RETURNED:
+            raise RejectedError(REJECTED_RETRY_MS, "it was returned, and that has not been heard yet")
+        return known is not None or message.id in self._context.journal.finished_ids
+
+    def _check_capacity(self) -> None:
+        settings = self._context.settings
+        if self._context.stopping:
+            raise RejectedError(settings.max_retry_after_ms, "shutting down")
+        if len(self._messages.open) >= settings.policy_settings.max_held_messages:
+            raise RejectedError(REJECTED_RETRY_MS, "holds all it may")
+
+    def withdraw(self, message: Message) -> None:
+        """Owe nothing for a message that nobody wants any more."""
+        if self._messages.open.pop(message.number, None) is not None:
+            self._context.events.post(ClientCancelled(message.number))
+            self._notifications.end(message)
+
+    # --- from other nodes -------------------------------------------------------------------------
+
+    def take_over(self, messages: Iterable[Message]) -> int:
+        """Owe what another node accepted, from where it stands; return how many messages were new here.
+
+        Raises:
+            JournalFullError: One can't be recorded; those before it are taken over.
+        """
+        new = 0
+        for message in messages:
+            if message.id in self._messages.by_id or message.id in self._context.journal.finished_ids:
+                continue
+            message.number = self._messages.next_number()
+            _end_unknown_attempt(message)
+            self._apply_rules(message)
+            self._context.journal.message_taken_over(message)
+            new += 1
+            self._hold(message)
+            if message.final is not None:
+                self._notifications.start(message)
+            else:
+                self._tell_policy(message, recovered=True)
+        return new
+
+    def release(self, ids: Collection[str]) -> int:
+        """Owe these no longer, for another node has taken them over; return how many were owed here.
+
+        Raises:
+            JournalFullError: The journal can't be rewritten without them.
+        """
+        released = [message for message in self._messages.by_id.values() if message.id in ids]
+        for message in released:
+            del self._messages.by_id[message.id]
+            if self._messages.open.pop(message.number, None) is not None:
+                self._context.events.post(ClientCancelled(message.number))
+            else:
+                self._notifications.release(message)
+        self._context.journal.release(released)
+        self._context.journal.begin()
+        return len(released)
+
+    # --- from the journal -------------------------------------------------------------------------
+
+    def restore(
+        self,
+        messages: Collection[Message],
+        in_flight: Collection[int] = (),
+        known_to_policy: Collection[int] = (),
+    ) -> None:
+        """Owe what the journal says is owed.
+
+        Args:
+            messages: The open messages of the journal.
+            in_flight: Numbers of those with an attempt in flight in another process.
+            known_to_policy: Numbers of those that the policy has heard of.
+        """
+        self._registry.load_blocklist(self._context.journal.blocked_endpoints)
+        self._messages.continue_numbers_after(messages)
+        for message in messages:
+            if message.number not in in_flight:
+                _end_unknown_attempt(message)
+            self._apply_rules(message)
+            self._hold(message)
+            if message.final is None and message.number not in known_to_policy:
+                self._tell_policy(message, recovered=True)
+
+    def _apply_rules(self, message: Message) -> None:
+        """Have the settings' rules count for what an older version accepted without recording its own."""
+        message.rules = message.rules or self._context.settings.delivery_rules.get(message.class_name)
+        if message.final is None and message.rules is None:
+            message.final = FinalResult(FinalState.FAILED)  # and the settings have changed since
+
+    def _hold(self, message: Message) -> None:
+        if message.final is not None:
+            self._messages.by_id[message.id] = message
+            self._notifications.expect(message)
+        else:
+            self._messages.add_open(message)
+
+    def _tell_policy(self, message: Message, recovered: bool = False) -> None:
+        rules = message.rules
+        if rules is None:
+            raise ValueError(f"{message.id}: accepted without delivery rules")
+        clock = self._context.clock
+        may_have_run_unix_us = message.may_have_run_unix_us
+        self._context.events.post(
+            MessageAccepted(
+                request=message.number,
+                class_index=0,
+                destination=message.destination,
+                deadline_ns=clock.monotonic(message.deadline_unix_us) * 1000,
+                key=message.key,
+                tenant=self._context.settings.tenants.get(message.tenant, 0),
+                attempts=message.attempts,
+                may_have_run_ns=clock.monotonic(may_have_run_unix_us) * 1000 if may_have_run_unix_us else 0,
+                may_have_run_zone=message.zone,
+                traffic_class=rules.traffic_class,
+                max_attempts=rules.max_attempts,
+                recovered=recovered,
+            )
+        )
+
+
+def _end_unknown_attempt(message: Message) -> None:
+    # An attempt that was in flight when its process ended, or where another node took over, may have run or
+    # still run.
+    message.may_have_run_unix_us = message.may_have_run_unix_us or message.in_flight_since_unix_us
+    message.in_flight_since_unix_us = 0
--- /dev/null
+++ b/pinspread/core/health_checks.py
@@ -0,0 +1,55 @@
+"""Health checks: asking an endpoint how it is, when the policy wants to know."""
+
+import anyio
+
+from pinspread.core.context import SECOND_US, EngineContext
+from pinspread.core.endpoint_registry import EndpointRegistry
+from pinspread.core.log import log
+from pinspread.core.messages import AttemptResult, Endpoint
+from pinspread.policy.events import HealthCheckCompleted, Outcome
+
+TIMEOUT_US = 1_500_000
+
+
+class HealthChecks:
+    """Runs health checks and tells the policy how they ended.
+
+    Attributes:
+        in_flight: Since when a check of an endpoint has been in flight, by the endpoint's id, in microseconds
+            of the monotonic clock; those of a predecessor process are included.
+    """
+
+    def __init__(self, context: EngineContext, registry: EndpointRegistry) -> None:
+        self.in_flight: dict[str, int] = {}
+        self._context = context
+        self._registry = registry
+
+    def start(self, endpoint_id: str, now_us: int) -> None:
+        """Check an endpoint, in a task of its own."""
+        self._context.tasks.start_soon(self._check, self._registry.endpoints[endpoint_id], now_us)
+
+    async def _check(self, endpoint: Endpoint, started_us: int) -> None:
+        self.in_flight[endpoint.id] = started_us
+        result = AttemptResult(Outcome.TIMEOUT)
+        with anyio.move_on_after(TIMEOUT_US / SECOND_US):
+            result = await self._context.transports[endpoint.scheme].check_health(
+                endpoint, lambda: self._registry.blocked_reason(endpoint)
+            )
+        self.complete(endpoint, started_us, result)
+
+    def complete(self, endpoint: Endpoint, started_us: int, result: AttemptResult) -> None:
+        """Handle the end of a check."""
+        self.in_flight.pop(endpoint.id, None)
+        elapsed_us = self._context.clock.now() - started_us
+        self._registry.apply_retry_after(endpoint, result.retry_after_us)
+        if self._context.successor:
+            self._context.successor.health_check_ended(endpoint.id, result)
+        log("probe", hop=endpoint.id, verdict=result.outcome.name, note=result.note)
+        self._context.events.post(
+            HealthCheckCompleted(endpoint.id, result.outcome, elapsed_us * 1000, result.retry_after_us * 1000)
+        )
+
+    def complete_predecessors(self, endpoint_id: str, result: AttemptResult) -> None:
+        """Handle the end of a check that the process before had in flight."""
+        if endpoint_id in self.in_flight and endpoint_id in self._registry.endpoints:
+            self.complete(self._registry.endpoints[endpoint_id], self.in_flight[endpoint_id], result)
--- /dev/null
+++ b/pinspread/core/ownership.py
@@ -0,0 +1,166 @@
+"""Hot restart: what the engine hands over to the next process, and takes over from the one before."""
+
+from collections.abc import Collection, Iterable
+from typing import TypedDict
+
+from pinspread.core.acceptance import Acceptance
+from pinspread.core.attempts import AttemptId, AttemptRunner
+from pinspread.core.context import EngineContext
+from pinspread.core.endpoint_registry import EndpointRegistry, RetryAfterScope
+from pinspread.core.health_checks import HealthChecks
+from pinspread.core.log import log
+from pinspread.core.messages import Attempt, AttemptResult, Endpoint, Message
+from pinspread.core.ports import Policy, Successor
+from pinspread.policy.events import Event, MessageAccepted, Outcome
+
+# An attempt in flight: its message's number, its own, its endpoint, when it started and its time-out in
+# microseconds.
+TransferredAttempt = tuple[int, int, Endpoint, int, int]
+
+
+class EngineState(TypedDict):
+    """What the next process needs beside the journal, under the names by which it is sent.
+
+    Attributes:
+        sender: The policy.
+        inbox: Events that it has not been told of.
+        timers: When its timers are due, and their tags.
+        told_us: Until when destinations and endpoints said to wait.
+        hops: The endpoints.
+        dests: The destinations that the list has named.
+        next: The number of the next message.
+        made: How many attempts each open message has had, by the message's number.
+        out: The attempts in flight.
+        probes: Since when health checks have been in flight, by the endpoint's id.
+    """
+
+    sender: Policy
+    inbox: list[Event]
+    timers: list[tuple[int, int]]
+    told_us: dict[RetryAfterScope, int]
+    hops: list[Endpoint]
+    dests: set[int]
+    next: int
+    made: dict[int, int]
+    out: list[TransferredAttempt]
+    probes: dict[str, int]
+
+
+class Ownership:
+    """Moves the ownership of all that is owed between two processes; `handover` decides when."""
+
+    def __init__(
+        self,
+        context: EngineContext,
+        registry: EndpointRegistry,
+        acceptance: Acceptance,
+        attempts: AttemptRunner,
+        health_checks: HealthChecks,
+    ) -> None:
+        self._context = context
+        self._messages = context.messages
+        self._registry = registry
+        self._acceptance = acceptance
+        self._attempts = attempts
+        self._health_checks = health_checks
+
+    # --- the old process --------------------------------------------------------------------------
+
+    def pause(self, policy: Policy, successor: Successor) -> EngineState:
+        """Act no more, and return what the successor needs beside the journal, which is closed."""
+        self._context.successor = successor
+        self._context.journal.close()
+        return EngineState(
+            sender=policy,
+            inbox=self._context.events.inbox,
+            timers=self._context.events.timers,
+            told_us=self._registry.retry_after_until_us,
+            hops=list(self._registry.endpoints.values()),
+            dests=self._registry.destinations,
+            next=self._messages.next_number(),
+            made={message.number: message.attempts for message in self._messages.open.values()},
+            out=[
+                (*attempt_id, attempt.endpoint, attempt.started_us, attempt.timeout_us)
+                for attempt_id, attempt in self._attempts.in_flight.items()
+            ],
+            probes=self._health_checks.in_flight,
+        )
+
+    def cancel(self) -> None:
+        """Serve on, for the successor did not take over.
+
+        Raises:
+            JournalFullError: The journal can't be rewritten.
+        """
+        self._context.successor = None
+        self._context.journal.begin()
+        self._attempts.apply_delayed_results()
+        self._context.events.wake()
+
+    # --- the new process --------------------------------------------------------------------------
+
+    def resume(self, state: EngineState) -> None:
+        """Take over from the process before; the journal has been read.
+
+        Raises:
+            JournalFullError: The journal can't be rewritten.
+        """
+        events, journal = self._context.events, self._context.journal
+        events.inbox, events.timers = state["inbox"], state["timers"]
+        self._registry.retry_after_until_us = state["told_us"]
+        self._registry.destinations = state["dests"]
+        self._messages.continue_numbers(state["next"])
+        self._registry.endpoints = {endpoint.id: endpoint for endpoint in state["hops"]}
+        journal.begin()
+        recorded = list(journal.open_messages.values())
+        in_flight = {number for number, *_ in state["out"]}
+        announced = {event.request for event in events.inbox if type(event) is MessageAccepted}
+        self._acceptance.restore(recorded, in_flight, announced | state["sender"].messages.keys())
+        for message in self._messages.open.values():
+            message.attempts = max(message.attempts, state["made"].get(message.number, 0))
+        self._resume_attempts(state["out"], {message.number: message for message in recorded})
+        self._health_checks.in_flight = dict(state["probes"])
+        open_count = len(self._messages.open)
+        log("inherited", held=open_count, notices=len(recorded) - open_count, out=len(in_flight))
+
+    def _resume_attempts(
+        self, transferred: Iterable[TransferredAttempt], messages: dict[int, Message]
+    ) -> None:
+        for number, attempt_number, endpoint, started_us, timeout_us in transferred:
+            # A message that has ended may have an attempt in flight all the same: its slot is taken until
+            # that ends.
+            message = messages.get(number) or _ended_message(number, endpoint.destination)
+            known = self._registry.endpoints.get(endpoint.id, endpoint)
+            attempt = Attempt(message, attempt_number, known, started_us, timeout_us)
+            self._attempts.in_flight[number, attempt_number] = attempt
+
+    # --- what the process before reports ----------------------------------------------------------
+
+    def predecessor_attempt_ended(self, number: int, attempt_number: int, result: AttemptResult) -> None:
+        """Handle the end of an attempt that the process before had in flight."""
+        attempt = self._attempts.in_flight.get((number, attempt_number))
+        if attempt is not None:
+            self._attempts.complete(attempt, result)
+
+    def predecessor_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
+        """Heed that an endpoint told the process before to wait."""
+        if endpoint_id in self._registry.endpoints:
+            self._registry.apply_retry_after(self._registry.endpoints[endpoint_id], retry_after_us)
+
+    def predecessor_health_check_ended(self, endpoint_id: str, result: AttemptResult) -> None:
+        """Handle the end of a health check that the process before had in flight."""
+        self._health_checks.complete_predecessors(endpoint_id, result)
+
+    def predecessor_lost(self, attempts: Iterable[AttemptId], health_checks: Collection[str]) -> None:
+        """Handle that the process before has ended, and what it had in flight is not reported any more."""
+        for number, attempt_number in attempts:
+            # It may have run, or still run.
+            lost = AttemptResult(Outcome.RESET, note="its process ended")
+            self.predecessor_attempt_ended(number, attempt_number, lost)
+        for endpoint_id in health_checks:
+            lost = AttemptResult(Outcome.NOT_SENT, note="its process ended")
+            self.predecessor_health_check_ended(endpoint_id, lost)
+
+
+def _ended_message(number: int, destination: int) -> Message:
+    return Message(number, "", "", "", destination, 0, "", 0)
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -1,11 +1,13 @@
 """The core's small interfaces to what surrounds it: wires, discovery, replication, operators."""
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
 import anyio
 
 from pinspread.core.messages import Attempt, AttemptResult, DeliveryRules, Endpoint, FinalResult, Message
+from pinspread.policy.actions import Action
+from pinspread.policy.events import Event
 from pinspread.policy.settings import Settings
 
 
@@ -29,6 +31,17 @@
         """The longest time after which a client is told to come back, in milliseconds."""
 
 
+class Policy(Protocol):
+    """Decides what to send when and where. It does no I/O and has no clock."""
+
+    @property
+    def messages(self) -> Mapping[int, Any]:
+        """What it knows of each message, by number."""
+
+    def handle(self, now_ns: int, events: list[Event], /) -> Iterable[Action]:
+        """Take the events of one turn and return the actions, in order; the time is monotonic."""
+
+
 class Transport(Protocol):
     """Reaches the endpoints of one scheme.
 
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -231,8 +231,8 @@
     heard = []
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         rig.engine.transports["http"].reports = True
-        post = rig.engine.post
-        rig.engine.post = lambda event: (heard.append(event), post(event))
+        post = rig.engine.events.post
+        rig.engine.events.post = lambda event: (heard.append(event), post(event))
         assert await Client(rig.address).enqueue() == "+OK\r\n"
         await until(lambda: not rig.engine.messages_by_id)
     ended = [e for e in heard if type(e) is AttemptCompleted]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -284,8 +284,8 @@
                 lambda: core.retry_after_until_us
             )  # heard by the transport; the module hears of it at its end
         ended = []
-        attempt_ended = core._attempt_ended
-        core._attempt_ended = lambda attempt, outcome: (
+        attempt_ended = core.attempt_runner.complete
+        core.attempt_runner.complete = lambda attempt, outcome: (
             ended.append(outcome),
             attempt_ended(attempt, outcome),
         )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -485,7 +485,7 @@
             await until(lambda: not endpoint.open)
         core.retry_after_until_us[1] = waits = core.clock.now() + 10**9
         rig.update_endpoints(address, "last")
-        await until(lambda: not core.inbox)
+        await until(lambda: not core.events.inbox)
         assert list(core.endpoints) == list(core.policy.endpoints) == ["last"]
         assert list(core.policy.destinations[1].endpoints) == ["last"]
         assert core.retry_after_until_us == {1: waits}  # what still binds is kept
@@ -623,8 +623,8 @@
 async def test_the_module_hears_which_calls_had_a_connection_opened_for_them(tmp_path, monkeypatch):
     endpoint, heard = scripted((503, [], b""), (503, [], b"")), []
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        post = rig.engine.post
-        monkeypatch.setattr(rig.engine, "post", lambda event: (heard.append(event), post(event)))
+        post = rig.engine.events.post
+        monkeypatch.setattr(rig.engine.events, "post", lambda event: (heard.append(event), post(event)))
         await Client(rig.address).enqueue()
         await until(lambda: not rig.engine.messages_by_id)
     assert [event.opened for event in heard if type(event) is AttemptCompleted] == [True, False, False]
