--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -9,9 +9,9 @@
 import anyio
 
 from pinspread import sockets
-from pinspread.amqp.broker import GUEST, BrokerTransport
-from pinspread.amqp.front import NAME as AMQP
-from pinspread.amqp.front import AmqpFront
+from pinspread.amqp.server import FRONT_NAME as AMQP
+from pinspread.amqp.server import AmqpFront
+from pinspread.amqp.transport import GUEST_LOGIN, BrokerTransport
 from pinspread.config import settings
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
@@ -36,7 +36,7 @@
     amqp: settings.AmqpFile,
     reread,
     discover=None,
-    login=GUEST,
+    login=GUEST_LOGIN,
     background_services=(),
     early=(),
 ):
@@ -302,7 +302,7 @@
 
 def _chosen(legs, most):
     """As many legs as may be open twice for a moment; others end, first those that wait for nothing."""
-    legs.sort(key=lambda kept: (not (kept.unread or kept.unsent), not kept.asked, not kept.spoke))
+    legs.sort(key=lambda kept: (not (kept.unread or kept.unsent), not kept.submitted, not kept.answered))
     for kept in legs[most:]:
         kept.connection.close()
     return legs[:most]
