--- a/pinspread/hot_restart/transfer.py
+++ b/pinspread/hot_restart/transfer.py
@@ -263,7 +263,7 @@
             await link.send(NO, orjson.dumps({"why": str(error), "busy": False}))
         raise
     except (OSError, ValueError, TimeoutError, KeyError) as error:
-        log("handover_broke", error=str(error) or type(error).__name__, state=taker.state.value.value)
+        log("handover_broke", error=str(error) or type(error).__name__, state=taker.state.value)
         # Danger: without its *taken* heard, the old process serves on, or is gone and the lock free.
         owner.release()
         if isinstance(error, ValueError):
@@ -510,9 +510,7 @@
             if do is not HandoverStep.TRANSFER:
                 return
         except (OSError, ValueError, TimeoutError) as error:
-            log(
-                "handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value.value
-            )
+            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value)
             return
         successor = Successor(link)
         given = await self.service.rest(successor)
@@ -524,9 +522,7 @@
                 log("handover_declined", why=orjson.loads(data)["why"])
             do = self.giver.taken_over() if kind == TAKEN else self.giver.exchange_failed()
         except (OSError, ValueError, TimeoutError, KeyError) as error:
-            log(
-                "handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value.value
-            )
+            log("handover_broke", error=str(error) or type(error).__name__, state=self.giver.state.value)
             do = self.giver.exchange_failed()
         if do is HandoverStep.REACQUIRE_LOCK:
             link.close()
