--- a/pinspread/core/acceptance.py
+++ b/pinspread/core/acceptance.py
@@ -65,15 +65,16 @@
         self._messages.add_open(message)
         self._tell_policy(message)
         log(
-            "taken",
+            "accepted",
             id=message.id,
-            cls=message.class_name,
-            dest=message.destination,
-            n=message.number,
+            class_name=message.class_name,
+            destination=message.destination,
+            number=message.number,
             tenant=message.tenant,
             key=message.key,
-            size=len(message.body),
-            for_ms=(message.deadline_unix_us - self._context.clock.unix(self._context.clock.now())) // 1000,
+            size_bytes=len(message.body),
+            time_left_ms=(message.deadline_unix_us - self._context.clock.unix(self._context.clock.now()))
+            // 1000,
         )
 
     def _check_replication(self) -> None:
--- a/pinspread/core/attempts.py
+++ b/pinspread/core/attempts.py
@@ -83,7 +83,7 @@
             if await self._record_and_replicate(attempts):
                 results = await self._context.transports[attempts[0].endpoint.scheme].send_many(attempts)
             else:
-                results = [AttemptResult(Outcome.NOT_SENT, note="not copied") for _ in attempts]
+                results = [AttemptResult(Outcome.NOT_SENT, note="not replicated") for _ in attempts]
         except Exception as error:
             # As for a single attempt; those that were written may have run.
             log("fault", where="call", error=repr(error))
@@ -97,7 +97,7 @@
             result = await self._send(attempt)
         except Exception as error:
             # A transport's fault must neither end the process nor pass for proof that nothing ran.
-            log("fault", where="branch", error=repr(error))
+            log("fault", where="attempt", error=repr(error))
             result = _result_of_fault(attempt)
         self.complete(attempt, result)
 
@@ -116,9 +116,9 @@
     async def _send(self, attempt: Attempt) -> AttemptResult:
         if self._waits_for_key(attempt):
             # Its time is over: a transport would find none left to connect in, and blame the destination.
-            return AttemptResult(Outcome.NOT_SENT, note="its key waits for a notice")
+            return AttemptResult(Outcome.NOT_SENT, note="its key waits for a notification")
         if not await self._record_and_replicate([attempt]):
-            return AttemptResult(Outcome.NOT_SENT, note="not copied")
+            return AttemptResult(Outcome.NOT_SENT, note="not replicated")
         return await self._context.transports[attempt.endpoint.scheme].send(attempt)
 
     async def _record_and_replicate(self, attempts: list[Attempt]) -> bool:
@@ -188,13 +188,13 @@
         unsent = result.outcome is Outcome.NOT_SENT and not message.in_flight_since_unix_us
         elapsed_us = self._context.clock.now() - attempt.started_us
         log(
-            "branch",
+            "attempt",
             id=message.id,
-            n=attempt.number,
-            hop=attempt.endpoint.id,
-            verdict=result.outcome.name,
-            took_us=elapsed_us,
-            wait_us=result.retry_after_us,
+            number=attempt.number,
+            endpoint=attempt.endpoint.id,
+            outcome=result.outcome.name,
+            elapsed_us=elapsed_us,
+            retry_after_us=result.retry_after_us,
             idle_us=result.idle_us,
             note=result.note,
         )
--- a/pinspread/core/endpoint_registry.py
+++ b/pinspread/core/endpoint_registry.py
@@ -113,7 +113,7 @@
                 raise
             if endpoint_id in self.endpoints:
                 self._report_state(self.endpoints[endpoint_id])
-        log("endpoint_out", hop=endpoint_id, out=len(self.blocklist.ids))
+        log("endpoint_disabled", endpoint=endpoint_id, disabled=len(self.blocklist.ids))
         return True
 
     async def enable(self, endpoint_id: str) -> bool:
@@ -127,7 +127,7 @@
             self.blocklist.unblock(endpoint_id)
             if endpoint_id in self.endpoints:
                 self._report_state(self.endpoints[endpoint_id], cold=True)
-        log("endpoint_back", hop=endpoint_id, out=len(self.blocklist.ids))
+        log("endpoint_enabled", endpoint=endpoint_id, disabled=len(self.blocklist.ids))
         return True
 
     def _is_known(self, endpoint_id: str) -> bool:
@@ -161,9 +161,9 @@
         if self._context.stopping:
             return "shutting down"
         if not endpoint.usable:
-            return "drains or is gone"
+            return "draining, disabled or removed"
         if self.retry_after_until_us.get(self._retry_after_scope(endpoint), 0) > self._context.clock.now():
-            return "told to wait"
+            return "Retry-After"
         return ""
 
     def _retry_after_scope(self, endpoint: Endpoint) -> RetryAfterScope:
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -198,7 +198,7 @@
         recorded = self.journal.recover()
         self.acceptance.restore(recorded)
         open_count = len(self.open_messages)
-        log("recovered", held=open_count, notices=len(recorded) - open_count)
+        log("recovered", open=open_count, notifications=len(recorded) - open_count)
 
     def unknown_reason(self, class_name: str, tenant: str, destination: int) -> str:
         """Return which of these names nothing can be decided for; empty if all are known."""
@@ -348,7 +348,7 @@
 
     async def stop(self) -> None:
         """Reject messages from now on; return when all that is in flight has ended, or time is short."""
-        log("stopping", out=len(self.attempts), held=len(self.open_messages))
+        log("stopping", in_flight=len(self.attempts), open=len(self.open_messages))
         self.stopping = True
         self.events.wake()
         with anyio.move_on_after(DRAIN_US / SECOND_US):
--- a/pinspread/core/health_checks.py
+++ b/pinspread/core/health_checks.py
@@ -44,7 +44,7 @@
         self._registry.apply_retry_after(endpoint, result.retry_after_us)
         if self._context.successor:
             self._context.successor.health_check_ended(endpoint.id, result)
-        log("probe", hop=endpoint.id, verdict=result.outcome.name, note=result.note)
+        log("health_check", endpoint=endpoint.id, outcome=result.outcome.name, note=result.note)
         self._context.events.post(
             HealthCheckCompleted(endpoint.id, result.outcome, elapsed_us * 1000, result.retry_after_us * 1000)
         )
--- a/pinspread/core/notifications.py
+++ b/pinspread/core/notifications.py
@@ -23,7 +23,7 @@
         """Decide the final result; the message ends once its front says that the client acknowledged it."""
         context = self._context
         del self._messages.open[message.number]
-        log("final", id=message.id, state=final.state.name, after_ms=final.retry_after_ms)
+        log("final_result", id=message.id, state=final.state.name, retry_after_ms=final.retry_after_ms)
         if final.state is FinalState.DELIVERED and not context.fronts[message.front].reports_delivery:
             self.end(message)
             return
--- a/pinspread/core/ownership.py
+++ b/pinspread/core/ownership.py
@@ -121,7 +121,12 @@
         self._resume_attempts(state["out"], {message.number: message for message in recorded})
         self._health_checks.in_flight = dict(state["probes"])
         open_count = len(self._messages.open)
-        log("inherited", held=open_count, notices=len(recorded) - open_count, out=len(in_flight))
+        log(
+            "handover_received",
+            open=open_count,
+            notifications=len(recorded) - open_count,
+            in_flight=len(in_flight),
+        )
 
     def _resume_attempts(
         self, transferred: Iterable[TransferredAttempt], messages: dict[int, Message]
--- a/pinspread/core/write_check.py
+++ b/pinspread/core/write_check.py
@@ -40,22 +40,22 @@
         """Why the message is not to be sent now."""
         message, clock = attempt.message, self._context.clock
         if message.number not in self._messages.open:
-            return "over"
+            return "already ended"
         if clock.now() >= min(attempt.ends_us(), clock.monotonic(message.deadline_unix_us)):
             return "out of time"
         if message.key and message.key in self._notifications.pending:
-            return "its key waits for a notice"
+            return "its key waits for a notification"
         return ""
 
     def _attempt_reason(self, attempt: Attempt) -> str:
         """Why the message is not to be sent there, whatever the policy says."""
         message, endpoint = attempt.message, attempt.endpoint
         if message.in_flight_since_unix_us and not attempt.recorded:
-            return "another branch is out"
+            return "another attempt is in flight"
         if endpoint.destination != message.destination:
-            return "not its partner"
+            return "not its destination"
         if not self._may_repeat(message, endpoint):
-            return "a repeat may take effect there"
+            return "a duplicate may take effect there"
         return ""
 
     def _may_repeat(self, message: Message, endpoint: Endpoint) -> bool:
@@ -78,7 +78,7 @@
         if not self._context.replication:
             return ""
         # The lease of this work may have ended while the attempt was replicated or connected.
-        return self._context.replication.blocked_reason() or ("" if attempt.recorded else "not copied")
+        return self._context.replication.blocked_reason() or ("" if attempt.recorded else "not replicated")
 
     def _record(self, attempt: Attempt) -> str:
         if attempt.recorded:
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -28,6 +28,7 @@
 from pinspread.simulation.destination import CRASHED, FALLEN, Endpoint, partners_of
 from pinspread.simulation.engine import SECOND
 from pinspread.simulation.random_streams import stream, whole
+from pinspread.simulation.recorded_events import recorded
 from pinspread.simulation.rules import Checker
 from pinspread.simulation.simulate import REPLACED_NS, STATE_OF, module_settings
 from pinspread.testbed.stand_ins import Client, HttpStandIn, until
@@ -430,7 +431,7 @@
         for process in self.processes:
             for line in Path(process.log.name).read_bytes().splitlines():
                 try:
-                    event = orjson.loads(line)
+                    event = recorded(orjson.loads(line))
                 except orjson.JSONDecodeError:
                     continue  # cut by a kill
                 if event.get("event") in ("probe", "branch") and event["verdict"] not in (
--- a/pinspread/testbed/processes.py
+++ b/pinspread/testbed/processes.py
@@ -44,6 +44,7 @@
 
 from pinspread.config import application
 from pinspread.membership import codec as wire
+from pinspread.simulation.recorded_events import recorded
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed.faults import Proxy, Rules
 from pinspread.testbed.resource import Resource
@@ -168,7 +169,7 @@
         history = self.stage.history
         for raw in process.stdout:
             try:
-                line = orjson.loads(raw)
+                line = recorded(orjson.loads(raw))
             except orjson.JSONDecodeError:
                 line = {"event": "text", "text": raw.decode("utf-8", "replace").rstrip()[:500]}
             if not isinstance(line, dict):
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,8 +1,21 @@
 """The account of a day from its couriers' logs."""
 
+import orjson
+import pytest
+from standins import HttpStandIn, engine
 from typer.testing import CliRunner
 
 from pinspread.simulation import cli, losses
+from pinspread.simulation.recorded_events import recorded
+from pinspread.testbed.stand_ins import Client, standing, until
+
+pytestmark = pytest.mark.anyio
+
+
+@pytest.fixture
+def anyio_backend():
+    return "asyncio"
+
 
 BRANCH = '"event":"branch","id":"x","hop":"h","took_us":5'
 ONE = """0.1 {"at_us":1,"event":"taken","id":"x","cls":"a","dest":1,"for_ms":900}
@@ -32,3 +45,97 @@
     )
     shown = CliRunner().invoke(cli.app, ["losses", str(tmp_path), "--partner", "1"])
     assert shown.exit_code == 0 and "FULL 1 OK 1" in shown.output
+
+
+# Each event of the engine with all its fields: in the words of recordings, and as the present log has it.
+EVENTS = [
+    (
+        {
+            "event": "taken",
+            "id": "x",
+            "cls": "a",
+            "dest": 1,
+            "n": 2,
+            "tenant": "t",
+            "key": 3,
+            "size": 4,
+            "for_ms": 5,
+        },
+        {
+            "event": "accepted",
+            "id": "x",
+            "class_name": "a",
+            "destination": 1,
+            "number": 2,
+            "tenant": "t",
+            "key": 3,
+            "size_bytes": 4,
+            "time_left_ms": 5,
+        },
+    ),
+    (
+        {
+            "event": "branch",
+            "id": "x",
+            "n": 0,
+            "hop": "h",
+            "verdict": "FULL",
+            "took_us": 5,
+            "wait_us": 6,
+            "idle_us": 7,
+            "note": "",
+        },
+        {
+            "event": "attempt",
+            "id": "x",
+            "number": 0,
+            "endpoint": "h",
+            "outcome": "OVERLOADED",
+            "elapsed_us": 5,
+            "retry_after_us": 6,
+            "idle_us": 7,
+            "note": "",
+        },
+    ),
+    (
+        {"event": "final", "id": "x", "state": "RETURNED", "after_ms": 8},
+        {"event": "final_result", "id": "x", "state": "RETURNED", "retry_after_ms": 8},
+    ),
+    (
+        {"event": "probe", "hop": "h", "verdict": "MOOT", "note": "n"},
+        {"event": "health_check", "endpoint": "h", "outcome": "NOT_SENT", "note": "n"},
+    ),
+    ({"event": "recovered", "held": 1, "notices": 2}, {"event": "recovered", "open": 1, "notifications": 2}),
+    (
+        {"event": "inherited", "held": 1, "notices": 2, "out": 3},
+        {"event": "handover_received", "open": 1, "notifications": 2, "in_flight": 3},
+    ),
+    ({"event": "stopping", "out": 1, "held": 2}, {"event": "stopping", "in_flight": 1, "open": 2}),
+    (
+        {"event": "endpoint_out", "hop": "h", "out": 1},
+        {"event": "endpoint_disabled", "endpoint": "h", "disabled": 1},
+    ),
+    (
+        {"event": "endpoint_back", "hop": "h", "out": 0},
+        {"event": "endpoint_enabled", "endpoint": "h", "disabled": 0},
+    ),
+]
+
+
+@pytest.mark.parametrize(("old", "present"), EVENTS)
+def test_present_log_events_read_like_recorded_ones_which_stay_as_they_are(old, present):
+    assert list(recorded({"at_us": 1} | present).items()) == list(({"at_us": 1} | old).items())
+    assert recorded({"at_us": 1} | old) == {"at_us": 1} | old
+
+
+async def test_the_engines_log_has_all_that_recordings_have(tmp_path, capfd):
+    endpoint = HttpStandIn(lambda request: (200, [], b""))
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+        assert await Client(rig.address).enqueue() == "+OK\r\n"
+        await until(lambda: not rig.engine.messages_by_id)
+    lines = [orjson.loads(line) for line in capfd.readouterr().out.splitlines()]
+    seen = {event["event"]: list(event)[1:] for event in map(recorded, lines)}
+    expected = {old["event"]: list(old) for old, _ in EVENTS}
+    assert {kind: seen.get(kind) for kind in ("taken", "branch", "final", "recovered")} == {
+        kind: expected[kind] for kind in ("taken", "branch", "final", "recovered")
+    }
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -207,7 +207,7 @@
     ledger.check()
     assert not ledger.trouble and len(ledger.taken) > 200
     events = [e["event"] for e in made.events(1)]
-    assert "inherited" in events and "recovered" not in events and "handed_over" in events
+    assert "handover_received" in events and "recovered" not in events and "handed_over" in events
 
 
 async def test_a_ban_binds_both_processes_and_lasts(tmp_path):
