--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -22,12 +22,12 @@
 from pinspread.core.ports import (
     EngineSettings,
     Front,
-    Policy,
     ReplicationService,
     Successor,
     Transport,
 )
 from pinspread.policy.actions import Action, CheckHealth, Disconnect, Fail, Reject, Send, SetTimer, Subscribe
+from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, Event, SettingsChanged, UpdateScope
 
 DRAIN_US = (
@@ -52,7 +52,9 @@
         subscribe: Asks discovery for the list's changes, for the policy.
     """
 
-    def __init__(self, policy: Policy, settings: EngineSettings, clock: Clock, journal: Journal) -> None:
+    def __init__(
+        self, policy: DeliveryPolicy, settings: EngineSettings, clock: Clock, journal: Journal
+    ) -> None:
         self.policy = policy
         self.subscribe: Callable[[], Any] = _ignore_subscription
         self.context = context = EngineContext(settings, clock, journal)
--- a/pinspread/core/ownership.py
+++ b/pinspread/core/ownership.py
@@ -10,7 +10,8 @@
 from pinspread.core.health_checks import HealthChecks
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint, Message
-from pinspread.core.ports import Policy, Successor
+from pinspread.core.ports import Successor
+from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import Event, MessageAccepted, Outcome
 
 # An attempt in flight: its message's number, its own, its endpoint, when it started and its time-out in
@@ -34,7 +35,7 @@
         probes: Since when health checks have been in flight, by the endpoint's id.
     """
 
-    sender: Policy
+    sender: DeliveryPolicy
     inbox: list[Event]
     timers: list[tuple[int, int]]
     told_us: dict[RetryAfterScope, int]
@@ -66,7 +67,7 @@
 
     # --- the old process --------------------------------------------------------------------------
 
-    def pause(self, policy: Policy, successor: Successor) -> EngineState:
+    def pause(self, policy: DeliveryPolicy, successor: Successor) -> EngineState:
         """Act no more, and return what the successor needs beside the journal, which is closed."""
         self._context.successor = successor
         self._context.journal.close()
--- a/pinspread/simulation/recorded_events.py
+++ b/pinspread/simulation/recorded_events.py
@@ -22,7 +22,7 @@
     fields: Mapping[str, str] = field(default_factory=dict)
 
 
-# The present names of the engine's events, and what recordings call them.
+# The present names of events, and what recordings call them.
 RECORDED_EVENTS = {
     "accepted": RecordedForm(
         "taken",
@@ -51,6 +51,7 @@
         "inherited", {"open": "held", "notifications": "notices", "in_flight": "out"}
     ),
     "stopping": RecordedForm("stopping", {"open": "held", "in_flight": "out"}),
+    "endpoint_list": RecordedForm("list", {"endpoints": "hops"}),
     "endpoint_disabled": RecordedForm("endpoint_out", {"endpoint": "hop", "disabled": "out"}),
     "endpoint_enabled": RecordedForm("endpoint_back", {"endpoint": "hop", "disabled": "out"}),
 }
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -21,10 +21,12 @@
 
 from pinspread import sockets
 from pinspread.admin import server as admin
-from pinspread.config import settings
+from pinspread.config import last_good, settings
+from pinspread.config.summary import summary as settings_summary
 from pinspread.core.messages import AttemptResult
-from pinspread.discovery import client as discovery
-from pinspread.hot_restart import transfer as succession
+from pinspread.discovery import departures
+from pinspread.hot_restart import packet_codec, source, target
+from pinspread.hot_restart.link import Link, Packet, PacketKind
 from pinspread.leases.service import LeaseService
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
@@ -36,25 +38,25 @@
 
 # --- adapter ----------------------------------------------------------------------------------------
 
-GOOD_FILE, LEFT_FILE = settings.GOOD, discovery.LEFT
+GOOD_FILE, LEFT_FILE = last_good.FILE_NAME, departures.FILE_NAME
 
 
 def keep_settings(state, raw):
     """Keep the settings of a file, as a start does."""
     told = settings.read(orjson.loads(raw), {})
     told.state, told.raw = str(state), raw
-    settings.keep_good(told)
+    last_good.save(told)
 
 
 def kept_settings(state):
     """What a start finds where its file is broken: the bytes, and some of what they say."""
-    told = settings.at_start({"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)})
+    told = last_good.load_at_start({"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)})
     return told.raw, {"name": told.name, "seed": told.seed, "disk_bytes": told.disk_bytes}
 
 
 def left(state):
     """The endpoints that a list has told to leave, kept over restarts."""
-    return discovery._Left(SimpleNamespace(state=str(state), disk_bytes=3_000_000))
+    return departures.DepartedEndpoints(str(state), 3_000_000)
 
 
 LEFT_STATES = {
@@ -96,7 +98,7 @@
 
 def summary():
     """What `pinspread config check` says of `SETTINGS`."""
-    return list(settings.summary(settings.read(orjson.loads(SETTINGS), {})))
+    return list(settings_summary(settings.read(orjson.loads(SETTINGS), {})))
 
 
 def recorded_trace(logs, path):
@@ -114,12 +116,21 @@
 
 
 PACKETS = {
-    name: getattr(succession, name)
-    for name in (
-        "HELLO", "NO", "LEAVE", "STATE", "LEG", "IDLE", "SOCKET", "YOURS", "TAKEN", "ENDED", "HEED", "PROBED",
-        "BAN", "BANNED",
-    )
-}  # fmt: skip
+    "HELLO": PacketKind.HELLO,
+    "NO": PacketKind.DECLINED,
+    "LEAVE": PacketKind.LEAVE,
+    "STATE": PacketKind.STATE,
+    "LEG": PacketKind.CLIENT_CONNECTION,
+    "IDLE": PacketKind.IDLE_CONNECTION,
+    "SOCKET": PacketKind.LISTENER,
+    "YOURS": PacketKind.LOCK,
+    "TAKEN": PacketKind.TAKEN_OVER,
+    "ENDED": PacketKind.ATTEMPT_COMPLETED,
+    "HEED": PacketKind.RETRY_AFTER,
+    "PROBED": PacketKind.HEALTH_CHECK_COMPLETED,
+    "BAN": PacketKind.SET_ENDPOINT_DISABLED,
+    "BANNED": PacketKind.ENDPOINT_DISABLED,
+}
 
 
 RESULT = {
@@ -140,7 +151,7 @@
 
 
 def told_outcome(packet):
-    found = succession._outcome(packet)
+    found = packet_codec.result_from_json(packet)
     return {"verdict": int(found.outcome)} | {name: getattr(found, at) for name, at in RESULT.items()}
 
 
@@ -155,13 +166,13 @@
     """What an old process hands over, but for the state's own bytes."""
     a, b = connected()
     kept = sockets.IdleConnection(sockets.Connection(a), True, True, 2, b"unread", b"unsent")
-    idle = ("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
+    idle = target.IdleEndpointConnection("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
     lock = os.open(os.devnull, os.O_RDONLY)
     listening = socket.socket()
-    given = {"blob": b"state", "legs": [kept], "idle": [idle], "sockets": {"resp": listening}, "lock": lock}
-    link = succession.Link(link_socket)
-    await succession.Succession(SimpleNamespace(), "")._give(link, given)
-    successor = succession.Successor(link)
+    payload = source.HandoverPayload(b"state", 0, [kept], [idle], {"resp": listening}, lock)
+    link = Link(link_socket)
+    await source.HandoverListener(SimpleNamespace(), "")._send(link, payload)
+    successor = source.Successor(link)
     successor.attempt_ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
     successor.apply_retry_after("s-1", 1500)
     successor.health_check_ended("s-2", outcome("OK", opened=True))
@@ -180,16 +191,17 @@
 
 async def take(link_socket, count):
     """The same read by the code of a new process."""
-    link, found = succession.Link(link_socket), succession.TransferredState()
+    link, found = Link(link_socket), target.TransferredState()
     for _ in range(count):
         kind, data, fd = await link.receive()
         if kind in (PACKETS["LEG"], PACKETS["IDLE"], PACKETS["SOCKET"]):
-            succession._gather(found, kind, data, fd)
+            found.add(Packet(kind, data, fd))
         elif fd is not None:
             os.close(fd)
-    told = {"idle": [list(i[:3]) for i in found.idle], "sockets": list(found.sockets)}
+    told = {"idle": [list(i[:3]) for i in found.idle_connections], "sockets": list(found.listeners)}
     told["legs"] = [
-        [k.answered, k.submitted, k.errors, k.unread.decode(), k.unsent.decode()] for k in found.legs
+        [k.answered, k.submitted, k.errors, k.unread.decode(), k.unsent.decode()]
+        for k in found.client_connections
     ]
     found.close()
     return told
@@ -204,7 +216,7 @@
     """The bytes of the kept list after `LEFT_TOLD`."""
     found = left(folder)
     for one in LEFT_TOLD:
-        found.told({id_: LEFT_STATES[state] for id_, state in one.items()})
+        found.record({id_: LEFT_STATES[state] for id_, state in one.items()})
     return (Path(folder) / LEFT_FILE).read_bytes()
 
 
@@ -257,7 +269,7 @@
         async def part():
             pass
 
-        connection = SimpleNamespace(read=read, write=write, part=part, close=lambda: None)
+        connection = SimpleNamespace(read=read, write=write, linger=part, close=lambda: None)
         await door(companions).serve(connection, None)
         found[call] = said.decode()
     return found
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -139,3 +139,16 @@
     assert {kind: seen.get(kind) for kind in ("taken", "branch", "final", "recovered")} == {
         kind: expected[kind] for kind in ("taken", "branch", "final", "recovered")
     }
+
+
+def test_a_logged_endpoint_list_reads_as_recorded_logs_have_it():
+    logged = {
+        "at_us": 1,
+        "event": "endpoint_list",
+        "scope": "DELTA",
+        "seq": 2,
+        "endpoints": {"s-1": "REMOVED"},
+    }
+    found = {"at_us": 1, "event": "list", "scope": "DELTA", "seq": 2, "hops": {"s-1": "GONE"}}
+    assert recorded(dict(logged)) == found
+    assert recorded(dict(found)) == found  # a log of an earlier version
