--- a/pinspread/resp/parser.py
+++ b/pinspread/resp/parser.py
@@ -44,11 +44,6 @@
     size: int
 
 
-class _Header(NamedTuple):
-    number: int
-    end: int  # where the line ends
-
-
 class EnqueueRequest(NamedTuple):
     """The fields of an ENQUEUE command.
 
@@ -102,7 +97,10 @@
             return Parsed(None, len(view) + 1)
         size, position = header
         end = position + size
-        _check_size(size, end)
+        if not 0 <= size <= MAX_STRING_BYTES:
+            raise ProtocolError(f"a string of {size} bytes")
+        if end > MAX_COMMAND_BYTES:
+            raise ProtocolError(f"a command of over {MAX_COMMAND_BYTES} bytes")
         if len(view) < end + 2:
             return Parsed(None, end + 2)
         if bytes(view[end : end + 2]) != b"\r\n":
@@ -112,15 +110,11 @@
     return Parsed(arguments, position)
 
 
-def _check_size(size: int, end: int) -> None:
-    if not 0 <= size <= MAX_STRING_BYTES:
-        raise ProtocolError(f"a string of {size} bytes")
-    if end > MAX_COMMAND_BYTES:
-        raise ProtocolError(f"a command of over {MAX_COMMAND_BYTES} bytes")
+def _header(view: memoryview, position: int, mark: bytes) -> tuple[int, int] | None:
+    """Parse the line with a count or a length at this position: the number, and where the line ends.
 
-
-def _header(view: memoryview, position: int, mark: bytes) -> _Header | None:
-    """Parse the line with a count or a length at this position; None if it is not complete."""
+    None if it is not complete. (A plain tuple, for there are several of these in each command.)
+    """
     if position >= len(view):
         return None
     if view[position : position + 1] != mark:
@@ -134,7 +128,7 @@
     digits = line[:end]
     if not digits.removeprefix(b"-").isdigit():
         raise ProtocolError(f"not a length: {digits!r}")
-    return _Header(int(digits), position + 1 + end + 2)
+    return int(digits), position + 1 + end + 2
 
 
 def parse_enqueue(arguments: list[memoryview]) -> EnqueueRequest:
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -146,7 +146,7 @@
                 await process.ready()
             partner.held = False
             for connection in list(partner.open):  # what hung from this life on ends as a reset
-                connection.end()
+                connection.shutdown()
             tried_before = {id_ for id_, lives in partner.calls.items() if lives[0] < partner.life}
             untried = {f"m{n}" for n in range(HELD)} - tried_before
             assert len(untried) >= HELD - SLOTS * len(ends) - SLOTS
