--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -8,7 +8,7 @@
 from standins import configuration, engine
 
 from pinspread.config import settings
-from pinspread.discovery.client import Discovery
+from pinspread.discovery.client import DiscoveryClient
 from pinspread.hot_restart import state_codec
 from pinspread.hot_restart.link import HandoverFormatError
 from pinspread.policy.delivery_policy import DeliveryPolicy
@@ -67,7 +67,7 @@
         state = rig.engine.pause_for_handover(SimpleNamespace())
         assert {*state, "discovery"} == set(state_codec.STATE_KEYS)
         assert state[state_codec.POLICY_KEY] is rig.engine.policy
-        found = Discovery("127.0.0.1:1", rig.engine, rig.engine.settings).snapshot()
+        found = DiscoveryClient("127.0.0.1:1", rig.engine, rig.engine.settings).snapshot()
         assert set(found) == set(state_codec.DISCOVERY_STATE_KEYS)
         rig.engine.cancel_handover()
 
