--- a/pinspread/amqp/channel.py
+++ b/pinspread/amqp/channel.py
@@ -11,7 +11,7 @@
 from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.amqp.frame_writer import FrameWriter
 from pinspread.amqp.result_queue import FinalResultQueue, PendingResult
-from pinspread.resp.parser import MOST_BODY as MAX_BODY_BYTES
+from pinspread.core.message_fields import MAX_BODY_BYTES
 
 DEFAULT_EXCHANGE = ""
 
