--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -14,7 +14,7 @@
 from pinspread.config import application
 from pinspread.policy.events import EndpointState
 
-PAYMENTS, PARTNERS = 3000, 20
+PAYMENTS, DESTINATIONS = 3000, 20
 
 pytestmark = pytest.mark.anyio
 
@@ -42,8 +42,8 @@
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
         await client.publish("p1", for_ms=700)
-        told, _ = await client.end()
-        assert told["state"] == state and len(broker.effects) == effects
+        result, _ = await client.end()
+        assert result["state"] == state and len(broker.effects) == effects
         assert len(seen) > 1 if tries is None else len(seen) == tries
 
 
@@ -129,18 +129,18 @@
         return "kill" if draw < 0.015 else "lose" if draw < 0.03 else "nack" if draw < 0.04 else "ack"
 
     broker, platform = Broker(plan), HttpStandIn(lambda request: (204, [], b""))
-    taken, restarts = set(), 0
+    accepted, restarts = set(), 0
     async with standing(broker) as address, standing(platform) as notices:
-        endpoints = [(address, f"b{n}", n, "amqp") for n in range(PARTNERS)]
-        while len(taken) < PAYMENTS:
+        endpoints = [(address, f"b{n}", n, "amqp") for n in range(DESTINATIONS)]
+        while len(accepted) < PAYMENTS:
             restarts += 1
-            upto = min(PAYMENTS, len(taken) + moments.randrange(150, 450))
+            upto = min(PAYMENTS, len(accepted) + moments.randrange(150, 450))
             async with engine(tmp_path, notices, endpoints=endpoints) as rig:
                 client = Client(rig.address)
-                while len(taken) < upto:
-                    id_, dest = f"p{len(taken)}", len(taken) % PARTNERS
+                while len(accepted) < upto:
+                    id_, dest = f"p{len(accepted)}", len(accepted) % DESTINATIONS
                     if (await client.enqueue(id_=id_, for_ms=20_000, dest=dest)).startswith("+OK"):
-                        taken.add(id_)
+                        accepted.add(id_)
                     else:
                         await anyio.sleep(0.01)
                     if moments.random() < 0.005:
@@ -150,10 +150,10 @@
                 # the instance is killed here, with whatever is in flight or queued
         async with engine(tmp_path, notices, endpoints=endpoints) as rig:
             await until(lambda: not rig.engine.messages_by_id, 30)
-    ended = {line["id"] for line in platform.lines}
+    ended = {notice["id"] for notice in platform.lines}
     assert restarts > 5 and kills > 8 and breaks > 20
     assert len(broker.effects) == len(set(broker.effects))  # zero doubles
-    assert taken <= ended | set(broker.effects)  # and each has its end
+    assert accepted <= ended | set(broker.effects)  # and each has its end
     assert len(set(broker.effects)) > PAYMENTS // 2  # most go through between the breaks
 
 
@@ -238,21 +238,21 @@
     chance = random.Random(3)
     broker, platform = Broker(), HttpStandIn(lambda request: (204, [], b""))
     broker.plan = lambda _, id_: "kill" if chance.random() < 0.01 else "ack"
-    taken = set()
+    accepted = set()
     async with standing(broker) as address, standing(platform) as notices:
         for _ in range(4):
             process = Application(tmp_path, address, notices)
             client = await process.client()
             for _ in range(chance.randrange(60, 120)):
-                id_ = f"p{len(taken)}"
+                id_ = f"p{len(accepted)}"
                 answer = await client.say("ENQUEUE", "0", id_, "c=payment,t=all,d=20000,dest=1", "x")
-                taken |= {id_} if answer.startswith("+OK") else set()
+                accepted |= {id_} if answer.startswith("+OK") else set()
             await process.kill()
         process = Application(tmp_path, address, notices)
-        ended = lambda: set(broker.effects) | {line["id"] for line in platform.lines}  # noqa: E731
-        await until(lambda: taken <= ended(), 20)
+        ended = lambda: set(broker.effects) | {notice["id"] for notice in platform.lines}  # noqa: E731
+        await until(lambda: accepted <= ended(), 20)
         await anyio.sleep(0.3)
         await process.kill()
     assert broker.logins == {"\0u\0s3cret"}
-    assert len(taken) > 200 and len(set(broker.effects)) > 100
+    assert len(accepted) > 200 and len(set(broker.effects)) > 100
     assert len(broker.effects) == len(set(broker.effects))
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -32,8 +32,8 @@
         await client.publish("m1", cls, for_ms=600)
         method, _, _ = await client.next()
         assert isinstance(method, commands.Basic.Ack) and method.delivery_tag == 1
-        told, _ = await client.end()
-        assert (told["id"], told["state"]) == ("m1", state)
+        result, _ = await client.end()
+        assert (result["id"], result["state"]) == ("m1", state)
         await until(lambda: not rig.engine.messages_by_id)  # acknowledged: nothing is owed any more
         with pytest.raises(TimeoutError), anyio.fail_after(0.2):
             await client.end()
@@ -59,16 +59,16 @@
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1", for_ms=100)  # no next hop: returned when its time is up
         await client.consume()
-        told, first = await client.end(ack=False)
+        result, first = await client.end(ack=False)
         client.close()
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
         again, second = await client.end(ack=False)
-        assert told == again and (first.redelivered, second.redelivered) == (False, True)
+        assert result == again and (first.redelivered, second.redelivered) == (False, True)
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
-        assert (await client.end())[0] == told
+        assert (await client.end())[0] == result
         await until(lambda: not rig.engine.messages_by_id)
     async with engine(tmp_path) as rig:
         assert not rig.engine.messages_by_id
@@ -82,10 +82,10 @@
             await client.next()
         await until(lambda: len(rig.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
         await client.consume(prefetch=1)
-        told, method = await client.end(ack=False)
+        result, method = await client.end(ack=False)
         await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, True), 1)
         again, method = await client.end()
-        assert told["id"] == again["id"] == "m1" and method.redelivered
+        assert result["id"] == again["id"] == "m1" and method.redelivered
         assert (await client.end())[0]["id"] == "m2"
 
 
@@ -134,7 +134,7 @@
         assert (await client.next())[0].reply_code == ReplyCode.PRECONDITION_FAILED
 
 
-async def test_a_client_is_told_that_the_process_ends(tmp_path):
+async def test_a_client_is_notified_that_the_process_ends(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
         await rig.engine.fronts["amqp"].close()
@@ -242,10 +242,10 @@
 async def test_contents_that_are_never_complete_share_a_limit_of_memory(tmp_path):
     async with engine(tmp_path, leg_bytes=10_000) as rig:
         client = await AmqpClient.open(rig.amqp)
-        whole = frames.marshal_content(
+        content = frames.marshal_content(
             commands.Basic.Publish(0, "", "p", False), commands.Basic.Properties(), b"x" * 60_000, 1, 4096
         )
-        await client.wire.write(whole[:-100])
+        await client.wire.write(content[:-100])
         with anyio.fail_after(2):
             method, _, _ = await client.next()
         assert isinstance(method, commands.Connection.Close) and method.reply_code == ReplyCode.RESOURCE_ERROR
