--- a/pinspread/hot_restart/packet_codec.py
+++ b/pinspread/hot_restart/packet_codec.py
@@ -24,7 +24,7 @@
 }
 
 # The keys of a client's connection in a packet, and the fields of `IdleConnection` that hold them.
-CONNECTION_FIELDS = {"spoke": "spoke", "asked": "asked", "errors": "errors"}
+CONNECTION_FIELDS = {"spoke": "answered", "asked": "submitted", "errors": "errors"}
 _UNREAD_SIZE = "unread"  # how many of the bytes behind the JSON were read and not answered
 
 
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -26,7 +26,7 @@
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
-from pinspread.core.log import log, use
+from pinspread.core.log import log, use_clock
 from pinspread.core.ports import BackgroundService, Discovery, EndpointAdmin
 from pinspread.discovery.client import Discovery as PlatformDiscovery
 from pinspread.errors import JournalFormatError, JournalFullError
@@ -107,7 +107,7 @@
         self.amqp_settings = options.amqp
         self.background_services = list(options.background_services)
         self.clock = options.clock
-        use(self.clock)
+        use_clock(self.clock)
         self.lock = FolderLock(settings.state)
         journal = Journal(settings.state, settings.disk_bytes)
         policy = DeliveryPolicy(settings.policy_settings, settings.seed)
@@ -426,7 +426,9 @@
 
 def _within_limit(connections: list[sockets.IdleConnection], limit: int) -> list[sockets.IdleConnection]:
     """As many connections as may be open twice for a moment; first those go that wait for nothing."""
-    connections.sort(key=lambda idle: (not (idle.unread or idle.unsent), not idle.asked, not idle.spoke))
+    connections.sort(
+        key=lambda idle: (not (idle.unread or idle.unsent), not idle.submitted, not idle.answered)
+    )
     for idle in connections[limit:]:
         idle.connection.close()
     return connections[:limit]
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -200,7 +200,8 @@
             os.close(fd)
     told = {"idle": [list(i[:3]) for i in found.idle_connections], "sockets": list(found.listeners)}
     told["legs"] = [
-        [k.spoke, k.asked, k.errors, k.unread.decode(), k.unsent.decode()] for k in found.client_connections
+        [k.answered, k.submitted, k.errors, k.unread.decode(), k.unsent.decode()]
+        for k in found.client_connections
     ]
     found.close()
     return told
