--- a/pinspread/simhost.py
+++ b/pinspread/simhost.py
@@ -1,61 +1,71 @@
-"""Hosts senders on the simulator's wire: `python -m pinspread.simhost`. No decisions."""
+"""Hosts delivery policies on the simulator's wire: `python -m pinspread.simhost`. No decisions."""
 
 import sys
+from typing import BinaryIO
 
 from pinspread import wire
 from pinspread.policy.delivery_policy import DeliveryPolicy
 
 
-def read_exactly(stream, size, what, may_end=False):
-    """Read `size` bytes; None at a clean end of input where that is allowed."""
-    data = stream.read(size)
-    if not data and may_end:
-        return None
+def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
+    """Read `size` bytes; WireError if the input ends before."""
+    return _whole(stream.read(size), size, what)
+
+
+def _whole(data: bytes, size: int, what: str) -> bytes:
     if len(data) < size:
         raise wire.WireError(f"input ended inside {what}: {len(data)} of {size} bytes")
     return data
 
 
 class Host:
-    """The instances of this process, each a sender of its own."""
+    """The instances of this process, each with a policy of its own."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self._decoder = wire.Decoder()
-        self._senders = {}
+        self._policies: dict[int, DeliveryPolicy] = {}
 
-    def answer(self, now_ns, count, payload):
+    def answer(self, now_ns: int, count: int, payload: bytes) -> bytes:
         """Decode one batch, let each instance decide on its events, and give the reply."""
-        turns = {}
-        records = []
+        turns = self._turns(count, payload)
+        records: list[bytes] = []
+        for instance, events in turns.items():
+            actions = self._actions(instance, now_ns, events)
+            if actions:
+                records.append(wire.source(instance))
+                records += actions
+        return wire.reply(records)
+
+    def _turns(self, count: int, payload: bytes) -> dict[int, list[wire.Event]]:
+        """The events of each instance; those that start or stop are carried out on the way."""
+        turns: dict[int, list[wire.Event]] = {}
         for instance, event in self._decoder.batch(count, payload):
-            if type(event) is wire.Start:
-                self._senders[instance] = DeliveryPolicy(event.settings, event.seed)
+            if isinstance(event, wire.Start):
+                self._policies[instance] = DeliveryPolicy(event.settings, event.seed)
                 turns[instance] = []
-            elif type(event) is wire.Stop:
-                self._senders.pop(instance, None)
+            elif isinstance(event, wire.Stop):
+                self._policies.pop(instance, None)
                 turns.pop(instance, None)
-            elif instance not in self._senders:
+            elif instance not in self._policies:
                 raise wire.WireError(f"instance {instance} was never configured")
             else:
                 turns.setdefault(instance, []).append(event)
-        for instance, events in turns.items():
-            try:
-                actions = [wire.encode(a) for a in self._senders[instance].handle(now_ns, events)]
-            except Exception as error:
-                actions = [wire.fault(f"{type(error).__name__}: {error}")]
-            if actions:
-                records.append(wire.source(instance))
-                records += actions
-        return wire.reply(records)
+        return turns
+
+    def _actions(self, instance: int, now_ns: int, events: list[wire.Event]) -> list[bytes]:
+        """The records of an instance's actions, or of its failure, which ends no other instance."""
+        try:
+            return [wire.encode(action) for action in self._policies[instance].handle(now_ns, events)]
+        except Exception as error:
+            return [wire.fault(f"{type(error).__name__}: {error}")]
 
 
-def serve(source, sink):
-    """Answer batch after batch until the input ends."""
+def serve(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer batch after batch until the input ends; WireError on bad input."""
     host = Host()
     frame = 0
-    while (
-        header := read_exactly(source, wire.BATCH_HEADER.size, f"the header of frame {frame}", True)
-    ) is not None:
+    while header := source.read(wire.BATCH_HEADER.size):
+        header = _whole(header, wire.BATCH_HEADER.size, f"the header of frame {frame}")
         count, size, now_ns = wire.BATCH_HEADER.unpack(header)
         if size > wire.FIRST_FRAME_LIMIT or count > size:
             raise wire.WireError(f"frame {frame}: {count} records in {size} bytes cannot be")
@@ -69,7 +79,7 @@
         frame += 1
 
 
-def main():
+def main() -> int:
     """Serve standard input and output; plain words and a non-zero exit on bad input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
