--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -1,228 +1,259 @@
-"""The command line: serve, version, and the configuration tool; bare, it serves."""
+"""The command line: serve, version, the configuration tool, views of a running node; bare, it serves."""
 
 import argparse
 import os
 import signal
 import sys
+import time
+from collections.abc import Callable, Sequence
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import anyio
 
 from pinspread.config import last_good, settings
-from pinspread.config.amqp_front import AmqpFile, amqp_file
+from pinspread.config.amqp_front import amqp_file
+from pinspread.config.settings import EffectiveSettings, SettingsError
 from pinspread.errors import JournalFormatError, JournalFullError
 
+if TYPE_CHECKING:
+    from pinspread.service import ReloadedSettings, ServiceOptions
+
 VERSION = "0.1.0"
 
+EXIT_FAILED = 1
+EXIT_UNUSABLE = 2  # a file or a command line that cannot be used
+
+# Sub-commands with a command line of their own: the names they answer to, and the tool in `simulation.cli`.
+TOOLS = {"simulate": "app", "fleet": "app", "demo": "demo", "testbed": "stage", "stage": "stage"}
+# Views of the admin server: the names of the sub-commands, and the view's own name in its path.
+VIEWS = {"members": "members", "leases": "leases", "replication": "copies", "copies": "copies"}
 
-def parser():
+
+def parser() -> argparse.ArgumentParser:
     """The sub-commands and their arguments."""
-    top = argparse.ArgumentParser(prog="pinspread", description="A courier of messages to partners.")
+    top = argparse.ArgumentParser(
+        prog="pinspread", description="Accepts messages and delivers each to its destination."
+    )
     commands = top.add_subparsers(dest="command")
     serve = commands.add_parser("serve", help="serve: as the platform says, or as an application's file does")
     serve.add_argument("--app", metavar="FILE", help="an application's file; without it, RELAY_CONFIG counts")
     commands.add_parser("version", help="print the version")
-    commands.add_parser(
-        "fleet", help="the model of the fleet: experiments, comparisons, traces", add_help=False
-    )
-    commands.add_parser("demo", help="a courier and three stand-in partners, for 20 s", add_help=False)
-    commands.add_parser("stage", help="couriers with membership and faults between them", add_help=False)
-    for name, text in (
-        ("members", "a courier's table of members"),
-        ("leases", "who holds what"),
-        ("copies", "what is copied"),
+    _add_tools(commands)
+    _add_views(commands)
+    _add_config(commands)
+    return top
+
+
+def _add_tools(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+    for name, aliases, text in (
+        ("simulate", ["fleet"], "the model of many nodes: experiments, comparisons, traces"),
+        ("demo", [], "a node and three stand-in destinations, for 20 s"),
+        ("testbed", ["stage"], "nodes with membership and faults between them"),
+    ):
+        commands.add_parser(name, aliases=aliases, help=text, add_help=False)
+
+
+def _add_views(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+    for name, aliases, text in (
+        ("members", [], "a node's table of members"),
+        ("leases", [], "who holds what"),
+        ("replication", ["copies"], "what is replicated"),
     ):
-        shown = commands.add_parser(name, help=f"{text}, from its door")
-        shown.add_argument("address", help="the door's address, as listen.admin has it")
-        shown.add_argument("--json", action="store_true", help="as the door says it")
+        view = commands.add_parser(name, aliases=aliases, help=f"{text}, from its admin server")
+        view.add_argument("address", help="the admin server's address, as listen.admin has it")
+        view.add_argument("--json", action="store_true", help="as the admin server says it")
+
+
+def _add_config(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     config = commands.add_parser("config", help="write, check and show an application's file")
     actions = config.add_subparsers(dest="action", required=True)
     write = actions.add_parser("write", help="make a new application's file")
     write.add_argument("name")
     write.add_argument("--file", help="where to (deploy/NAME.toml)")
-    for name, text in (
-        (
-            "check",
-            "name every problem of a file with its place; of a platform's .json, what will count",
-        ),
-        ("records", "print the courier's own DNS-SD records"),
-        ("hops", "print the next hops that the file's discovery finds"),
+    for name, aliases, text in (
+        ("check", [], "name every problem of a file with its place; of a platform's .json, what will count"),
+        ("records", [], "print the node's own DNS-SD records"),
+        ("endpoints", ["hops"], "print the endpoints that the file's discovery finds"),
     ):
-        actions.add_parser(name, help=text).add_argument("file")
-    return top
+        actions.add_parser(name, aliases=aliases, help=text).add_argument("file")
 
 
-def main(arguments=None):
+def main(arguments: Sequence[str] | None = None) -> int:
     """Run a sub-command; its exit code."""
-    arguments = sys.argv[1:] if arguments is None else arguments
-    if arguments[:1] in (["fleet"], ["demo"], ["stage"]):
-        return tool(arguments)
+    arguments = list(sys.argv[1:] if arguments is None else arguments)
+    if arguments and arguments[0] in TOOLS:
+        return run_tool(arguments[0], arguments[1:])
     chosen = parser().parse_args(arguments)
     try:
-        if chosen.command == "version":
-            print(f"pinspread {VERSION}")
-        elif chosen.command == "config":
-            return config(chosen)
-        elif chosen.command in ("members", "leases", "copies"):
-            return show(chosen)
-        elif getattr(chosen, "app", None):
-            serve_application(chosen.app)
-        else:
-            from pinspread import service as platform
-
-            # Until it can be heeded: noted, for it may come after the file has been read.
-            early = []
-            signal.signal(signal.SIGHUP, lambda *_: early.append(True))
-            options = platform.ServiceOptions(
-                last_good.load_at_start(os.environ), amqp_file(), reread, early_sighup=early
-            )
-            anyio.run(platform.serve, options)
-    except settings.SettingsError as error:
+        return _run(chosen)
+    except SettingsError as error:
         print(error, file=sys.stderr)
-        return 2
-    except (
-        JournalFullError,
-        JournalFormatError,
-        OSError,
-    ) as error:  # no folder to write to, an address in use
+        return EXIT_UNUSABLE
+    except (JournalFullError, JournalFormatError, OSError) as error:  # no room, an address in use
         print(f"pinspread: {error}", file=sys.stderr)
-        return 1
+        return EXIT_FAILED
+
+
+def _run(chosen: argparse.Namespace) -> int:
+    if chosen.command == "version":
+        print(f"pinspread {VERSION}")
+        return 0
+    if chosen.command == "config":
+        return CONFIG_ACTIONS[chosen.action](chosen)
+    if chosen.command in VIEWS:
+        return show_view(chosen)
+    if getattr(chosen, "app", None):
+        serve_application(chosen.app)
+    else:
+        serve_platform()
     return 0
 
 
-def tool(arguments):
-    """The tools on a command line of their own; what they need is loaded only here."""
+# --- serving --------------------------------------------------------------------------------------
+
+
+def serve_platform() -> None:
+    """Serve as the platform's file says."""
+    from pinspread.service import ServiceOptions
+
+    early_sighup = _note_sighup()
+    effective = last_good.load_at_start(os.environ)
+    _serve(ServiceOptions(effective, amqp_file(), reload_platform, early_sighup=early_sighup))
+
+
+def serve_application(path: str) -> None:
+    """Serve off the platform."""
+    from pinspread import standalone
+    from pinspread.config import application
+
+    early_sighup = _note_sighup()
+    _serve(standalone.service_options(path, application.random_seed(), early_sighup))
+
+
+def _note_sighup() -> list[bool]:
+    """Take note of SIGHUP until it can be heeded, for it may come after the file has been read."""
+    noted: list[bool] = []
+    signal.signal(signal.SIGHUP, lambda *_: noted.append(True))
+    return noted
+
+
+def _serve(options: "ServiceOptions") -> None:
+    from pinspread import service
+
+    anyio.run(service.serve, options)
+
+
+def reload_platform(last: EffectiveSettings) -> "ReloadedSettings":
+    """The platform's file as it is by now."""
+    from pinspread.service import ReloadedSettings
+
+    effective = settings.from_environment(os.environ, last)
+    return ReloadedSettings(effective, effective.discovery, effective.discovery)
+
+
+# --- tools and views ------------------------------------------------------------------------------
+
+
+def run_tool(name: str, arguments: list[str]) -> int:
+    """A tool on a command line of its own; what it needs is loaded only here."""
     try:
         from pinspread.simulation import cli
     except ModuleNotFoundError as error:
-        print(f"pinspread: {arguments[0]} needs the extra 'fleet': {error.name} is missing", file=sys.stderr)
-        return 2
-    program = {"fleet": cli.app, "demo": cli.demo, "stage": cli.stage}[arguments[0]]
+        print(f"pinspread: {name} needs the extra 'fleet': {error.name} is missing", file=sys.stderr)
+        return EXIT_UNUSABLE
+    program = getattr(cli, TOOLS[name])
     try:
-        program(arguments[1:], prog_name=f"pinspread {arguments[0]}")
+        program(arguments, prog_name=f"pinspread {name}")
     except SystemExit as end:  # of the library: its words are said already
-        return end.code or 0
+        return end.code if isinstance(end.code, int) else EXIT_FAILED if end.code else 0
     return 0
 
 
-def show(chosen):
-    """Print what a courier's door tells of a part of the fleet; 1 if it cannot."""
-    import time
-
+def show_view(chosen: argparse.Namespace) -> int:
+    """Print what a node's admin server shows of a part of the fleet."""
     import orjson
 
-    from pinspread.admin import status_client as show
+    from pinspread.admin import status_client
 
+    name = VIEWS[chosen.command]
     try:
-        view = show.fetch(chosen.address, chosen.command)
+        view = status_client.fetch(chosen.address, name)
     except (OSError, ValueError) as error:
         print(f"pinspread: {chosen.command}: {error}", file=sys.stderr)
-        return 1
+        return EXIT_FAILED
     if chosen.json:
         print(orjson.dumps(view).decode())
     else:
-        print(*show.LINES[chosen.command](view, time.monotonic_ns() // 1000), sep="\n")
+        print(*status_client.LINES[name](view, time.monotonic_ns() // 1000), sep="\n")
     return 0
 
 
-def reread(last):
-    """The configuration file by now, where it has discovery, and where it has notices."""
-    told = settings.from_environment(os.environ, last)
-    from pinspread.service import ReloadedSettings
+# --- the configuration tool -----------------------------------------------------------------------
 
-    return ReloadedSettings(told, told.discovery, told.discovery)
 
+def write_config(chosen: argparse.Namespace) -> int:
+    """Make a new application's file, but never over one that is there."""
+    from pinspread.config.checks import problems
+    from pinspread.config.template import template
 
-def config(chosen):
-    """The configuration tool; what only it needs is loaded only here."""
-    from pinspread.config import application, dnssd
+    text = template(chosen.name)
+    found = problems(text)
+    if found:
+        raise SettingsError("\n".join(found))
+    path = Path(chosen.file or f"deploy/{chosen.name}.toml")
+    try:
+        with open(path, "x") as file:
+            file.write(text)
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror}") from None
+    print(path)
+    return 0
 
-    if chosen.action == "write":
-        text = application.template(chosen.name)
-        found = application.problems(text)
-        if found:
-            raise settings.SettingsError("\n".join(found))
-        path = Path(chosen.file or f"deploy/{chosen.name}.toml")
-        try:
-            with open(path, "x") as file:  # never over a file that somebody has edited
-                file.write(text)
-        except OSError as error:
-            raise settings.SettingsError(f"{path}: {error.strerror}") from None
-        print(path)
-        return 0
-    if chosen.action == "check" and chosen.file.endswith(".json"):
+
+def check_config(chosen: argparse.Namespace) -> int:
+    """Check an application's file, or a platform's and show what will count."""
+    if chosen.file.endswith(".json"):
         from pinspread.config.summary import summary
 
-        told = settings.from_environment({"RELAY_CONFIG": chosen.file})
-        print(f"{chosen.file}: no problems", *summary(told), sep="\n")
+        effective = settings.from_environment({"RELAY_CONFIG": chosen.file})
+        print(f"{chosen.file}: no problems", *summary(effective), sep="\n")
         return 0
-    file = application.load(chosen.file)
-    if chosen.action == "check":
-        print(f"{chosen.file}: no problems")
-    elif chosen.action == "records":
-        print(dnssd.own_records(file), end="")
-    else:
-        found = dnssd.browse(records(file), file.discovery.services, {k: n for n, k in enumerate(file.kinds)})
-        for hop, state in found:
-            print(f"{hop.destination}\t{hop.scheme}\t{hop.address}\t{state.name.lower()}\t{hop.id}")
+    from pinspread.config import application
+
+    application.load(chosen.file)
+    print(f"{chosen.file}: no problems")
     return 0
 
 
-def records(file):
-    """The source of the file's DNS-SD records."""
-    from pinspread.config import dnssd
+def print_records(chosen: argparse.Namespace) -> int:
+    """Print the DNS-SD records under which others find the node."""
+    from pinspread.config import application, dnssd
 
-    return dnssd.Records(file.discovery.domain, file.discovery.zone_file, file.discovery.server)
+    print(dnssd.own_records(application.load(chosen.file)), end="")
+    return 0
 
 
-def serve_application(path):
-    """Serve off the platform."""
-    from pinspread import service as platform
+def print_endpoints(chosen: argparse.Namespace) -> int:
+    """Print the endpoints that the file's discovery finds."""
+    from pinspread import standalone
     from pinspread.config import application, dnssd
 
-    early = []
-    signal.signal(signal.SIGHUP, lambda *_: early.append(True))
-    file = application.load(path)
-    Path(file.journal.folder).mkdir(parents=True, exist_ok=True)
-    amqp = AmqpFile(file.listen.amqp, file.listen.heartbeat_s)
-
-    def discover(courier):
-        wanted = file.discovery
-        return dnssd.DnsSd(courier, records(file), wanted.services, wanted.refresh_s)
-
-    def again(_):
-        file = application.load(path)
-        address = file.notices.address if file.notices else ""
-        return platform.ReloadedSettings(application.told(file), records(file), address)
-
-    background_services = []
-    if file.members:  # Danger: serving loads membership only where a file turns it on
-        from pinspread.membership.service import MembershipService
-
-        background_services.append(MembershipService(file.members.plan(), records(file)))
-    if file.leases:
-        from pinspread.leases.service import LeaseService
-
-        background_services.append(
-            LeaseService(file.leases.plan(file.journal.folder), background_services[0])
-        )
-    if file.copies:
-        from pinspread.replication.service import ReplicationService
-
-        background_services.append(
-            ReplicationService(file.copies.plan(file.journal.folder), *background_services[:2])
-        )
-    told = application.told(file)
-    options = platform.ServiceOptions(
-        told,
-        amqp,
-        again,
-        make_discovery=discover,
-        amqp_login=file.brokers.login(),
-        background_services=background_services,
-        early_sighup=early,
-    )
-    anyio.run(platform.serve, options)
+    file = application.load(chosen.file)
+    kinds = {name: index for index, name in enumerate(file.kinds)}
+    for endpoint, state in dnssd.browse(standalone.records(file), file.discovery.services, kinds):
+        fields = (endpoint.destination, endpoint.scheme, endpoint.address, state.name.lower(), endpoint.id)
+        print(*fields, sep="\t")
+    return 0
+
+
+CONFIG_ACTIONS: dict[str, Callable[[argparse.Namespace], int]] = {
+    "write": write_config,
+    "check": check_config,
+    "records": print_records,
+    "endpoints": print_endpoints,
+    "hops": print_endpoints,
+}
 
 
 if __name__ == "__main__":
--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -1,10 +1,12 @@
-"""Next hops by DNS-SD (RFC 6763), from a zone file or a server, and the courier's own records.
+"""Endpoints by DNS-SD (RFC 6763), from a zone file or a server, and the node's own records.
 
-An instance's TXT record names its partner (`dest`) and may give `rate` (calls a second that the partner
-takes), `kind`, `state=draining`, and for brokers `exchange`, `routing_key` and `vhost`.
+An instance's TXT record names its destination (`dest`) and may give `rate` (calls a second that the
+destination takes), `kind`, `state=draining`, and for brokers `exchange`, `routing_key` and `vhost`.
 """
 
+from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import replace
+from typing import Any
 
 import anyio
 import anyio.to_thread
@@ -14,50 +16,60 @@
 import dns.resolver
 import dns.zone
 
+from pinspread.config.models import File
+from pinspread.config.settings import EffectiveSettings
+from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
 from pinspread.core.messages import Endpoint
 from pinspread.policy.events import EndpointState, UpdateScope
-from pinspread.resp.parser import MOST_DEST
 from pinspread.sockets import split_address
 
-QUERY_S = 2.0
-ROUTE = ("exchange", "routing_key", "vhost")
+QUERY_TIMEOUT_S = 2.0
+ROUTE_KEYS = ("exchange", "routing_key", "vhost")
+MAX_DESTINATION = 65_535
+MAX_RATE_PER_S = 1e6  # calls a second; a rate must be below it
+
+FoundEndpoint = tuple[Endpoint, EndpointState]
 
 
 class Records:
     """Answers to questions about names: from a zone file, read anew each time, or from a server."""
 
-    def __init__(self, domain, zone_file="", server=""):
+    def __init__(self, domain: str, zone_file: str = "", server: str = "") -> None:
         self.domain = dns.name.from_text(domain)
         self.zone_file = zone_file
-        self.zone = None
+        self.zone: dns.zone.Zone | None = None
         if server:
             host, port = split_address(server)
             self.resolver = dns.resolver.Resolver(configure=False)
             self.resolver.nameservers = [host]
             self.resolver.port = port
-            self.resolver.lifetime = QUERY_S
+            self.resolver.lifetime = QUERY_TIMEOUT_S
 
-    def refresh(self):
-        """Read the zone file; one that cannot be read is an error, not an empty list."""
+    def refresh(self) -> None:
+        """Read the zone file; one that cannot be read is an error (OSError, ValueError, DNSException)."""
         if self.zone_file:
             with open(self.zone_file) as file:
                 self.zone = dns.zone.from_file(file, self.domain, relativize=False, check_origin=False)
 
-    def ask(self, name, kind):
-        """The records of that kind; none if there are none."""
+    def ask(self, name: dns.name.Name, kind: str) -> list[Any]:
+        """The records of that kind; none if there are none. DNSException if the server does not answer."""
         if self.zone_file:
-            found = self.zone.get_rdataset(name, kind) if name.is_subdomain(self.domain) else None
-            return list(found or ())
+            return self._from_zone(name, kind)
         try:
             return list(self.resolver.resolve(name, kind, search=False))
         except (dns.resolver.NXDOMAIN, dns.resolver.NoAnswer):
             return []
 
+    def _from_zone(self, name: dns.name.Name, kind: str) -> list[Any]:
+        if self.zone is None or not name.is_subdomain(self.domain):
+            return []
+        return list(self.zone.get_rdataset(name, kind) or ())
+
 
-def text_pairs(rdata):
+def text_pairs(rdata: Any) -> dict[str, str]:
     """A TXT record's pairs: names in lower case, the first of a name counts (RFC 6763, 6.4)."""
-    found = {}
+    found: dict[str, str] = {}
     for string in rdata.strings:
         name, _, value = string.decode("utf-8", "replace").partition("=")
         if name and name.lower() not in found:
@@ -65,8 +77,12 @@
     return found
 
 
-def browse(records, services, kinds):
-    """All instances of the services: (next hop, state) pairs. An instance that is not well is left out."""
+def browse(records: Records, services: Sequence[str], kinds: Mapping[str, int]) -> list[FoundEndpoint]:
+    """All instances of the services, with their states. A malformed instance is logged and left out.
+
+    Raises:
+        OSError, ValueError, DNSException: The records cannot be had.
+    """
     records.refresh()
     found = []
     for service in services:
@@ -79,115 +95,135 @@
     return found
 
 
-def _instance(records, name, scheme, kinds):
+def _instance(records: Records, name: dns.name.Name, scheme: str, kinds: Mapping[str, int]) -> FoundEndpoint:
+    """One instance; ValueError with what is malformed."""
     services = records.ask(name, "SRV")
     if not services:
         raise ValueError("no SRV record")
-    service = min(services, key=lambda s: (s.priority, -s.weight))
+    service = min(services, key=lambda record: (record.priority, -record.weight))
     texts = records.ask(name, "TXT")
     pairs = text_pairs(texts[0]) if texts else {}
-    dest = pairs.get("dest", "")
-    if not (dest.isascii() and dest.isdigit() and int(dest) <= MOST_DEST):
-        raise ValueError(f"TXT: dest must be a number up to {MOST_DEST}, not {dest!r}")
-    try:
-        rate = float(pairs.get("rate", "1"))
-    except ValueError:
-        rate = 0.0
-    if not 0 < rate < 1e6:
-        raise ValueError(f"TXT: rate must be above 0, not {pairs['rate']!r}")
+    destination, rate_per_s = _destination(pairs), _rate(pairs)
     addresses = records.ask(service.target, "A")
     if not addresses:
         raise ValueError(f"no A record for {service.target}")
     endpoint = Endpoint(
         id=str(name),
         address=f"{addresses[0].address}:{service.port}",
-        destination=int(dest),
+        destination=destination,
         scheme="amqp" if scheme == "amqp" else "http",
-        route={key: pairs[key] for key in ROUTE if key in pairs},
-        weight=rate,
+        route={key: pairs[key] for key in ROUTE_KEYS if key in pairs},
+        weight=rate_per_s,
         kind=kinds.get(pairs.get("kind", ""), 0),
     )
-    return endpoint, EndpointState.DRAINING if pairs.get("state") == "draining" else EndpointState.READY
+    draining = pairs.get("state") == "draining"
+    return endpoint, EndpointState.DRAINING if draining else EndpointState.READY
 
 
-class DnsSd:
-    """Keeps the core's list of next hops as DNS-SD has it."""
+def _destination(pairs: dict[str, str]) -> int:
+    text = pairs.get("dest", "")
+    if not (text.isascii() and text.isdigit() and int(text) <= MAX_DESTINATION):
+        raise ValueError(f"TXT: dest must be a number up to {MAX_DESTINATION}, not {text!r}")
+    return int(text)
 
-    def __init__(self, engine, records, services, refresh_s):
+
+def _rate(pairs: dict[str, str]) -> float:
+    try:
+        rate_per_s = float(pairs.get("rate", "1"))
+    except ValueError:
+        rate_per_s = 0.0
+    if not 0 < rate_per_s < MAX_RATE_PER_S:
+        raise ValueError(f"TXT: rate must be above 0, not {pairs['rate']!r}")
+    return rate_per_s
+
+
+class DnsSdDiscovery:
+    """Keeps the engine's list of endpoints as DNS-SD has it (`core.ports.Discovery`)."""
+
+    def __init__(
+        self, engine: DeliveryEngine, records: Records, services: Sequence[str], refresh_s: float
+    ) -> None:
         self.engine = engine
         self.records = records
         self.services = services
         self.refresh_s = refresh_s
-        self.last = None
+        self.last: list[FoundEndpoint] | None = None
         self.first_answer = anyio.Event()
 
-    def start(self):
+    def start(self) -> None:
         """Nothing is known before the first answer."""
 
-    def snapshot(self) -> dict:
+    def snapshot(self) -> dict[str, Any]:
         """What another process needs beside the list: nothing, it reads the records itself."""
         return {}
 
-    def resume(self, found: dict):
+    def resume(self, found: dict[str, Any]) -> None:
         """Another process has handed over its list."""
 
-    def poll(self):
-        """The module asks for the list's changes: they come with the next refresh."""
+    def poll(self) -> None:
+        """The policy asks for the list's changes: they come with the next refresh."""
         self.engine.update_endpoints(UpdateScope.DELTA, [])
 
-    def apply_settings(self, told):
-        """The core has other settings: kinds are read by them at the next refresh."""
+    def apply_settings(self, settings: EffectiveSettings) -> None:
+        """The engine has other settings: kinds are read by them at the next refresh."""
 
-    def change_address(self, records):
+    def change_address(self, records: Records) -> None:
         """The records are to be had elsewhere from now on."""
         self.records = records
 
-    async def run(self):
+    async def run(self) -> None:
         """Refresh until cancelled; while the records cannot be had, the list stays as it was."""
         while True:
             try:
-                found = await anyio.to_thread.run_sync(
-                    browse, self.records, self.services, self.engine.settings.kinds, abandon_on_cancel=True
-                )
-                if found != self.last:
-                    self.last = found
-                    # The core marks hops as not usable in place, and the next comparison needs them as read.
-                    self.engine.update_endpoints(
-                        UpdateScope.FULL, [(replace(endpoint), state) for endpoint, state in found]
-                    )
-                    log("list", scope="FULL", hops=len(found))
+                await self._refresh()
             except (OSError, ValueError, dns.exception.DNSException) as error:
                 log("discovery_failed", error=str(error) or type(error).__name__)
             self.first_answer.set()
             await anyio.sleep(self.refresh_s)
 
-
-def own_records(file) -> str:
-    """The records under which others find this courier, as lines of a zone file."""
+    async def _refresh(self) -> None:
+        found = await anyio.to_thread.run_sync(
+            browse, self.records, self.services, self.engine.settings.kinds, abandon_on_cancel=True
+        )
+        if found == self.last:
+            return
+        self.last = found
+        # The engine marks endpoints as not usable in place, and the next comparison needs them as read.
+        copies = [(replace(endpoint), state) for endpoint, state in found]
+        self.engine.update_endpoints(UpdateScope.FULL, copies)
+        log("list", scope="FULL", hops=len(found))
+
+
+def own_records(file: File) -> str:
+    """The records under which others find this node, as lines of a zone file."""
     name, domain = file.application.name, file.discovery.domain
     lines = [f"$ORIGIN {domain}", "$TTL 60"]
     for service, address in (("_pinspread._tcp", file.listen.resp), ("_amqp._tcp", file.listen.amqp)):
-        if not address:
-            continue
-        host, port = split_address(address)
-        instance = f"{name}.{service}"
-        lines += [
-            f"_services._dns-sd._udp PTR {service}",
-            f"{service} PTR {instance}",
-            f"{instance} SRV 0 0 {port} {name}",
-            f'{instance} TXT "txtvers=1" "app={name}"',
-        ]
-    if file.members and file.members.service:
-        host, port = split_address(file.members.advertise or file.members.listen)
-        service = file.members.service
-        instance, target = f"{file.members.id}.{service}", f"{file.members.id}.members"
-        lines += [
-            f"_services._dns-sd._udp PTR {service}",
-            f"{service} PTR {instance}",
-            f"{instance} SRV 0 0 {port} {target}",
-            f'{instance} TXT "txtvers=1" "fleet={file.members.fleet}"',
-            f"{target} A {host}",
-        ]
-    hosts = {split_address(a)[0] for a in (file.listen.resp, file.listen.amqp) if a}
+        if address:
+            _, port = split_address(address)
+            lines += _service_lines(service, f"{name}.{service}", port, name, f"app={name}")
+    lines += _member_lines(file)
+    hosts = {split_address(address)[0] for address in (file.listen.resp, file.listen.amqp) if address}
     lines += [f"{name} A {host}" for host in sorted(hosts)]
     return "\n".join(lines) + "\n"
+
+
+def _member_lines(file: File) -> Iterator[str]:
+    """The records by which members find this one's seed address."""
+    members = file.members
+    if not members or not members.service:
+        return
+    host, port = split_address(members.advertise or members.listen)
+    target = f"{members.id}.members"
+    instance = f"{members.id}.{members.service}"
+    yield from _service_lines(members.service, instance, port, target, f"fleet={members.fleet}")
+    yield f"{target} A {host}"
+
+
+def _service_lines(service: str, instance: str, port: int, target: str, text: str) -> list[str]:
+    return [
+        f"_services._dns-sd._udp PTR {service}",
+        f"{service} PTR {instance}",
+        f"{instance} SRV 0 0 {port} {target}",
+        f'{instance} TXT "txtvers=1" "{text}"',
+    ]
--- a/pinspread/testbed/processes.py
+++ b/pinspread/testbed/processes.py
@@ -42,7 +42,7 @@
 
 import orjson
 
-from pinspread.config import application
+from pinspread.config.template import template
 from pinspread.membership import codec as wire
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed.faults import Proxy, Rules
@@ -113,7 +113,7 @@
 
     def config(self):
         s = self.stage
-        text = application.template(self.id)
+        text = template(self.id)
         for port, old in ((6379, "127.0.0.1:6379"), (5672, "127.0.0.1:5672"), (9600, "127.0.0.1:9600")):
             text = text.replace(old, f"{self.real[0]}:{port}")
         text = text.replace('folder = "state"', f'folder = "{self.folder / "state"}"')
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -11,7 +11,7 @@
 from pamqp import commands
 from standins import AmqpClient, Broker, Client, HttpStandIn, engine, own_address, standing, until
 
-from pinspread.config import application
+from pinspread.config.template import template
 from pinspread.policy.events import EndpointState
 
 PAYMENTS, PARTNERS = 3000, 20
@@ -201,7 +201,7 @@
 
     def __init__(self, folder, broker, notices):
         self.address = own_address()
-        text = application.template("pay").replace("127.0.0.1:8500", notices)
+        text = template("pay").replace("127.0.0.1:8500", notices)
         text = text.replace('amqp = "127.0.0.1:5672"', "").replace("127.0.0.1:6379", self.address)
         text = text.replace('"state"', f'"{folder}/state"').replace("partners.zone", f"{folder}/zone")
         (folder / "secret").write_text("s3cret\n")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -2,6 +2,7 @@
 
 import socket
 import threading
+import tomllib
 
 import dns.flags
 import dns.message
@@ -13,9 +14,11 @@
 from pinspread.__main__ import main
 from pinspread.config import application, dnssd, settings
 from pinspread.config.amqp_front import amqp_file
+from pinspread.config.models import File
+from pinspread.config.template import template
 from pinspread.policy.events import EndpointState
 
-GOOD = application.template("booking")
+GOOD = template("booking")
 MEMBERS = '[members]\nid = "c1"\nlisten = "127.0.0.1:7946"\nfleet = "f"\n'
 VOTER = '[[leases.voter]]\nid = "c{0}"\naddress = "127.0.0.{0}:7947"\n'
 LEASES = '[leases]\nlisten = "127.0.0.1:7947"\nlease_s = 10\n' + "".join(map(VOTER.format, (1, 2, 3)))
@@ -119,14 +122,14 @@
 
     members = '[members]\nid = "c1"\nlisten = "127.0.0.7:7946"\nfleet = "f"\n'
     path = tmp_path / "f.toml"
-    path.write_text(application.template("shop") + members + 'service = "_pinspread-swim._udp"\n')
+    path.write_text(template("shop") + members + 'service = "_pinspread-swim._udp"\n')
     assert main(["config", "records", str(path)]) == 0
     (tmp_path / "zone").write_text(capsys.readouterr().out)
     records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "zone"))
     assert seeds.find(records, "_pinspread-swim._udp") == ["127.0.0.7:7946"]
     records.zone_file = str(tmp_path / "none")
     assert seeds.found_or_none(records, "_pinspread-swim._udp") is None
-    told = application.told(application.load(str(path)))
+    told = application.effective_settings(application.load(str(path)), seed=1)
     assert (
         told.inherited_listener_descriptor is None
     )  # so no second process ever binds membership's port beside the first
@@ -196,7 +199,7 @@
         ports = {"http": http.split(":")[1], "amqp": amqp.split(":")[1]}
         (tmp_path / "z").write_text(ZONE.format(**ports))
         records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "z"))
-        discovery = dnssd.DnsSd(rig.engine, records, ["_http._tcp", "_amqp._tcp"], 0.05)
+        discovery = dnssd.DnsSdDiscovery(rig.engine, records, ["_http._tcp", "_amqp._tcp"], 0.05)
         rig.tasks.start_soon(discovery.run)
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
@@ -210,7 +213,7 @@
 
 
 def test_an_applications_file_becomes_settings_for_the_module(tmp_path):
-    told = application.told(application.File.model_validate(__import__("tomllib").loads(GOOD)), seed=1)
+    told = application.effective_settings(File.model_validate(tomllib.loads(GOOD)), seed=1)
     assert told.listen == "127.0.0.1:6379" and told.policy_settings.classes[0].in_order
     assert (
         told.delivery_rules["booking-change"].traffic_class.in_order
@@ -225,3 +228,32 @@
     (tmp_path / "amqp.toml").write_text("listening = 1")
     with pytest.raises(settings.SettingsError):
         amqp_file(tmp_path / "amqp.toml")
+
+
+@pytest.mark.parametrize(
+    ("standard", "former"),
+    [
+        (["replication", "127.0.0.1:1"], ["copies", "127.0.0.1:1"]),
+        (["config", "endpoints", "f.toml"], ["config", "hops", "f.toml"]),
+    ],
+)
+def test_a_command_answers_to_its_standard_name_as_to_its_former_one(standard, former, capsys):
+    assert main(standard) == main(former)
+    said, before = capsys.readouterr().err.splitlines()
+    assert said.replace(standard[0], former[0]) == before
+
+
+@pytest.mark.parametrize(("standard", "former"), [("simulate", "fleet"), ("testbed", "stage")])
+def test_a_tool_answers_to_its_standard_name_as_to_its_former_one(standard, former, capsys):
+    said = []
+    for name in (standard, former):
+        assert main([name, "--help"]) == 0
+        said.append(capsys.readouterr().out.replace(f"pinspread {name}", "pinspread NAME"))
+    assert "Usage" in said[0] and said[0].split() == said[1].split()
+
+
+def test_the_help_shows_the_standard_names(capsys):
+    with pytest.raises(SystemExit):
+        main(["--help"])
+    said = capsys.readouterr().out
+    assert all(name in said for name in ("simulate (fleet)", "testbed (stage)", "replication (copies)"))
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -9,7 +9,7 @@
 import pytest
 from standins import own_address
 
-from pinspread.config import application
+from pinspread.config.checks import problems
 
 EXAMPLES = Path(__file__).parents[1] / "examples"
 
@@ -48,4 +48,4 @@
 
 @pytest.mark.parametrize("file", sorted(EXAMPLES.glob("*.toml")), ids=lambda p: p.name)
 def test_example_files_are_well(file):
-    assert application.problems(file.read_text()) == []
+    assert problems(file.read_text()) == []
