--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -185,7 +185,7 @@
     if chosen.json:
         print(orjson.dumps(view).decode())
     else:
-        print(*status_client.LINES[name](view, time.monotonic_ns() // 1000), sep="\n")
+        print(*status_client.FORMATTERS[name](view, time.monotonic_ns() // 1000), sep="\n")
     return 0
 
 
--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -20,13 +20,13 @@
 from pinspread.config.settings import EffectiveSettings
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
+from pinspread.core.message_fields import MAX_DESTINATION
 from pinspread.core.messages import Endpoint
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.sockets import split_address
 
 QUERY_TIMEOUT_S = 2.0
 ROUTE_KEYS = ("exchange", "routing_key", "vhost")
-MAX_DESTINATION = 65_535
 MAX_RATE_PER_S = 1e6  # calls a second; a rate must be below it
 
 FoundEndpoint = tuple[Endpoint, EndpointState]
@@ -191,7 +191,7 @@
         # The engine marks endpoints as not usable in place, and the next comparison needs them as read.
         copies = [(replace(endpoint), state) for endpoint, state in found]
         self.engine.update_endpoints(UpdateScope.FULL, copies)
-        log("list", scope="FULL", hops=len(found))
+        log("endpoint_list", scope="FULL", endpoints=len(found))
 
 
 def own_records(file: File) -> str:
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -28,12 +28,14 @@
 from pinspread.core.journal import Journal
 from pinspread.core.log import log, use_clock
 from pinspread.core.ports import BackgroundService, Discovery, EndpointAdmin
-from pinspread.discovery.client import Discovery as PlatformDiscovery
+from pinspread.discovery.client import DiscoveryClient
 from pinspread.errors import JournalFormatError, JournalFullError
-from pinspread.http.transport import HttpTransport, Pool
+from pinspread.http.pool import ConnectionPool
+from pinspread.http.transport import HttpTransport
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.resp.front import NAME as RESP
-from pinspread.resp.front import NotificationSender, RespFront
+from pinspread.resp.front import RespFront
+from pinspread.resp.notifications import NotificationSender
 
 if TYPE_CHECKING:
     from pinspread.admin.server import AdminServer
@@ -112,7 +114,7 @@
         journal = Journal(settings.state, settings.disk_bytes)
         policy = DeliveryPolicy(settings.policy_settings, settings.seed)
         self.engine = DeliveryEngine(policy, settings, self.clock, journal)
-        self.pool = Pool(self.clock, settings.keepalive_us)
+        self.pool = ConnectionPool(self.clock, settings.keepalive_us)
         self.notifications = NotificationSender(settings.discovery)
         self.limiter = sockets.ConnectionLimiter(self.clock, *_connection_limits(settings))
         self._connect_engine()
@@ -141,7 +143,7 @@
         engine.fronts[AMQP] = self.amqp_front
 
     def _platform_discovery(self, engine: DeliveryEngine) -> Discovery:
-        return PlatformDiscovery(self.settings.discovery, engine, self.settings)
+        return DiscoveryClient(self.settings.discovery, engine, self.settings)
 
     # --- from start to end ----------------------------------------------------------------------------
 
@@ -244,7 +246,7 @@
             return None
         self.engine.resume_from_handover(transferred.state)
         self.discovery.resume(transferred.state["discovery"])
-        self.pool.adopt(transferred.idle_connections)
+        self.pool.attach_all(transferred.idle_connections)
         return transferred
 
     async def _lock_and_prepare(self) -> bool:
@@ -343,7 +345,7 @@
         self._apply_settings(new)
         self.discovery.apply_settings(new)
         self.discovery.change_address(discovery_source)
-        self.notifications.move(notification_address)
+        self.notifications.change_address(notification_address)
         last_good.save(new)
         classes = {name: rules.traffic_class.effect.value for name, rules in new.delivery_rules.items()}
         attempts = new.policy_settings.max_attempts
@@ -360,7 +362,7 @@
         engine.apply_settings(new)
         engine.transports["http"].dial_us = new.connect_timeout_us
         engine.transports["http"].reports = new.load_reports_enabled
-        self.pool.keep_for(new.keepalive_us)
+        self.pool.set_keepalive(new.keepalive_us)
         self.limiter.resize(*_connection_limits(new))
         engine.journal.resize(new.disk_bytes)
 
@@ -394,20 +396,20 @@
         scopes, self._pausable = self._pausable, []
         for scope in scopes:
             scope.cancel()
-        connections = await self.resp_front.part()
+        connections = await self.resp_front.detach_connections()
         state = self.engine.pause_for_handover(successor) | {"discovery": self.discovery.snapshot()}
         return HandoverPayload(
             packed_state=pack_state(state),
             attempts_in_flight=len(state["out"]),
             client_connections=_within_limit(connections, self.settings.sockets // 4),
-            idle_connections=[IdleEndpointConnection(*idle) for idle in self.pool.part()],
+            idle_connections=[IdleEndpointConnection(*idle) for idle in self.pool.detach_all()],
             listeners={name: sock for name, sock in self.listeners.items() if name != RESP},
             lock_descriptor=self.lock.fd,
         )
 
     def resume_after_handover(self, payload: "HandoverPayload") -> None:
         """The next process did not take over: serve on."""
-        self.pool.adopt(payload.idle_connections)
+        self.pool.attach_all(payload.idle_connections)
         self.engine.cancel_handover()
         self._start_discovery()
         self._serve_clients(payload.client_connections)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,6 +11,7 @@
 
 from pinspread import sockets
 from pinspread.core.messages import DeliveryRules, Endpoint
+from pinspread.discovery import backoff
 from pinspread.discovery import client as discovery
 from pinspread.http import transport as http
 from pinspread.policy import delivery_policy as decide
@@ -49,10 +50,14 @@
 @pytest.mark.parametrize(
     ("answer", "behind", "ends"),
     [
-        (b"HTTP/1.1 200 OK\r\nContent-Le", "REST_S", []),  # delivered, whatever comes or does not come behind
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Le",
+            "DRAIN_TIMEOUT_S",
+            [],
+        ),  # delivered, whatever comes or does not come behind
         (
             b"HTTP/1.1 503 x\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n",
-            "SLOT_S",
+            "SLOT_PAUSE_S",
             ["returned"],
         ),  # never ran
     ],
@@ -142,12 +147,13 @@
 @asynccontextmanager
 async def watched(tmp_path, monkeypatch, faster=4):
     """A courier and its agent, with the watch's times cut to a quarter."""
-    for name in ("LINE_S", "FIRST_S", "HEAD_S", "TRY_S", "AGAIN_S"):
+    for name in ("LINE_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S", "RESPONSE_TIMEOUT_S", "OPEN_INTERVAL_S"):
         monkeypatch.setattr(discovery, name, getattr(discovery, name) / faster)
+    monkeypatch.setattr(backoff, "REOPEN_DELAY_S", backoff.REOPEN_DELAY_S / faster)
     agent = Agent()
     async with engine(tmp_path, agent.address) as rig:
         rig.tasks.start_soon(agent.run)
-        watch = discovery.Discovery(agent.address, rig.engine, rig.engine.settings)
+        watch = discovery.DiscoveryClient(agent.address, rig.engine, rig.engine.settings)
         rig.tasks.start_soon(watch.run)
         await until(lambda: agent.watches)
         yield rig, agent, watch
@@ -214,9 +220,9 @@
         # Both are there before the courier reads either; the newer one's are first.
         new.say(at, told(9, S1 | {"health": "draining"}) + b"\n", head=True)
         agent.say(0, told(6, S1, whole=False) + b"\n")
-        await until(lambda: watch.seq == 9)
+        await until(lambda: watch.sequence == 9)
         await anyio.sleep(0.05)
-        assert not rig.engine.endpoints["s-1"].usable and watch.seq == 9
+        assert not rig.engine.endpoints["s-1"].usable and watch.sequence == 9
         new.sock.close()
 
 
@@ -224,7 +230,7 @@
     async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
         news = {"seq": 5, "whole": True, "hosts": [host('"s-{[1\\"', "127.0.0.1:9"), S1]}
         agent.say(0, b"\n" + orjson.dumps(news, option=orjson.OPT_INDENT_2) + b"\n\n", head=True)
-        await until(lambda: len(rig.engine.endpoints) == 2 and watch.seq == 5)
+        await until(lambda: len(rig.engine.endpoints) == 2 and watch.sequence == 5)
         assert len(agent.asked) == 1
 
 
@@ -253,7 +259,7 @@
         agent.say(0, told(7, S1 | {"health": "gone", "dial": None}, whole=False) + b"\n")
         await until(lambda: not rig.engine.endpoints)  # what it says of one that is known still counts
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
-    assert logged.count("malformed_host") == 2
+    assert logged.count("malformed_endpoint") == 2
 
 
 @pytest.mark.parametrize("seq", ["a b", -1, None, 1.5])
@@ -301,7 +307,7 @@
         leg = await sockets.dial(rig.address)
         await leg.write(b"*1\r\n$4\r\nPING\r\n")
         assert await leg.read() == b"+PONG\r\n"
-        room = rig.engine.fronts["resp"].room
+        room = rig.engine.fronts["resp"].limiter
         (ours,) = room.clients.values()
         body = b"x" * 6000  # two of them: the second is still unread when the first is parsed
         command = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm%d\r\n$31\r\nc=payment,t=north,d=5000,dest=1\r\n"
@@ -331,7 +337,7 @@
             rig.tasks.start_soon(agent.run)
             old = {"seq": 5, "whole": True, "hosts": [ready]}  # as the configuration has it
             settings_ = dataclasses.replace(rig.engine.settings, cached_endpoints=old)
-            watch = discovery.Discovery(agent.address, rig.engine, settings_)
+            watch = discovery.DiscoveryClient(agent.address, rig.engine, settings_)
             watch.start()
             rig.tasks.start_soon(watch.run)
             await until(lambda: agent.watches and not rig.engine.messages_by_id)  # its time is over
