--- a/pinspread/standalone.py
+++ b/pinspread/standalone.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from pinspread.leases.service import LeaseConfig
     from pinspread.membership.service import MembershipConfig
-    from pinspread.replication.service import ReplicationConfig
+    from pinspread.replication.config import ReplicationConfig
 
 US_PER_S = 1_000_000
 US_PER_MS = 1000
@@ -148,20 +148,20 @@
 
 def replication_config(copies: Copies, folder: str) -> "ReplicationConfig":
     """What `pinspread.replication` runs by; what lasts goes below `folder` unless the file names another."""
-    from pinspread.replication.service import ReplicationConfig
+    from pinspread.replication.config import ReplicationConfig
 
     return ReplicationConfig(
-        copies.listen,
-        copies.folder or os.path.join(folder, "copies"),
-        copies.count,
-        copies.need,
-        _microseconds(copies.ack_s),
-        copies.alone,
-        _microseconds(copies.check_s),
-        _microseconds(copies.stagger_s),
-        _microseconds(copies.patience_s),
-        _microseconds(copies.absent_s),
-        copies.sync,
+        listen=copies.listen,
+        folder=copies.folder or os.path.join(folder, "copies"),
+        replica_count=copies.count,
+        required_acks=copies.need,
+        ack_timeout_us=_microseconds(copies.ack_s),
+        allow_unreplicated=copies.alone,
+        check_interval_us=_microseconds(copies.check_s),
+        takeover_stagger_us=_microseconds(copies.stagger_s),
+        incomplete_timeout_us=_microseconds(copies.patience_s),
+        absence_timeout_us=_microseconds(copies.absent_s),
+        sync_to_disk=copies.sync,
     )
 
 
