--- a/pinspread/policy/dispatch.py
+++ b/pinspread/policy/dispatch.py
@@ -163,9 +163,8 @@
     def _fill_slots(self) -> None:
         now_ns, slots = self.context.now_ns, self.context.settings.max_concurrent_calls
         opens_ns, overdue = self.outliers.destination_opens_ns, self._is_overdue
-        ready = [
-            d for d in self.waiting.values() if opens_ns(d, any(map(overdue, d.queue.values()))) <= now_ns
-        ]
+        waiting = self.waiting.values() if self.calls_in_flight < slots else ()
+        ready = [d for d in waiting if opens_ns(d, any(map(overdue, d.queue.values()))) <= now_ns]
         best = {d.number: min(map(self._urgency, d.queue.values()))[0] for d in ready}
         while ready and self.calls_in_flight < slots:  # by turns, and by priority where slots are scarce
             destination = min(ready, key=lambda d: (d.calls_in_flight, best[d.number], d.last_turn))
@@ -192,7 +191,8 @@
                 self.reject_or_fail(message)  # its waits are longer than its time
                 continue
             at_ns = self._ready_from_ns(message)
-            self.wake_ns = min(self.wake_ns, message.deadline_ns, at_ns if at_ns > now_ns else NEVER)
+            at_ns = at_ns if now_ns < at_ns < message.deadline_ns else message.deadline_ns
+            self.wake_ns = at_ns if at_ns < self.wake_ns else self.wake_ns
 
     def _wake_at(self, at_ns: int) -> None:
         if at_ns > self.context.now_ns:
@@ -266,9 +266,10 @@
     def _ready_from_ns(self, message: QueuedMessage) -> int:
         if message.attempts and not message.destination.retry_budget.allows_retry():
             return NEVER
-        if message.key and self.keys[message.key][0] is not message:
-            return NEVER  # rule 6
-        return max(message.ready_ns, 0 if message.attempts else self.ordering_pauses.get(message.key, 0))
+        if not message.key:
+            return message.ready_ns
+        pause_ns = 0 if message.attempts else self.ordering_pauses.get(message.key, 0)
+        return max(message.ready_ns, pause_ns) if self.keys[message.key][0] is message else NEVER  # rule 6
 
     def _priority(self, message: QueuedMessage, at_ns: int) -> float:
         rules, objective_ns = message.traffic_class, message.traffic_class.latency_objective_ns
