--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -704,8 +704,8 @@
     async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client, turns = Client(rig.address), []
         found = rig.engine.sender
-        await until(lambda: "s-1" in found.endpoints)
-        found.endpoints["s-1"].doubt = 0.4
+        await until(lambda: "s-1" in found.discovery.endpoints)
+        found.discovery.endpoints["s-1"].failure_rate = 0.4
         handle = found.handle
         found.handle = lambda now, events: turns.append(now) or handle(now, events)
         for _ in range(2):
