--- /dev/null
+++ b/pinspread/amqp/server.py
@@ -0,0 +1,83 @@
+"""The AMQP 0-9-1 front: publishers submit messages, consumers of `reply-to` receive their final results.
+
+`basic.ack` says that a message is accepted and in the journal. A rejection is `basic.return`, which says when
+the message may be published again, and then `basic.nack`. Each final result is one message to the queue that
+`reply-to` names, kept in the journal until a consumer acknowledges it.
+"""
+
+import socket
+
+import anyio
+
+from pinspread.amqp.publishing import FRONT_NAME
+from pinspread.amqp.result_queue import PendingResult, ResultQueueRegistry
+from pinspread.amqp.session import FrontServices, Session
+from pinspread.core.engine import DeliveryEngine
+from pinspread.core.log import log
+from pinspread.core.messages import FinalResult, Message
+from pinspread.sockets import ClientConnection, Connection, ConnectionLimiter, accept_forever
+
+__all__ = ["FRONT_NAME", "AmqpFront"]
+
+HEARTBEAT_S = 30
+SHUTDOWN_S = 0.05  # for what the clients are told at the end to be written
+
+
+class AmqpFront:
+    """Connections of publishers and consumers, and the queues of final results.
+
+    Args:
+        engine: What accepts messages.
+        heartbeat_s: The heartbeat interval that clients are offered, in seconds.
+        limiter: The limit on client connections; by default one of its own.
+
+    Attributes:
+        queues: The queues that hold results or serve consumers.
+        sessions: The open connections.
+    """
+
+    reports_delivery = True
+    ordered_by_notice = False  # a key goes on once its result is in the journal: consumers may be long away
+
+    def __init__(
+        self,
+        engine: DeliveryEngine,
+        heartbeat_s: int = HEARTBEAT_S,
+        limiter: ConnectionLimiter | None = None,
+    ) -> None:
+        self.engine = engine
+        self.limiter = limiter or ConnectionLimiter(engine.clock)
+        self.heartbeat_s = heartbeat_s
+        self.queues = ResultQueueRegistry()
+        self.sessions: set[Session] = set()
+
+    async def run(self, sock: socket.socket) -> None:
+        """Accept and serve until cancelled; the socket is the caller's."""
+        async with anyio.create_task_group() as tasks:
+            await accept_forever(sock, tasks, self.serve, self.limiter)
+
+    async def serve(self, connection: Connection, client: ClientConnection) -> None:
+        """Serve one connection to its end."""
+        services = FrontServices(self.engine, self.queues, self.limiter)
+        session = Session(services, connection, client, self.heartbeat_s)
+        self.sessions.add(session)
+        try:
+            await session.run()
+        except Exception as error:
+            # Raised on, one client's error would end the process and all that it serves.
+            log("internal_error", where="amqp session", error=repr(error))
+        finally:
+            self.sessions.discard(session)
+
+    async def close(self) -> None:
+        """Tell all clients that the process ends."""
+        for session in list(self.sessions):
+            session.announce_shutdown()
+        await anyio.sleep(SHUTDOWN_S)
+
+    async def notify(self, message: Message, final: FinalResult) -> None:
+        """Deliver a final result; returns once a consumer has acknowledged it."""
+        pending = PendingResult(message.id, final)
+        queue = self.queues.get(message.reply["to"])
+        queue.put(pending)
+        await pending.acknowledged.wait()
--- /dev/null
+++ b/pinspread/amqp/transport.py
@@ -0,0 +1,136 @@
+"""Endpoints that are AMQP 0-9-1 brokers: one connection each, publisher confirms, and no second publish.
+
+What a broker's answer proves: an ack, that the message was delivered; a return as unroutable, that it never
+ran; a nack, that it may have run. A connection that is lost before a publish's last byte proves that it never
+ran; after it, that it may have run.
+"""
+
+from collections.abc import Callable
+
+import anyio
+from anyio.abc import TaskGroup
+
+from pinspread.amqp.broker_connection import BrokerConnection, blocked_result
+from pinspread.amqp.errors import AmqpError
+from pinspread.amqp.pending_confirm import PendingConfirm
+from pinspread.core.clock import Clock
+from pinspread.core.messages import Attempt, AttemptResult, Endpoint
+from pinspread.policy.events import Outcome
+from pinspread.sockets import dial
+
+HEARTBEAT_S = 10
+GUEST_LOGIN = "\0guest\0guest"  # the PLAIN response of the specification's default user
+US_PER_S = 1_000_000
+
+
+class BrokerTransport:
+    """Publishes attempts to brokers.
+
+    Args:
+        clock: The clock of the process.
+        tasks: Where the tasks run that follow the connections.
+        connect_timeout_us: How long a connection may take to open, in microseconds.
+        login: The response to the PLAIN mechanism.
+        heartbeat_s: The longest heartbeat interval, in seconds.
+
+    Attributes:
+        connections: The connections by the ids of their endpoints; each may have been lost since.
+        connect_locks: Held while a connection is opened, by the ids of endpoints.
+    """
+
+    def __init__(
+        self,
+        clock: Clock,
+        tasks: TaskGroup,
+        connect_timeout_us: int,
+        login: str = GUEST_LOGIN,
+        heartbeat_s: int = HEARTBEAT_S,
+    ) -> None:
+        self.connections: dict[str, BrokerConnection] = {}
+        self.connect_locks: dict[str, anyio.Lock] = {}
+        self._clock = clock
+        self._tasks = tasks
+        self._connect_timeout_us = connect_timeout_us
+        self._login = login
+        self._heartbeat_s = heartbeat_s
+
+    async def send(self, attempt: Attempt) -> AttemptResult:
+        """Publish once, and wait for the confirm."""
+        confirm = PendingConfirm()
+        try:
+            with anyio.move_on_after(self._seconds_until(attempt.ends_us())):
+                broker = await self._connect(attempt.endpoint)
+                await broker.unblocked.wait()
+                return await broker.publish(attempt, confirm)
+        except (OSError, TimeoutError, AmqpError) as error:
+            outcome = Outcome.RESET if confirm.written else Outcome.CONNECT_FAILED
+            return AttemptResult(outcome, note=str(error))
+        return self._timed_out(attempt, confirm)
+
+    def _timed_out(self, attempt: Attempt, confirm: PendingConfirm) -> AttemptResult:
+        """The result of an attempt whose time is over: what is proven by then stands."""
+        proven = confirm.proven_result()
+        if proven is not None:
+            return proven
+        if confirm.written:
+            return AttemptResult(Outcome.TIMEOUT)
+        broker = self.connections.get(attempt.endpoint.id)
+        if not confirm.started and broker is not None and not broker.closed_reason:
+            return blocked_result()
+        return AttemptResult(Outcome.CONNECT_FAILED, note="not written in time")
+
+    async def check_health(self, endpoint: Endpoint, check_before_write: Callable[[], str]) -> AttemptResult:
+        """Check whether the connection to a broker is up and not blocked.
+
+        Args:
+            endpoint: The broker.
+            check_before_write: Gives a reason not to check; empty if there is none.
+        """
+        reason = check_before_write()
+        if reason:
+            return AttemptResult(Outcome.NOT_SENT, note=reason)
+        try:
+            broker = await self._connect(endpoint)
+        except (OSError, TimeoutError, AmqpError) as error:
+            return AttemptResult(Outcome.CONNECT_FAILED, note=str(error))
+        return AttemptResult(Outcome.OK if broker.unblocked.is_set() else Outcome.OVERLOADED)
+
+    def disconnect(self, endpoint: Endpoint) -> None:
+        """Close the connection to a broker if no publish is pending on it."""
+        broker = self.connections.get(endpoint.id)
+        if broker is not None and not broker.pending:
+            broker.close("not needed any more")
+
+    def forget(self, endpoint: Endpoint) -> None:
+        """Keep nothing of a broker that is gone; its connection ends with the last pending publish."""
+        broker = self.connections.pop(endpoint.id, None)
+        self.connect_locks.pop(endpoint.id, None)
+        if broker is not None:
+            broker.delist()
+
+    def _seconds_until(self, time_us: int) -> float:
+        return max(0, time_us - self._clock.now()) / US_PER_S
+
+    async def _connect(self, endpoint: Endpoint) -> BrokerConnection:
+        """The connection to a broker, opened if there is none."""
+        async with self.connect_locks.setdefault(endpoint.id, anyio.Lock()):
+            broker = self.connections.get(endpoint.id)
+            if broker is not None and broker.address == endpoint.address and not broker.closed_reason:
+                return broker
+            if broker is not None:
+                broker.close("its address has changed")
+            with anyio.fail_after(self._connect_timeout_us / US_PER_S):
+                broker = await self._open(endpoint)
+            self.connections[endpoint.id] = broker
+            self._tasks.start_soon(broker.run)
+            return broker
+
+    async def _open(self, endpoint: Endpoint) -> BrokerConnection:
+        connection = await dial(endpoint.address)
+        try:
+            broker = BrokerConnection(endpoint, connection, self._clock)
+            await broker.open(self._login, self._heartbeat_s)
+        except BaseException:
+            connection.close()
+            raise
+        return broker
--- a/pinspread/simulation/experiment.py
+++ b/pinspread/simulation/experiment.py
@@ -28,7 +28,7 @@
     constants: dict[str, Any] = {}  # of the policy
     settings: dict[str, Any] = {}  # fields of interface.Settings
     world: dict[str, Any] = {}  # tables that replace the world's, key by key
-    module: str = ""  # a folder with the modules of a policy
+    module: str = ""  # a folder with the modules of a policy package
     revision: str = ""  # or a git revision
     module_seed: int = 0  # another seed for the module's own chance, on the same days
 
--- a/pinspread/sockets/__init__.py
+++ b/pinspread/sockets/__init__.py
@@ -1,1 +1,22 @@
-"""Non-blocking sockets: client connections, their limiter and read buffers."""
+"""Non-blocking TCP: listeners, connections, read buffers and the limit on client connections."""
+
+from pinspread.sockets.address import split_address
+from pinspread.sockets.connection import Connection, dial
+from pinspread.sockets.idle import IdleConnection
+from pinspread.sockets.limiter import ClientConnection, ConnectionLimiter
+from pinspread.sockets.listener import Limiter, accept_forever, listen, serve_counted
+from pinspread.sockets.read_buffer import ReadBuffer
+
+__all__ = [
+    "ClientConnection",
+    "Connection",
+    "ConnectionLimiter",
+    "IdleConnection",
+    "Limiter",
+    "ReadBuffer",
+    "accept_forever",
+    "dial",
+    "listen",
+    "serve_counted",
+    "split_address",
+]
--- /dev/null
+++ b/pinspread/sockets/read_buffer.py
@@ -0,0 +1,70 @@
+"""The buffer between a connection and the parser of its protocol."""
+
+from collections.abc import Callable
+
+from pinspread.sockets.connection import Connection
+
+MIN_SIZE = 1 << 13  # bytes; also what an empty buffer shrinks to
+MIN_FREE = MIN_SIZE // 4  # bytes; with less behind what is in the buffer, it is moved or grown before a read
+
+
+class ReadBuffer:
+    """Bytes that were read and are not consumed yet. Slices of it are valid until the next read.
+
+    Args:
+        reserve: Asked for the new size in bytes before the buffer grows; false if it may not.
+
+    Attributes:
+        start: Where the unconsumed bytes begin in `data`.
+        end: Where they end.
+    """
+
+    def __init__(self, reserve: Callable[[int], bool] | None = None) -> None:
+        self.data = bytearray(MIN_SIZE)
+        self.start = self.end = 0
+        self.reserve = reserve or (lambda size: True)
+
+    def view(self) -> memoryview:
+        """Return the unconsumed bytes."""
+        return memoryview(self.data)[self.start : self.end]
+
+    def preload(self, data: bytes) -> None:
+        """Start with bytes that were read by another process."""
+        self.data = bytearray(max(MIN_SIZE, 2 * len(data)))
+        self.data[: len(data)] = data
+        self.start, self.end = 0, len(data)
+
+    def consume(self, size: int) -> None:
+        """Drop so many bytes from the start of the view."""
+        self.start += size
+        if self.start == self.end:
+            self.start = self.end = 0
+
+    def writable(self) -> memoryview:
+        """Return the free part behind the unconsumed bytes, grown or moved to the front where it is short.
+
+        Raises:
+            ConnectionRefusedError: The buffer would have to grow and may not.
+        """
+        if not self.end and len(self.data) > MIN_SIZE:
+            self.data = bytearray(MIN_SIZE)
+        if len(self.data) - self.end < MIN_FREE:
+            unconsumed = bytes(self.view())
+            if len(unconsumed) > len(self.data) // 2:
+                if not self.reserve(2 * len(self.data)):
+                    raise ConnectionRefusedError("no room for more of it")
+                self.data = bytearray(2 * len(self.data))
+            self.data[: len(unconsumed)] = unconsumed
+            self.start, self.end = 0, len(unconsumed)
+        return memoryview(self.data)[self.end :]
+
+    async def fill(self, connection: Connection) -> bool:
+        """Read once from the connection; false at the end of the stream.
+
+        Raises:
+            ConnectionRefusedError: The buffer would have to grow and may not.
+            OSError: The connection is broken.
+        """
+        size = await connection.read_into(self.writable())
+        self.end += size
+        return size > 0
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -13,14 +13,22 @@
 import anyio
 import msgpack
 
-from pinspread.leases import raft as quorum
+from pinspread.leases import codec as lease_codec
+from pinspread.leases import raft, raft_transport
 from pinspread.leases import raft_log as raftlog
 from pinspread.leases import service as leases
 from pinspread.leases import state_machine as lease
 from pinspread.membership import codec as wire
-from pinspread.membership import swim
-from pinspread.replication import service as copying
-from pinspread.replication import store as shelf
+from pinspread.membership import message_codec, swim
+from pinspread.membership import service as member_service
+from pinspread.membership.members import MemberRecord, MemberState
+from pinspread.replication import clock, protocol
+from pinspread.replication.config import ReplicationConfig
+from pinspread.replication.peers import PeerSession
+from pinspread.replication.recovery import ReleasedWork
+from pinspread.replication.service import ReplicationService
+from pinspread.replication.snapshots import ReplicaSnapshot
+from pinspread.replication.store import GENERATION_FILE, ReplicaStore
 
 KEY = b"fleet-a"
 ADDRESSES = {name: f"127.0.0.1:{port}" for name, port in (("a", 7001), ("b", 7002), ("c", 7003))}
@@ -29,42 +37,70 @@
 
 MEMBERS_MAGIC, LEASES_MAGIC, COPIES_MAGIC, VOTERS_MAGIC = (
     wire.MAGIC,
-    leases.MAGIC,
-    copying.MAGIC,
-    quorum.MAGIC,
+    lease_codec.MAGIC,
+    protocol.MAGIC,
+    raft_transport.MAGIC,
 )
-pack, unpack_member, unpack, DatagramError = wire.pack, wire.unpack, wire.whole, wire.DatagramError
+pack, unpack, DatagramError = wire.encode, wire.decode, wire.DatagramError
 
 
-def member(id_):
-    """A member that draws the same every time, at time 0; `tick`, `heard`, `leave`, `view`, `events`."""
-    seeds = [] if id_ == "a" else [ADDRESSES["a"]]
-    return swim.Member(id_, ADDRESSES[id_], seeds, swim.Tuning(), random.Random(id_), 0, 0)
+def unpack_member(data, key):
+    """What a member reads of a datagram, as the wire has it."""
+    return message_codec.to_map(message_codec.decode_message(data, key))
+
+
+class Member:
+    """A member that draws the same every time, at time 0; what it sends is given as the wire has it."""
+
+    def __init__(self, id_):
+        self.one = swim.SwimMember(id_, ADDRESSES[id_], swim.SwimConfig(), random.Random(id_), 0)
+        self.one.set_seeds([] if id_ == "a" else [ADDRESSES["a"]])
+        self.view = self.one.view
+
+    def tick(self, now):
+        return self._on_wire(self.one.tick(now))
+
+    def heard(self, message, now):
+        return self._on_wire(self.one.receive(message_codec.from_map(message), now))
+
+    def leave(self):
+        return self._on_wire(self.one.leave())
+
+    @property
+    def events(self):
+        named = (member_service.event_fields(event) for event in self.one.events)
+        return [{"event": name, **fields} for name, fields in named]
+
+    def _on_wire(self, out):
+        return [(address, message_codec.to_map(message)) for address, message in out]
+
+
+member = Member
 
 
 def membership(id_, now):
     """What leases and copies use of it."""
-    table = {n: swim.Node(n, at, 0, swim.ALIVE, 0) for n, at in ADDRESSES.items()}
-    plan = SimpleNamespace(id=id_, fleet=KEY, clock_rate=1.0)
+    table = {n: MemberRecord(n, at, 0, MemberState.ALIVE, 0) for n, at in ADDRESSES.items()}
+    config = SimpleNamespace(id=id_, fleet_key=KEY, clock_rate=1.0)
     others = SimpleNamespace(table=table, others=lambda *states: [n for n in table.values() if n.id != id_])
-    return SimpleNamespace(plan=plan, member=others, now=now)
+    return SimpleNamespace(config=config, member=others, now=now)
 
 
 def lease_holder(id_, now):
     """A member's leases, with one task of the fleet."""
-    told = leases.Plan(
-        "", ADDRESSES[id_], {"b": ADDRESSES["b"]}, (leases.Task("nightly"),), lease.Terms(), 1.0, ""
+    told = leases.LeaseConfig(
+        "", ADDRESSES[id_], {"b": ADDRESSES["b"]}, (leases.LeaseTask("nightly"),), lease.LeaseTerms(), 1.0, ""
     )
-    return leases.Leases(told, membership(id_, now), seed=1)
+    return leases.LeaseService(told, membership(id_, now), seed=1)
 
 
 class Agreed:
     """A voter's agreement that agrees at once."""
 
     def __init__(self):
-        self.table = SimpleNamespace(rows={})
-        self.sync = SimpleNamespace(raftCurrentTerm=3)
-        self.streams = SimpleNamespace(sent={"entries": 1})
+        self.records = {}
+        self.term = 3
+        self.sent_counts = {"entries": 1}
         self.on_change = None
 
     def is_leader(self):
@@ -74,22 +110,31 @@
         return "b"
 
     def propose(self, task, command, done):
-        row, why = lease.apply(self.table.rows.get(task, lease.Row()), command)
-        self.table.rows[task] = row
+        row, why = lease.apply_command(self.records.get(task, lease.LeaseRecord()), command)
+        self.records[task] = row
         self.on_change(task, row)
         done(row, why)
 
 
 def row(*words):
     """A lease's row from holder, token, version, number; and the reverse."""
-    return lease.Row(*words)
+    return lease.LeaseRecord(*words)
 
 
 def told_row(found):
-    return {"holder": found.holder, "token": found.token, "version": found.version, "number": found.number}
+    return {
+        "holder": found.holder,
+        "token": found.token,
+        "version": found.version,
+        "number": found.request_id,
+    }
 
 
-COMMANDS = {"grant": lease.GRANT, "renew": lease.RENEW, "release": lease.RELEASE}
+COMMANDS = {
+    "grant": lease.CommandKind.GRANT,
+    "renew": lease.CommandKind.RENEW,
+    "release": lease.CommandKind.RELEASE,
+}
 
 
 def command(kind, holder, arg, number=0):
@@ -98,48 +143,107 @@
 
 def copier(id_, folder, holds):
     """A member's copies; `holds(task)` is the token that it holds."""
-    told = copying.Plan(ADDRESSES[id_], str(folder), check_us=10_000)
-    told_leases = SimpleNamespace(holds=holds)
-    found = copying.ReplicationService(told, membership(id_, lambda: 0), told_leases)
-    found.folder.mkdir(parents=True, exist_ok=True)
+    told = ReplicationConfig(ADDRESSES[id_], str(folder), check_interval_us=10_000)
+    told_leases = SimpleNamespace(fencing_token=holds)
+    found = ReplicationService(told, membership(id_, lambda: 0), told_leases)
+    found.stores.open()
     return found
 
 
+def with_journal(found, path):
+    """Let it copy the journal at a path."""
+    found.attach(SimpleNamespace(journal=SimpleNamespace(path=Path(path))))
+
+
+def chosen_to_copy(found, others, token):
+    """It has chosen these others, and knows under this token what was taken over."""
+    found.primary.replicas, found.node.ownership.confirmed_fencing_token = others, token
+
+
+def rewritten(found, data):
+    """Its journal was written anew."""
+    found.primary.rewritten(data)
+
+
+def appended(found, data):
+    """Its journal has grown."""
+    found.primary.appended(data)
+
+
+def generation_of(found):
+    return found.primary.log.generation
+
+
+async def send_on(found, other, pipe, token):
+    """Send its journal on a stream for as long as it holds the token."""
+    await found.primary.send_journal(other, PeerSession(pipe, found.node.id, other), token)
+
+
+async def answered(found, message):
+    """What it answers to a message, both in their form on the wire."""
+    return await found.server.handle(message)
+
+
+def dials(found, dial, live):
+    """It gets its streams from `dial`, and takes these others to live."""
+    found.connector._dial, found.node.fleet.live_ids = dial, lambda: live
+
+
+async def fetch_all(found, owner, token):
+    """All copies of an owner's journal, each in its form on the wire."""
+    copies = await found.recovery._survey.fetch(owner, token)
+    return {other: protocol.encode_answer(copy) for other, copy in copies.items()}
+
+
+async def read_all(found, owner):
+    await found.peers.call_all(protocol.ReadSnapshot(owner))
+
+
+async def done_all(found, owner, token):
+    await found.peers.call_all(protocol.CompleteTakeover(owner, token))
+
+
+async def ask_fetch(found, other, owner, token):
+    await found.peers.call(other, protocol.FetchSnapshot(owner, token))
+
+
+async def ask_spare(found, other, owner):
+    await found.peers.call(other, protocol.RequestRemoval(owner))
+
+
 @contextmanager
 def standing_clock():
     """Copies read this time of the machine and this Unix time."""
     with (
-        mock.patch.object(copying, "machine_us", lambda: 5_000_000),
-        mock.patch.object(copying, "machine_unix_us", lambda: 1_790_000_000_000_000),
+        mock.patch.object(clock, "monotonic_us", lambda: 5_000_000),
+        mock.patch.object(clock, "unix_us", lambda: 1_790_000_000_000_000),
     ):
         yield
 
 
-GENERATION_FILE = copying.GENERATION
-
-
 def told_copy(folder, owner):
     """What a keeper knows of a copy that lies in its folder, and the bytes."""
-    found = shelf.ReplicaStore(Path(folder), owner)
-    kept = found.kept
-    told = {"owner": kept.owner, "token": kept.token, "keepers": kept.keepers, "tried": kept.tried}
-    told |= {"adopted": kept.adopted, "generation": kept.generation, "size": kept.size}
+    found = ReplicaStore(Path(folder), owner)
+    kept = found.replica
+    told = {"owner": kept.owner, "token": kept.fencing_token, "keepers": kept.replicas}
+    told |= {"tried": kept.takeover_candidates, "adopted": kept.takeover_token}
+    told |= {"generation": kept.generation, "size": kept.size}
     return told | {"data": found.data().decode("latin-1")}
 
 
 def rewrite_copy(folder, owner):
     """Write what is known of a copy again."""
-    shelf.ReplicaStore(Path(folder), owner).save()
+    ReplicaStore(Path(folder), owner).save()
 
 
 def restore(folder, generation, data):
     """A start of a courier with its journal in the folder, and one copy of it elsewhere."""
     a = copier("a", Path(folder) / "copies", lambda task: 7)
-    a.engine = SimpleNamespace(journal=SimpleNamespace(path=Path(folder) / "journal"))
-    found = {"generation": generation, "bytes": data, "keepers": ["b"], "tried": [], "adopted": 0}
+    with_journal(a, Path(folder) / "journal")
+    found = ReplicaSnapshot(generation, data, ["b"], [], 0)
 
     async def in_a_loop():  # the log takes the time from the loop once its clock is set
-        a._restore({"b": found}, set(), False)
+        a.recovery.restore({"b": found}, ReleasedWork(set(), False, True))
 
     anyio.run(in_a_loop)
 
@@ -147,9 +251,8 @@
 def voter(folder, voters=("a",), election_s=0.05, id_="a", rows=None):
     """A voter's agreement; `rows` is told of each row."""
     addresses = {v: ADDRESSES[v] for v in voters}
-    return quorum.Quorum(
-        id_, addresses[id_], addresses, KEY, Path(folder), election_s, rows or (lambda *_: None)
-    )
+    config = raft.RaftConfig(id_, addresses[id_], addresses, KEY, Path(folder), election_s)
+    return raft.RaftNode(config, rows or (lambda *_: None))
 
 
 def voter_log(path):
@@ -159,15 +262,19 @@
 def told_log(path):
     """What a voter's log is read to."""
     log = raftlog.RaftLog(path)
-    found = {"entries": [[c.hex(), i, t] for c, i, t in log.entries], "term": log.term, "voted": log.voted}
-    found["agreed"] = log.agreed
+    found = {
+        "entries": [[c.hex(), i, t] for c, i, t in log.entries],
+        "term": log.term,
+        "voted": log.voted_for,
+    }
+    found["agreed"] = log.commit_index
     log._destroy()
     return found
 
 
 def no_wait():
     """A voter that is fresh needs no wait before it votes."""
-    return mock.patch.object(quorum, "FIRST_S", 0)
+    return mock.patch.object(raft_transport, "FIRST_VOTE_DELAY_S", 0)
 
 
 # --- membership's datagrams -------------------------------------------------------------------------
@@ -214,15 +321,15 @@
     clock, sent, tasks = SimpleNamespace(us=1_000_000), [], []
     parties = {n: lease_holder(n, lambda: clock.us) for n in ADDRESSES}
     voter_ = parties["b"]
-    voter_.quorum = Agreed()
-    voter_.quorum.on_change = voter_._applied
-    voter_.answers = SimpleNamespace(start_soon=lambda *call: tasks.append(call))
+    voter_.handler.raft = Agreed()
+    voter_.handler.raft.on_change = voter_.handler.record_applied
+    voter_.handler.answer_tasks = SimpleNamespace(start_soon=lambda *call: tasks.append(call))
 
     async def sendto(data, host, port):
         sent.append((f"{host}:{port}", data))
 
     for one in parties.values():
-        one.sock = SimpleNamespace(sendto=sendto)
+        one._socket = SimpleNamespace(sendto=sendto)
     taken = []
 
     async def settle():
@@ -232,21 +339,22 @@
                 await run(*words)
             while sent:
                 address, data = sent.pop(0)
-                message = leases.checked(unpack(data, KEY, LEASES_MAGIC))
+                message = lease_codec.check_message(unpack(data, KEY, LEASES_MAGIC))
                 taken.append({"to": address, "message": message, "bytes": data.hex()})
                 party = next(p for n, p in parties.items() if ADDRESSES[n] == address)
+                received = lease_codec.decode(data, KEY)
                 if message["t"] == "lease":
-                    await party._judged(message)
+                    await party.handler.handle(*received)
                 else:
-                    party._answered(message)
+                    party._handle_answer(received)
 
     views = {}
     for name, us in (("a", 0), ("c", 100_000), ("a", 4_000_000)):
         clock.us = 1_000_000 + us
-        await parties[name]._turn("nightly")
+        await parties[name]._update_claim("nightly")
         await settle()
     views |= {"holder": parties["a"].view(), "voter": voter_.view()}
-    await parties["a"].unwant("nightly")
+    await parties["a"].withdraw("nightly")
     await settle()
     views["voter after"] = voter_.view()
     return {"datagrams": taken, "views": views}
@@ -267,10 +375,10 @@
     async def __aexit__(self, *error):
         pass
 
-    async def put(self, message):
-        self.answer = await self.other._answer(self._seen(message))
+    async def send(self, message):
+        self.answer = await answered(self.other, self._seen(message))
 
-    async def get(self):
+    async def receive(self):
         return self._seen(self.answer)
 
     def _seen(self, message):
@@ -294,34 +402,35 @@
         a = copier("a", folder / "a" / "copies", lambda task: token.pop(0) if token else 7)
         b = copier("b", folder / "b" / "copies", lambda task: 0)
         c = copier("c", folder / "c" / "copies", lambda task: 0)
-        a.engine = SimpleNamespace(journal=SimpleNamespace(path=folder / "a" / "journal"))
-        a.targets, a.sure = ["b"], 7
-        a.rewritten(records[0])
-        a.appended(records[1])
-        await a._send_on("b", Pipe(b, taken), 7)
+        with_journal(a, folder / "a" / "journal")
+        with_journal(c, folder / "c" / "journal")
+        chosen_to_copy(a, ["b"], 7)
+        rewritten(a, records[0])
+        appended(a, records[1])
+        await send_on(a, "b", Pipe(b, taken), 7)
         views["owner"], views["keeper"] = a.view(), b.view()
-        a.rewritten(records[1] + records[2])
-        await a._send_on("b", Pipe(b, taken), 7)
-        generation = a.source.generation
+        rewritten(a, records[1] + records[2])
+        await send_on(a, "b", Pipe(b, taken), 7)
+        generation = generation_of(a)
         half = {"t": "data", "from": "c", "to": "b", "owner": "c", "token": 3, "generation": 9, "at": 0}
         frames = Pipe(b, taken)
         for message in (
             half | {"t": "send", "keepers": ["b", "a"]},
             half | {"base": len(records[0]), "bytes": records[0][:20]},
         ):
-            await frames.put(message)
-            await frames.get()
+            await frames.send(message)
+            await frames.receive()
 
         async def dial(other):
             pipe = Pipe({"a": a, "b": b}[other], taken)
             return pipe, pipe
 
-        c._dial, c._live = dial, lambda: ["b"]
-        found = await c._fetch_all("a", 8)
-        await c._ask_all({"t": "read", "owner": "a"})
-        await c._ask_all({"t": "done", "owner": "a", "token": 8})
-        await c._ask("b", {"t": "fetch", "owner": "a", "token": 2})
-        await c._ask("a", {"t": "spare", "owner": "a"})
+        dials(c, dial, ["b"])
+        found = await fetch_all(c, "a", 8)
+        await read_all(c, "a")
+        await done_all(c, "a", 8)
+        await ask_fetch(c, "b", "a", 2)
+        await ask_spare(c, "a", "a")
         views["keeper after"] = b.view()
     kept = files(folder / "b" / "copies")
     generation_file = (folder / "a" / GENERATION_FILE).read_bytes()
@@ -373,7 +482,7 @@
     with no_wait():
         q = voter(folder, rows=lambda task, found: rows.append([task, told_row(found)]))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(q._ticks)
+            tasks.start_soon(q._run_library)
             await leads(q)
             for step in STEPS:
                 done = anyio.Event()
@@ -381,7 +490,7 @@
                 with anyio.fail_after(5):
                     await done.wait()
             tasks.cancel_scope.cancel()
-        q.sync.destroy()
+        q.sync_object.destroy()
     return without_notes((Path(folder) / "log").read_bytes()), rows
 
 
@@ -400,15 +509,15 @@
     rows = []
     with no_wait():
         q = voter(folder, rows=lambda task, found: rows.append([task, told_row(found)]))
-        fresh = q.streams.fresh
+        fresh = q.transport.is_learner
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(q._ticks)
+            tasks.start_soon(q._run_library)
             await leads(q)
             with anyio.move_on_after(5):
                 while len(rows) < len(STEPS):
                     await anyio.sleep(0.005)
             tasks.cancel_scope.cancel()
-        q.sync.destroy()
+        q.sync_object.destroy()
     return rows, fresh
 
 
@@ -416,18 +525,18 @@
     """What a voter stores of its table, as the library asks it to."""
     with no_wait():
         q = voter(folder)
-        q.table.rows.update({task: row(*words) for task, words in ROWS.items()})
-        q._dump(path, ((b"\x01", 9, 4), (b"", 8, 4), []))
-        q.sync.destroy()
+        q.table.records.update({task: row(*words) for task, words in ROWS.items()})
+        q._write_dump(path, ((b"\x01", 9, 4), (b"", 8, 4), []))
+        q.sync_object.destroy()
     return Path(path).read_bytes()
 
 
 async def undumped(folder, path):
     """What a voter reads of it: rows, and the library's two entries."""
     q = voter(folder)
-    after, before, _ = q._undump(path)
-    rows = {task: told_row(found) for task, found in q.table.rows.items()}
-    q.sync.destroy()
+    after, before, _ = q._read_dump(path)
+    rows = {task: told_row(found) for task, found in q.table.records.items()}
+    q.sync_object.destroy()
     return {"rows": rows, "after": [after[0].hex(), *after[1:]], "before": [before[0].hex(), *before[1:]]}
 
 
@@ -486,9 +595,9 @@
                 await stream.send(said[-1])
                 await until(n + 1)
             with anyio.fail_after(5):
-                while not q.table.rows:
+                while not q.table.records:
                     await anyio.sleep(0.005)
-        rows = {task: told_row(found) for task, found in q.table.rows.items()}
+        rows = {task: told_row(found) for task, found in q.table.records.items()}
         tasks.cancel_scope.cancel()
     await listener.aclose()
     return {"said": [d.hex() for d in said], "heard": [d.hex() for d in heard[:3]], "rows": rows}
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -19,42 +19,44 @@
 import orjson
 from standins import Client, HttpStandIn, configuration, host, own_address, standing, until
 
+from pinspread import sockets
 from pinspread.admin import server as admin
-from pinspread.config import settings
+from pinspread.config import last_good, settings
+from pinspread.config.summary import summary as settings_summary
 from pinspread.core.messages import AttemptResult
-from pinspread.discovery import client as discovery
-from pinspread.hot_restart import transfer as succession
-from pinspread.leases.service import Leases
-from pinspread.membership.service import Membership, Plan
-from pinspread.membership.swim import Tuning
+from pinspread.discovery import departures
+from pinspread.hot_restart import packet_codec, source, target
+from pinspread.hot_restart.link import Link, Packet, PacketKind
+from pinspread.leases.service import LeaseService
+from pinspread.membership.service import MembershipConfig, MembershipService
+from pinspread.membership.swim import SwimConfig
 from pinspread.policy.events import EndpointState, Outcome
 from pinspread.replication.service import ReplicationService
 from pinspread.simulation import losses, trace
-from pinspread.sockets import connections as sockets
 
 DATA = Path(__file__).parent / "data" / "stored"
 
 # --- adapter ----------------------------------------------------------------------------------------
 
-GOOD_FILE, LEFT_FILE = settings.GOOD, discovery.LEFT
+GOOD_FILE, LEFT_FILE = last_good.FILE_NAME, departures.FILE_NAME
 
 
 def keep_settings(state, raw):
     """Keep the settings of a file, as a start does."""
     told = settings.read(orjson.loads(raw), {})
     told.state, told.raw = str(state), raw
-    settings.keep_good(told)
+    last_good.save(told)
 
 
 def kept_settings(state):
     """What a start finds where its file is broken: the bytes, and some of what they say."""
-    told = settings.at_start({"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)})
+    told = last_good.load_at_start({"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)})
     return told.raw, {"name": told.name, "seed": told.seed, "disk_bytes": told.disk_bytes}
 
 
 def left(state):
     """The endpoints that a list has told to leave, kept over restarts."""
-    return discovery._Left(SimpleNamespace(state=str(state), disk_bytes=3_000_000))
+    return departures.DepartedEndpoints(str(state), 3_000_000)
 
 
 LEFT_STATES = {
@@ -76,15 +78,19 @@
 
         enable = disable
 
-    names = {"members": Membership.name, "leases": Leases.name, "copies": ReplicationService.name}
+    names = {
+        "members": MembershipService.name,
+        "leases": LeaseService.name,
+        "copies": ReplicationService.name,
+    }
     views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
-    return admin.AdminServer(EndpointAdmin(), companions=views)
+    return admin.AdminServer(EndpointAdmin(), background_services=views)
 
 
 def members_view():
     """A member's own view, as the door shows it, but for the time."""
-    plan = Plan("a", "127.0.0.1:7001", "127.0.0.1:7001", (), b"fleet-a", Tuning())
-    found = Membership(plan, seed=1).view()
+    plan = MembershipConfig("a", "127.0.0.1:7001", "127.0.0.1:7001", (), b"fleet-a", SwimConfig())
+    found = MembershipService(plan, seed=1).view()
     for one in found["members"]:
         one["since_us"] = 0
     return found
@@ -92,7 +98,7 @@
 
 def summary():
     """What `pinspread config check` says of `SETTINGS`."""
-    return list(settings.summary(settings.read(orjson.loads(SETTINGS), {})))
+    return list(settings_summary(settings.read(orjson.loads(SETTINGS), {})))
 
 
 def recorded_trace(logs, path):
@@ -110,22 +116,31 @@
 
 
 PACKETS = {
-    name: getattr(succession, name)
-    for name in (
-        "HELLO", "NO", "LEAVE", "STATE", "LEG", "IDLE", "SOCKET", "YOURS", "TAKEN", "ENDED", "HEED", "PROBED",
-        "BAN", "BANNED",
-    )
-}  # fmt: skip
+    "HELLO": PacketKind.HELLO,
+    "NO": PacketKind.DECLINED,
+    "LEAVE": PacketKind.LEAVE,
+    "STATE": PacketKind.STATE,
+    "LEG": PacketKind.CLIENT_CONNECTION,
+    "IDLE": PacketKind.IDLE_CONNECTION,
+    "SOCKET": PacketKind.LISTENER,
+    "YOURS": PacketKind.LOCK,
+    "TAKEN": PacketKind.TAKEN_OVER,
+    "ENDED": PacketKind.ATTEMPT_COMPLETED,
+    "HEED": PacketKind.RETRY_AFTER,
+    "PROBED": PacketKind.HEALTH_CHECK_COMPLETED,
+    "BAN": PacketKind.SET_ENDPOINT_DISABLED,
+    "BANNED": PacketKind.ENDPOINT_DISABLED,
+}
 
 
 RESULT = {
     "wait_us": "retry_after_us",
-    "over": "over",
+    "over": "no_longer_wanted",
     "note": "note",
     "idle_us": "idle_us",
     "opened": "opened",
-    "left": "left",
-    "limit": "limit",
+    "left": "limit_remaining",
+    "limit": "limit_per_s",
 }
 
 
@@ -136,7 +151,7 @@
 
 
 def told_outcome(packet):
-    found = succession._outcome(packet)
+    found = packet_codec.result_from_json(packet)
     return {"verdict": int(found.outcome)} | {name: getattr(found, at) for name, at in RESULT.items()}
 
 
@@ -151,21 +166,21 @@
     """What an old process hands over, but for the state's own bytes."""
     a, b = connected()
     kept = sockets.IdleConnection(sockets.Connection(a), True, True, 2, b"unread", b"unsent")
-    idle = ("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
+    idle = target.IdleEndpointConnection("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
     lock = os.open(os.devnull, os.O_RDONLY)
     listening = socket.socket()
-    given = {"blob": b"state", "legs": [kept], "idle": [idle], "sockets": {"resp": listening}, "lock": lock}
-    link = succession.Link(link_socket)
-    await succession.Succession(SimpleNamespace(), "")._give(link, given)
-    successor = succession.Successor(link)
-    successor.ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
+    payload = source.HandoverPayload(b"state", 0, [kept], [idle], {"resp": listening}, lock)
+    link = Link(link_socket)
+    await source.HandoverListener(SimpleNamespace(), "")._send(link, payload)
+    successor = source.Successor(link)
+    successor.attempt_ended(7, 1, outcome("FULL", wait_us=300, note="429", idle_us=9, left=0.5, limit=20.0))
     successor.apply_retry_after("s-1", 1500)
-    successor.probed("s-2", outcome("OK", opened=True))
+    successor.health_check_ended("s-2", outcome("OK", opened=True))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(successor.run)
         try:
             with anyio.fail_after(0.2):
-                await successor.ban("s-3", True)
+                await successor.set_blocked("s-3", True)
         except TimeoutError:
             pass
         tasks.cancel_scope.cancel()
@@ -176,15 +191,18 @@
 
 async def take(link_socket, count):
     """The same read by the code of a new process."""
-    link, found = succession.Link(link_socket), succession.TransferredState()
+    link, found = Link(link_socket), target.TransferredState()
     for _ in range(count):
         kind, data, fd = await link.receive()
         if kind in (PACKETS["LEG"], PACKETS["IDLE"], PACKETS["SOCKET"]):
-            succession._gather(found, kind, data, fd)
+            found.add(Packet(kind, data, fd))
         elif fd is not None:
             os.close(fd)
-    told = {"idle": [list(i[:3]) for i in found.idle], "sockets": list(found.sockets)}
-    told["legs"] = [[k.spoke, k.asked, k.errors, k.unread.decode(), k.unsent.decode()] for k in found.legs]
+    told = {"idle": [list(i[:3]) for i in found.idle_connections], "sockets": list(found.listeners)}
+    told["legs"] = [
+        [k.answered, k.submitted, k.errors, k.unread.decode(), k.unsent.decode()]
+        for k in found.client_connections
+    ]
     found.close()
     return told
 
@@ -198,7 +216,7 @@
     """The bytes of the kept list after `LEFT_TOLD`."""
     found = left(folder)
     for one in LEFT_TOLD:
-        found.told({id_: LEFT_STATES[state] for id_, state in one.items()})
+        found.record({id_: LEFT_STATES[state] for id_, state in one.items()})
     return (Path(folder) / LEFT_FILE).read_bytes()
 
 
@@ -251,7 +269,7 @@
         async def part():
             pass
 
-        connection = SimpleNamespace(read=read, write=write, part=part, close=lambda: None)
+        connection = SimpleNamespace(read=read, write=write, linger=part, close=lambda: None)
         await door(companions).serve(connection, None)
         found[call] = said.decode()
     return found
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 from standins import Client, HttpStandIn, engine, listener, standing, until
 
+from pinspread import sockets
 from pinspread.admin import server as admin
 from pinspread.core.endpoint_blocklist import EndpointBlocklist
 from pinspread.errors import JournalFullError
@@ -22,7 +23,6 @@
     UpdateScope,
 )
 from pinspread.policy.settings import DestinationKind, Settings, TrafficClass
-from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 PUT = "PUT /-/endpoints/%s HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -103,7 +103,7 @@
 
 
 async def test_callers_that_stay_silent_cost_only_themselves(tmp_path, monkeypatch):
-    monkeypatch.setattr(admin, "CALL_S", 0.6)
+    monkeypatch.setattr(admin, "REQUEST_TIMEOUT_S", 0.6)
     async with served(tmp_path) as (rig, address):
         silent = [await sockets.dial(address) for _ in range(200)]
         for connection in silent[::2]:
@@ -112,7 +112,7 @@
             began = time.monotonic()
             assert await status(address, READY) == 200
             assert time.monotonic() - began < 1
-            assert len(rig.door.callers) <= rig.door.most
+            assert len(rig.door.limiter.connections) <= rig.door.limiter.max_connections
         assert (await call(address, READY[:20])).startswith(b"HTTP/1.1 408")
         for connection in silent:
             connection.close()
@@ -126,7 +126,7 @@
     ):
         client = Client(rig.address)
         await client.enqueue()
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
         for _ in range(2):  # twice out is out once
             assert await status(door, PUT % "s-1/disable") == 200
         assert await client.enqueue(id_="held") == "+OK\r\n"
@@ -140,9 +140,9 @@
         await anyio.sleep(0.05)
         rig.update_endpoints(where)
         await anyio.sleep(0.1)
-        assert len(endpoint.requests) == 1 and "held" in rig.engine.ids
+        assert len(endpoint.requests) == 1 and "held" in rig.engine.messages_by_id
         assert await status(door, PUT % "s-1/enable") == 200
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
         assert len(endpoint.requests) == 2
         assert await status(door, PUT % "s-1/enable") == 200  # back without out
 
@@ -185,7 +185,7 @@
         def full(*_):
             raise JournalFullError("no room")
 
-        rig.engine.journal.banned = full
+        rig.engine.journal.endpoint_blocked = full
         assert await status(door, PUT % "s-1/disable") == 503
         assert rig.engine.endpoints["s-1"].usable
 
@@ -222,11 +222,11 @@
 def test_one_call_back_undoes_any_number_of_calls_out(calls):
     bans, out = EndpointBlocklist(), {}
     for off, id_ in calls:
-        assert (bans.out(id_) if off else bans.back(id_)) is (out.get(id_, False) is not off)
+        assert (bans.block(id_) if off else bans.unblock(id_)) is (out.get(id_, False) is not off)
         out[id_] = off
     for id_ in "abc":
         banned = out.get(id_, False)
-        assert bans.seen(id_, EndpointState.READY) is (
+        assert bans.effective_state(id_, EndpointState.READY) is (
             EndpointState.DRAINING if banned else EndpointState.READY
         )
-        assert bans.seen(id_, EndpointState.REMOVED) is EndpointState.REMOVED
+        assert bans.effective_state(id_, EndpointState.REMOVED) is EndpointState.REMOVED
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -1,4 +1,4 @@
-"""The AMQP next-hop transport against a stand-in broker that breaks at seeded random points."""
+"""The transport to AMQP brokers against a stand-in broker that breaks at seeded random points."""
 
 import random
 import signal
@@ -11,10 +11,10 @@
 from pamqp import commands
 from standins import AmqpClient, Broker, Client, HttpStandIn, engine, own_address, standing, until
 
-from pinspread.config import application
+from pinspread.config.template import template
 from pinspread.policy.events import EndpointState
 
-PAYMENTS, PARTNERS = 3000, 20
+PAYMENTS, DESTINATIONS = 3000, 20
 
 pytestmark = pytest.mark.anyio
 
@@ -35,19 +35,19 @@
         ("return", "returned", 0, None),  # unroutable: it never ran, and may be tried again
     ],
 )
-async def test_what_a_brokers_word_proves_of_a_payment(tmp_path, todo, state, effects, tries):
+async def test_what_a_brokers_answer_proves_of_a_payment(tmp_path, todo, state, effects, tries):
     seen = []
     broker = Broker(lambda _, id_: seen.append(id_) or todo)
     async with standing(broker) as address, engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
         await client.publish("p1", for_ms=700)
-        told, _ = await client.end()
-        assert told["state"] == state and len(broker.effects) == effects
+        result, _ = await client.end()
+        assert result["state"] == state and len(broker.effects) == effects
         assert len(seen) > 1 if tries is None else len(seen) == tries
 
 
-async def test_a_broker_that_stays_blocked_counts_as_a_told_wait_and_one_that_is_gone_does_not(tmp_path):
+async def test_a_broker_that_stays_blocked_counts_as_retry_after_and_one_that_is_gone_does_not(tmp_path):
     broker = Broker()
     async with engine(tmp_path) as rig:
         async with standing(broker) as address:
@@ -57,17 +57,17 @@
             await until(lambda: broker.effects == ["p1"])
             await broker.say(commands.Connection.Blocked("disk"))
             await client.enqueue(id_="p2", for_ms=500)
-            await until(lambda: not rig.engine.attempts and not rig.engine.open)
-            assert rig.engine.told_us[1] > rig.engine.clock.now() and broker.effects == ["p1"]
-            rig.engine.told_us.clear()
+            await until(lambda: not rig.engine.attempts and not rig.engine.open_messages)
+            assert rig.engine.retry_after_until_us[1] > rig.engine.clock.now() and broker.effects == ["p1"]
+            rig.engine.retry_after_until_us.clear()
             broker.kill()
         await anyio.sleep(1.1)
         await client.enqueue(id_="p3", for_ms=500)
-        await until(lambda: not rig.engine.open)
-        assert not rig.engine.told_us
+        await until(lambda: not rig.engine.open_messages)
+        assert not rig.engine.retry_after_until_us
 
 
-async def test_a_broker_that_is_gone_is_forgotten_with_the_last_publish_that_is_out(tmp_path):
+async def test_a_broker_that_is_gone_is_forgotten_with_its_last_pending_publish(tmp_path):
     broker = Broker(lambda broker, id_: "wait")
     async with standing(broker) as address, engine(tmp_path) as rig:
         transport = rig.engine.transports["amqp"]
@@ -75,10 +75,10 @@
         await Client(rig.address).enqueue(id_="p1")
         await until(lambda: broker.effects == ["p1"])
         rig.update_endpoints(address, "b", 1, "amqp", state=EndpointState.REMOVED)
-        assert not transport.links and not transport.dialling and broker.links
+        assert not transport.connections and not transport.connect_locks and broker.links
         for wire in broker.links:
             await wire.send(commands.Basic.Ack(1, False), 1)
-        await until(lambda: not rig.engine.ids and not broker.links)
+        await until(lambda: not rig.engine.messages_by_id and not broker.links)
 
 
 async def test_a_payment_cut_short_before_its_last_byte_never_ran_and_goes_again(tmp_path):
@@ -87,15 +87,15 @@
         client = Client(rig.address)
         await client.enqueue(id_="p1")
         await until(lambda: broker.effects == ["p1"])
-        link = rig.engine.transports["amqp"].links["b"]
-        link.wire.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        link = rig.engine.transports["amqp"].connections["b"]
+        link.stream.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         (theirs,) = broker.links
         theirs.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         broker.reading = anyio.Event()
         for n in range(2, 9):  # more than what fits into the sockets while nobody reads
             await client.enqueue(id_=f"p{n}", body=b"x" * 65_536)
-        await until(lambda: link.wire.connection.left)
-        cut = link.waiters[max(link.waiters)].id[0]
+        await until(lambda: link.stream.connection.unsent_bytes)
+        cut = link.pending[max(link.pending)].key[0]
         broker.kill()
         broker.reading.set()
         await until(lambda: cut in broker.effects)
@@ -117,8 +117,8 @@
         await until(lambda: broker.effects == ["p1", "p2"])
 
 
-async def test_no_payment_takes_effect_twice_though_broker_and_courier_are_killed(tmp_path):
-    """A few thousand payments; the broker breaks at random points, and the courier is killed too."""
+async def test_no_payment_takes_effect_twice_though_broker_and_instance_are_killed(tmp_path):
+    """A few thousand payments; the broker breaks at random points, and the instance is killed too."""
     chance, moments = random.Random(20), random.Random(21)
     breaks = kills = 0
 
@@ -129,31 +129,31 @@
         return "kill" if draw < 0.015 else "lose" if draw < 0.03 else "nack" if draw < 0.04 else "ack"
 
     broker, platform = Broker(plan), HttpStandIn(lambda request: (204, [], b""))
-    taken, restarts = set(), 0
+    accepted, restarts = set(), 0
     async with standing(broker) as address, standing(platform) as notices:
-        endpoints = [(address, f"b{n}", n, "amqp") for n in range(PARTNERS)]
-        while len(taken) < PAYMENTS:
+        endpoints = [(address, f"b{n}", n, "amqp") for n in range(DESTINATIONS)]
+        while len(accepted) < PAYMENTS:
             restarts += 1
-            upto = min(PAYMENTS, len(taken) + moments.randrange(150, 450))
+            upto = min(PAYMENTS, len(accepted) + moments.randrange(150, 450))
             async with engine(tmp_path, notices, endpoints=endpoints) as rig:
                 client = Client(rig.address)
-                while len(taken) < upto:
-                    id_, dest = f"p{len(taken)}", len(taken) % PARTNERS
+                while len(accepted) < upto:
+                    id_, dest = f"p{len(accepted)}", len(accepted) % DESTINATIONS
                     if (await client.enqueue(id_=id_, for_ms=20_000, dest=dest)).startswith("+OK"):
-                        taken.add(id_)
+                        accepted.add(id_)
                     else:
                         await anyio.sleep(0.01)
                     if moments.random() < 0.005:
                         broker.kill()
                         kills += 1
-                    await until(lambda rig=rig: len(rig.engine.open) < 80, 20)
-                # the courier is killed here, with whatever is out or held
+                    await until(lambda rig=rig: len(rig.engine.open_messages) < 80, 20)
+                # the instance is killed here, with whatever is in flight or queued
         async with engine(tmp_path, notices, endpoints=endpoints) as rig:
-            await until(lambda: not rig.engine.ids, 30)
-    ended = {line["id"] for line in platform.lines}
+            await until(lambda: not rig.engine.messages_by_id, 30)
+    ended = {notice["id"] for notice in platform.lines}
     assert restarts > 5 and kills > 8 and breaks > 20
     assert len(broker.effects) == len(set(broker.effects))  # zero doubles
-    assert taken <= ended | set(broker.effects)  # and each has its end
+    assert accepted <= ended | set(broker.effects)  # and each has its end
     assert len(set(broker.effects)) > PAYMENTS // 2  # most go through between the breaks
 
 
@@ -174,16 +174,16 @@
                     await client.publish(f"{key}/{sent}", "booking-change", for_ms=20_000, key=key)
                     assert isinstance((await client.next())[0], commands.Basic.Ack)
                     sent += 1
-                    await until(lambda rig=rig: len(rig.engine.open) < 40, 20)
+                    await until(lambda rig=rig: len(rig.engine.open_messages) < 40, 20)
                 # killed here, with what is held
         async with engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
-            await until(lambda: not rig.engine.open, 30)
+            await until(lambda: not rig.engine.open_messages, 30)
     for key in range(keys):
         first = list(dict.fromkeys(int(e.split("/")[1]) for e in broker.effects if f"-{key}/" in e))
         assert len(first) > 20 and first == sorted(first)
 
 
-async def test_a_told_wait_holds_for_messages_of_both_fronts(tmp_path):
+async def test_a_retry_after_holds_for_messages_of_both_fronts(tmp_path):
     answers = [(429, [("Retry-After", "0.4")], b"")]
     endpoint = HttpStandIn(lambda request: answers.pop() if answers else (200, [], b""))
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
@@ -197,11 +197,11 @@
 
 
 class Application:
-    """A courier of its own process, off the platform, whose only partner is a broker."""
+    """An instance in a process of its own, off the platform, whose only endpoint is a broker."""
 
     def __init__(self, folder, broker, notices):
         self.address = own_address()
-        text = application.template("pay").replace("127.0.0.1:8500", notices)
+        text = template("pay").replace("127.0.0.1:8500", notices)
         text = text.replace('amqp = "127.0.0.1:5672"', "").replace("127.0.0.1:6379", self.address)
         text = text.replace('"state"', f'"{folder}/state"').replace("partners.zone", f"{folder}/zone")
         (folder / "secret").write_text("s3cret\n")
@@ -219,7 +219,7 @@
         self.process = subprocess.Popen(command, stdout=subprocess.DEVNULL)
 
     async def client(self):
-        """A client, once the courier answers."""
+        """A client, once the instance answers."""
         client = Client(self.address)
         with anyio.fail_after(10):
             while True:
@@ -234,25 +234,25 @@
         await anyio.to_thread.run_sync(self.process.wait)
 
 
-async def test_a_process_killed_outright_among_payments_repeats_none(tmp_path):
+async def test_a_process_killed_amid_payments_repeats_none(tmp_path):
     chance = random.Random(3)
     broker, platform = Broker(), HttpStandIn(lambda request: (204, [], b""))
     broker.plan = lambda _, id_: "kill" if chance.random() < 0.01 else "ack"
-    taken = set()
+    accepted = set()
     async with standing(broker) as address, standing(platform) as notices:
         for _ in range(4):
             process = Application(tmp_path, address, notices)
             client = await process.client()
             for _ in range(chance.randrange(60, 120)):
-                id_ = f"p{len(taken)}"
+                id_ = f"p{len(accepted)}"
                 answer = await client.say("ENQUEUE", "0", id_, "c=payment,t=all,d=20000,dest=1", "x")
-                taken |= {id_} if answer.startswith("+OK") else set()
+                accepted |= {id_} if answer.startswith("+OK") else set()
             await process.kill()
         process = Application(tmp_path, address, notices)
-        ended = lambda: set(broker.effects) | {line["id"] for line in platform.lines}  # noqa: E731
-        await until(lambda: taken <= ended(), 20)
+        ended = lambda: set(broker.effects) | {notice["id"] for notice in platform.lines}  # noqa: E731
+        await until(lambda: accepted <= ended(), 20)
         await anyio.sleep(0.3)
         await process.kill()
     assert broker.logins == {"\0u\0s3cret"}
-    assert len(taken) > 200 and len(set(broker.effects)) > 100
+    assert len(accepted) > 200 and len(set(broker.effects)) > 100
     assert len(broker.effects) == len(set(broker.effects))
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -12,7 +12,7 @@
 from test_settings import lane
 
 from pinspread.config import settings
-from pinspread.core.bundling import bundles
+from pinspread.core.bundling import group_into_calls
 from pinspread.http import bundle
 from pinspread.policy.events import AttemptCompleted, Outcome
 
@@ -31,7 +31,7 @@
 @given(st.lists(st.integers(1, 10_000), max_size=20), st.integers(1, 6))
 def test_calls_hold_each_branch_once_at_most_so_many_and_of_about_one_time(times, most):
     attempts = [SimpleNamespace(timeout_us=t, message=SimpleNamespace(number=n)) for n, t in enumerate(times)]
-    calls = bundles(attempts, most)
+    calls = group_into_calls(attempts, most)
     assert sorted(b.message.number for call in calls for b in call) == list(range(len(times)))
     for call in calls:
         waits = [b.timeout_us for b in call]
@@ -50,7 +50,7 @@
 @given(JSON | st.binary(max_size=30))
 def test_whatever_an_answer_holds_only_a_state_told_once_is_believed(answer):
     raw = answer if isinstance(answer, bytes) else orjson.dumps(answer)
-    found = bundle.ends(raw, ["a", "b"], 0)
+    found = bundle.parse_results(raw, ["a", "b"], 0)
     assert list(found) == ["a", "b"]
     items = [i for i in answer if isinstance(i, dict)] if isinstance(answer, list) else []
     for id_, outcome in found.items():
@@ -73,8 +73,8 @@
 )
 def test_states_of_an_answer(state, verdict, over):
     raw = orjson.dumps([{"id": "m", "state": state}, {"id": "invented", "state": "ok"}])
-    outcome = bundle.ends(raw, ["m"], 7)["m"]
-    assert (outcome.outcome, outcome.over) == (verdict, over)
+    outcome = bundle.parse_results(raw, ["m"], 7)["m"]
+    assert (outcome.outcome, outcome.no_longer_wanted) == (verdict, over)
     assert outcome.retry_after_us == (0 if state == "ok" else 7)
 
 
@@ -93,9 +93,9 @@
 def test_load_reports(text, found):
     if found is None:
         with pytest.raises(ValueError):
-            bundle.report(text)
+            bundle.parse_load_report(text)
     else:
-        assert bundle.report(text) == found
+        assert bundle.parse_load_report(text) == found
 
 
 # --- on sockets ----------------------------------------------------------------------------------------
@@ -123,9 +123,9 @@
         return slow_first(len(self.calls) + 1, self.at_once(request))
 
     def at_once(self, request):
-        ids = bundled(request) if request[2] == bundle.TARGET else [request[3]["request-id"]]
+        ids = bundled(request) if request[2] == bundle.PATH else [request[3]["request-id"]]
         self.calls.append(ids)
-        if request[2] != bundle.TARGET:
+        if request[2] != bundle.PATH:
             return 200, [], b""
         return self.fate(len(self.calls), ids)
 
@@ -160,7 +160,7 @@
                 await client.enqueue(cls, f"m{n}", for_ms=24_000, body=bytes([n]) * 9)
             tasks.cancel_scope.cancel()
         if wait:
-            await until(lambda: not rig.engine.ids, 8)
+            await until(lambda: not rig.engine.messages_by_id, 8)
         else:
             await until(lambda: len(partner.calls) > 1)
     return {line["id"]: line["state"] for line in platform.lines}
@@ -179,7 +179,7 @@
     assert partner.calls[0] == ["m0"] and partner.calls[1] == ["m1", "m2", "m3"]
     assert sum(ids.count("m1") for ids in partner.calls) == 2  # only what never ran came again
     assert all(sum(ids.count(f"m{n}") for ids in partner.calls) == 1 for n in (0, 2, 3, 4))
-    first = next(r for r in partner.requests if r[2] == bundle.TARGET)
+    first = next(r for r in partner.requests if r[2] == bundle.PATH)
     item = orjson.loads(first[4])[0]
     assert item["key"] == "ab12" and b64decode(item["body"]) == b"\x01" * 9
 
@@ -217,7 +217,7 @@
     platform, after = HttpStandIn(lambda request: HEARD), Partner()
     async with standing(platform) as address, standing(after) as where:
         async with engine(tmp_path, address, endpoints=[(where,)]) as rig:
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
     assert {line["id"]: line["state"] for line in platform.lines} == {f"m{n}": "failed" for n in (1, 2, 3)}
     assert not after.calls
 
@@ -231,10 +231,10 @@
     heard = []
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         rig.engine.transports["http"].reports = True
-        post = rig.engine.post
-        rig.engine.post = lambda event: (heard.append(event), post(event))
+        post = rig.engine.events.post
+        rig.engine.events.post = lambda event: (heard.append(event), post(event))
         assert await Client(rig.address).enqueue() == "+OK\r\n"
-        await until(lambda: not rig.engine.ids)
+        await until(lambda: not rig.engine.messages_by_id)
     ended = [e for e in heard if type(e) is AttemptCompleted]
     assert [e.outcome for e in ended] == [Outcome.OVERLOADED, Outcome.OK]
     assert [e.limit_per_s for e in ended] == [limit, limit]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -2,19 +2,23 @@
 
 import socket
 import threading
+import tomllib
 
 import dns.flags
 import dns.message
 import dns.rrset
 import dns.zone
 import pytest
-from standins import AmqpClient, Broker, HttpStandIn, courier, standing, until
+from standins import AmqpClient, Broker, HttpStandIn, engine, standing, until
 
 from pinspread.__main__ import main
 from pinspread.config import application, dnssd, settings
+from pinspread.config.amqp_front import amqp_file
+from pinspread.config.models import File
+from pinspread.config.template import template
 from pinspread.policy.events import EndpointState
 
-GOOD = application.template("booking")
+GOOD = template("booking")
 MEMBERS = '[members]\nid = "c1"\nlisten = "127.0.0.1:7946"\nfleet = "f"\n'
 VOTER = '[[leases.voter]]\nid = "c{0}"\naddress = "127.0.0.{0}:7947"\n'
 LEASES = '[leases]\nlisten = "127.0.0.1:7947"\nlease_s = 10\n' + "".join(map(VOTER.format, (1, 2, 3)))
@@ -118,15 +122,17 @@
 
     members = '[members]\nid = "c1"\nlisten = "127.0.0.7:7946"\nfleet = "f"\n'
     path = tmp_path / "f.toml"
-    path.write_text(application.template("shop") + members + 'service = "_pinspread-swim._udp"\n')
+    path.write_text(template("shop") + members + 'service = "_pinspread-swim._udp"\n')
     assert main(["config", "records", str(path)]) == 0
     (tmp_path / "zone").write_text(capsys.readouterr().out)
     records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "zone"))
-    assert seeds.find(records, "_pinspread-swim._udp") == ["127.0.0.7:7946"]
+    assert seeds.find_seeds(records, "_pinspread-swim._udp") == ["127.0.0.7:7946"]
     records.zone_file = str(tmp_path / "none")
-    assert seeds.found_or_none(records, "_pinspread-swim._udp") is None
-    told = application.told(application.load(str(path)))
-    assert told.passed is None  # so no second process ever binds membership's port beside the first
+    assert seeds.find_seeds_or_none(records, "_pinspread-swim._udp") is None
+    told = application.effective_settings(application.load(str(path)), seed=1)
+    assert (
+        told.inherited_listener_descriptor is None
+    )  # so no second process ever binds membership's port beside the first
 
 
 def test_the_couriers_own_records_are_a_zone_that_leads_to_it(tmp_path, capsys):
@@ -178,7 +184,7 @@
         (tmp_path / "z").write_text(text)
         records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "z"))
     found = dnssd.browse(records, ["_http._tcp", "_amqp._tcp"], {})
-    lodge, park, pay = sorted(found, key=lambda f: f[0].dest)
+    lodge, park, pay = sorted(found, key=lambda f: f[0].destination)
     assert (lodge[0].address, lodge[0].weight, lodge[1]) == ("127.0.0.1:8080", 12.5, EndpointState.READY)
     assert park[1] is EndpointState.DRAINING
     assert (pay[0].scheme, pay[0].route) == ("amqp", {"exchange": "pay", "routing_key": "in"})
@@ -189,11 +195,11 @@
 @pytest.mark.anyio
 async def test_a_courier_off_the_platform_delivers_by_http_and_to_a_broker(tmp_path):
     hop, broker = HttpStandIn(), Broker()
-    async with standing(hop) as http, standing(broker) as amqp, courier(tmp_path) as rig:
+    async with standing(hop) as http, standing(broker) as amqp, engine(tmp_path) as rig:
         ports = {"http": http.split(":")[1], "amqp": amqp.split(":")[1]}
         (tmp_path / "z").write_text(ZONE.format(**ports))
         records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "z"))
-        discovery = dnssd.DnsSd(rig.courier, records, ["_http._tcp", "_amqp._tcp"], 0.05)
+        discovery = dnssd.DnsSdDiscovery(rig.engine, records, ["_http._tcp", "_amqp._tcp"], 0.05)
         rig.tasks.start_soon(discovery.run)
         client = await AmqpClient.open(rig.amqp)
         await client.consume()
@@ -202,20 +208,52 @@
         states = dict([((await client.end())[0]["id"], n) for n in range(2)])
         assert set(states) == {"h1", "b1"} and broker.effects == ["b1"] and len(hop.requests) == 1
         (tmp_path / "z").write_text("not a zone")  # the list stays as it was
-        await until(lambda: rig.courier.endpoints)
-        assert rig.courier.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
+        await until(lambda: rig.engine.endpoints)
+        assert rig.engine.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
 
 
 def test_an_applications_file_becomes_settings_for_the_module(tmp_path):
-    told = application.told(application.File.model_validate(__import__("tomllib").loads(GOOD)), seed=1)
-    assert told.listen == "127.0.0.1:6379" and told.module.classes[0].in_order
-    assert told.rules["booking-change"].cls.in_order and not told.rules["payment"].cls.in_order
+    told = application.effective_settings(File.model_validate(tomllib.loads(GOOD)), seed=1)
+    assert told.listen == "127.0.0.1:6379" and told.policy_settings.classes[0].in_order
+    assert (
+        told.delivery_rules["booking-change"].traffic_class.in_order
+        and not told.delivery_rules["payment"].traffic_class.in_order
+    )
 
 
 def test_the_amqp_front_is_off_unless_its_file_gives_an_address(tmp_path):
-    assert settings.amqp_file().listen == "" and settings.amqp_file(tmp_path / "none").listen == ""
+    assert amqp_file().listen == "" and amqp_file(tmp_path / "none").listen == ""
     (tmp_path / "amqp.toml").write_text('listen = "127.0.0.1:5672"')
-    assert settings.amqp_file(tmp_path / "amqp.toml").listen == "127.0.0.1:5672"
+    assert amqp_file(tmp_path / "amqp.toml").listen == "127.0.0.1:5672"
     (tmp_path / "amqp.toml").write_text("listening = 1")
     with pytest.raises(settings.SettingsError):
-        settings.amqp_file(tmp_path / "amqp.toml")
+        amqp_file(tmp_path / "amqp.toml")
+
+
+@pytest.mark.parametrize(
+    ("standard", "former"),
+    [
+        (["replication", "127.0.0.1:1"], ["copies", "127.0.0.1:1"]),
+        (["config", "endpoints", "f.toml"], ["config", "hops", "f.toml"]),
+    ],
+)
+def test_a_command_answers_to_its_standard_name_as_to_its_former_one(standard, former, capsys):
+    assert main(standard) == main(former)
+    said, before = capsys.readouterr().err.splitlines()
+    assert said.replace(standard[0], former[0]) == before
+
+
+@pytest.mark.parametrize(("standard", "former"), [("simulate", "fleet"), ("testbed", "stage")])
+def test_a_tool_answers_to_its_standard_name_as_to_its_former_one(standard, former, capsys):
+    said = []
+    for name in (standard, former):
+        assert main([name, "--help"]) == 0
+        said.append(capsys.readouterr().out.replace(f"pinspread {name}", "pinspread NAME"))
+    assert "Usage" in said[0] and said[0].split() == said[1].split()
+
+
+def test_the_help_shows_the_standard_names(capsys):
+    with pytest.raises(SystemExit):
+        main(["--help"])
+    said = capsys.readouterr().out
+    assert all(name in said for name in ("simulate (fleet)", "testbed (stage)", "replication (copies)"))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,14 +9,15 @@
 import pytest
 from standins import Client, Gate, HttpStandIn, engine, host, listener, standing, until
 
+from pinspread import sockets
 from pinspread.core.messages import DeliveryRules, Endpoint
+from pinspread.discovery import backoff
 from pinspread.discovery import client as discovery
 from pinspread.http import transport as http
 from pinspread.policy import outlier_detection
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.policy.settings import DeduplicationScope
 from pinspread.policy.state import MS
-from pinspread.sockets import connections as sockets
 
 pytestmark = pytest.mark.anyio
 
@@ -50,10 +51,14 @@
 @pytest.mark.parametrize(
     ("answer", "behind", "ends"),
     [
-        (b"HTTP/1.1 200 OK\r\nContent-Le", "REST_S", []),  # delivered, whatever comes or does not come behind
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Le",
+            "DRAIN_TIMEOUT_S",
+            [],
+        ),  # delivered, whatever comes or does not come behind
         (
             b"HTTP/1.1 503 x\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n",
-            "SLOT_S",
+            "SLOT_PAUSE_S",
             ["returned"],
         ),  # never ran
     ],
@@ -66,7 +71,7 @@
     async with standing(told) as heard, standing(endpoint) as address:
         async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:
             assert await Client(rig.address).enqueue("payment", for_ms=300) == "+OK\r\n"
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
     assert len(endpoint.requests) == 1
     assert [line["state"] for line in told.lines] == ends
 
@@ -78,8 +83,10 @@
         await Client(rig.address).enqueue("booking-change", "keyed", for_ms=60_000)
         gate = Gate(monkeypatch)
         await until(lambda: len(endpoint.requests) == 1 and gate.waiting)
-        rules = core.ids["keyed"].rules
-        core.clock.offset_us += rules.cls.deduplication_window_ns // 1000  # the repeat's dial takes so long
+        rules = core.messages_by_id["keyed"].rules
+        core.clock.offset_us += (
+            rules.traffic_class.deduplication_window_ns // 1000
+        )  # the repeat's dial takes so long
         gate.open.set()
         await until(lambda: not core.attempts)
         assert len(endpoint.requests) == 1
@@ -92,9 +99,11 @@
         for n in range(2):
             async with engine(tmp_path) as rig:
                 if n == 0:
-                    lane = rig.engine.settings.rules["booking-change"]
-                    by_zone = dataclasses.replace(lane.cls, group=DeduplicationScope.ZONE)
-                    rig.engine.settings.rules["booking-change"] = DeliveryRules(by_zone, lane.max_attempts)
+                    lane = rig.engine.settings.delivery_rules["booking-change"]
+                    by_zone = dataclasses.replace(lane.traffic_class, group=DeduplicationScope.ZONE)
+                    rig.engine.settings.delivery_rules["booking-change"] = DeliveryRules(
+                        by_zone, lane.max_attempts
+                    )
                 rig.engine.update_endpoints(
                     UpdateScope.FULL, [(Endpoint("far", far, 1, zone=1), EndpointState.READY)]
                 )
@@ -105,7 +114,7 @@
                 rig.engine.update_endpoints(
                     UpdateScope.DELTA, [(Endpoint("near", near, 1, zone=0), EndpointState.READY)]
                 )
-                await until(lambda: not rig.engine.ids)
+                await until(lambda: not rig.engine.messages_by_id)
     assert not endpoints[1].requests and len(endpoints[0].requests) == 2
 
 
@@ -139,12 +148,13 @@
 @asynccontextmanager
 async def watched(tmp_path, monkeypatch, faster=4):
     """A courier and its agent, with the watch's times cut to a quarter."""
-    for name in ("LINE_S", "FIRST_S", "HEAD_S", "TRY_S", "AGAIN_S"):
+    for name in ("LINE_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S", "RESPONSE_TIMEOUT_S", "OPEN_INTERVAL_S"):
         monkeypatch.setattr(discovery, name, getattr(discovery, name) / faster)
+    monkeypatch.setattr(backoff, "REOPEN_DELAY_S", backoff.REOPEN_DELAY_S / faster)
     agent = Agent()
     async with engine(tmp_path, agent.address) as rig:
         rig.tasks.start_soon(agent.run)
-        watch = discovery.Discovery(agent.address, rig.engine, rig.engine.settings)
+        watch = discovery.DiscoveryClient(agent.address, rig.engine, rig.engine.settings)
         rig.tasks.start_soon(watch.run)
         await until(lambda: agent.watches)
         yield rig, agent, watch
@@ -206,14 +216,14 @@
         if how == "moved":
             new, at = Agent(), 0
             rig.tasks.start_soon(new.run)
-            watch.move(new.address)
+            watch.change_address(new.address)
         await until(lambda: len(new.watches) > at)
         # Both are there before the courier reads either; the newer one's are first.
         new.say(at, told(9, S1 | {"health": "draining"}) + b"\n", head=True)
         agent.say(0, told(6, S1, whole=False) + b"\n")
-        await until(lambda: watch.seq == 9)
+        await until(lambda: watch.sequence == 9)
         await anyio.sleep(0.05)
-        assert not rig.engine.endpoints["s-1"].usable and watch.seq == 9
+        assert not rig.engine.endpoints["s-1"].usable and watch.sequence == 9
         new.sock.close()
 
 
@@ -221,7 +231,7 @@
     async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
         news = {"seq": 5, "whole": True, "hosts": [host('"s-{[1\\"', "127.0.0.1:9"), S1]}
         agent.say(0, b"\n" + orjson.dumps(news, option=orjson.OPT_INDENT_2) + b"\n\n", head=True)
-        await until(lambda: len(rig.engine.endpoints) == 2 and watch.seq == 5)
+        await until(lambda: len(rig.engine.endpoints) == 2 and watch.sequence == 5)
         assert len(agent.asked) == 1
 
 
@@ -250,7 +260,7 @@
         agent.say(0, told(7, S1 | {"health": "gone", "dial": None}, whole=False) + b"\n")
         await until(lambda: not rig.engine.endpoints)  # what it says of one that is known still counts
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
-    assert logged.count("malformed_host") == 2
+    assert logged.count("malformed_endpoint") == 2
 
 
 @pytest.mark.parametrize("seq", ["a b", -1, None, 1.5])
@@ -269,22 +279,28 @@
     endpoint = HttpStandIn(lambda request: (200, [], b"") if request[3]["request-id"] == "second" else untold)
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         core = rig.engine
-        core.settings.rules["booking-change"] = DeliveryRules(core.settings.rules["booking-change"].cls, 2)
+        core.settings.delivery_rules["booking-change"] = DeliveryRules(
+            core.settings.delivery_rules["booking-change"].traffic_class, 2
+        )
         if bar == "notice":
-            core.notified[0x77] = 1  # an earlier message of the key, whose notice is not answered
+            core.pending_notifications[0x77] = (
+                1  # an earlier message of the key, whose notice is not answered
+            )
         else:
             await Client(rig.address).enqueue("status-update", "first", for_ms=1500)
-            await until(lambda: core.told_us)  # heard by the transport; the module hears of it at its end
+            await until(
+                lambda: core.retry_after_until_us
+            )  # heard by the transport; the module hears of it at its end
         ended = []
-        attempt_ended = core._attempt_ended
-        core._attempt_ended = lambda attempt, outcome: (
+        attempt_ended = core.attempt_runner.complete
+        core.attempt_runner.complete = lambda attempt, outcome: (
             ended.append(outcome),
             attempt_ended(attempt, outcome),
         )
         assert await Client(rig.address).enqueue("booking-change", "second", key="77") == "+OK\r\n"
-        await until(lambda: len([o for o in ended if o.note]) >= 3 or "second" not in core.ids, 20)
-        core.notified.pop(0x77, None)
-        core.told_us.clear()
+        await until(lambda: len([o for o in ended if o.note]) >= 3 or "second" not in core.messages_by_id, 20)
+        core.pending_notifications.pop(0x77, None)
+        core.retry_after_until_us.clear()
         await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests), 20)
 
 
@@ -293,16 +309,16 @@
         leg = await sockets.dial(rig.address)
         await leg.write(b"*1\r\n$4\r\nPING\r\n")
         assert await leg.read() == b"+PONG\r\n"
-        room = rig.engine.fronts["resp"].room
-        (ours,) = room.legs.values()
+        room = rig.engine.fronts["resp"].limiter
+        (ours,) = room.clients.values()
         body = b"x" * 6000  # two of them: the second is still unread when the first is parsed
         command = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm%d\r\n$31\r\nc=payment,t=north,d=5000,dest=1\r\n"
         leg.sock.send(b"".join(command % n + b"$6000\r\n" + body + b"\r\n" for n in (1, 2)))
-        room._end(ours, "idle")  # they came in this moment, and are read behind it
+        room._close(ours, "idle")  # they came in this moment, and are read behind it
         with suppress(ConnectionResetError):
             assert await leg.read() == b""
         await until(lambda: ours.connection.sock.fileno() < 0)  # all of it has been read
-        assert not rig.engine.ids
+        assert not rig.engine.messages_by_id
 
 
 @pytest.mark.parametrize("way", ["draining", "gone", "left out"])
@@ -322,14 +338,14 @@
         async with engine(tmp_path, heard) as rig:
             rig.tasks.start_soon(agent.run)
             old = {"seq": 5, "whole": True, "hosts": [ready]}  # as the configuration has it
-            settings_ = dataclasses.replace(rig.engine.settings, known=old)
-            watch = discovery.Discovery(agent.address, rig.engine, settings_)
+            settings_ = dataclasses.replace(rig.engine.settings, cached_endpoints=old)
+            watch = discovery.DiscoveryClient(agent.address, rig.engine, settings_)
             watch.start()
             rig.tasks.start_soon(watch.run)
-            await until(lambda: agent.watches and not rig.engine.ids)  # its time is over
+            await until(lambda: agent.watches and not rig.engine.messages_by_id)  # its time is over
             assert not endpoint.requests
             assert await Client(rig.address).enqueue("status-update", "later") == "+OK\r\n"
             agent.say(len(agent.watches) - 1, told(7, ready) + b"\n", head=True)
-            await until(lambda: not rig.engine.ids)
+            await until(lambda: not rig.engine.messages_by_id)
             assert [r[3]["request-id"] for r in endpoint.requests] == ["later"]
         agent.sock.close()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,9 +14,9 @@
 import pytest
 from standins import Client, HttpStandIn, configuration, host, listener, own_address, standing, until
 
-from pinspread.core import journal
-from pinspread.hot_restart import transfer as succession
-from pinspread.sockets import connections as sockets
+from pinspread import sockets
+from pinspread.core import journal_records
+from pinspread.hot_restart.link import SOCKET_NAME, Link, PacketKind
 
 pytestmark = pytest.mark.anyio
 
@@ -207,7 +207,7 @@
     ledger.check()
     assert not ledger.trouble and len(ledger.taken) > 200
     events = [e["event"] for e in made.events(1)]
-    assert "inherited" in events and "recovered" not in events and "handed_over" in events
+    assert "handover_received" in events and "recovered" not in events and "handed_over" in events
 
 
 async def test_a_ban_binds_both_processes_and_lasts(tmp_path):
@@ -235,7 +235,7 @@
 
     def __init__(self, made, deed, kind):
         self.made, self.deed, self.kind = made, deed, kind
-        self.path = made.folder / "state" / succession.NAME
+        self.path = made.folder / "state" / SOCKET_NAME
         self.real = self.path.with_name("real")
         self.path.rename(self.real)
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -245,8 +245,8 @@
 
     async def run(self):
         await anyio.wait_readable(self.sock)
-        new = succession.Link(self.sock.accept()[0])
-        old = succession.Link(socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET))
+        new = Link(self.sock.accept()[0])
+        old = Link(socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET))
         old.sock.connect(str(self.real))
         self.real.rename(self.path)  # whoever asks next finds the old process itself
         async with anyio.create_task_group() as tasks:
@@ -277,10 +277,10 @@
 
 
 STEPS = {
-    "kill old": ("HELLO", "STATE", "LEG", "YOURS", "TAKEN", "ENDED"),
-    "kill new": ("STATE", "YOURS", "TAKEN", "ENDED"),
-    "cut": ("YOURS", "TAKEN"),
-    "garble": ("HELLO", "STATE", "ENDED"),
+    "kill old": ("HELLO", "STATE", "CLIENT_CONNECTION", "LOCK", "TAKEN_OVER", "ATTEMPT_COMPLETED"),
+    "kill new": ("STATE", "LOCK", "TAKEN_OVER", "ATTEMPT_COMPLETED"),
+    "cut": ("LOCK", "TAKEN_OVER"),
+    "garble": ("HELLO", "STATE", "ATTEMPT_COMPLETED"),
 }
 
 
@@ -288,13 +288,16 @@
 async def test_an_upgrade_that_breaks_at_any_message_loses_and_doubles_nothing(tmp_path, deed, kind):
     async with deployed(tmp_path, clients=4) as (made, ledger):
         await anyio.sleep(0.3)
-        between = Between(made, deed, getattr(succession, kind))
+        between = Between(made, deed, PacketKind[kind])
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(between.run)
             new = made.start()
             if deed == "kill new":
                 await anyio.to_thread.run_sync(new.wait)
-                if kind not in ("TAKEN", "ENDED"):  # the old one serves on, and hands over to the next
+                if kind not in (
+                    "TAKEN_OVER",
+                    "ATTEMPT_COMPLETED",
+                ):  # the old one serves on, and hands over to the next
                     assert await ready(made.processes[0], 3) < 3
                     assert await Client(made.address).say("PING") == "+PONG\r\n"
                 else:
@@ -312,7 +315,7 @@
     async with deployed(tmp_path, clients=2) as (made, ledger):
         await anyio.sleep(0.3)
         with open(tmp_path / "state" / "journal", "ab") as file:
-            file.write(journal._record(bytes([99]) + bytes(8)))
+            file.write(journal_records.frame(bytes([99]) + bytes(8)))
         new = made.start()
         assert await anyio.to_thread.run_sync(new.wait) == 1
         said = (tmp_path / "log1").read_bytes().splitlines()[-1]
