--- a/pinspread/core/acceptance.py
+++ b/pinspread/core/acceptance.py
@@ -63,7 +63,7 @@
         except JournalFullError as error:
             raise RejectedError(REJECTED_RETRY_MS, str(error)) from None
         self._messages.add_open(message)
-        self._tell_policy(message)
+        self._announce(message)
         log(
             "accepted",
             id=message.id,
@@ -124,7 +124,7 @@
             if message.final is not None:
                 self._notifications.start(message)
             else:
-                self._tell_policy(message, recovered=True)
+                self._announce(message, recovered=True)
         return new
 
     def release(self, ids: Collection[str]) -> int:
@@ -167,7 +167,7 @@
             self._apply_rules(message)
             self._hold(message)
             if message.final is None and message.number not in known_to_policy:
-                self._tell_policy(message, recovered=True)
+                self._announce(message, recovered=True)
 
     def _apply_rules(self, message: Message) -> None:
         """Have the settings' rules count for what an older version accepted without recording its own."""
@@ -182,7 +182,7 @@
         else:
             self._messages.add_open(message)
 
-    def _tell_policy(self, message: Message, recovered: bool = False) -> None:
+    def _announce(self, message: Message, recovered: bool = False) -> None:
         rules = message.rules
         if rules is None:
             raise ValueError(f"{message.id}: accepted without delivery rules")
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -10,7 +10,11 @@
 
 
 class EngineSettings(Protocol):
-    """What the engine reads of the settings in effect."""
+    """What the engine, and replication by way of it, read of the settings in effect."""
+
+    @property
+    def disk_bytes(self) -> int:
+        """What the journal may take of the disk."""
 
     @property
     def policy_settings(self) -> Settings:
