--- a/pinspread/hot_restart/state_codec.py
+++ b/pinspread/hot_restart/state_codec.py
@@ -19,6 +19,12 @@
 from pinspread.hot_restart.link import HandoverFormatError
 from pinspread.policy import actions, events, settings, state
 from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.policy.discovery import Discovery
+from pinspread.policy.dispatch import Dispatcher
+from pinspread.policy.load_balancing import LoadBalancer
+from pinspread.policy.outlier_detection import OutlierDetector
+from pinspread.policy.rate_limit import RateLimitPolicy
+from pinspread.policy.retry_budget import RetryBudget
 
 POLICY_KEY = "sender"  # of the delivery policy in the state
 STATE_KEYS = (
@@ -54,6 +60,12 @@
     *_classes_of(events),
     *_classes_of(actions),
     DeliveryPolicy,
+    RateLimitPolicy,
+    Discovery,
+    LoadBalancer,
+    OutlierDetector,
+    Dispatcher,
+    RetryBudget,
     Endpoint,
     deque,
     Random,
