--- a/pinspread/replication/recovery.py
+++ b/pinspread/replication/recovery.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, cast
 
 import anyio
 
@@ -13,6 +13,7 @@
 from pinspread.replication.store import GenerationFile
 
 if TYPE_CHECKING:
+    from pinspread.config.settings import EffectiveSettings
     from pinspread.core.engine import DeliveryEngine
     from pinspread.replication.node import ReplicationNode
     from pinspread.replication.primary import Primary
@@ -154,7 +155,8 @@
 
     def _drop_released(self, released: ReleasedWork) -> None:
         folder = self._engine.journal.path.parent
-        count = journal_bytes.drop_messages(folder, self._engine.settings.disk_bytes, released.ids)
+        settings = cast("EffectiveSettings", self._engine.settings)  # the engine itself needs fewer of them
+        count = journal_bytes.drop_messages(folder, settings.disk_bytes, released.ids)
         self._node.events("copies_gave_up", count=count, adopted=released.taken_over)
 
     # --- after the lease was lost -------------------------------------------------------------------
