--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -133,9 +133,9 @@
 
 def _note_sighup() -> list[bool]:
     """Take note of SIGHUP until it can be heeded, for it may come after the file has been read."""
-    noted: list[bool] = []
-    signal.signal(signal.SIGHUP, lambda *_: noted.append(True))
-    return noted
+    received: list[bool] = []
+    signal.signal(signal.SIGHUP, lambda *_: received.append(True))
+    return received
 
 
 def _serve(options: "ServiceOptions") -> None:
@@ -230,7 +230,7 @@
     """Print the DNS-SD records under which others find the node."""
     from pinspread.config import application, dnssd
 
-    print(dnssd.own_records(application.load(chosen.file)), end="")
+    print(dnssd.node_records(application.load(chosen.file)), end="")
     return 0
 
 
--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -189,12 +189,12 @@
             return
         self.last = found
         # The engine marks endpoints as not usable in place, and the next comparison needs them as read.
-        copies = [(replace(endpoint), state) for endpoint, state in found]
-        self.engine.update_endpoints(UpdateScope.FULL, copies)
+        endpoints = [(replace(endpoint), state) for endpoint, state in found]
+        self.engine.update_endpoints(UpdateScope.FULL, endpoints)
         log("endpoint_list", scope="FULL", endpoints=len(found))
 
 
-def own_records(file: File) -> str:
+def node_records(file: File) -> str:
     """The records under which others find this node, as lines of a zone file."""
     name, domain = file.application.name, file.discovery.domain
     lines = [f"$ORIGIN {domain}", "$TTL 60"]
--- a/pinspread/config/last_good.py
+++ b/pinspread/config/last_good.py
@@ -14,7 +14,7 @@
 from pinspread.core.log import log
 
 FILE_NAME = "configuration.good"  # in the state folder; its content is stored data
-MAX_DISK_SHARE = 0.015  # of the folder's room, for each of the file and the one that replaces it
+MAX_DISK_FRACTION = 0.015  # of the folder's room, for each of the file and the one that replaces it
 
 
 def load_at_start(environment: Mapping[str, str]) -> EffectiveSettings:
@@ -56,7 +56,7 @@
 
 
 def _write(packed: bytes, effective: EffectiveSettings) -> None:
-    if len(packed) > effective.disk_bytes * MAX_DISK_SHARE:
+    if len(packed) > effective.disk_bytes * MAX_DISK_FRACTION:
         raise OSError(f"{len(packed)} bytes are not kept")
     copy = Path(effective.state) / FILE_NAME
     new_copy = copy.with_suffix(".new")
--- a/pinspread/hot_restart/state_codec.py
+++ b/pinspread/hot_restart/state_codec.py
@@ -90,13 +90,13 @@
 
 def _instances(policy: DeliveryPolicy) -> list[object]:
     """The policy, and those of its parts whose attributes no declaration names."""
-    parts = [part for part in vars(policy).values() if type(part) in SENT and _is_undeclared(part)]
-    return [policy, *sorted(parts, key=lambda part: _path(type(part)))]
+    components = [one for one in vars(policy).values() if type(one) in SENT and _is_undeclared(one)]
+    return [policy, *sorted(components, key=lambda one: _path(type(one)))]
 
 
-def _is_undeclared(part: object) -> bool:
-    cls = type(part)
-    return cls is not Random and hasattr(part, "__dict__") and not is_dataclass(cls)
+def _is_undeclared(component: object) -> bool:
+    cls = type(component)
+    return cls is not Random and hasattr(component, "__dict__") and not is_dataclass(cls)
 
 
 def _attributes(instance: object) -> list[str]:
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -145,13 +145,13 @@
     async def _exchange(self, link: Link) -> TransferredState | None:
         """One exchange; None if nothing came of it."""
         transferred = TransferredState(link=link)
-        own_shape = shape(self.policy)
+        expected_shape = shape(self.policy)
         delay_s = 0.0
         with ExitStack() as on_failure:
             on_failure.callback(link.close)
             on_failure.callback(transferred.close)
             try:
-                lock_descriptor = await self._collect(link, transferred, own_shape)
+                lock_descriptor = await self._collect(link, transferred, expected_shape)
                 if lock_descriptor is not None:
                     complete = transferred.state is not None
                     if await self._accept(link, lock_descriptor, complete):
@@ -165,10 +165,10 @@
             await _request_departure(self.folder)
         return None
 
-    async def _collect(self, link: Link, transferred: TransferredState, own_shape: str) -> int | None:
+    async def _collect(self, link: Link, transferred: TransferredState, expected_shape: str) -> int | None:
         """Receive all that is handed over; gives the descriptor of the lock, None where it was declined."""
         with anyio.fail_after(STEP_S):
-            await link.send(PacketKind.HELLO, own_shape.encode())
+            await link.send(PacketKind.HELLO, expected_shape.encode())
         self.target.request_sent()
         while True:
             with anyio.fail_after(STEP_S):
