--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import replace
-from typing import Any
+from typing import Any, cast
 
 import anyio
 import anyio.to_thread
@@ -182,8 +182,9 @@
             await anyio.sleep(self.refresh_s)
 
     async def _refresh(self) -> None:
+        kinds = cast(EffectiveSettings, self.engine.settings).kinds
         found = await anyio.to_thread.run_sync(
-            browse, self.records, self.services, self.engine.settings.kinds, abandon_on_cancel=True
+            browse, self.records, self.services, kinds, abandon_on_cancel=True
         )
         if found == self.last:
             return
--- a/pinspread/hot_restart/state_codec.py
+++ b/pinspread/hot_restart/state_codec.py
@@ -16,24 +16,19 @@
 import orjson
 
 from pinspread.core.messages import Endpoint
+from pinspread.core.ownership import EngineState
 from pinspread.hot_restart.link import HandoverFormatError
 from pinspread.policy import actions, events, settings, state
 from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.policy.discovery import Discovery
+from pinspread.policy.dispatch import Dispatcher
+from pinspread.policy.load_balancing import LoadBalancer
+from pinspread.policy.outlier_detection import OutlierDetector
+from pinspread.policy.rate_limit import RateLimitPolicy
+from pinspread.policy.retry_budget import RetryBudget
 
 POLICY_KEY = "sender"  # of the delivery policy in the state
-STATE_KEYS = (
-    POLICY_KEY,
-    "inbox",
-    "timers",
-    "told_us",
-    "hops",
-    "dests",
-    "next",
-    "made",
-    "out",
-    "probes",
-    "discovery",
-)  # of the engine's state, and of discovery's beside it
+STATE_KEYS = (*EngineState.__annotations__, "discovery")  # the engine's state, and discovery's beside it
 DISCOVERY_STATE_KEYS = ("address", "seq")
 
 _SHAPE_BYTES = 16
@@ -54,6 +49,12 @@
     *_classes_of(events),
     *_classes_of(actions),
     DeliveryPolicy,
+    RateLimitPolicy,
+    Discovery,
+    LoadBalancer,
+    OutlierDetector,
+    Dispatcher,
+    RetryBudget,
     Endpoint,
     deque,
     Random,
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -16,6 +16,7 @@
 from pinspread.errors import JournalFullError
 from pinspread.leases.service import LeaseService
 from pinspread.membership.members import MemberState
+from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
 from pinspread.replication.config import ReplicationConfig
@@ -55,7 +56,7 @@
     membership = MembershipService(
         MembershipConfig("k", "127.0.0.1:1", "127.0.0.1:1", (), b"fleet", SwimConfig())
     )
-    membership.member.apply(["a", "127.0.0.2:1", 0, MemberState.ALIVE, "a"], 0)
+    membership.member.apply(Update("a", "127.0.0.2:1", 0, MemberState.ALIVE, "a"), 0)
     leases = mock.create_autospec(LeaseService, instance=True)
     leases.fencing_token.return_value = TOKEN
     found = ReplicationService(
@@ -78,7 +79,7 @@
 
     anyio.run(play)
     service.node.ownership.confirmed_fencing_token = TOKEN
-    service.membership.member.apply(["a", "127.0.0.2:1", 0, MemberState.DEAD, "k"], 0)
+    service.membership.member.apply(Update("a", "127.0.0.2:1", 0, MemberState.DEAD, "k"), 0)
     return service.stores["a"]
 
 
@@ -135,8 +136,10 @@
 def test_a_replica_that_is_not_chosen_any_more_goes_once_its_owner_consents(service, tmp_path):
     store = store_of_lost_node(service, journal_of(tmp_path / "a", 1), ["k"])
     membership = service.membership
-    membership.member.apply(["a", "127.0.0.2:1", 1, MemberState.ALIVE, "a"], 0)
-    membership.member.apply(["f", "127.0.0.3:1", 0, MemberState.ALIVE, "f"], 0)  # comes before this node
+    membership.member.apply(Update("a", "127.0.0.2:1", 1, MemberState.ALIVE, "a"), 0)
+    membership.member.apply(
+        Update("f", "127.0.0.3:1", 0, MemberState.ALIVE, "f"), 0
+    )  # comes before this node
     service.node.config = replace(service.node.config, replica_count=1, check_interval_us=0)
     answers, asked = [None, Refusal("not yet"), Consent()], []
 
