--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import replace
-from typing import Any
+from typing import Any, cast
 
 import anyio
 import anyio.to_thread
@@ -182,19 +182,20 @@
             await anyio.sleep(self.refresh_s)
 
     async def _refresh(self) -> None:
+        kinds = cast(EffectiveSettings, self.engine.settings).kinds
         found = await anyio.to_thread.run_sync(
-            browse, self.records, self.services, self.engine.settings.kinds, abandon_on_cancel=True
+            browse, self.records, self.services, kinds, abandon_on_cancel=True
         )
         if found == self.last:
             return
         self.last = found
         # The engine marks endpoints as not usable in place, and the next comparison needs them as read.
-        copies = [(replace(endpoint), state) for endpoint, state in found]
-        self.engine.update_endpoints(UpdateScope.FULL, copies)
+        endpoints = [(replace(endpoint), state) for endpoint, state in found]
+        self.engine.update_endpoints(UpdateScope.FULL, endpoints)
         log("endpoint_list", scope="FULL", endpoints=len(found))
 
 
-def own_records(file: File) -> str:
+def node_records(file: File) -> str:
     """The records under which others find this node, as lines of a zone file."""
     name, domain = file.application.name, file.discovery.domain
     lines = [f"$ORIGIN {domain}", "$TTL 60"]
--- a/pinspread/hot_restart/state_codec.py
+++ b/pinspread/hot_restart/state_codec.py
@@ -16,6 +16,7 @@
 import orjson
 
 from pinspread.core.messages import Endpoint
+from pinspread.core.ownership import EngineState
 from pinspread.hot_restart.link import HandoverFormatError
 from pinspread.policy import actions, events, settings, state
 from pinspread.policy.delivery_policy import DeliveryPolicy
@@ -27,19 +28,7 @@
 from pinspread.policy.retry_budget import RetryBudget
 
 POLICY_KEY = "sender"  # of the delivery policy in the state
-STATE_KEYS = (
-    POLICY_KEY,
-    "inbox",
-    "timers",
-    "told_us",
-    "hops",
-    "dests",
-    "next",
-    "made",
-    "out",
-    "probes",
-    "discovery",
-)  # of the engine's state, and of discovery's beside it
+STATE_KEYS = (*EngineState.__annotations__, "discovery")  # the engine's state, and discovery's beside it
 DISCOVERY_STATE_KEYS = ("address", "seq")
 
 _SHAPE_BYTES = 16
@@ -102,13 +91,13 @@
 
 def _instances(policy: DeliveryPolicy) -> list[object]:
     """The policy, and those of its parts whose attributes no declaration names."""
-    parts = [part for part in vars(policy).values() if type(part) in SENT and _is_undeclared(part)]
-    return [policy, *sorted(parts, key=lambda part: _path(type(part)))]
+    components = [one for one in vars(policy).values() if type(one) in SENT and _is_undeclared(one)]
+    return [policy, *sorted(components, key=lambda one: _path(type(one)))]
 
 
-def _is_undeclared(part: object) -> bool:
-    cls = type(part)
-    return cls is not Random and hasattr(part, "__dict__") and not is_dataclass(cls)
+def _is_undeclared(component: object) -> bool:
+    cls = type(component)
+    return cls is not Random and hasattr(component, "__dict__") and not is_dataclass(cls)
 
 
 def _attributes(instance: object) -> list[str]:
--- a/pinspread/service.py
+++ b/pinspread/service.py
@@ -10,7 +10,7 @@
 import socket
 from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple, cast
 
 import anyio
 import anyio.abc
@@ -27,7 +27,7 @@
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
 from pinspread.core.log import log, use_clock
-from pinspread.core.ports import BackgroundService, Discovery, EndpointAdmin
+from pinspread.core.ports import BackgroundService, Discovery, EndpointAdmin, Transport
 from pinspread.discovery.client import DiscoveryClient
 from pinspread.errors import JournalFormatError, JournalFullError
 from pinspread.http.pool import ConnectionPool
@@ -39,6 +39,7 @@
 
 if TYPE_CHECKING:
     from pinspread.admin.server import AdminServer
+    from pinspread.core.ownership import EngineState
     from pinspread.hot_restart.source import HandoverPayload, Successor
     from pinspread.hot_restart.target import TransferredState
 
@@ -129,14 +130,17 @@
         self.reload_pending = False  # SIGHUP came before there was anything to change
         self.leaving = anyio.Event()  # SIGTERM or SIGINT came, or another process waits for the folder
         self._options = options
+        self._settings_in_force = settings
+        self._successor: Successor | None = None  # the process that this one hands over to
         self._pausable: list[anyio.CancelScope] = []  # of the tasks that pause for a hand-over
 
     def _connect_engine(self) -> None:
         """Give the engine its transports and fronts."""
         engine, settings = self.engine, self.settings
-        engine.transports["http"] = HttpTransport(
+        self.http_transport = HttpTransport(
             self.clock, self.pool, settings.connect_timeout_us, settings.load_reports_enabled
         )
+        engine.transports["http"] = self.http_transport
         self.resp_front = RespFront(engine, self.notifications, self.limiter)
         self.amqp_front = AmqpFront(engine, self.amqp_settings.heartbeat_s, self.limiter)
         engine.fronts[RESP] = self.resp_front
@@ -182,9 +186,10 @@
         for background in self.background_services:
             await background.open()
             self.tasks.start_soon(background.run)
-        engine.transports["amqp"] = BrokerTransport(
+        broker_transport = BrokerTransport(
             self.clock, self.tasks, settings.connect_timeout_us, self._options.amqp_login
         )
+        engine.transports["amqp"] = cast("Transport", broker_transport)  # bundles go by HTTP only
         transferred = await self._take_over()
         if self.leaving.is_set() and not transferred:
             return  # all that is owed is in the journal
@@ -218,13 +223,13 @@
             await background.close()
 
     async def _finish(self) -> None:
-        if not self.engine.successor:
+        if not self._successor:
             await self.engine.stop()
             await self.amqp_front.close()
             await self.resp_front.close()
             return
         with anyio.move_on_after(REPORT_S):
-            while self.engine.attempts or self.engine.health_checks or self.engine.successor.queue:
+            while self.engine.attempts or self.engine.health_checks or self._successor.queue:
                 await anyio.sleep(0.01)
 
     # --- owning the folder ----------------------------------------------------------------------------
@@ -244,7 +249,7 @@
             self.discovery.start()
             self.engine.recover()
             return None
-        self.engine.resume_from_handover(transferred.state)
+        self.engine.resume_from_handover(cast("EngineState", transferred.state))
         self.discovery.resume(transferred.state["discovery"])
         self.pool.attach_all(transferred.idle_connections)
         return transferred
@@ -335,7 +340,7 @@
 
     def reload_settings(self) -> None:
         """Put the configuration in force that was written since: whole, or not at all."""
-        old = self.engine.settings
+        old = self._settings_in_force
         try:
             new, discovery_source, notification_address = self._options.reload(old)
         except SettingsError as error:
@@ -358,13 +363,13 @@
         )
 
     def _apply_settings(self, new: EffectiveSettings) -> None:
-        engine = self.engine
-        engine.apply_settings(new)
-        engine.transports["http"].dial_us = new.connect_timeout_us
-        engine.transports["http"].reports = new.load_reports_enabled
+        self._settings_in_force = new
+        self.engine.apply_settings(new)
+        self.http_transport.dial_us = new.connect_timeout_us
+        self.http_transport.reports = new.load_reports_enabled
         self.pool.set_keepalive(new.keepalive_us)
         self.limiter.resize(*_connection_limits(new))
-        engine.journal.resize(new.disk_bytes)
+        self.engine.journal.resize(new.disk_bytes)
 
     # --- hot restart ----------------------------------------------------------------------------------
 
@@ -397,10 +402,12 @@
         for scope in scopes:
             scope.cancel()
         connections = await self.resp_front.detach_connections()
-        state = self.engine.pause_for_handover(successor) | {"discovery": self.discovery.snapshot()}
+        self._successor = successor
+        engine_state = self.engine.pause_for_handover(successor)
+        state = {**engine_state, "discovery": self.discovery.snapshot()}
         return HandoverPayload(
             packed_state=pack_state(state),
-            attempts_in_flight=len(state["out"]),
+            attempts_in_flight=len(engine_state["out"]),
             client_connections=_within_limit(connections, self.settings.sockets // 4),
             idle_connections=[IdleEndpointConnection(*idle) for idle in self.pool.detach_all()],
             listeners={name: sock for name, sock in self.listeners.items() if name != RESP},
@@ -410,6 +417,7 @@
     def resume_after_handover(self, payload: "HandoverPayload") -> None:
         """The next process did not take over: serve on."""
         self.pool.attach_all(payload.idle_connections)
+        self._successor = None
         self.engine.cancel_handover()
         self._start_discovery()
         self._serve_clients(payload.client_connections)
--- a/pinspread/simhost.py
+++ b/pinspread/simhost.py
@@ -5,6 +5,7 @@
 
 from pinspread import wire
 from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.policy.events import Event
 
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
@@ -36,9 +37,9 @@
                 records += actions
         return wire.reply(records)
 
-    def _turns(self, count: int, payload: bytes) -> dict[int, list[wire.Event]]:
+    def _turns(self, count: int, payload: bytes) -> dict[int, list[Event]]:
         """The events of each instance; those that start or stop are carried out on the way."""
-        turns: dict[int, list[wire.Event]] = {}
+        turns: dict[int, list[Event]] = {}
         for instance, event in self._decoder.batch(count, payload):
             if isinstance(event, wire.Start):
                 self._policies[instance] = DeliveryPolicy(event.settings, event.seed)
@@ -52,7 +53,7 @@
                 turns.setdefault(instance, []).append(event)
         return turns
 
-    def _actions(self, instance: int, now_ns: int, events: list[wire.Event]) -> list[bytes]:
+    def _actions(self, instance: int, now_ns: int, events: list[Event]) -> list[bytes]:
         """The records of an instance's actions, or of its failure, which ends no other instance."""
         try:
             return [wire.encode(action) for action in self._policies[instance].handle(now_ns, events)]
--- a/pinspread/wire.py
+++ b/pinspread/wire.py
@@ -25,6 +25,7 @@
     TimerFired,
     UpdateScope,
 )
+from pinspread.policy.events import Event as PolicyEvent
 from pinspread.policy.settings import (
     DeduplicationScope,
     DestinationKind,
@@ -108,16 +109,7 @@
     """An instance was killed."""
 
 
-Event = (
-    Start
-    | Stop
-    | AttemptCompleted
-    | ClientCancelled
-    | EndpointsChanged
-    | HealthCheckCompleted
-    | MessageAccepted
-    | TimerFired
-)
+Event = Start | Stop | PolicyEvent
 
 
 class _Reader:
