--- a/pinspread/amqp/publishing.py
+++ b/pinspread/amqp/publishing.py
@@ -13,6 +13,14 @@
 from pinspread.core import message_fields
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
+from pinspread.core.message_fields import (
+    MAX_BODY_BYTES,
+    MAX_DEADLINE_MS,
+    MAX_DESTINATION,
+    InvalidFieldError,
+    parse_identifier,
+    parse_number,
+)
 from pinspread.core.messages import Message
 from pinspread.errors import RejectedError
 
@@ -26,7 +34,7 @@
     """Read an ordering key: hexadecimal ones are the same on all fronts, others are hashed; 0 is none."""
     try:
         return message_fields.parse_key(text.encode())
-    except message_fields.InvalidFieldError:
+    except InvalidFieldError:
         return int.from_bytes(blake2b(text.encode(), digest_size=KEY_BYTES).digest()) or 1
 
 
@@ -45,7 +53,7 @@
     """
     try:
         return _read_message(engine, properties, body)
-    except message_fields.InvalidFieldError as error:
+    except InvalidFieldError as error:
         raise AmqpError(ReplyCode.PRECONDITION_FAILED, str(error), method) from None
 
 
@@ -54,18 +62,16 @@
     class_name = _text(headers, names.CLASS)
     tenant = _text(headers, names.TENANT)
     destination_text = str(headers.get(names.DESTINATION)) if headers else ""
-    destination = message_fields.parse_number(
-        destination_text, names.DESTINATION, message_fields.MAX_DESTINATION
-    )
+    destination = parse_number(destination_text, names.DESTINATION, MAX_DESTINATION)
     unknown = engine.unknown_reason(class_name, tenant, destination)
     if unknown:
-        raise message_fields.InvalidFieldError(unknown)
-    message_id = message_fields.parse_identifier(str(properties.message_id or "").encode(), names.MESSAGE_ID)
+        raise InvalidFieldError(unknown)
+    message_id = parse_identifier(str(properties.message_id or "").encode(), names.MESSAGE_ID)
     if not properties.reply_to:
-        raise message_fields.InvalidFieldError(f"{names.REPLY_TO} is missing")
+        raise InvalidFieldError(f"{names.REPLY_TO} is missing")
     idempotency_key = _text(headers, names.IDEMPOTENCY_KEY)
     if idempotency_key:
-        message_fields.parse_identifier(idempotency_key.encode(), names.IDEMPOTENCY_KEY)
+        parse_identifier(idempotency_key.encode(), names.IDEMPOTENCY_KEY)
     expires_in_ms = _expires_in_ms(engine, class_name, properties)
     key = parse_key(str(headers.get(names.KEY) or "0"))
     return Message(
@@ -86,9 +92,7 @@
 def _expires_in_ms(engine: DeliveryEngine, class_name: str, properties: commands.Basic.Properties) -> int:
     """How long the message may take, in milliseconds: as the publisher says, or as its class has it."""
     default_ms = engine.settings.delivery_rules[class_name].traffic_class.deadline_ns // NS_PER_MS
-    return message_fields.parse_number(
-        properties.expiration or str(default_ms), names.EXPIRATION, message_fields.MAX_DEADLINE_MS
-    )
+    return parse_number(properties.expiration or str(default_ms), names.EXPIRATION, MAX_DEADLINE_MS)
 
 
 class Publisher:
@@ -120,9 +124,7 @@
         if method.exchange != DEFAULT_EXCHANGE:
             raise AmqpError(ReplyCode.NOT_FOUND, f"no exchange {method.exchange!r}", method)
         if body is None:
-            raise AmqpError(
-                ReplyCode.CONTENT_TOO_LARGE, f"a body over {message_fields.MAX_BODY_BYTES} bytes", method
-            )
+            raise AmqpError(ReplyCode.CONTENT_TOO_LARGE, f"a body over {MAX_BODY_BYTES} bytes", method)
         channel.published += 1
         tag = channel.published
         try:
--- a/pinspread/testbed/processes.py
+++ b/pinspread/testbed/processes.py
@@ -42,8 +42,9 @@
 
 import orjson
 
-from pinspread.config import application
+from pinspread.config.template import template
 from pinspread.membership import codec as wire
+from pinspread.simulation.recorded_events import recorded
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed.faults import Proxy, Rules
 from pinspread.testbed.resource import Resource
@@ -113,7 +114,7 @@
 
     def config(self):
         s = self.stage
-        text = application.template(self.id)
+        text = template(self.id)
         for port, old in ((6379, "127.0.0.1:6379"), (5672, "127.0.0.1:5672"), (9600, "127.0.0.1:9600")):
             text = text.replace(old, f"{self.real[0]}:{port}")
         text = text.replace('folder = "state"', f'folder = "{self.folder / "state"}"')
@@ -168,7 +169,7 @@
         history = self.stage.history
         for raw in process.stdout:
             try:
-                line = orjson.loads(raw)
+                line = recorded(orjson.loads(raw))
             except orjson.JSONDecodeError:
                 line = {"event": "text", "text": raw.decode("utf-8", "replace").rstrip()[:500]}
             if not isinstance(line, dict):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -469,13 +469,13 @@
 
 
 async def test_next_hops_that_are_replaced_all_day_leave_nothing_behind(tmp_path, monkeypatch):
-    from pinspread.policy import delivery_policy as decide
+    from pinspread.policy import discovery
 
-    monkeypatch.setattr(decide, "GONE_KEPT_NS", 0)
+    monkeypatch.setattr(discovery, "REMOVED_KEPT_NS", 0)
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, coldNs=0) as rig:
         core, client = rig.engine, Client(rig.address)
-        core.policy.settings.slow_start_ns = 0
+        core.policy.context.settings.slow_start_ns = 0
         for n in range(6):  # each at the address of the one before
             rig.update_endpoints(address, f"s-{n}")
             await client.enqueue(id_=f"m{n}")
@@ -485,9 +485,9 @@
             await until(lambda: not endpoint.open)
         core.retry_after_until_us[1] = waits = core.clock.now() + 10**9
         rig.update_endpoints(address, "last")
-        await until(lambda: not core.inbox)
-        assert list(core.endpoints) == list(core.policy.endpoints) == ["last"]
-        assert list(core.policy.destinations[1].endpoints) == ["last"]
+        await until(lambda: not core.events.inbox)
+        assert list(core.endpoints) == list(core.policy.discovery.endpoints) == ["last"]
+        assert list(core.policy.discovery.destinations[1].endpoints) == ["last"]
         assert core.retry_after_until_us == {1: waits}  # what still binds is kept
         assert not core.transports["http"].pool.idle and endpoint.connections == 6
 
@@ -623,8 +623,8 @@
 async def test_the_module_hears_which_calls_had_a_connection_opened_for_them(tmp_path, monkeypatch):
     endpoint, heard = scripted((503, [], b""), (503, [], b"")), []
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        post = rig.engine.post
-        monkeypatch.setattr(rig.engine, "post", lambda event: (heard.append(event), post(event)))
+        post = rig.engine.events.post
+        monkeypatch.setattr(rig.engine.events, "post", lambda event: (heard.append(event), post(event)))
         await Client(rig.address).enqueue()
         await until(lambda: not rig.engine.messages_by_id)
     assert [event.opened for event in heard if type(event) is AttemptCompleted] == [True, False, False]
@@ -705,8 +705,8 @@
     async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client, turns = Client(rig.address), []
         found = rig.engine.policy
-        await until(lambda: "s-1" in found.endpoints)
-        found.endpoints["s-1"].doubt = 0.4
+        await until(lambda: "s-1" in found.discovery.endpoints)
+        found.discovery.endpoints["s-1"].failure_rate = 0.4
         handle = found.handle
         found.handle = lambda now, events: turns.append(now) or handle(now, events)
         for _ in range(2):
