--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -2,6 +2,7 @@
 
 import os
 import signal
+import socket
 import subprocess
 import sys
 import time
@@ -295,6 +296,37 @@
         each.close()
 
 
+async def test_small_writes_are_not_held_back_by_the_system():
+    sock, address = listener()
+    served = []
+
+    async def serve(connection):
+        served.append(connection)
+
+    async with anyio.create_task_group() as tasks:
+        tasks.start_soon(sockets.accept_forever, sock, tasks, serve)
+        dialled = await sockets.dial(address)
+        await until(lambda: served)
+        tasks.cancel_scope.cancel()
+    for each in (dialled, *served):
+        assert each.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        each.close()
+
+
+async def test_a_client_that_sends_much_at_once_and_goes_holds_nobody_up(tmp_path):
+    partner = scripted()
+    async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+        hasty = await sockets.dial(rig.address)
+        words = [b"ENQUEUE", b"0", b"hasty%03d", b"c=status-update,t=north,d=5000,dest=1", b"x"]
+        command = b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(w.replace(b"%03d", b"000")), w) for w in words)
+        await hasty.write(b"".join(command % n for n in range(300)))
+        hasty.close()
+        assert await Client(rig.address).enqueue("status-update", "steady") == "+OK\r\n"
+        await until(lambda: not rig.engine.messages_by_id)
+        delivered = [r[3]["request-id"] for r in partner.requests]
+        assert "steady" in delivered and len(set(delivered)) == len(delivered)
+
+
 async def test_a_leg_that_is_ended_keeps_its_number_until_its_own_task_closes_it():
     sock, address = listener()
     theirs = await sockets.dial(address)
