--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -203,6 +203,7 @@
         self.address = own_address()
         text = template("pay").replace("127.0.0.1:8500", notices)
         text = text.replace('amqp = "127.0.0.1:5672"', "").replace("127.0.0.1:6379", self.address)
+        text = text.replace("127.0.0.1:9600", own_address())
         text = text.replace('"state"', f'"{folder}/state"').replace("partners.zone", f"{folder}/zone")
         (folder / "secret").write_text("s3cret\n")
         text = text.replace('user = "guest"', f'user = "u"\npassword_file = "{folder}/secret"')
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -15,7 +15,7 @@
 
 
 def test_the_example_courier_delivers_to_the_toy_partner(tmp_path):
-    ports = {old: own_address().split(":")[1] for old in ("6379", "5672", "8500", "8080")}
+    ports = {old: own_address().split(":")[1] for old in ("6379", "5672", "8500", "8080", "9600")}
     for name in ("booking.toml", "partners.zone"):
         text = (EXAMPLES / name).read_text().replace("examples/", f"{tmp_path}/")
         for old, new in ports.items():
