--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -44,7 +44,7 @@
 async def trials(folder, count, seed=1):
     rng = random.Random(seed)
     load = {"rate": 8.0, "slow_s": 0.8, "for_s": 11.0 * count + 4, "deadline_s": 20.0, "amqp_share": 0.2}
-    stage = cast.Stage(SCENE | {"copies": {"count": 2, "need": 1}, "traffic": load}, folder)
+    stage = cast.ClusterTestbed(SCENE | {"copies": {"count": 2, "need": 1}, "traffic": load}, folder)
     try:
         await stage.begin()
         ends = time.monotonic() + load["for_s"] + load["deadline_s"] + 2  # when the last message's time is up
@@ -102,7 +102,7 @@
     """Latency and throughput at the couriers' doors, with `count` copies kept (0: none) and `need` waited for."""
     load = {"rate": 60.0, "slow_s": 0.02, "for_s": 8.0, "deadline_s": 10.0}
     copies = {"copies": {"count": count, "need": need, "sync": sync}} if count else {}
-    stage = cast.Stage(SCENE | copies | {"traffic": load}, folder)
+    stage = cast.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
     try:
         await stage.begin()
         await asyncio.sleep(12)
@@ -124,7 +124,7 @@
     load = {"loops": 32, "at": ["m0"], "slow_s": 0.0, "busy_share": 0.0, "limit": 5000}
     load |= {"for_s": 8.0, "deadline_s": 10.0}
     copies = {"copies": {"count": count, "need": need, "sync": sync}} if count else {}
-    stage = cast.Stage(SCENE | copies | {"traffic": load}, folder)
+    stage = cast.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
     try:
         await stage.begin()
         await asyncio.sleep(9)
--- a/benchmarks/copies_chaos.py
+++ b/benchmarks/copies_chaos.py
@@ -68,7 +68,7 @@
     """Play for so long; the history's lines, and how often each trouble came."""
     rng, counts = random.Random(seed), Counter()
     load = {"rate": 6.0, "slow_s": 0.6, "for_s": seconds, "deadline_s": LIFE_S, "amqp_share": 0.25}
-    stage = cast.Stage(SCENE | {"traffic": load, "seed": seed}, folder)
+    stage = cast.ClusterTestbed(SCENE | {"traffic": load, "seed": seed}, folder)
     try:
         await stage.begin()
         began = time.monotonic()
--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -11,10 +11,10 @@
 
 import numpy as np
 
-from pinspread.simulation import scenario as day
+from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
 from pinspread.simulation.compare import interval, judge
-from pinspread.simulation.model import World
+from pinspread.simulation.model import FleetModel
 from pinspread.simulation.random_streams import whole
 
 WORLD = {
@@ -25,9 +25,9 @@
 
 def pair(seed):
     """The accounts of one day with two seeds of the module's chance."""
-    world = World.model_validate(WORLD)
-    drawn = day.draw(world, seed)
-    return [brief(simulate.Fleet(world, drawn, whole(seed, name)).run()) for name in "ab"]
+    world = FleetModel.model_validate(WORLD)
+    drawn = scenarios.draw_scenario(world, seed)
+    return [brief(simulate.Simulation(world, drawn, whole(seed, name)).run()) for name in "ab"]
 
 
 def brief(found):
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -13,7 +13,7 @@
 import numpy as np
 from replays import SCENARIOS, place_of, world
 
-from pinspread.simulation import scenario as day
+from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import trace
 from pinspread.simulation.fit import IN_A_ROW
 from pinspread.simulation.simulate import STATE_OF
@@ -23,14 +23,16 @@
 
 def outages(drawn, number):
     """The true outages of a partner: (kind, from, until), in seconds."""
-    struck = [t for t in drawn.troubles if t.kind in STATE_OF and number in t.targets]
+    struck = [t for t in drawn.faults if t.kind in STATE_OF and number in t.targets]
     return [(t.kind, t.at_ns / 1e9, t.until_ns / 1e9) for t in struck]
 
 
 def compare(drawn, recorded, seen, near_s):
     """Add one day's differences to `seen`; an outage is found if both its edges are within `near_s`."""
-    shift = float(np.median(np.array(recorded["arrivals"]["at_us"]) / 1e6) - np.median(drawn.at_ns / 1e9))
-    specs = {spec.number: spec for spec in drawn.partners}
+    shift = float(
+        np.median(np.array(recorded["arrivals"]["at_us"]) / 1e6) - np.median(drawn.arrival_ns / 1e9)
+    )
+    specs = {spec.number: spec for spec in drawn.destinations}
     for fit in recorded["fits"]:
         spec = specs[fit["dest"]]
         if spec.span_ns and fit["refused"] >= IN_A_ROW:
@@ -41,7 +43,7 @@
                 seen["limit missed"].append(true)
         elif not spec.span_ns and fit["limit_per_s"]:
             seen["limit made up"].append(fit["limit_per_s"])
-        rows = np.flatnonzero(drawn.dest == spec.number)
+        rows = np.flatnonzero(drawn.destination == spec.number)
         if fit["latency"]["distance"] is not None:
             alone = (
                 drawn.work_ns[rows, 0].mean() * spec.pace / 1e6 + 2 * drawn.delay_ns[spec.number - 1] / 1e6
@@ -51,7 +53,7 @@
         found = [(o["kind"], o["from_us"] / 1e6 - shift, o["until_us"] / 1e6 - shift) for o in fit["outages"]]
         for kind, low, high in outages(drawn, spec.number):
             near = [f for f in found if abs(f[1] - low) < near_s and abs(f[2] - high) < near_s]
-            calls = ((drawn.at_ns[rows] / 1e9 > low) & (drawn.at_ns[rows] / 1e9 < high)).sum()
+            calls = ((drawn.arrival_ns[rows] / 1e9 > low) & (drawn.arrival_ns[rows] / 1e9 < high)).sum()
             if near:
                 found.remove(near[0])
                 seen[f"{kind}: found"].append(near[0][0] == kind)
@@ -76,7 +78,7 @@
         if not files:
             continue
         days += 1
-        drawn = day.draw(world((name, tables, seed)), seed + chosen.shift)
+        drawn = scenarios.draw_scenario(world((name, tables, seed)), seed + chosen.shift)
         logs = [(file.name, file.read_bytes().splitlines()) for file in files]
         compare(drawn, trace.record(logs, KEY), seen, chosen.near)
     print(f"{days} days")
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -58,7 +58,7 @@
 async def contend(folder, seconds, seed=1):
     """Play for so long; the history's lines."""
     rng = random.Random(seed)
-    stage = cast.Stage(SCENE, folder)
+    stage = cast.ClusterTestbed(SCENE, folder)
     for n, rate in enumerate((1.0, 1.04, 0.96, 1.03, 0.97, 1.0, 1.04)):  # 0.12 s in a lease of 3 s at most
         stage.cast[n].clock_rate = rate
     try:
@@ -108,7 +108,7 @@
 
 async def cost(folder):
     """Messages of a calm fleet of three voters in 20 s, by kind, and the changes of leases that they carried."""
-    stage = cast.Stage(SCENE | {"members": 3}, folder)
+    stage = cast.ClusterTestbed(SCENE | {"members": 3}, folder)
     told = []
     try:
         await stage.begin()
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -37,7 +37,7 @@
 
 async def kills(folder, count=20, seed=1):
     rng = random.Random(seed)
-    stage = cast.Stage({"members": N, "seconds": 0, "tuning": TUNING}, folder)
+    stage = cast.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
     times, rejoins = [], []
     try:
         await stage.begin()
@@ -57,7 +57,7 @@
 
 async def false_deaths(folder, loss=0.0, pauses=False, seed=2):
     rng = random.Random(seed)
-    stage = cast.Stage({"members": N, "seconds": 0, "tuning": TUNING}, folder)
+    stage = cast.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
     paused = 0
     try:
         await stage.begin()
@@ -83,7 +83,7 @@
 
 
 async def heals(folder, count=3):
-    stage = cast.Stage({"members": N, "seconds": 0, "tuning": TUNING}, folder)
+    stage = cast.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
     halves = [[c.id for c in stage.cast[: N // 2]], [c.id for c in stage.cast[N // 2 :]]]
     found = []
     try:
--- a/benchmarks/record_decisions.py
+++ b/benchmarks/record_decisions.py
@@ -46,9 +46,9 @@
     Settings,
     TrafficClass,
 )
-from pinspread.simulation import scenario as day  # noqa: E402
+from pinspread.simulation import scenario as scenarios  # noqa: E402
 from pinspread.simulation import simulate  # noqa: E402
-from pinspread.simulation.model import World  # noqa: E402
+from pinspread.simulation.model import FleetModel  # noqa: E402
 from pinspread.simulation.random_streams import whole  # noqa: E402
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -109,7 +109,7 @@
                 event.recovered = True
                 event.max_attempts = event.attempts + 4
             if type(event) is AttemptCompleted and self.fleet.tells_limits:
-                event.limit_per_s = float(self.fleet.endpoints[event.endpoint].partner.spec.per_s)
+                event.limit_per_s = float(self.fleet.endpoints[event.endpoint].destination.spec.per_s)
                 full = event.outcome is Outcome.OVERLOADED
                 event.limit_remaining = 0.0 if full else round(self.chance.random(), 3)
         self.first = False
@@ -128,7 +128,7 @@
             courier.update_endpoints(UpdateScope.FULL, list(self.fleet.entries.values()))
 
 
-class RecordedFleet(simulate.Fleet):
+class RecordedFleet(simulate.Simulation):
     """A fleet of which some couriers' senders are recorded, each life as a stream of its own."""
 
     def __init__(self, name, chosen, most_turns, tells_limits, *rest, **more):
@@ -196,8 +196,8 @@
     """The recorders of all days."""
     found = []
     for name, seed, couriers, chosen, tells, tables, settings in FLEETS:
-        world = World.model_validate({"length_s": 15, "couriers": {"count": couriers}} | tables)
-        drawn = day.draw(world, seed)
+        world = FleetModel.model_validate({"length_s": 15, "couriers": {"count": couriers}} | tables)
+        drawn = scenarios.draw_scenario(world, seed)
         fleet = RecordedFleet(name, chosen, 1200, tells, world, drawn, settings=settings)
         fleet.run()
         found += fleet.recorders
@@ -313,7 +313,7 @@
             self.tries[message.request] = message.attempts
             self.at(now, message)
         self.after(0.01, self.arrive)
-        self.after(self.calm_s, self.strike)
+        self.after(self.calm_s, self.start_outage)
         self.after(self.list_s, self.relist)
         self.after(5.0, self.go_away)
         for seconds, settings in self.changes:
@@ -344,13 +344,13 @@
         self.after(self.chance.expovariate(self.rate / 1.7), self.arrive)
         return [self.message() for _ in range(clump)]
 
-    def strike(self):
+    def start_outage(self):
         """A trouble begins at a destination, and ends after a while."""
         destination = min(6, int(self.chance.paretovariate(0.7)))
         self.mode[destination] = self.chance.choice(self.modes)
         length = self.chance.uniform(0.1, 1.0) * self.trouble_s
         self.after(length, lambda: self.mode.pop(destination, None) and [])
-        self.after(length * 0.7 + self.chance.uniform(0.2, 1) * self.calm_s, self.strike)
+        self.after(length * 0.7 + self.chance.uniform(0.2, 1) * self.calm_s, self.start_outage)
         return []
 
     def relist(self):
--- a/benchmarks/replays.py
+++ b/benchmarks/replays.py
@@ -15,9 +15,9 @@
 import numpy as np
 import orjson
 
-from pinspread.simulation import scenario as day
+from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
-from pinspread.simulation.model import World
+from pinspread.simulation.model import FleetModel
 from pinspread.simulation.random_streams import stream
 
 # On loopback the day begins when all couriers are ready.
@@ -45,19 +45,19 @@
 
 def world(scenario):
     """The scenario's world; what it names replaces the base's tables."""
-    return World.model_validate(BASE | scenario[1])
+    return FleetModel.model_validate(BASE | scenario[1])
 
 
 def model(scenario, seed):
     """One run of the model: the module's chance, jitter, the time of starts and clients' timing drawn anew."""
     one = world(scenario)
-    drawn = day.draw(one, scenario[2])
+    drawn = scenarios.draw_scenario(one, scenario[2])
     rng = stream(seed, "replay")
-    drawn.chance[:, :, :2] = rng.random(drawn.chance.shape[:2] + (2,))
-    drawn.boot = rng.random(drawn.boot.shape)
-    late = LATE_MS[0] + rng.exponential(LATE_MS[1], len(drawn.at_ns))
-    drawn.late_ns = (late * 1e6).astype(np.int64)
-    return simulate.Fleet(one, drawn, seed).run()["service_unbroken"]
+    drawn.chances[:, :, :2] = rng.random(drawn.chances.shape[:2] + (2,))
+    drawn.start_draws = rng.random(drawn.start_draws.shape)
+    late = LATE_MS[0] + rng.exponential(LATE_MS[1], len(drawn.arrival_ns))
+    drawn.submit_delay_ns = (late * 1e6).astype(np.int64)
+    return simulate.Simulation(one, drawn, seed).run()["service_unbroken"]
 
 
 def place_of(folder, name):
@@ -90,7 +90,7 @@
         from pinspread.testbed import platform as stage
 
         scenario = next(s for s in SCENARIOS if s[0] == chosen.one)
-        found = stage.play(world(scenario), day.draw(world(scenario), scenario[2]), folder)
+        found = stage.play(world(scenario), scenarios.draw_scenario(world(scenario), scenario[2]), folder)
         (folder / "accounts.json").write_bytes(orjson.dumps(found))
         return
     folder.mkdir(parents=True, exist_ok=True)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -14,9 +14,9 @@
 import sys
 import time
 
-from pinspread.simulation import scenario as day
+from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
-from pinspread.simulation.model import World
+from pinspread.simulation.model import FleetModel
 
 SIZES = {  # couriers, endpoints, simulated seconds
     "3x25": (3, 25, 55.0),
@@ -31,14 +31,14 @@
     """Run one size and print its row."""
     couriers, endpoints, length = SIZES[name]
     rate = 31.0 * endpoints / 25
-    world = World.model_validate(
+    world = FleetModel.model_validate(
         {"length_s": length, "traffic": {"rate_per_s": rate}, "couriers": {"count": couriers, "start_spread_s": 0.1},
          "partners": {"endpoints": endpoints}}
     )  # fmt: skip
-    drawn = day.draw(world, 1)
+    drawn = scenarios.draw_scenario(world, 1)
     if "idle" in name:
         add_idle(drawn, int(name.split("+")[1].split()[0]))
-    fleet = simulate.Fleet(world, drawn)
+    fleet = simulate.Simulation(world, drawn)
     profiler = cProfile.Profile() if profile else None
     began = time.perf_counter()
     if profiler:
@@ -63,12 +63,12 @@
 
 def add_idle(drawn, count):
     """More partners with one endpoint each that get nothing: the cost a message should not follow them."""
-    first = len(drawn.partners)
+    first = len(drawn.destinations)
     import numpy as np
 
     for n in range(count):
-        drawn.partners.append(
-            day.PartnerSpec(first + n + 1, 0.0, False, 1.0, [2], [4], [0], 10.0, weight=10.0)
+        drawn.destinations.append(
+            scenarios.DestinationSpec(first + n + 1, 0.0, False, 1.0, [2], [4], [0], 10.0, weight=10.0)
         )
     drawn.delay_ns = np.concatenate([drawn.delay_ns, np.full(count, 10e6)])
 
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -82,8 +82,8 @@
 ):
     """Play one day of an experiment on real sockets, with real couriers among stand-ins."""
     from pinspread.simulation import experiment
-    from pinspread.simulation import scenario as day
-    from pinspread.simulation.model import World
+    from pinspread.simulation import scenario as scenarios
+    from pinspread.simulation.model import FleetModel
     from pinspread.testbed import platform as stage
 
     try:
@@ -93,11 +93,11 @@
     point = next((p for p in points if variant in ("", p["variant"])), None)
     if point is None:
         fail(f"{file}: has no variant {variant!r}")
-    world = World.model_validate(point["world"])
-    drawn = day.draw(world, seed)
-    found = stage.play(world, drawn, out)
+    model = FleetModel.model_validate(point["world"])
+    scenario = scenarios.draw_scenario(model, seed)
+    found = stage.play(model, scenario, out)
     (out / "accounts.json").write_bytes(orjson.dumps(found))
-    for line in became(world, drawn, found):
+    for line in became(model, scenario, found):
         print(line)
     raise typer.Exit(1 if found["broken"] else 0)
 
@@ -210,11 +210,11 @@
     """A real courier, three stand-in partners of which one goes down, and traffic; prints what became of it."""
     import tempfile
 
-    from pinspread.simulation import scenario as day
-    from pinspread.simulation.model import World
+    from pinspread.simulation import scenario as scenarios
+    from pinspread.simulation.model import FleetModel
     from pinspread.testbed import platform as stage
 
-    world = World.model_validate(
+    model = FleetModel.model_validate(
         {
             "length_s": seconds,
             "traffic": {"rate_per_s": 12.0, "load": 0.4},
@@ -223,28 +223,28 @@
             "trouble": [{"kind": "crash", "at_s": seconds * 0.3, "length_s": seconds * 0.25, "share": 0.4}],
         }
     )
-    drawn = day.draw(world, 7)
-    down = drawn.troubles[0]
+    scenario = scenarios.draw_scenario(model, 7)
+    down = scenario.faults[0]
     print(
-        f"one courier, three partners, {len(drawn.at_ns)} messages in {seconds:g} s; partner {down.targets[0]}"
+        f"one courier, three partners, {len(scenario.arrival_ns)} messages in {seconds:g} s; partner {down.targets[0]}"
         f" refuses connections from {down.at_ns / 1e9:.1f} to {down.until_ns / 1e9:.1f} s",
         flush=True,
     )
     with tempfile.TemporaryDirectory() as folder:
-        found = stage.play(world, drawn, keep or folder)
-    for line in became(world, drawn, found):
+        found = stage.play(model, scenario, keep or folder)
+    for line in became(model, scenario, found):
         print(line)
     raise typer.Exit(1 if found["broken"] else 0)
 
 
-def became(world, drawn, found):
+def became(model, scenario, found):
     """What became of a play, in a few lines."""
     yield f"{'class':16} {'messages':>8} {'delivered':>9} {'p50 ms':>7} {'p99 ms':>7}"
-    for n, one in enumerate(world.classes):
+    for n, one in enumerate(model.classes):
         spread = found["latency"][one.name]
         ms = spread["ms"]
         yield (
-            f"{one.name:16} {int((drawn.cls == n).sum()):8} {spread['count']:9}"
+            f"{one.name:16} {int((scenario.class_index == n).sum()):8} {spread['count']:9}"
             f" {ms.get('50', 0):7.0f} {ms.get('99', 0):7.0f}"
         )
     yield (
@@ -268,7 +268,7 @@
         scene = cast.load(str(file))
         print(f"playing {file}: {scene['members']} members for {scene['seconds']} s ...", flush=True)
         found = cast.play(scene, out)
-    except (cast.SceneError, ValueError) as error:
+    except (cast.ScenarioError, ValueError) as error:
         fail(error)
     for verdict in found:
         shown = {k: v for k, v in verdict.items() if k not in ("ok", "kind", "faults", "each_s")}
@@ -292,6 +292,6 @@
 
     try:
         scene = cast.load(str(file))
-    except cast.SceneError as error:
+    except cast.ScenarioError as error:
         fail(error)
     print(f"{file}: no problems; {scene['members']} members, {len(scene.get('at', []))} faults")
--- a/pinspread/simulation/clients.py
+++ b/pinspread/simulation/clients.py
@@ -6,33 +6,35 @@
 from pinspread.simulation.random_streams import stream
 
 
-class Habits:
+class ClientBehavior:
     """The habits of a day's clients; counts how often each message has come again."""
 
-    def __init__(self, world, day):
-        self.traffic, self.day = world.traffic, day
-        self.tries = np.zeros(len(day.at_ns), dtype=np.int16)
-        self._allowed_ns = [int(c.deadline_s * SECOND) for c in world.classes]
-        shares = np.cumsum(day.courier_share)
-        keys = stream(day.seed, "key couriers").random(int(day.key.max(initial=0)) + 1)
-        last = world.couriers.count - 1
-        self._by_row = np.searchsorted(shares, day.habits[:, 0]).clip(0, last)
+    def __init__(self, model, scenario):
+        self.traffic, self.scenario = model.traffic, scenario
+        self.tries = np.zeros(len(scenario.arrival_ns), dtype=np.int16)
+        self._allowed_ns = [int(c.deadline_s * SECOND) for c in model.classes]
+        shares = np.cumsum(scenario.instance_share)
+        keys = stream(scenario.seed, "key couriers").random(int(scenario.ordering_key.max(initial=0)) + 1)
+        last = model.couriers.count - 1
+        self._by_row = np.searchsorted(shares, scenario.client_draws[:, 0]).clip(0, last)
         self._by_key = np.searchsorted(shares, keys).clip(0, last)
 
     def courier(self, row) -> int:
         """The courier that a message goes to while it runs; one for each key."""
-        key = int(self.day.key[row])
+        key = int(self.scenario.ordering_key[row])
         return int(self._by_key[key] if key else self._by_row[row])
 
     def deadline_ns(self, row) -> int:
         """Until when a message may be delivered."""
-        return int(self.day.at_ns[row]) + self._allowed_ns[self.day.cls[row]]
+        return int(self.scenario.arrival_ns[row]) + self._allowed_ns[self.scenario.class_index[row]]
 
     def again_ns(self, row, told_ns) -> int | None:
         """After a busy answer or a return: how long the client waits; none if it does not come again."""
         if self.tries[row] >= self.traffic.retries:
             return None
         low, high = self.traffic.backoff_s
-        own = (low + (high - low) * float(self.day.habits[row, 2])) * 2 ** int(self.tries[row])
+        own = (low + (high - low) * float(self.scenario.client_draws[row, 2])) * 2 ** int(self.tries[row])
         self.tries[row] += 1
-        return int(told_ns if told_ns and self.day.habits[row, 1] < self.traffic.honour else own * SECOND)
+        return int(
+            told_ns if told_ns and self.scenario.client_draws[row, 1] < self.traffic.honour else own * SECOND
+        )
--- a/pinspread/simulation/destination.py
+++ b/pinspread/simulation/destination.py
@@ -13,11 +13,11 @@
 FAST_ERROR_NS = 5 * MS
 
 
-def partners_of(day, engine, world, watch):
+def build_destinations(scenario, engine, model, watch):
     """The partners of a day by number, and their endpoints by id."""
     partners, endpoints = {}, {}
-    for spec in day.partners:
-        one = partners[spec.number] = Partner(spec, engine, world, watch, len(endpoints) + 1)
+    for spec in scenario.destinations:
+        one = partners[spec.number] = Destination(spec, engine, model, watch, len(endpoints) + 1)
         endpoints.update((e.id, e) for e in one.endpoints)
     return partners, endpoints
 
@@ -25,12 +25,12 @@
 class Endpoint:
     """One endpoint: calls in work, calls that wait, connections that it holds."""
 
-    __slots__ = ("busy", "calls", "connections", "cores", "id", "life", "partner", "pools", "queue",
+    __slots__ = ("busy", "calls", "connections", "cores", "id", "life", "destination", "pools", "queue",
                  "queue_room", "state", "table")  # fmt: skip
 
-    def __init__(self, id_, partner, cores, queue_room, table):
+    def __init__(self, id_, destination, cores, queue_room, table):
         self.id = id_
-        self.partner = partner
+        self.destination = destination
         self.cores = cores
         self.queue_room = queue_room
         self.table = table  # connections that it takes; 0: any number
@@ -43,17 +43,17 @@
         self.calls = 0
 
 
-class Partner:
+class Destination:
     """A partner: its limit, its outages, and what it can do at the moment."""
 
-    def __init__(self, spec, engine, world, watch, first_id):
-        p = world.partners
+    def __init__(self, spec, engine, model, watch, first_id):
+        p = model.partners
         self.spec = spec
         self.number = spec.number
         self.engine = engine
         self.watch = watch  # rules.Checker
-        self.accepts = world.network.silent_accepts
-        self.full_table = world.network.full_table
+        self.accepts = model.network.silent_accepts
+        self.full_table = model.network.full_table
         self.slow_start_fraction, self.warm_ns = p.cold_from, int(p.warm_s * SECOND)
         self.multiple, self.fall_ns, self.slack = p.fall_multiple, int(p.fall_s * SECOND), p.fall_slack
         self.endpoints = [
@@ -74,7 +74,7 @@
 
     # --- troubles ---------------------------------------------------------------------------------
 
-    def strike(self, state, until_ns, size=1.0, cold=True):
+    def start_outage(self, state, until_ns, size=1.0, cold=True):
         """An outage begins: what is in work is lost where the process or the machine goes."""
         if self.endpoints[0].state == FALLEN:
             return
@@ -120,7 +120,7 @@
         self.lately.clear()
         self.span_start, self.span_count = 0, 0
 
-    def failed_for(self, courier):
+    def record_failure(self, courier):
         """A courier has seen a call or probe fail here, or be refused, while the outage lasts."""
         if self.endpoints[0].state != UP:
             self.informed.add(courier)
@@ -154,7 +154,7 @@
             self.fallen.append((now, self.struck_ns, self.cold_ns, [c for _, c in lately]))
             informed = sum(c in self.informed for _, c in lately)
             self.watch.fell(self.number, now, informed, len(lately))
-            self.strike(FALLEN, 1 << 62)
+            self.start_outage(FALLEN, 1 << 62)
 
     # --- calls ------------------------------------------------------------------------------------
 
--- a/pinspread/simulation/engine.py
+++ b/pinspread/simulation/engine.py
@@ -8,7 +8,7 @@
 MOST_IN_SPAN = 5_000  # events in such a span, and 100 for each party, that are no spinning
 
 
-class Stuck(RuntimeError):
+class SimulationStalledError(RuntimeError):
     """Something asks to be woken again and again, and virtual time hardly moves."""
 
 
@@ -48,6 +48,8 @@
                 began, counted = self.now, self.events
             elif self.events - counted > self._most:
                 # Danger: a module that wakes itself at once, always, would keep a run from ever ending.
-                raise Stuck(f"{self._most} events within 10 ms at {self.now / SECOND:.3f} s, lately {call!r}")
+                raise SimulationStalledError(
+                    f"{self._most} events within 10 ms at {self.now / SECOND:.3f} s, lately {call!r}"
+                )
             call(*what)
         self.now = until_ns
--- a/pinspread/simulation/experiment.py
+++ b/pinspread/simulation/experiment.py
@@ -9,21 +9,21 @@
 from pydantic import Field, ValidationError
 
 from pinspread.simulation import variants
-from pinspread.simulation.model import Part, World
+from pinspread.simulation.model import FleetModel, StrictModel
 
 
 class ExperimentError(ValueError):
     """The file cannot be run; one problem a line, each with its place."""
 
 
-class Head(Part):
+class Head(StrictModel):
     name: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")]
     about: str = ""
     kind: Literal["days", "paper"] = "days"
     seeds: Annotated[int, Field(ge=1, le=100_000)] | list[int] = 10
 
 
-class Variant(Part):
+class Variant(StrictModel):
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9 ._-]{0,62}$")]
     constants: dict[str, Any] = {}  # of the policy
     settings: dict[str, Any] = {}  # fields of interface.Settings
@@ -33,12 +33,12 @@
     module_seed: int = 0  # another seed for the module's own chance, on the same days
 
 
-class Sweep(Part):
+class Sweep(StrictModel):
     path: Annotated[str, Field(pattern=r"^(world|settings|constants)\.[A-Za-z_.0-9]+$")]
     values: Annotated[list[Any], Field(min_length=1)]
 
 
-class Paper(Part):
+class Paper(StrictModel):
     """The figures of the paper on retries."""
 
     requests: Annotated[int, Field(ge=1)] = 100
@@ -51,7 +51,7 @@
     calls: Annotated[int, Field(ge=1, le=6)] = 3
 
 
-class File(Part):
+class File(StrictModel):
     experiment: Head
     world: dict[str, Any] = {}
     trace: str = ""  # a recorded trace in place of drawn arrivals
@@ -134,7 +134,7 @@
                 elif what == "settings" and not isinstance(one, int | float):
                     problems.append(f"{place}.{what}.{name}: must be a number or true or false, not {one!r}")
         try:
-            world = World.model_validate(parts["world"])
+            world = FleetModel.model_validate(parts["world"])
         except ValidationError as error:
             for one in error.errors():
                 problems.append(
--- a/pinspread/simulation/instance.py
+++ b/pinspread/simulation/instance.py
@@ -17,7 +17,7 @@
     UpdateScope,
 )
 from pinspread.simulation.engine import MS, SECOND
-from pinspread.simulation.scenario import DRAWS
+from pinspread.simulation.scenario import ATTEMPT_DRAWS
 
 Outcome = Outcome
 TELLS_OPENED = hasattr(AttemptCompleted, "opened")  # older versions of the module do not ask for it
@@ -30,7 +30,7 @@
 PROBE_CHANCE = (0.5, 0.5, 0.5, 0.5)
 
 
-class Held:
+class AcceptedMessage:
     """A message that is taken on: what the journal keeps of it, and who handed it in."""
 
     __slots__ = ("attempts", "client", "deadline_ns", "live", "may_have_run_ns", "number", "row")
@@ -126,19 +126,19 @@
         )
 
 
-class Courier:
+class Instance:
     """One courier, over its restarts."""
 
     def __init__(self, number, fleet):
         self.number = number
         self.fleet = fleet
         self.engine = fleet.engine
-        world = fleet.world
-        self.keepalive_ns = int(world.couriers.keepalive_s * MAX_IDLE_FRACTION * SECOND)
-        self.dial_ns = int(world.couriers.dial_s * SECOND)
-        self.handshake_ns = int(world.network.handshake_ms * MS)
-        self.reset_share, self.lost_share = world.network.reset_share, world.network.lost_share
-        self.jitter = world.network.jitter
+        model = fleet.model
+        self.keepalive_ns = int(model.couriers.keepalive_s * MAX_IDLE_FRACTION * SECOND)
+        self.dial_ns = int(model.couriers.dial_s * SECOND)
+        self.handshake_ns = int(model.network.handshake_ms * MS)
+        self.reset_share, self.lost_share = model.network.reset_share, model.network.lost_share
+        self.jitter = model.network.jitter
         self.up = False
         self.stopping = self.lingered = False
         self.life = 0
@@ -203,7 +203,7 @@
         self.pools.clear()
         self.calls.clear()
         self.inbox.clear()
-        if not self.fleet.world.couriers.resume:
+        if not self.fleet.model.couriers.resume:
             for held in self.open.values():
                 held.client.ended(held.row, "lost", 0)
             self.open.clear()
@@ -219,20 +219,31 @@
         if len(self.open) >= self.fleet.settings.max_held_messages:
             return SECOND
         self.serial += 1
-        held = self.open[self.serial] = Held(self.serial, row, deadline_ns, client)
-        day = self.fleet.day
+        held = self.open[self.serial] = AcceptedMessage(self.serial, row, deadline_ns, client)
+        scenario = self.fleet.scenario
         self.fleet.checker.taken(
-            self.number, held.number, int(day.cls[row]), int(day.dest[row]), int(day.key[row]), deadline_ns
+            self.number,
+            held.number,
+            int(scenario.class_index[row]),
+            int(scenario.destination[row]),
+            int(scenario.ordering_key[row]),
+            deadline_ns,
         )
         self.post(self._taken(held))
         return True
 
     def _taken(self, held):
-        day, row = self.fleet.day, held.row
+        scenario, row = self.fleet.scenario, held.row
         return MessageAccepted(
-            held.number, int(day.cls[row]), int(day.dest[row]), held.deadline_ns, int(day.key[row]),
-            int(day.team[row]), held.attempts, held.may_have_run_ns,
-        )  # fmt: skip
+            held.number,
+            int(scenario.class_index[row]),
+            int(scenario.destination[row]),
+            held.deadline_ns,
+            int(scenario.ordering_key[row]),
+            int(scenario.tenant_index[row]),
+            held.attempts,
+            held.may_have_run_ns,
+        )
 
     def update_endpoints(self, scope, entries):
         """News of the list."""
@@ -295,15 +306,15 @@
         held = self.open.get(action.request)
         if held is None or not self.stopping:
             self.fleet.checker.sent(
-                self.number, now, action.request, action.endpoint, endpoint.partner.number
+                self.number, now, action.request, action.endpoint, endpoint.destination.number
             )
         if held is None or self.stopping:
             return  # what is not sent now stays in the journal for the next start
         call = Call(self, held, endpoint, action.timeout_ns)
         call.attempt = held.attempts
-        draw = int(self.fleet.written[held.row]) % DRAWS
-        call.chance = self.fleet.day.chance[held.row, draw]
-        call.work_ns = int(self.fleet.day.work_ns[held.row, draw])
+        draw = int(self.fleet.written[held.row]) % ATTEMPT_DRAWS
+        call.chance = self.fleet.scenario.chances[held.row, draw]
+        call.work_ns = int(self.fleet.scenario.work_ns[held.row, draw])
         held.attempts += 1
         self.calls[held.number, call.attempt] = call
         self.fleet.sent(call)
@@ -322,11 +333,11 @@
 
     def delay(self, endpoint, chance):
         """One way between this courier and an endpoint."""
-        base = self.fleet.delays[endpoint.partner.number - 1]
+        base = self.fleet.delays[endpoint.destination.number - 1]
         return int(base * (1 + self.jitter * (2 * float(chance) - 1)))
 
     def _dial(self, call, pool):
-        found = call.endpoint.partner.dial(call.endpoint)
+        found = call.endpoint.destination.dial(call.endpoint)
         there_and_back = 2 * self.delay(call.endpoint, call.chance[0])
         if found == "up":
             self.handshakes += 1
@@ -349,7 +360,7 @@
         held, now = call.held, self.engine.now
         if not call.turned_away:
             pool.out[call] = True
-        dest = call.endpoint.partner.number
+        dest = call.endpoint.destination.number
         barred = (
             not self.usable.get(call.endpoint.id)
             or self.told.get(dest, 0) > now
@@ -378,7 +389,7 @@
         if call.turned_away:
             call.answered(Outcome.OVERLOADED, 0)
         else:
-            call.endpoint.partner.arrive(call.endpoint, call, work_ns)
+            call.endpoint.destination.arrive(call.endpoint, call, work_ns)
 
     def _timed_out(self, call):
         if not call.over:
@@ -397,11 +408,11 @@
                 endpoint.connections -= 1  # of no further use
             else:
                 pool.idle.append(now)
-        dest = endpoint.partner.number
+        dest = endpoint.destination.number
         if wait_ns:
             self.told[dest] = max(self.told.get(dest, 0), now + wait_ns)
         if verdict not in (Outcome.OK, Outcome.NOT_SENT):
-            endpoint.partner.failed_for(self.number)
+            endpoint.destination.record_failure(self.number)
         held = call.held
         if held is None:
             told = (wait_ns,) if PROBE_TELLS else ()
@@ -433,7 +444,7 @@
         if self.stopping:
             return
         self.probes += 1
-        self.fleet.checker.probed(self.number, now, id_, endpoint.partner.number)
+        self.fleet.checker.probed(self.number, now, id_, endpoint.destination.number)
         call = Call(self, None, endpoint, PROBE_NS)
         call.chance = PROBE_CHANCE
         call.work_ns = PROBE_WORK_NS
--- a/pinspread/simulation/metrics.py
+++ b/pinspread/simulation/metrics.py
@@ -24,21 +24,21 @@
     return HdrHistogram(1, 120_000_000, 2)
 
 
-def worth(world, cls, within, age_ns):
+def worth(model, cls, within, age_ns):
     """What each message earned: `age_ns` at delivery, negative where it was not. Arrays of one length."""
-    full = np.array([c.worth for c in world.classes])[cls]
-    aim = np.array([c.aim_s for c in world.classes])[cls] * SECOND
-    least = np.array([c.late_share for c in world.classes])[cls]
-    deadline = np.array([c.deadline_s for c in world.classes])[cls] * SECOND
+    full = np.array([c.worth for c in model.classes])[cls]
+    aim = np.array([c.aim_s for c in model.classes])[cls] * SECOND
+    least = np.array([c.late_share for c in model.classes])[cls]
+    deadline = np.array([c.deadline_s for c in model.classes])[cls] * SECOND
     share = np.maximum(least, 0.5 ** np.maximum(0, (age_ns - aim) / aim))
     earned = full * np.where((age_ns >= 0) & (age_ns <= deadline), share, 0.0)
-    over = np.where(within, 1.0, world.traffic.over_share_worth)
+    over = np.where(within, 1.0, model.traffic.over_share_worth)
     return full * over, earned * over
 
 
-def service(world, at_ns, cls, team, within, age_ns, length_ns):
+def service(model, at_ns, cls, team, within, age_ns, length_ns):
     """The four parts of service and their sum, from 0 to 1."""
-    asked, earned = worth(world, cls, within, age_ns)
+    asked, earned = worth(model, cls, within, age_ns)
     counted = at_ns >= FROM_S * SECOND
 
     def ratio(rows):
@@ -55,8 +55,8 @@
     earned_in = np.convolve(e[FROM_S:], kernel, "valid")
     usable = asked_in > 0
     worst = float((earned_in[usable] / asked_in[usable]).min()) if usable.any() else 1.0
-    classes = {c.name: ratio(counted & (cls == n)) for n, c in enumerate(world.classes)}
-    teams = {t.name: ratio(counted & (team == n) & within) for n, t in enumerate(world.teams)}
+    classes = {c.name: ratio(counted & (cls == n)) for n, c in enumerate(model.classes)}
+    teams = {t.name: ratio(counted & (team == n) & within) for n, t in enumerate(model.teams)}
     whole = ratio(counted)
     total = WHOLE * whole + WORST * worst + CLASS * min(classes.values()) + TEAM * min(teams.values())
     return {
@@ -72,20 +72,28 @@
 
 def of(fleet, seen=()):
     """The accounts of a run that is over, with breaks that others have `seen`: plain numbers, lists and names only, the same for the same run."""
-    world, day = fleet.world, fleet.day
-    n = max(1, len(day.at_ns))
-    age = np.where(fleet.delivered_ns >= 0, fleet.delivered_ns - day.at_ns, -1)
-    found = service(world, day.at_ns, day.cls, day.team, day.within, age, day.length_ns)
-    aim = np.array([c.aim_s for c in world.classes])[day.cls] * SECOND
+    model, scenario = fleet.model, fleet.scenario
+    n = max(1, len(scenario.arrival_ns))
+    age = np.where(fleet.delivered_ns >= 0, fleet.delivered_ns - scenario.arrival_ns, -1)
+    found = service(
+        model,
+        scenario.arrival_ns,
+        scenario.class_index,
+        scenario.tenant_index,
+        scenario.within_quota,
+        age,
+        scenario.length_ns,
+    )
+    aim = np.array([c.aim_s for c in model.classes])[scenario.class_index] * SECOND
     failed = fleet.delivered_ns < 0
-    late = failed & ((fleet.ended_ns < 0) | (fleet.ended_ns - day.at_ns > aim))
-    asked_work = float(day.work_ns[:, 0].sum()) or 1.0
+    late = failed & ((fleet.ended_ns < 0) | (fleet.ended_ns - scenario.arrival_ns > aim))
+    asked_work = float(scenario.work_ns[:, 0].sum()) or 1.0
     delivered = ~failed
-    useful = float(day.work_ns[delivered, 0].sum())
+    useful = float(scenario.work_ns[delivered, 0].sum())
     wasted = max(0.0, fleet.work_done_ns - useful)
-    handshakes = sum(c.handshakes for c in fleet.couriers)
-    probes = sum(c.probes for c in fleet.couriers)
-    refused = sum(p.refused_limit for p in fleet.partners.values())
+    handshakes = sum(c.handshakes for c in fleet.instances)
+    probes = sum(c.probes for c in fleet.instances)
+    refused = sum(p.refused_limit for p in fleet.destinations.values())
     deductions = {
         "late_failures": LATE * float(late.sum()) / n,
         "waste": WASTE * min(wasted / asked_work, 2.0),
@@ -94,19 +102,19 @@
         "refused": REFUSED * refused / n,
     }
     broken = {rule: count for rule, count in fleet.checker.counts.items() if count}
-    once = np.array([c.effect == "once" for c in world.classes])[day.cls]
+    once = np.array([c.effect == "once" for c in model.classes])[scenario.class_index]
     twice = int((fleet.effects[once] > 1).sum())
     if twice:  # the partners' ledger is a witness of its own
         broken["repeat"] = max(twice, broken.get("repeat", 0))
     broken |= dict(seen)
     net = max(0.0, found["total"] - sum(deductions.values()))
     latencies = {}
-    for cls, one in enumerate(world.classes):
-        mine = age[(day.cls == cls) & delivered]
+    for cls, one in enumerate(model.classes):
+        mine = age[(scenario.class_index == cls) & delivered]
         latencies[one.name] = spread(mine)
-    bins = max(1, -(-day.length_ns // SECOND))
-    asked, earned = worth(world, day.cls, day.within, age)
-    seconds = day.at_ns // SECOND
+    bins = max(1, -(-scenario.length_ns // SECOND))
+    asked, earned = worth(model, scenario.class_index, scenario.within_quota, age)
+    seconds = scenario.arrival_ns // SECOND
 
     def series(times, weights=None):
         # What runs on after the day counts to its last second.
@@ -120,36 +128,36 @@
         "deductions": deductions,
         "broken": broken,
         "breaks": fleet.checker.breaks[:20],
-        "messages": int(len(day.at_ns)),
+        "messages": int(len(scenario.arrival_ns)),
         "delivered": int(delivered.sum()),
         "in_time": int((delivered & (age <= aim)).sum()),
         "failed": int(failed.sum()),
         "payments_twice": twice,
         "branches": len(fleet.calls_at),
         "retries": len(fleet.retries_at),
-        "busy": fleet.busy,
+        "busy": fleet.rejected,
         "unanswered": fleet.unanswered,
         "handshakes": handshakes,
         "probes": probes,
-        "refused": sum(p.refused for p in fleet.partners.values()),
+        "refused": sum(p.refused for p in fleet.destinations.values()),
         "refused_limit": refused,
-        "falls": sum(p.falls for p in fleet.partners.values()),
-        "verdicts": {Outcome(v).name.lower(): c for v, c in sorted(fleet.verdicts.items())},
-        "turns": sum(c.turns for c in fleet.couriers),
+        "falls": sum(p.falls for p in fleet.destinations.values()),
+        "verdicts": {Outcome(v).name.lower(): c for v, c in sorted(fleet.outcomes.items())},
+        "turns": sum(c.turns for c in fleet.instances),
         "events": fleet.engine.events,
         "latency": latencies,
         "latency_all": spread(age[delivered]),
         "series": {
-            "asked": series(day.at_ns, asked),
-            "earned": series(day.at_ns, earned),
-            "first_tries": series(day.at_ns),
+            "asked": series(scenario.arrival_ns, asked),
+            "earned": series(scenario.arrival_ns, earned),
+            "first_tries": series(scenario.arrival_ns),
             "branches": series(fleet.calls_at),
             "retries": series(fleet.retries_at),
             "in_seconds": int(seconds.max(initial=0)) + 1,
         },
         "troubles": [
             {"kind": t.kind, "at_s": t.at_ns / SECOND, "until_s": t.until_ns / SECOND, "targets": t.targets}
-            for t in day.troubles
+            for t in scenario.faults
         ],
     }
 
--- a/pinspread/simulation/model.py
+++ b/pinspread/simulation/model.py
@@ -8,7 +8,7 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, model_validator
 
 
-class Part(BaseModel):
+class StrictModel(BaseModel):
     """A table of the file: no unknown names, no guessed types."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
@@ -25,16 +25,18 @@
 
 Number = Annotated[float, Field(allow_inf_nan=False)]
 Range = Annotated[Number | Annotated[list[Number], Field(min_length=2, max_length=2)], AfterValidator(_range)]
-Share = Annotated[float, Field(ge=0, le=1)]
-Above = Annotated[float, Field(gt=0, allow_inf_nan=False)]
+Fraction = Annotated[float, Field(ge=0, le=1)]
+PositiveFloat = Annotated[float, Field(gt=0, allow_inf_nan=False)]
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9_-]{0,62}$")]
 
 
-class Traffic(Part):
+class TrafficModel(StrictModel):
     """What clients hand in."""
 
-    rate_per_s: Above = 31.0  # first tries of all clients, in the mean
-    load: Above = 0.75  # what that is of full load, the yardstick of slots, places and partners' limits
+    rate_per_s: PositiveFloat = 31.0  # first tries of all clients, in the mean
+    load: PositiveFloat = (
+        0.75  # what that is of full load, the yardstick of slots, places and partners' limits
+    )
     zipf: Range = (0.8, 1.15)  # exponent of the partners' shares of the traffic
     swing: Range = (0.2, 0.35)  # part of the rate that a slow wave adds and takes
     clump_share: Range = (0.05, 0.18)  # share of the messages that come in clumps for one partner
@@ -47,41 +49,41 @@
     )  # spread of the couriers' shares of the traffic (coefficient of variation)
     retries: Annotated[int, Field(ge=0, le=10)] = 2  # times that a client comes again after a busy answer
     backoff_s: Range = (0.47, 1.4)  # and after how long, where nothing was told
-    honour: Share = 0.64  # share of the clients that heed a told time
-    over_share_worth: Share = 0.2
+    honour: Fraction = 0.64  # share of the clients that heed a told time
+    over_share_worth: Fraction = 0.2
 
 
-class Partners(Part):
+class DestinationsModel(StrictModel):
     """Those that messages go to."""
 
     endpoints: Annotated[int, Field(ge=1, le=200_000)] = 25
     per_partner: Range = (1.0, 4.0)
-    mean_per_partner: Above = 1.75
+    mean_per_partner: PositiveFloat = 1.75
     work: Literal["lognormal", "exponential"] = "lognormal"
-    work_spread: Above = 0.5  # sigma of the log-normal
+    work_spread: PositiveFloat = 0.5  # sigma of the log-normal
     pace: Range = (0.5, 2.0)  # partners' own pace: times the work of a class
     least_cores: Annotated[int, Field(ge=1)] = 2
     headroom: Range = (1.1, 2.3)  # capacity over calls at full load
     least_per_s: Range = (2.2, 4.9)
-    queue_s: Above = 2.0  # what waits at an endpoint, in seconds of its capacity
-    big_share: Share = 0.33
+    queue_s: PositiveFloat = 2.0  # what waits at an endpoint, in seconds of its capacity
+    big_share: Fraction = 0.33
     big_headroom: Range = (0.98, 2.3)  # a limit over calls at full load
     big_least_per_s: Range = (1.8, 4.2)
     big_span_s: Range = (1.0, 2.0)
     big_tells: Range = (0.5, 0.95)
     small_tells: Range = (0.0065, 0.6)  # share of refusals that tell the end, while shut
-    refused_count: Share = 0.5  # share of the days on which refused calls use the limit up too
+    refused_count: Fraction = 0.5  # share of the days on which refused calls use the limit up too
     table: Range = (2.3, 3.4)  # connections that a small partner's endpoint takes, times its cores
     least_table: Range = (6.1, 16.0)
     cold_from: Annotated[float, Field(gt=0, le=1)] = 0.2
-    warm_s: Above = 9.0
-    fall_multiple: Above = 2.0
-    fall_s: Above = 1.5
+    warm_s: PositiveFloat = 9.0
+    fall_multiple: PositiveFloat = 2.0
+    fall_s: PositiveFloat = 1.5
     fall_slack: Annotated[float, Field(ge=0)] = 4.0  # calls that chance may add to what a cold partner gets
-    weights: Share = 0.0  # how far listed rates may be off; 0: the couriers are told that they are exact
+    weights: Fraction = 0.0  # how far listed rates may be off; 0: the couriers are told that they are exact
 
 
-class Couriers(Part):
+class InstancesModel(StrictModel):
     """The couriers. Settings of the module that a variant may replace stand in `settings`."""
 
     count: Annotated[int, Field(ge=1, le=5000)] = 3
@@ -90,8 +92,8 @@
     hold_s: Range = (6.4, 13.0)
     least_held: Annotated[int, Field(ge=1)] = 8
     max_attempts: Annotated[int, Field(ge=1, le=6)] = 6
-    keepalive_s: Above = 15.0
-    dial_s: Above = 1.0
+    keepalive_s: PositiveFloat = 15.0
+    dial_s: PositiveFloat = 1.0
     max_come_back_s: Annotated[float, Field(ge=0)] = 2.0
     probes: bool = True
     start_spread_s: Annotated[float, Field(ge=0)] = 0.5
@@ -99,39 +101,39 @@
     resume: bool = True  # the journal outlasts a restart; without it, what was held is lost
 
 
-class Network(Part):
+class NetworkModel(StrictModel):
     """Between couriers and partners, one way."""
 
     delay_ms: Range = (5.0, 15.0)
-    jitter: Share = 0.2
+    jitter: Fraction = 0.2
     handshake_ms: Annotated[float, Field(ge=0)] = 2.0  # work that a new connection makes at an endpoint
     full_table: Literal["busy", "refused"] = "busy"  # a connection too many: a 503, as the protocol says
     silent_accepts: bool = False  # a silent endpoint's kernel still takes connections, as on loopback
-    reset_share: Share = 0.0  # share of calls on kept connections that end as resets
-    lost_share: Share = 0.0  # share of calls that are never answered
+    reset_share: Fraction = 0.0  # share of calls on kept connections that end as resets
+    lost_share: Fraction = 0.0  # share of calls that are never answered
     list_late_s: Range = (0.54, 3.4)  # how late a courier hears of a change of the list
 
 
-class Class(Part):
+class TrafficClassModel(StrictModel):
     name: Name
-    share: Share
+    share: Fraction
     work_ms: Range
-    aim_s: Above
-    deadline_s: Above
+    aim_s: PositiveFloat
+    deadline_s: PositiveFloat
     effect: Literal["repeatable", "by_key", "once"]
     window_s: Annotated[float, Field(ge=0)] = 0.0
     in_order: bool = False
-    worth: Above = 1.0
-    late_share: Share = 0.5
+    worth: PositiveFloat = 1.0
+    late_share: Fraction = 0.5
 
 
-class Team(Part):
+class TenantModel(StrictModel):
     name: Name
-    share: Above
+    share: PositiveFloat
     offers: Annotated[float, Field(ge=0)] | None = None  # its part of the traffic; its share if not given
 
 
-class Trouble(Part):
+class FaultModel(StrictModel):
     """Something that goes wrong at `at_s` for `length_s`."""
 
     kind: Literal["crash", "silent", "errors", "shut", "burst", "restart", "kill", "drain", "replace"]
@@ -139,37 +141,37 @@
     length_s: Range = (8.0, 20.0)
     share: Range = (0.05, 0.24)  # of the traffic that the struck partners get; of couriers or endpoints else
     size: Range = (1.0, 1.0)  # errors: share that fails; burst: times the rate
-    batch: Share = 0.3  # restarts: share of the couriers that are down at a time
+    batch: Fraction = 0.3  # restarts: share of the couriers that are down at a time
     down_s: Range = (0.6, 1.5)
     clear: Literal["warm", "cold"] = "cold"
 
 
 CLASSES = (
-    Class(name="booking-change", share=0.40, work_ms=[87.0, 150.0], aim_s=3.0, deadline_s=24.0, effect="by_key",
+    TrafficClassModel(name="booking-change", share=0.40, work_ms=[87.0, 150.0], aim_s=3.0, deadline_s=24.0, effect="by_key",
           window_s=25.0, in_order=True, worth=1.0, late_share=0.5),
-    Class(name="status-update", share=0.31, work_ms=[87.0, 150.0], aim_s=4.0, deadline_s=16.0,
+    TrafficClassModel(name="status-update", share=0.31, work_ms=[87.0, 150.0], aim_s=4.0, deadline_s=16.0,
           effect="repeatable", worth=2.0, late_share=0.5),
-    Class(name="payment", share=0.29, work_ms=[130.0, 230.0], aim_s=2.0, deadline_s=20.0, effect="once",
+    TrafficClassModel(name="payment", share=0.29, work_ms=[130.0, 230.0], aim_s=2.0, deadline_s=20.0, effect="once",
           worth=5.0, late_share=0.3),
 )  # fmt: skip
 TEAMS = (
-    Team(name="north-circuit", share=0.45),
-    Team(name="south-valley", share=0.37),
-    Team(name="city-tours", share=0.18),
+    TenantModel(name="north-circuit", share=0.45),
+    TenantModel(name="south-valley", share=0.37),
+    TenantModel(name="city-tours", share=0.18),
 )
 
 
-class World(Part):
+class FleetModel(StrictModel):
     """All of it."""
 
     length_s: Annotated[float, Field(gt=1, le=86_400)] = 55.0  # accounts count from the first second on
-    traffic: Traffic = Traffic()
-    partners: Partners = Partners()
-    couriers: Couriers = Couriers()
-    network: Network = Network()
-    classes: Annotated[tuple[Class, ...], Field(alias="class", min_length=1)] = CLASSES
-    teams: Annotated[tuple[Team, ...], Field(alias="team", min_length=1)] = TEAMS
-    troubles: Annotated[tuple[Trouble, ...], Field(alias="trouble")] = ()
+    traffic: TrafficModel = TrafficModel()
+    partners: DestinationsModel = DestinationsModel()
+    couriers: InstancesModel = InstancesModel()
+    network: NetworkModel = NetworkModel()
+    classes: Annotated[tuple[TrafficClassModel, ...], Field(alias="class", min_length=1)] = CLASSES
+    teams: Annotated[tuple[TenantModel, ...], Field(alias="team", min_length=1)] = TEAMS
+    troubles: Annotated[tuple[FaultModel, ...], Field(alias="trouble")] = ()
 
     # TOML gives lists and whole numbers; both are taken for what they stand for.
     model_config = ConfigDict(extra="forbid", strict=False, frozen=True)
--- a/pinspread/simulation/rules.py
+++ b/pinspread/simulation/rules.py
@@ -36,7 +36,7 @@
         self.ended = False
 
 
-class Checker:
+class RuleChecker:
     """Notes each break with its rule, time and reason."""
 
     def __init__(self, classes, max_attempts):
--- a/pinspread/simulation/runs.py
+++ b/pinspread/simulation/runs.py
@@ -22,19 +22,21 @@
 
 def one(point: dict, seed: int) -> dict:
     """One run, in this process: the accounts of a point and a seed."""
-    from pinspread.simulation import scenario as day
+    from pinspread.simulation import scenario as scenarios
     from pinspread.simulation import simulate, trace
-    from pinspread.simulation.engine import Stuck
-    from pinspread.simulation.model import World
+    from pinspread.simulation.engine import SimulationStalledError
+    from pinspread.simulation.model import FleetModel
     from pinspread.simulation.random_streams import whole
 
-    world = World.model_validate(point["world"])
-    drawn = trace.replay(point["trace"], world, seed) if point["trace"] else day.draw(world, seed)
+    model = FleetModel.model_validate(point["world"])
+    scenario = (
+        trace.replay(point["trace"], model, seed) if point["trace"] else scenarios.draw_scenario(model, seed)
+    )
     module_seed = whole(seed, "variant", point["module_seed"]) if point["module_seed"] else seed
     with variants.Constants(point["constants"]):
         try:
-            return simulate.Fleet(world, drawn, module_seed, point["settings"]).run()
-        except Stuck as error:
+            return simulate.Simulation(model, scenario, module_seed, point["settings"]).run()
+        except SimulationStalledError as error:
             # A module that spins serves nobody: the run counts, as a run that broke.
             return {"service": 0.0, "service_unbroken": 0.0, "broken": {"stuck": 1}, "stuck": str(error)}
 
--- a/pinspread/simulation/scenario.py
+++ b/pinspread/simulation/scenario.py
@@ -7,11 +7,11 @@
 from pinspread.simulation.engine import MS, SECOND
 from pinspread.simulation.random_streams import stream
 
-DRAWS = 8  # attempts of a message that have chance numbers of their own; later ones start over
+ATTEMPT_DRAWS = 8  # attempts of a message that have chance numbers of their own; later ones start over
 
 
 @dataclass(slots=True)
-class PartnerSpec:
+class DestinationSpec:
     """What a partner is, drawn once."""
 
     number: int
@@ -29,11 +29,11 @@
     weight: float = 1.0  # as listed, calls a second
 
 
-BOOTS = 8  # draws for a courier's starts; they come again after so many
+START_DRAWS = 8  # draws for a courier's starts; they come again after so many
 
 
 @dataclass(slots=True)
-class Struck:
+class ScheduledFault:
     """A trouble with its figures drawn."""
 
     kind: str
@@ -58,90 +58,90 @@
 
 
 @dataclass(slots=True)
-class Day:
+class Scenario:
     """All that a run needs. Message arrays have one row a message, in order of arrival."""
 
     seed: int
     length_ns: int
-    partners: list
-    troubles: list
-    at_ns: np.ndarray  # int64
-    cls: np.ndarray  # int16
-    team: np.ndarray
-    dest: np.ndarray  # int32
-    key: np.ndarray  # int64; 0: none
-    within: np.ndarray  # bool: within its team's share
+    destinations: list
+    faults: list
+    arrival_ns: np.ndarray  # int64
+    class_index: np.ndarray  # int16
+    tenant_index: np.ndarray
+    destination: np.ndarray  # int32
+    ordering_key: np.ndarray  # int64; 0: none
+    within_quota: np.ndarray  # bool: within its tenant's quota
     work_ns: np.ndarray  # [messages, DRAWS] at a partner of usual pace
-    chance: np.ndarray  # [messages, DRAWS, 4], uniform: net there, net back, error or loss, told wait
-    habits: np.ndarray  # [messages, 4], uniform: courier, heeds, backoff, spare
-    courier_share: np.ndarray
-    boot: np.ndarray  # [couriers, BOOTS], uniform: how long each start takes
-    slots: int = 2
-    held: int = 8
+    chances: np.ndarray  # [messages, DRAWS, 4], uniform: net there, net back, error or loss, told wait
+    client_draws: np.ndarray  # [messages, 4], uniform: courier, heeds, backoff, spare
+    instance_share: np.ndarray
+    start_draws: np.ndarray  # [couriers, BOOTS], uniform: how long each start takes
+    max_concurrent_calls: int = 2
+    max_held_messages: int = 8
     delay_ns: np.ndarray = field(default_factory=lambda: np.zeros(0))  # one way, of each partner
-    late_ns: np.ndarray | None = (
+    submit_delay_ns: np.ndarray | None = (
         None  # how late each message is handed in, where a real generator is followed
     )
-    size: np.ndarray | None = None  # bytes of the bodies, where recorded
+    size_bytes: np.ndarray | None = None  # bytes of the bodies, where recorded
 
 
-def quotas(world) -> list:
+def tenant_quotas(model) -> list:
     """Messages a second that each team may ask for: together 81% of capacity (the brief says 74 to 88%)."""
-    traffic = world.traffic
-    return [t.share * traffic.rate_per_s / traffic.load * 0.81 for t in world.teams]
+    traffic = model.traffic
+    return [t.share * traffic.rate_per_s / traffic.load * 0.81 for t in model.teams]
 
 
-def draw(world, seed: int) -> Day:
+def draw_scenario(model, seed: int) -> Scenario:
     """The day of a world and a seed; the same for every variant."""
     rng = stream(seed, "world")
-    partners = _partners(world, rng)
+    partners = _partners(model, rng)
     shares = np.array([p.share for p in partners])
-    troubles = _troubles(world, stream(seed, "troubles"), shares)
-    traffic = world.traffic
-    length = world.length_s
-    at, dest = _arrivals(world, stream(seed, "arrivals"), partners, troubles)
+    troubles = _troubles(model, stream(seed, "troubles"), shares)
+    traffic = model.traffic
+    length = model.length_s
+    at, dest = _arrivals(model, stream(seed, "arrivals"), partners, troubles)
     n = len(at)
     rng = stream(seed, "messages")
-    classes, teams = world.classes, world.teams
+    classes, teams = model.classes, model.teams
     cls = rng.choice(len(classes), n, p=_normal([c.share for c in classes])).astype(np.int16)
     offers = [t.share if t.offers is None else t.offers for t in teams]
     team = rng.choice(len(teams), n, p=_normal(offers)).astype(np.int16)
-    key = _keys(world, stream(seed, "keys"), at, cls, dest)
+    key = _keys(model, stream(seed, "keys"), at, cls, dest)
     low = np.array([c.work_ms[0] for c in classes])[cls]
     high = np.array([c.work_ms[1] for c in classes])[cls]
     mean = (low + (high - low) * rng.random(n)) * MS
-    work = _work(world, stream(seed, "work"), mean)
-    within = _within(at, team, quotas(world))
+    work = _work(model, stream(seed, "work"), mean)
+    within = _within(at, team, tenant_quotas(model))
     skew = _draw(stream(seed, "skew"), traffic.courier_skew)
-    weights = stream(seed, "couriers").gamma(1 / max(skew, 0.01) ** 2, size=world.couriers.count) + 1e-9
+    weights = stream(seed, "couriers").gamma(1 / max(skew, 0.01) ** 2, size=model.couriers.count) + 1e-9
     full = traffic.rate_per_s / traffic.load
     rng = stream(seed, "slots")
-    busy = full / world.couriers.count * float(np.mean(mean) / SECOND if n else 0.15)
+    busy = full / model.couriers.count * float(np.mean(mean) / SECOND if n else 0.15)
     pace = float(np.dot(shares, [p.pace for p in partners]))
-    slots = max(world.couriers.least_slots, round(busy * pace * _draw(rng, world.couriers.slots)))
+    slots = max(model.couriers.least_slots, round(busy * pace * _draw(rng, model.couriers.slots)))
     held = max(
-        world.couriers.least_held, round(full / world.couriers.count * _draw(rng, world.couriers.hold_s))
+        model.couriers.least_held, round(full / model.couriers.count * _draw(rng, model.couriers.hold_s))
     )
-    low, high = world.network.delay_ms
+    low, high = model.network.delay_ms
     delay = (low + (high - low) * stream(seed, "delay").random(len(partners))) * MS
-    return Day(
+    return Scenario(
         seed=seed,
         length_ns=int(length * SECOND),
-        partners=partners,
-        troubles=troubles,
-        at_ns=at,
-        cls=cls,
-        team=team,
-        dest=dest,
-        key=key,
-        within=within,
+        destinations=partners,
+        faults=troubles,
+        arrival_ns=at,
+        class_index=cls,
+        tenant_index=team,
+        destination=dest,
+        ordering_key=key,
+        within_quota=within,
         work_ns=work,
-        chance=stream(seed, "chance").random((n, DRAWS, 4), dtype=np.float32),
-        habits=stream(seed, "habits").random((n, 4), dtype=np.float32),
-        courier_share=weights / weights.sum(),
-        boot=stream(seed, "boot").random((world.couriers.count, BOOTS)),
-        slots=slots,
-        held=held,
+        chances=stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
+        client_draws=stream(seed, "habits").random((n, 4), dtype=np.float32),
+        instance_share=weights / weights.sum(),
+        start_draws=stream(seed, "boot").random((model.couriers.count, START_DRAWS)),
+        max_concurrent_calls=slots,
+        max_held_messages=held,
         delay_ns=delay,
     )
 
@@ -155,20 +155,20 @@
     return total / total.sum()
 
 
-def _work(world, rng, mean):
+def _work(model, rng, mean):
     """Work of each message and attempt, in nanoseconds, with the given means."""
-    shape = (len(mean), DRAWS)
-    if world.partners.work == "exponential":
+    shape = (len(mean), ATTEMPT_DRAWS)
+    if model.partners.work == "exponential":
         factor = rng.standard_exponential(shape)
     else:
-        sigma = world.partners.work_spread
+        sigma = model.partners.work_spread
         factor = rng.lognormal(-(sigma**2) / 2, sigma, shape)  # of mean 1
     return (mean[:, None] * factor).astype(np.int64) + 1
 
 
-def _partners(world, rng):
+def _partners(model, rng):
     """Partners until the endpoints are used up; busier ones have more of them."""
-    p, traffic = world.partners, world.traffic
+    p, traffic = model.partners, model.traffic
     counts, left = [], p.endpoints
     while left:
         extra = min(rng.poisson(max(0.0, p.mean_per_partner - p.per_partner[0])), p.per_partner[1] - 1)
@@ -179,7 +179,7 @@
     shares = _normal(ranks ** -_draw(rng, traffic.zipf))
     refused = bool(rng.random() < p.refused_count)
     full = traffic.rate_per_s / traffic.load
-    work_s = sum(c.share * sum(c.work_ms) / 2000 for c in world.classes)
+    work_s = sum(c.share * sum(c.work_ms) / 2000 for c in model.classes)
     found = []
     for number, (count, share) in enumerate(zip(counts, shares, strict=True), 1):
         # Big partners are found among the busy ones first.
@@ -192,7 +192,7 @@
         cores = max(1, p.least_cores if count == 1 else 1, round(per_s * work_s * pace / count))
         per_s = cores * count / (work_s * pace)
         queue = max(2, round(p.queue_s * per_s / count))
-        spec = PartnerSpec(
+        spec = DestinationSpec(
             number, float(share), big, pace, [cores] * count, [queue] * count, [0] * count, per_s
         )
         if big:
@@ -209,9 +209,9 @@
     return found
 
 
-def _arrivals(world, rng, partners, troubles):
+def _arrivals(model, rng, partners, troubles):
     """Times and partners: a wave with bursts on it, and clumps for one partner each."""
-    traffic, length = world.traffic, world.length_s
+    traffic, length = model.traffic, model.length_s
     swing = _draw(rng, traffic.swing)
     phase, turns = rng.uniform(0, 2 * np.pi), rng.uniform(0.7, 2.0)
     clumps = _draw(rng, traffic.clump_share)
@@ -243,10 +243,10 @@
     return (at[order] * SECOND).astype(np.int64), dest[order].astype(np.int32)
 
 
-def _keys(world, rng, at, cls, dest):
+def _keys(model, rng, at, cls, dest):
     """Keys of the messages that keep their order: each lives for some seconds at one partner."""
     key = np.zeros(len(at), dtype=np.int64)
-    ordered = np.array([c.in_order for c in world.classes])[cls]
+    ordered = np.array([c.in_order for c in model.classes])[cls]
     alive, serial = {}, 0
     for n in np.flatnonzero(ordered):
         mine = alive.setdefault(int(dest[n]), [])
@@ -257,9 +257,9 @@
             one = rested[int(rng.integers(len(rested)))]
         else:
             serial += 1
-            one = [serial, now + _draw(rng, world.traffic.key_life_s), now]
+            one = [serial, now + _draw(rng, model.traffic.key_life_s), now]
             mine.append(one)
-        one[2] = now + _draw(rng, world.traffic.key_gap_s)
+        one[2] = now + _draw(rng, model.traffic.key_gap_s)
         key[n] = one[0]
     return key
 
@@ -279,10 +279,10 @@
     return found
 
 
-def _troubles(world, rng, shares):
+def _troubles(model, rng, shares):
     """Troubles with their figures; outages strike partners of some share of the traffic."""
     found = []
-    for t in world.troubles:
+    for t in model.troubles:
         at, length = _draw(rng, t.at_s), _draw(rng, t.length_s)
         share, size = _draw(rng, t.share), _draw(rng, t.size)
         targets = []
@@ -293,13 +293,13 @@
                     targets.append(n + 1)
                     struck += shares[n]
         elif t.kind in ("restart", "kill"):
-            count = max(1, round(share * world.couriers.count))
-            targets = rng.permutation(world.couriers.count)[:count].tolist()
+            count = max(1, round(share * model.couriers.count))
+            targets = rng.permutation(model.couriers.count)[:count].tolist()
         elif t.kind in ("drain", "replace"):
-            count = max(1, round(share * world.partners.endpoints))
-            targets = rng.permutation(world.partners.endpoints)[:count].tolist()
+            count = max(1, round(share * model.partners.endpoints))
+            targets = rng.permutation(model.partners.endpoints)[:count].tolist()
         found.append(
-            Struck(t.kind, int(at * SECOND), int((at + length) * SECOND), size, targets, t.batch,
+            ScheduledFault(t.kind, int(at * SECOND), int((at + length) * SECOND), size, targets, t.batch,
                    int(_draw(rng, t.down_s) * SECOND), t.clear == "cold")
         )  # fmt: skip
     return found
--- a/pinspread/simulation/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -7,13 +7,13 @@
 from pinspread.policy.settings import DestinationKind, Idempotency, Settings, Tenant, TrafficClass
 from pinspread.simulation import destination as partner
 from pinspread.simulation import metrics as accounts
-from pinspread.simulation.clients import Habits
-from pinspread.simulation.destination import Endpoint, partners_of
+from pinspread.simulation.clients import ClientBehavior
+from pinspread.simulation.destination import Endpoint, build_destinations
 from pinspread.simulation.engine import SECOND, Engine
-from pinspread.simulation.instance import Courier
+from pinspread.simulation.instance import Instance
 from pinspread.simulation.random_streams import stream, whole
-from pinspread.simulation.rules import Checker
-from pinspread.simulation.scenario import BOOTS, Day, quotas
+from pinspread.simulation.rules import RuleChecker
+from pinspread.simulation.scenario import START_DRAWS, Scenario, tenant_quotas
 from pinspread.simulation.variants import SETTINGS_KEYS
 
 AFTER_NS = 30 * SECOND  # a day runs on so long for what is owed, unless all is over before
@@ -28,38 +28,38 @@
 KILLED_NS = 3_700_000_000  # after SIGTERM
 
 
-class Fleet:
+class Simulation:
     """Couriers, partners and clients in one virtual time."""
 
-    def __init__(self, world, day: Day, module_seed: int | None = None, settings=None, sender=None):
+    def __init__(self, model, scenario: Scenario, module_seed: int | None = None, settings=None, sender=None):
         """`settings` replaces fields of the module's settings; `sender` is another class of sender."""
-        self.world, self.day = world, day
-        self.engine = Engine(world.couriers.count + len(day.partners))
-        self.module_seed = day.seed if module_seed is None else module_seed
+        self.model, self.scenario = model, scenario
+        self.engine = Engine(model.couriers.count + len(scenario.destinations))
+        self.module_seed = scenario.seed if module_seed is None else module_seed
         self.sender = sender or DeliveryPolicy
-        self.settings = module_settings(world, day, settings or {})
-        self.checker = Checker(self.settings.classes, self.settings.max_attempts)
-        self.partners, self.endpoints = partners_of(day, self.engine, world, self.checker)
+        self.settings = policy_settings(model, scenario, settings or {})
+        self.checker = RuleChecker(self.settings.classes, self.settings.max_attempts)
+        self.destinations, self.endpoints = build_destinations(scenario, self.engine, model, self.checker)
         self.entries = {e.id: self._entry(e) for e in self.endpoints.values()}
-        self.delays = day.delay_ns.tolist()
-        low, high = world.network.list_late_s
-        lag = stream(day.seed, "lag").uniform(low, high, world.couriers.count)
+        self.delays = scenario.delay_ns.tolist()
+        low, high = model.network.list_late_s
+        lag = stream(scenario.seed, "lag").uniform(low, high, model.couriers.count)
         self.lag_ns = (lag * SECOND).astype(np.int64).tolist()
-        self.couriers = [Courier(n, self) for n in range(world.couriers.count)]
-        n = len(day.at_ns)
+        self.instances = [Instance(n, self) for n in range(model.couriers.count)]
+        n = len(scenario.arrival_ns)
         self.delivered_ns = np.full(n, -1, dtype=np.int64)
         self.ended_ns = np.full(n, -1, dtype=np.int64)
         self.effects = np.zeros(n, dtype=np.int16)
         self.attempts = np.zeros(n, dtype=np.int16)
         self.written = np.zeros(n, dtype=np.int16)  # calls that left a courier: each has draws of its own
-        self.busy = self.unanswered = 0
-        self.verdicts = {}
+        self.rejected = self.unanswered = 0
+        self.outcomes = {}
         self.calls_at, self.retries_at = [], []  # times in ns
         self.work_done_ns = 0
-        self.habits = Habits(world, day)
+        self.habits = ClientBehavior(model, scenario)
 
     def _entry(self, endpoint, state=EndpointState.READY):
-        spec = endpoint.partner.spec
+        spec = endpoint.destination.spec
         return EndpointEntry(endpoint.id, spec.number, 0, 0 if spec.big else 1, state, spec.weight)
 
     def make_sender(self, courier, start):
@@ -68,17 +68,19 @@
 
     def run(self):
         """Play the day; gives its accounts."""
-        engine, day, couriers = self.engine, self.day, self.couriers
+        engine, scenario, couriers = self.engine, self.scenario, self.instances
         entries = list(self.entries.values())
-        spread = stream(day.seed, "start").random(len(couriers)) * self.world.couriers.start_spread_s * SECOND
+        spread = (
+            stream(scenario.seed, "start").random(len(couriers)) * self.model.couriers.start_spread_s * SECOND
+        )
         for courier, at in zip(couriers, spread.tolist(), strict=True):
             engine.at(int(at), courier.start, entries)
-        for trouble in day.troubles:
+        for trouble in scenario.faults:
             self._plan(trouble)
-        if len(day.at_ns):
-            engine.at(int(day.at_ns[0]), self._arrival, 0)
-        engine.run(day.length_ns)
-        end = day.length_ns + AFTER_NS
+        if len(scenario.arrival_ns):
+            engine.at(int(scenario.arrival_ns[0]), self._arrival, 0)
+        engine.run(scenario.length_ns)
+        end = scenario.length_ns + AFTER_NS
         while engine.now < end and any(c.open for c in couriers):
             engine.run(engine.now + SECOND)
         self.checker.close(engine.now, {c.number for c in couriers if c.up})
@@ -87,13 +89,13 @@
     # --- clients ----------------------------------------------------------------------------------
 
     def _arrival(self, row):
-        late = self.day.late_ns
+        late = self.scenario.submit_delay_ns
         if late is None:
             self.hand_in(row)
         else:  # so that those close together may change places
             self.engine.after(int(late[row]), self.hand_in, row)
-        if row + 1 < len(self.day.at_ns):
-            self.engine.at(int(self.day.at_ns[row + 1]), self._arrival, row + 1)
+        if row + 1 < len(self.scenario.arrival_ns):
+            self.engine.at(int(self.scenario.arrival_ns[row + 1]), self._arrival, row + 1)
 
     def hand_in(self, row):
         """A client hands a message in, for the first time or again."""
@@ -103,13 +105,13 @@
             self.ended_ns[row] = engine.now
             return
         chosen = self.habits.courier(row)
-        for step in range(len(self.couriers)):
-            courier = self.couriers[(chosen + step) % len(self.couriers)]
+        for step in range(len(self.instances)):
+            courier = self.instances[(chosen + step) % len(self.instances)]
             answer = courier.take(row, deadline, self)
             if answer is True:
                 return
             if answer >= 0:
-                self.busy += 1
+                self.rejected += 1
                 self._again(row, answer)
                 return
         self.unanswered += 1
@@ -152,7 +154,7 @@
 
     def outcome(self, verdict):
         """A branch has ended."""
-        self.verdicts[verdict] = self.verdicts.get(verdict, 0) + 1
+        self.outcomes[verdict] = self.outcomes.get(verdict, 0) + 1
 
     # --- troubles ---------------------------------------------------------------------------------
 
@@ -160,12 +162,12 @@
         engine = self.engine
         if t.kind in STATE_OF:
             for number in t.targets:
-                one = self.partners[number]
-                engine.at(t.at_ns, one.strike, STATE_OF[t.kind], t.until_ns, t.size, t.leaves_cold)
+                one = self.destinations[number]
+                engine.at(t.at_ns, one.start_outage, STATE_OF[t.kind], t.until_ns, t.size, t.leaves_cold)
                 engine.at(t.until_ns, one.restore)
         elif t.kind in ("restart", "kill"):
-            for number, at in t.restarts(len(self.couriers)):
-                engine.at(at, self._restart, self.couriers[number], t.kind, t.down_ns)
+            for number, at in t.restarts(len(self.instances)):
+                engine.at(at, self._restart, self.instances[number], t.kind, t.down_ns)
         elif t.kind in ("drain", "replace"):
             for index in t.targets:
                 engine.at(t.at_ns, self._change, index + 1, t.kind, t.until_ns)
@@ -173,8 +175,8 @@
     def _restart(self, courier, kind, down_ns):
         if not courier.up or courier.stopping:
             return
-        low, high = self.world.couriers.boot_s
-        drawn = float(self.day.boot[courier.number, courier.restarts % BOOTS])
+        low, high = self.model.couriers.boot_s
+        drawn = float(self.scenario.start_draws[courier.number, courier.restarts % START_DRAWS])
         down_ns += int((low + (high - low) * drawn) * SECOND)
         if kind == "kill":
             courier.kill()
@@ -202,7 +204,7 @@
             self._list(endpoint, EndpointState.DRAINING)
             self.engine.at(until_ns, self._list, endpoint, EndpointState.READY)
             return
-        owner = endpoint.partner
+        owner = endpoint.destination
         new = Endpoint(NEW_ID + id_, owner, endpoint.cores, endpoint.queue_room, endpoint.table)
         new.state = endpoint.state
         owner.endpoints.append(new)
@@ -213,15 +215,15 @@
 
     def _go(self, endpoint):
         self._list(endpoint, EndpointState.REMOVED)
-        endpoint.partner.endpoints.remove(endpoint)
+        endpoint.destination.endpoints.remove(endpoint)
         endpoint.state = partner.CRASHED
-        endpoint.partner.lose(endpoint, reset=True)
+        endpoint.destination.lose(endpoint, reset=True)
 
     def _list(self, endpoint, state):
         entry = self.entries[endpoint.id] = self._entry(endpoint, state)
         if state is EndpointState.REMOVED:
             del self.entries[endpoint.id]
-        for courier, lag in zip(self.couriers, self.lag_ns, strict=True):
+        for courier, lag in zip(self.instances, self.lag_ns, strict=True):
             self.engine.after(lag, self._tell, courier, entry)
 
     @staticmethod
@@ -230,27 +232,27 @@
             courier.update_endpoints(UpdateScope.DELTA, [entry])
 
 
-def module_settings(world, day, replaced):
+def policy_settings(model, scenario, replaced):
     """What each module is told: from the world, with a variant's fields in their place."""
-    c, p = world.couriers, world.partners
+    c, p = model.couriers, model.partners
     classes = [
         TrafficClass(
             latency_objective_ns=int(one.aim_s * SECOND), deadline_ns=int(one.deadline_s * SECOND),
             effect=Idempotency(one.effect), deduplication_window_ns=int(one.window_s * SECOND), late_value_share=one.late_share,
             priority_weight=one.worth, in_order=one.in_order,
         )
-        for one in world.classes
+        for one in model.classes
     ]  # fmt: skip
     told = {
         "classes": classes,
         "kinds": [DestinationKind(), DestinationKind()],
-        "max_concurrent_calls": day.slots,
-        "max_held_messages": day.held,
+        "max_concurrent_calls": scenario.max_concurrent_calls,
+        "max_held_messages": scenario.max_held_messages,
         "max_attempts": c.max_attempts,
         "senders": c.count,
-        "over_quota_weight": world.traffic.over_share_worth,
+        "over_quota_weight": model.traffic.over_share_worth,
         "value_halves": True,
-        "tenants": [Tenant(q, t.share) for t, q in zip(world.teams, quotas(world), strict=True)],
+        "tenants": [Tenant(q, t.share) for t, q in zip(model.teams, tenant_quotas(model), strict=True)],
         "weights_known": True,
         "weights_exact": p.weights == 0,
         "health_checks_allowed": c.probes,
--- a/pinspread/simulation/trace.py
+++ b/pinspread/simulation/trace.py
@@ -16,7 +16,13 @@
 from pinspread.simulation.fit import fits
 from pinspread.simulation.random_streams import stream
 from pinspread.simulation.recorded_events import recorded
-from pinspread.simulation.scenario import BOOTS, DRAWS, Day, PartnerSpec, Struck
+from pinspread.simulation.scenario import (
+    ATTEMPT_DRAWS,
+    START_DRAWS,
+    DestinationSpec,
+    Scenario,
+    ScheduledFault,
+)
 
 MAGIC = b"PINTRACE"
 VERSION = 1
@@ -148,11 +154,11 @@
         raise TraceError(f"{path}: its content cannot be read: {error!r}") from None
 
 
-def replay(path: str, world, seed: int) -> Day:
+def replay(path: str, model, seed: int) -> Scenario:
     """A day with a trace's arrivals, and partners as they were fitted; the seed draws what was not recorded."""
     found = read(path)
     a = found["arrivals"]
-    names = [c.name for c in world.classes]
+    names = [c.name for c in model.classes]
     unknown = [name for name in found["classes"] if name not in names]
     if unknown:
         raise TraceError(f"{path}: has messages of class {unknown[0]!r}, which the world does not know")
@@ -161,46 +167,48 @@
     numbers = {dest: n for n, dest in enumerate(sorted(set(a["dest"])), 1)}
     dest = np.array([numbers[d] for d in a["dest"]], dtype=np.int32)
     n, length = len(at), int(at.max()) + 2 * SECOND
-    work_s = np.array([sum(c.work_ms) / 2000 for c in world.classes])
+    work_s = np.array([sum(c.work_ms) / 2000 for c in model.classes])
     partners, troubles, sigma = [], [], {}
     for one in found["fits"]:
         number = numbers[one["dest"]]
         share = one["calls"] / max(1, n)
         latency = one["latency"]
         mean_s = latency["mean_ms"] / 1000 if latency["count"] else float(work_s.mean())
-        net_s = 2 * sum(world.network.delay_ms) / 2000
+        net_s = 2 * sum(model.network.delay_ms) / 2000
         usual = float(work_s[cls[dest == number]].mean()) if (dest == number).any() else float(work_s.mean())
         pace = max(0.05, (mean_s - net_s) / usual)
         count = max(1, one["hops"])
-        cores = max(world.partners.least_cores, -(-one["most_out"] * 3 // (2 * count)))
+        cores = max(model.partners.least_cores, -(-one["most_out"] * 3 // (2 * count)))
         per_s = cores * count / (usual * pace)
-        spec = PartnerSpec(number, share, bool(one["limit_per_s"]), pace, [cores] * count, [max(2, int(2 * per_s / count))] * count,
+        spec = DestinationSpec(number, share, bool(one["limit_per_s"]), pace, [cores] * count, [max(2, int(2 * per_s / count))] * count,
                            [0] * count, per_s, weight=one["limit_per_s"] or per_s)  # fmt: skip
         if one["limit_per_s"]:
             spec.span_ns, spec.limit = SECOND, max(1, round(one["limit_per_s"]))
             spec.per_s, spec.tells = min(per_s, one["limit_per_s"]), one["tells"]
         partners.append(spec)
-        sigma[number] = latency["sigma"] if latency["count"] else world.partners.work_spread
+        sigma[number] = latency["sigma"] if latency["count"] else model.partners.work_spread
         for outage in one["outages"]:
             troubles.append(
-                Struck(outage["kind"], outage["from_us"] * 1000, outage["until_us"] * 1000, 1.0, [number])
+                ScheduledFault(
+                    outage["kind"], outage["from_us"] * 1000, outage["until_us"] * 1000, 1.0, [number]
+                )
             )
     spreads = np.array([sigma[int(d)] for d in dest])[:, None]
-    factor = np.exp(stream(seed, "work").standard_normal((n, DRAWS)) * spreads - spreads**2 / 2)
-    low, high = (np.array([c.work_ms[k] for c in world.classes])[cls] for k in (0, 1))
+    factor = np.exp(stream(seed, "work").standard_normal((n, ATTEMPT_DRAWS)) * spreads - spreads**2 / 2)
+    low, high = (np.array([c.work_ms[k] for c in model.classes])[cls] for k in (0, 1))
     mean = (low + (high - low) * stream(seed, "messages").random(n)) * MS
     couriers = max(1, found["couriers"])
-    shares = np.bincount(np.array(a["courier"]) % world.couriers.count, minlength=world.couriers.count) + 1e-9
-    full = n / (length / SECOND) / world.traffic.load
-    slots = max(world.couriers.least_slots, round(full / couriers * float(mean.mean()) / SECOND * 2.2))
-    net = world.network.delay_ms
-    return Day(
-        seed=seed, length_ns=length, partners=partners, troubles=troubles, at_ns=at, cls=cls,
-        team=np.array(a["team"], dtype=np.int16) % len(world.teams), dest=dest, key=np.array(a["key"], dtype=np.int64),
-        within=np.ones(n, dtype=bool), work_ns=(mean[:, None] * factor).astype(np.int64) + 1,
-        chance=stream(seed, "chance").random((n, DRAWS, 4), dtype=np.float32),
-        habits=stream(seed, "habits").random((n, 4), dtype=np.float32), courier_share=shares / shares.sum(),
-        slots=slots, held=max(world.couriers.least_held, round(full / couriers * 9)),
+    shares = np.bincount(np.array(a["courier"]) % model.couriers.count, minlength=model.couriers.count) + 1e-9
+    full = n / (length / SECOND) / model.traffic.load
+    slots = max(model.couriers.least_slots, round(full / couriers * float(mean.mean()) / SECOND * 2.2))
+    net = model.network.delay_ms
+    return Scenario(
+        seed=seed, length_ns=length, destinations=partners, faults=troubles, arrival_ns=at, class_index=cls,
+        tenant_index=np.array(a["team"], dtype=np.int16) % len(model.teams), destination=dest, ordering_key=np.array(a["key"], dtype=np.int64),
+        within_quota=np.ones(n, dtype=bool), work_ns=(mean[:, None] * factor).astype(np.int64) + 1,
+        chances=stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
+        client_draws=stream(seed, "habits").random((n, 4), dtype=np.float32), instance_share=shares / shares.sum(),
+        max_concurrent_calls=slots, max_held_messages=max(model.couriers.least_held, round(full / couriers * 9)),
         delay_ns=stream(seed, "delay").uniform(net[0], net[1], len(partners)) * MS,
-        boot=stream(seed, "boot").random((world.couriers.count, BOOTS)), size=np.array(a["size"], dtype=np.int64),
+        start_draws=stream(seed, "boot").random((model.couriers.count, START_DRAWS)), size_bytes=np.array(a["size"], dtype=np.int64),
     )  # fmt: skip
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -24,13 +24,13 @@
 from pinspread import sockets
 from pinspread.policy.events import Outcome
 from pinspread.simulation import metrics as accounts
-from pinspread.simulation.clients import Habits
-from pinspread.simulation.destination import CRASHED, FALLEN, Endpoint, partners_of
+from pinspread.simulation.clients import ClientBehavior
+from pinspread.simulation.destination import CRASHED, FALLEN, Endpoint, build_destinations
 from pinspread.simulation.engine import SECOND
 from pinspread.simulation.random_streams import stream, whole
 from pinspread.simulation.recorded_events import recorded
-from pinspread.simulation.rules import Checker
-from pinspread.simulation.simulate import REPLACED_NS, STATE_OF, module_settings
+from pinspread.simulation.rules import RuleChecker
+from pinspread.simulation.simulate import REPLACED_NS, STATE_OF, policy_settings
 from pinspread.testbed.stand_ins import Client, HttpStandIn, until
 
 CLIENT_WAITS_S = 0.4
@@ -39,7 +39,7 @@
 _blocks = count(os.getpid() % 200 * 64)  # blocks of addresses, so that stages side by side do not meet
 
 
-class Clock:
+class RealTimeEngine:
     """The model's engine on real time: `now` in nanoseconds since the day began."""
 
     def __init__(self):
@@ -60,7 +60,7 @@
         self.after(when_ns - self.now, call, *what)
 
 
-class Incoming:
+class IncomingCall:
     """A call that has come to a stand-in: the model's `Call` on a socket."""
 
     def __init__(self, stage, courier, row, work_ns, chance):
@@ -96,7 +96,7 @@
         """Judged later."""
 
 
-class Hop(HttpStandIn):
+class EndpointStandIn(HttpStandIn):
     """One endpoint as one courier reaches it."""
 
     def __init__(self, stage, endpoint, courier):
@@ -160,22 +160,22 @@
             told = stage.told_at.get((self.courier, endpoint.id))
             if told is not None and stage.engine.now > told + DRAIN_GRACE_NS:
                 stage.past_drain += 1
-            tries = int(stage.attempts[row]) % stage.day.chance.shape[1]
+            tries = int(stage.attempts[row]) % stage.scenario.chances.shape[1]
             stage.attempts[row] += 1
-            work, chance = int(stage.day.work_ns[row, tries]), stage.day.chance[row, tries]
+            work, chance = int(stage.scenario.work_ns[row, tries]), stage.scenario.chances[row, tries]
         else:
             work, chance = 5_000_000, (0.5, 0.5, 0.5, 0.5)
-        delay = stage.delays[endpoint.partner.number - 1] / SECOND
-        jitter = stage.world.network.jitter
+        delay = stage.delays[endpoint.destination.number - 1] / SECOND
+        jitter = stage.model.network.jitter
         there, back = (delay * (1 + jitter * (2 * float(chance[n]) - 1)) for n in (0, 1))
-        handshake = stage.world.network.handshake_ms / 1000 if first else 0.0
+        handshake = stage.model.network.handshake_ms / 1000 if first else 0.0
         await anyio.sleep(there + (2 * there if first else 0))
         if connection in self.turned_away:
-            stage.verdicts[Outcome.OVERLOADED] = stage.verdicts.get(Outcome.OVERLOADED, 0) + 1
+            stage.outcomes[Outcome.OVERLOADED] = stage.outcomes.get(Outcome.OVERLOADED, 0) + 1
             await anyio.sleep(back)
             return 503, [("Connection", "close")], b""
-        call = Incoming(stage, self.courier, row, work, chance)
-        endpoint.partner.arrive(endpoint, call, work + int(handshake * SECOND))
+        call = IncomingCall(stage, self.courier, row, work, chance)
+        endpoint.destination.arrive(endpoint, call, work + int(handshake * SECOND))
         # Danger: a partner that is silent never answers; a connection whose other side has gone must not stay
         # in its endpoint's table for that.
         while not (await asyncio.wait({call.reply}, timeout=LOOK_S))[0]:
@@ -183,7 +183,7 @@
                 call.alone = True
                 return None
         verdict, wait_ns = call.reply.result()
-        stage.verdicts[verdict] = stage.verdicts.get(verdict, 0) + 1
+        stage.outcomes[verdict] = stage.outcomes.get(verdict, 0) + 1
         if verdict is Outcome.RESET:
             reset(connection)
             return None
@@ -218,7 +218,7 @@
     connection.close()
 
 
-class Platform(HttpStandIn):
+class PlatformStandIn(HttpStandIn):
     """Discovery and notices of one courier."""
 
     def __init__(self, stage, courier):
@@ -261,7 +261,7 @@
             self.watchers.discard(news)
 
 
-class Process:
+class CourierProcess:
     """A real courier, over its restarts."""
 
     def __init__(self, stage, number, folder):
@@ -323,41 +323,41 @@
         self.ready = False
 
 
-class Stage:
+class PlatformTestbed:
     """A day on loopback. After `play`, it has what `accounts.of` needs."""
 
-    def __init__(self, world, day, folder):
-        self.world, self.day = world, day
+    def __init__(self, model, scenario, folder):
+        self.model, self.scenario = model, scenario
         # Danger: ids come again with each play of a day; a journal of an earlier one would know them as over.
         Path(folder).mkdir(parents=True, exist_ok=True)
         self.folder = Path(tempfile.mkdtemp(prefix="play-", dir=folder))
-        self.engine = Clock()
-        self.settings = module_settings(world, day, {})
-        self.checker = Checker(self.settings.classes, self.settings.max_attempts)
+        self.engine = RealTimeEngine()
+        self.settings = policy_settings(model, scenario, {})
+        self.checker = RuleChecker(self.settings.classes, self.settings.max_attempts)
         self.block = next(_blocks)
         # Who knew of an outage is told by the couriers' logs alone, after the day: `_blame`.
-        self.partners, self.endpoints = partners_of(day, self.engine, world, _Unjudged)
-        self.delays = day.delay_ns.tolist()
-        n = len(day.at_ns)
+        self.destinations, self.endpoints = build_destinations(scenario, self.engine, model, _Unjudged)
+        self.delays = scenario.delay_ns.tolist()
+        n = len(scenario.arrival_ns)
         self.delivered_ns, self.ended_ns = np.full(n, -1, dtype=np.int64), np.full(n, -1, dtype=np.int64)
         self.effects = np.zeros(n, dtype=np.int16)
         self.attempts = np.zeros(n, dtype=np.int16)
-        self.busy = self.unanswered = self.handshakes = self.probes = self.work_done_ns = 0
+        self.rejected = self.unanswered = self.handshakes = self.probes = self.work_done_ns = 0
         self.turns = 0
-        self.verdicts, self.calls_at, self.retries_at = {}, [], []
+        self.outcomes, self.calls_at, self.retries_at = {}, [], []
         self.taken, self.finals = {}, {}  # ids that were taken on -> row, and how they ended
-        self.habits = Habits(world, day)
+        self.habits = ClientBehavior(model, scenario)
         self.processes, self.platforms = [], []
         self.first = len(self.endpoints)  # endpoints up to this number were there from the start
-        low, high = world.network.list_late_s
-        self.lag_s = stream(day.seed, "lag").uniform(low, high, world.couriers.count).tolist()
+        low, high = model.network.list_late_s
+        self.lag_s = stream(scenario.seed, "lag").uniform(low, high, model.couriers.count).tolist()
         self.unheard = 0  # calls that ran, and whose courier was gone when they were answered
         self.past_drain = 0  # calls to an endpoint after its courier's grace
         self.told_at = {}  # (courier, endpoint) -> when it was told that nothing may go there
         self.tasks = None
 
     @property
-    def couriers(self):
+    def instances(self):
         """For `accounts`: one that holds what the stand-ins counted."""
         return [self]
 
@@ -368,7 +368,7 @@
 
     def host(self, endpoint, courier):
         """An endpoint as a courier's list shows it."""
-        spec = endpoint.partner.spec
+        spec = endpoint.destination.spec
         return {
             "host": f"e{endpoint.id}", "dial": self.address(courier, 10 + endpoint.id), "site": "local",
             "class": "big" if spec.big else "small", "block": spec.number, "health": "ready",
@@ -389,14 +389,14 @@
         """Play the day; gives its accounts, with what the ledgers say beside them."""
         with ExitStack() as closing:
             async with anyio.create_task_group() as self.tasks:
-                for number in range(self.world.couriers.count):
-                    platform = Platform(self, number)
+                for number in range(self.model.couriers.count):
+                    platform = PlatformStandIn(self, number)
                     self.platforms.append(platform)
                     self._listen(closing, platform, self.address(number, 1))
                     for endpoint in self.endpoints.values():
-                        hop = Hop(self, endpoint, number)
+                        hop = EndpointStandIn(self, endpoint, number)
                         self.tasks.start_soon(hop.listen)
-                    process = Process(self, number, self.folder)
+                    process = CourierProcess(self, number, self.folder)
                     closing.callback(process.log.close)
                     self.processes.append(process)
                 try:
@@ -407,9 +407,9 @@
                     self.engine.start_ns = time.monotonic_ns() + SECOND // 5
                     self._plan()
                     await self._arrivals()
-                    length_s = self.day.length_ns / SECOND
+                    length_s = self.scenario.length_ns / SECOND
                     await anyio.sleep(max(0.0, length_s - self.engine.now / SECOND))
-                    longest = max(c.deadline_s for c in self.world.classes) + 2
+                    longest = max(c.deadline_s for c in self.model.classes) + 2
                     with anyio.move_on_after(longest):
                         await until(lambda: not (self.taken.keys() - self.finals.keys()), longest + 1)
                 finally:
@@ -439,7 +439,7 @@
                     "NOT_SENT",
                     "MOOT",
                 ):
-                    number = self.endpoints[int(event["hop"][1:])].partner.number
+                    number = self.endpoints[int(event["hop"][1:])].destination.number
                     failed.append((process.number, number, int((event["at_us"] / 1e6 - begun) * SECOND)))
                 if event.get("event") == "probe":
                     self.probes += 1
@@ -452,7 +452,7 @@
 
     def _blame(self, failed):
         """Rule `cold` from the logs: who was refused a connection is known to nobody else."""
-        for one in self.partners.values():
+        for one in self.destinations.values():
             for now, from_ns, until_ns, pushed in one.fallen:
                 knew = {c for c, number, at in failed if number == one.number and from_ns <= at < until_ns}
                 self.checker.fell(one.number, now, sum(c in knew for c in pushed), len(pushed))
@@ -463,11 +463,13 @@
         self.tasks.start_soon(stand_in.run, sock)
 
     def _plan(self):
-        for t in self.day.troubles:
+        for t in self.scenario.faults:
             if t.kind in STATE_OF:
                 for number in t.targets:
-                    one = self.partners[number]
-                    self.engine.at(t.at_ns, one.strike, STATE_OF[t.kind], t.until_ns, t.size, t.leaves_cold)
+                    one = self.destinations[number]
+                    self.engine.at(
+                        t.at_ns, one.start_outage, STATE_OF[t.kind], t.until_ns, t.size, t.leaves_cold
+                    )
                     self.engine.at(t.until_ns, one.restore)
             elif t.kind in ("restart", "kill"):
                 for number, at in t.restarts(len(self.processes)):
@@ -482,13 +484,17 @@
         await anyio.sleep(max(0, trouble.at_ns - self.engine.now) / SECOND)
         if trouble.kind == "replace":
             new = Endpoint(
-                len(self.endpoints) + 1, endpoint.partner, endpoint.cores, endpoint.queue_room, endpoint.table
+                len(self.endpoints) + 1,
+                endpoint.destination,
+                endpoint.cores,
+                endpoint.queue_room,
+                endpoint.table,
             )
             new.state = endpoint.state
-            endpoint.partner.endpoints.append(new)
+            endpoint.destination.endpoints.append(new)
             self.endpoints[new.id] = new
             for number in range(len(self.processes)):
-                self.tasks.start_soon(Hop(self, new, number).listen)
+                self.tasks.start_soon(EndpointStandIn(self, new, number).listen)
             self._tell(new, "ready")
         self._tell(endpoint, "draining")
         if trouble.kind == "drain":
@@ -497,7 +503,7 @@
             return
         await anyio.sleep(REPLACED_NS / SECOND)
         self._tell(endpoint, "gone")
-        endpoint.partner.endpoints.remove(endpoint)
+        endpoint.destination.endpoints.remove(endpoint)
         endpoint.state = CRASHED
         for hop in endpoint.pools:
             hop.broken(True)
@@ -521,7 +527,7 @@
     # --- clients: open arrivals, so that a slow answer never puts a later message off ---------------
 
     async def _arrivals(self):
-        for row, at in enumerate(self.day.at_ns.tolist()):
+        for row, at in enumerate(self.scenario.arrival_ns.tolist()):
             wait = at - self.engine.now
             if wait > 0:
                 await anyio.sleep(wait / SECOND)
@@ -544,7 +550,7 @@
                 self.unanswered += 1
                 await anyio.sleep(0.2)
                 continue
-            self.busy += 1
+            self.rejected += 1
             words = said.split()
             if not await self._again(row, int(words[1]) if len(words) > 1 else 0):
                 return
@@ -559,15 +565,20 @@
         return True
 
     async def _say(self, process, row, left_ms):
-        day, world = self.day, self.world
-        id_ = f"{row:08x}{int(self.habits.tries[row]):02x}{whole(day.seed, 'id', row, self.unanswered) & 0xFFFFFF:06x}"
-        cls, team = world.classes[day.cls[row]].name, world.teams[day.team[row]].name
-        options = f"c={cls},t={team},d={left_ms},k={row:016x},dest={int(day.dest[row])}"
+        scenario, model = self.scenario, self.model
+        id_ = f"{row:08x}{int(self.habits.tries[row]):02x}{whole(scenario.seed, 'id', row, self.unanswered) & 0xFFFFFF:06x}"
+        cls, team = (
+            model.classes[scenario.class_index[row]].name,
+            model.teams[scenario.tenant_index[row]].name,
+        )
+        options = f"c={cls},t={team},d={left_ms},k={row:016x},dest={int(scenario.destination[row])}"
         client = process.clients.pop() if process.clients else Client(process.address, again=True)
         self.taken[id_] = row  # it may be taken on though its answer is lost
         try:
             with anyio.fail_after(CLIENT_WAITS_S):
-                said = await client.say("ENQUEUE", str(int(day.key[row])), id_, options, b"x" * 200)
+                said = await client.say(
+                    "ENQUEUE", str(int(scenario.ordering_key[row])), id_, options, b"x" * 200
+                )
         except (
             OSError,
             TimeoutError,
@@ -613,28 +624,28 @@
 
 def configured(stage, number, address, state):
     """A courier's configuration, in the platform's form."""
-    world, day, s = stage.world, stage.day, stage.settings
+    model, scenario, s = stage.model, stage.scenario, stage.settings
     lanes = [
         {"name": c.name, "aimNs": int(c.aim_s * SECOND), "deadlineNs": int(c.deadline_s * SECOND),
          "effect": c.effect, "group": "all", "windowNs": int(c.window_s * SECOND), "serialByKey": c.in_order,
          "value": c.worth, "lateShare": c.late_share}
-        for c in world.classes
+        for c in model.classes
     ]  # fmt: skip
     policy = {
-        "dialTimeoutNs": int(world.couriers.dial_s * SECOND), "keepaliveNs": s.keepalive_ns,
+        "dialTimeoutNs": int(model.couriers.dial_s * SECOND), "keepaliveNs": s.keepalive_ns,
         "maxRetryAfterNs": s.max_retry_after_ns, "mostHeld": s.max_held_messages, "probes": s.health_checks_allowed,
         "retryAfter": s.retry_after_allowed, "sendCap": s.max_attempts,
     }  # fmt: skip
     return {
         "name": f"n{number}", "listen": address, "discovery": stage.address(number, 1), "state": state,
-        "seed": f"{whole(day.seed, 'module', number, time.time_ns()):x}",
+        "seed": f"{whole(scenario.seed, 'module', number, time.time_ns()):x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
         "known": stage.listed(number),
         "settings": {
             "balancers": s.senders, "lanes": lanes, "policyLimits": policy,
             "overShareWorth": s.over_quota_weight, "prices": {"handshake": s.handshake_price},
             "projects": [{"name": t.name, "quotaRps": q.quota_per_s, "share": q.share}
-                         for t, q in zip(world.teams, s.tenants, strict=True)],
+                         for t, q in zip(model.teams, s.tenants, strict=True)],
             "rules": {"drainGraceNs": s.drain_grace_ns, "coldFrom": s.slow_start_fraction, "coldNs": s.slow_start_ns,
                       "tipMultiple": s.overload_multiple},
             "shapes": ["big", "small"],
@@ -644,6 +655,6 @@
     }  # fmt: skip
 
 
-def play(world, day, folder):
+def play(model, scenario, folder):
     """Play a day on loopback; its accounts."""
-    return anyio.run(Stage(world, day, folder).play)
+    return anyio.run(PlatformTestbed(model, scenario, folder).play)
--- a/pinspread/testbed/processes.py
+++ b/pinspread/testbed/processes.py
@@ -58,7 +58,7 @@
 SIGNALS = {"pause": signal.SIGSTOP, "resume": signal.SIGCONT, "kill": signal.SIGKILL, "term": signal.SIGTERM}
 
 
-class SceneError(Exception):
+class ScenarioError(Exception):
     """A scene that cannot be played; the text says why."""
 
 
@@ -98,7 +98,7 @@
         self.writer.join()
 
 
-class Courier:
+class MemberProcess:
     """One member's process, over its restarts."""
 
     def __init__(self, stage, number):
@@ -211,7 +211,7 @@
             process.wait()
 
 
-class Stage:
+class ClusterTestbed:
     """A scene on loopback."""
 
     def __init__(self, scene, folder):
@@ -223,7 +223,7 @@
         self.tuning = scene.get("tuning", {})
         self.leases, self.copies = scene.get("leases"), scene.get("copies")
         self.started = asyncio.Event()
-        self.cast = [Courier(self, n) for n in range(scene["members"])]
+        self.cast = [MemberProcess(self, n) for n in range(scene["members"])]
         self.by_id = {c.id: c for c in self.cast}
         self.history = History(self.folder / "history.jsonl")
         self.traffic = Traffic(self, **scene["traffic"]) if "traffic" in scene else None
@@ -302,7 +302,7 @@
         elif do in ("garbage", "stranger"):
             await self._strange(event)
         else:
-            raise SceneError(f"unknown fault {do!r}")
+            raise ScenarioError(f"unknown fault {do!r}")
 
     async def _strange(self, event):
         """Datagrams from no member: random bytes, or well-formed ones of another fleet."""
@@ -341,7 +341,7 @@
         began = time.monotonic()
         while not all(c.serving.is_set() for c in self.cast if c.id not in late):
             if time.monotonic() - began > READY_S:
-                raise SceneError("members did not all serve in time")
+                raise ScenarioError("members did not all serve in time")
             await asyncio.sleep(0.05)
         self.history.add("stage", "serving")
         self.started.set()
@@ -424,14 +424,14 @@
         with open(path, "rb") as file:
             scene = tomllib.load(file)
     except (OSError, tomllib.TOMLDecodeError) as error:
-        raise SceneError(f"{path}: {error}") from None
+        raise ScenarioError(f"{path}: {error}") from None
     if not isinstance(scene.get("members"), int) or not 1 <= scene["members"] <= 60:
-        raise SceneError(f"{path}: members: from 1 to 60")
+        raise ScenarioError(f"{path}: members: from 1 to 60")
     if not isinstance(scene.get("seconds"), int | float) or not 0 < scene["seconds"] <= 3600:
-        raise SceneError(f"{path}: seconds: above 0, at most 3600")
+        raise ScenarioError(f"{path}: seconds: above 0, at most 3600")
     return scene
 
 
 def play(scene, folder):
     """Run a scene (a dict as `load` gives) with its history in `folder`; the verdicts."""
-    return asyncio.run(Stage(scene, folder).run())
+    return asyncio.run(ClusterTestbed(scene, folder).run())
--- a/tests/recorded_runs.py
+++ b/tests/recorded_runs.py
@@ -1,7 +1,7 @@
-"""Runs of the simulation as recorded files have them: `PYTHONPATH=. python tests/recorded_runs.py FOLDER` records them anew.
+"""Runs of the simulation, recorded before its modules were renamed and split.
 
-What is recorded are files and texts that the command line writes, so that no name of the package stands in them. They
-were recorded with the version before the simulation's modules were renamed and split.
+What is recorded are files and texts that the command line writes: no name of the package stands in them.
+`PYTHONPATH=. python tests/recorded_runs.py FOLDER` records them anew, with its results in that folder.
 """
 
 import gzip
@@ -23,7 +23,7 @@
 
 
 def played(name: str, folder: Path) -> tuple[dict, str]:
-    """Run an experiment in this process; its result without the digest of the policy's texts, and its report."""
+    """Run an experiment in this process; its result, without the digest of the policy, and its report."""
     done = CliRunner().invoke(
         cli.app, ["run", str(DATA / f"{name}.toml"), "--out", str(folder), "--processes", "1", "--quiet"]
     )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,22 +17,22 @@
 from pinspread.policy.events import EndpointsChanged, EndpointState, Outcome, UpdateScope
 from pinspread.simulation import compare, experiment, fit, paper, runs, simulate, trace, variants
 from pinspread.simulation import metrics as accounts
-from pinspread.simulation import scenario as day
-from pinspread.simulation.destination import CRASHED, SHUT, UP, Partner
-from pinspread.simulation.engine import MS, SECOND, Engine, Stuck
-from pinspread.simulation.model import World
-from pinspread.simulation.rules import RULES, Checker
+from pinspread.simulation import scenario as scenarios
+from pinspread.simulation.destination import CRASHED, SHUT, UP, Destination
+from pinspread.simulation.engine import MS, SECOND, Engine, SimulationStalledError
+from pinspread.simulation.model import FleetModel
+from pinspread.simulation.rules import RULES, RuleChecker
 
 ROOT = Path(__file__).parents[1]
 KEY = b"a secret of sixteen or more"
 
 
 def world(**tables):
-    return World.model_validate({"length_s": 15} | tables)
+    return FleetModel.model_validate({"length_s": 15} | tables)
 
 
 def play(one, seed=1, **more):
-    return simulate.Fleet(one, day.draw(one, seed), **more).run()
+    return simulate.Simulation(one, scenarios.draw_scenario(one, seed), **more).run()
 
 
 TROUBLED = {
@@ -64,27 +64,31 @@
         engine.after(1, again)
 
     again()
-    with pytest.raises(Stuck, match="within 10 ms"):
+    with pytest.raises(SimulationStalledError, match="within 10 ms"):
         engine.run(SECOND)
 
 
 def test_a_day_is_the_same_for_a_seed_whatever_is_changed_that_it_does_not_depend_on():
-    a = day.draw(world(), 5)
-    b = day.draw(world(couriers={"probes": False}), 5)
-    assert (a.at_ns == b.at_ns).all() and (a.work_ns == b.work_ns).all() and a.partners == b.partners
-    assert not np.array_equal(a.at_ns, day.draw(world(), 6).at_ns)
+    a = scenarios.draw_scenario(world(), 5)
+    b = scenarios.draw_scenario(world(couriers={"probes": False}), 5)
+    assert (
+        (a.arrival_ns == b.arrival_ns).all()
+        and (a.work_ns == b.work_ns).all()
+        and a.destinations == b.destinations
+    )
+    assert not np.array_equal(a.arrival_ns, scenarios.draw_scenario(world(), 6).arrival_ns)
 
 
 def test_a_day_holds_to_the_figures_of_its_world():
     one = world(length_s=300)
-    drawn = day.draw(one, 3)
-    assert len(drawn.at_ns) == pytest.approx(31 * 300, rel=0.1)
-    shares = np.bincount(drawn.cls, minlength=3) / len(drawn.cls)
+    drawn = scenarios.draw_scenario(one, 3)
+    assert len(drawn.arrival_ns) == pytest.approx(31 * 300, rel=0.1)
+    shares = np.bincount(drawn.class_index, minlength=3) / len(drawn.class_index)
     assert shares == pytest.approx([0.40, 0.31, 0.29], abs=0.03)
-    assert sum(len(p.cores) for p in drawn.partners) == 25
-    assert all(1 <= len(p.cores) <= 4 for p in drawn.partners)
-    assert (drawn.key > 0).sum() == (drawn.cls == 0).sum()
-    assert drawn.work_ns[drawn.cls == 0].mean() / MS == pytest.approx(118, rel=0.05)
+    assert sum(len(p.cores) for p in drawn.destinations) == 25
+    assert all(1 <= len(p.cores) <= 4 for p in drawn.destinations)
+    assert (drawn.ordering_key > 0).sum() == (drawn.class_index == 0).sum()
+    assert drawn.work_ns[drawn.class_index == 0].mean() / MS == pytest.approx(118, rel=0.05)
 
 
 @pytest.mark.parametrize(
@@ -128,10 +132,10 @@
 
 def partner(**fields):
     engine, one = Engine(), world()
-    spec = day.PartnerSpec(1, 1.0, False, 1.0, [2], [3], [0], 20.0)
+    spec = scenarios.DestinationSpec(1, 1.0, False, 1.0, [2], [3], [0], 20.0)
     for name, value in fields.items():
         setattr(spec, name, value)
-    found = Partner(spec, engine, one, Checker([], 6), 1)
+    found = Destination(spec, engine, one, RuleChecker([], 6), 1)
     return engine, found, found.endpoints[0]
 
 
@@ -168,14 +172,14 @@
 
 def test_a_partner_comes_back_at_a_fifth_is_warm_in_9_s_and_falls_when_pushed():
     engine, one, endpoint = partner(per_s=4.0)
-    one.strike(1, 0)
-    one.failed_for(7)
+    one.start_outage(1, 0)
+    one.record_failure(7)
     one.restore()
     assert one.ability() == pytest.approx(0.2)
     engine.run(4500 * MS)
     assert one.ability() == pytest.approx(0.6)
-    one.strike(1, engine.now)
-    one.failed_for(7)
+    one.start_outage(1, engine.now)
+    one.record_failure(7)
     one.restore()  # cold anew
     for _ in range(12):
         one.arrive(endpoint, Caller(courier=7), MS)
@@ -185,10 +189,10 @@
 
 def test_an_outage_that_ends_inside_another_does_not_bring_the_partner_back():
     engine, one, endpoint = partner()
-    one.strike(CRASHED, 4 * SECOND)
-    one.failed_for(7)
+    one.start_outage(CRASHED, 4 * SECOND)
+    one.record_failure(7)
     engine.run(2 * SECOND)
-    one.strike(SHUT, 9 * SECOND)
+    one.start_outage(SHUT, 9 * SECOND)
     engine.run(4 * SECOND)
     one.restore()
     assert endpoint.state == SHUT and one.informed == {7}
@@ -199,7 +203,7 @@
 
 def test_who_did_not_know_is_not_blamed_for_a_fall():
     engine, one, endpoint = partner(per_s=4.0)
-    one.strike(1, 0)
+    one.start_outage(1, 0)
     one.restore()
     for _ in range(12):
         one.arrive(endpoint, Caller(courier=7), MS)
@@ -210,7 +214,7 @@
     engine, one, endpoint = partner()
     call = Caller()
     one.arrive(endpoint, call, 100 * MS)
-    one.strike(1, 0)
+    one.start_outage(1, 0)
     engine.run(SECOND)
     assert call.got == []
 
@@ -315,9 +319,9 @@
     kills = [
         {"kind": kind, "at_s": 3, "length_s": 1, "share": 1.0, "batch": 1.0} for kind in ("kill", "restart")
     ]
-    fleet = simulate.Fleet(world(trouble=kills), day.draw(world(trouble=kills), 1))
+    fleet = simulate.Simulation(world(trouble=kills), scenarios.draw_scenario(world(trouble=kills), 1))
     fleet.run()
-    assert [c.restarts for c in fleet.couriers] == [2, 2, 2] and all(c.up for c in fleet.couriers)
+    assert [c.restarts for c in fleet.instances] == [2, 2, 2] and all(c.up for c in fleet.instances)
 
 
 def test_the_module_as_it_is_keeps_the_rules_on_a_troubled_day():
@@ -586,7 +590,7 @@
     assert b"north-circuit" not in text and b"id7" not in text and b"s-1" not in text
     other = trace.record([("a", log_lines())], KEY + b"!")
     assert other["arrivals"]["id"] != found["arrivals"]["id"]
-    played = simulate.Fleet(world(), trace.replay(str(tmp_path / "t"), world(), 1)).run()
+    played = simulate.Simulation(world(), trace.replay(str(tmp_path / "t"), world(), 1)).run()
     assert played["messages"] == 60 and played["delivered"] == 60
     assert played["latency_all"]["ms"]["50"] == pytest.approx(125, rel=0.5)
 
@@ -595,10 +599,10 @@
 def test_a_connection_too_many_is_turned_away_as_the_world_says(meets, verdict):
     tables = {"table": 0.5, "least_table": 2.0}
     traffic = {"load": 0.8, "clump_share": 0.3}
-    world = World.model_validate(
+    world = FleetModel.model_validate(
         {"length_s": 10, "network": {"full_table": meets}, "traffic": traffic, "partners": tables}
     )
-    found = simulate.Fleet(world, day.draw(world, 5)).run()
+    found = simulate.Simulation(world, scenarios.draw_scenario(world, 5)).run()
     assert found["verdicts"].get(verdict, 0) > 20 and not found["broken"]
     assert (verdict == "connect_failed") == (found["verdicts"].get("connect_failed", 0) > 0)
 
@@ -607,16 +611,16 @@
 def test_many_couriers_do_not_push_over_what_returns_cold(seed):
     # With a look at once at each endpoint by each courier, rule `cold` broke on these days with 8 of 8 seeds.
     down = {"kind": "crash", "at_s": 8, "length_s": 12, "share": 0.2}
-    world = World.model_validate({"length_s": 34, "couriers": {"count": 6}, "trouble": [down]})
-    found = [simulate.Fleet(world, day.draw(world, seed), n).run() for n in range(3)]
+    world = FleetModel.model_validate({"length_s": 34, "couriers": {"count": 6}, "trouble": [down]})
+    found = [simulate.Simulation(world, scenarios.draw_scenario(world, seed), n).run() for n in range(3)]
     assert sum(bool(one["broken"]) for one in found) <= 1
 
 
 def test_a_day_of_which_nothing_would_be_counted_is_refused():
     with pytest.raises(ValueError, match="greater than 1"):
-        World.model_validate({"length_s": 1.0})
-    short = World.model_validate({"length_s": 1.2})
-    assert simulate.Fleet(short, day.draw(short, 1)).run()["service"] > 0
+        FleetModel.model_validate({"length_s": 1.0})
+    short = FleetModel.model_validate({"length_s": 1.2})
+    assert simulate.Simulation(short, scenarios.draw_scenario(short, 1)).run()["service"] > 0
 
 
 def test_a_run_is_not_found_again_by_its_traces_name_when_what_is_in_it_has_changed(tmp_path):
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -10,10 +10,10 @@
 import pytest
 
 from pinspread.config import settings
-from pinspread.simulation import scenario as day
+from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate, trace
 from pinspread.simulation.destination import SILENT
-from pinspread.simulation.model import World
+from pinspread.simulation.model import FleetModel
 from pinspread.testbed import platform as stage
 from pinspread.testbed.stand_ins import Client, until
 
@@ -22,10 +22,10 @@
 
 
 def test_a_day_on_sockets_goes_as_the_model_says_and_its_logs_can_be_replayed(tmp_path):
-    world = World.model_validate(CALM | {"couriers": {"count": 2}})
-    drawn = day.draw(world, 4)
+    world = FleetModel.model_validate(CALM | {"couriers": {"count": 2}})
+    drawn = scenarios.draw_scenario(world, 4)
     found = stage.play(world, drawn, tmp_path)
-    said = simulate.Fleet(world, drawn).run()
+    said = simulate.Simulation(world, drawn).run()
     assert not found["broken"] and found["lost"] == 0
     assert found["delivered"] == found["messages"] == said["messages"]
     assert found["service_unbroken"] == pytest.approx(said["service_unbroken"], abs=0.05)
@@ -33,14 +33,14 @@
     recorded = trace.record(logs, b"sixteen bytes or more")
     assert len(recorded["arrivals"]["at_us"]) == found["messages"] and recorded["couriers"] == 2
     trace.write(recorded, str(tmp_path / "t"))
-    again = simulate.Fleet(world, trace.replay(str(tmp_path / "t"), world, 1)).run()
+    again = simulate.Simulation(world, trace.replay(str(tmp_path / "t"), world, 1)).run()
     assert again["messages"] == found["messages"]
     ours, theirs = again["latency_all"]["ms"]["50"], found["latency_all"]["ms"]["50"]
     assert ours == pytest.approx(theirs, rel=0.4)
 
 
 def test_troubles_on_sockets_break_no_rule(tmp_path):
-    world = World.model_validate(
+    world = FleetModel.model_validate(
         CALM
         | {
             "length_s": 8,
@@ -52,7 +52,7 @@
             ],
         }
     )
-    found = stage.play(world, day.draw(world, 2), tmp_path)
+    found = stage.play(world, scenarios.draw_scenario(world, 2), tmp_path)
     assert not found["broken"] and found["lost"] == 0 and found["payments_twice"] == 0
     assert found["delivered"] > 0.8 * found["messages"]
 
@@ -67,9 +67,9 @@
 
 @pytest.mark.parametrize("weights", [0.0, 0.3])
 def test_couriers_on_sockets_are_told_what_the_models_are(weights, tmp_path):
-    world = World.model_validate(CALM | {"partners": {"weights": weights}})
-    scene = stage.Stage(world, day.draw(world, 3), tmp_path)
-    scene.platforms.append(stage.Platform(scene, 0))
+    world = FleetModel.model_validate(CALM | {"partners": {"weights": weights}})
+    scene = stage.PlatformTestbed(world, scenarios.draw_scenario(world, 3), tmp_path)
+    scene.platforms.append(stage.PlatformStandIn(scene, 0))
     told = orjson.loads(orjson.dumps(stage.configured(scene, 0, "127.0.0.1:1", str(tmp_path))))
     assert settings.read(told, {}).policy_settings == scene.settings
     assert scene.settings.weights_exact == (weights == 0)
@@ -99,11 +99,11 @@
 
 def test_a_silent_partner_does_not_keep_the_places_of_callers_that_are_gone(tmp_path):
     async def scene():
-        world = World.model_validate(CALM)
-        play = stage.Stage(world, day.draw(world, 3), tmp_path)
+        world = FleetModel.model_validate(CALM)
+        play = stage.PlatformTestbed(world, scenarios.draw_scenario(world, 3), tmp_path)
         endpoint = play.endpoints[1]
         endpoint.table = 2
-        hop = stage.Hop(play, endpoint, 0)
+        hop = stage.EndpointStandIn(play, endpoint, 0)
         host, port = hop.address.rsplit(":", 1)
         call = b"POST /x HTTP/1.1\r\nHost: p\r\nRequest-Id: 0000000000aaaaaa\r\nContent-Length: 0\r\n\r\n"
         async with anyio.create_task_group() as tasks:
@@ -125,9 +125,9 @@
 
 @pytest.mark.parametrize(("failed_at_s", "broken"), [(6.0, True), (1.0, False), (10.0, False)])
 def test_who_was_refused_a_connection_is_read_from_the_logs(failed_at_s, broken, tmp_path):
-    world = World.model_validate(CALM)
-    play = stage.Stage(world, day.draw(world, 3), tmp_path)
+    world = FleetModel.model_validate(CALM)
+    play = stage.PlatformTestbed(world, scenarios.draw_scenario(world, 3), tmp_path)
     # Down from 5 to 9 s, pushed over at 11 s; what failed after its return is no outage.
-    play.partners[1].fallen.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
+    play.destinations[1].fallen.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
     play._blame([(0, 1, int(failed_at_s * 1e9)), (1, 2, int(6e9))])
     assert bool(play.checker.counts["cold"]) == broken
--- a/tests/test_recorded_runs.py
+++ b/tests/test_recorded_runs.py
@@ -1,4 +1,4 @@
-"""The simulation gives the runs, reports and texts that were recorded before its modules were renamed and split."""
+"""The simulation gives the runs, reports and texts that were recorded before its modules changed."""
 
 import json
 
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -195,7 +195,7 @@
     from pinspread.__main__ import main
 
     async def look():
-        stage = cast.Stage({"members": 2, "seconds": 0, "tuning": FAST}, tmp_path)
+        stage = cast.ClusterTestbed({"members": 2, "seconds": 0, "tuning": FAST}, tmp_path)
         try:
             await stage.begin()
             assert await stage.until(lambda views: all(len(v) == 1 for v in views.values()), 10) is not None
