--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,9 @@
 # Build, test, lint and run. `make` alone builds.
 PYTHON = .venv/bin/python
 
-build: .venv/installed.txt
-
-.venv/installed.txt: pyproject.toml tools/pins.py
+# Installs only what is not there yet, and compiles the package, for a fresh checkout has no caches.
+build:
 	python3 tools/pins.py --install fleet dev
-	touch .venv/installed.txt
 
 test: build
 	$(PYTHON) -m pytest -n 4 -m "not stage"
