--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -9,10 +9,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-import anyio
-
-from pinspread.config import last_good, settings
-from pinspread.config.amqp_front import amqp_file
+from pinspread.config import settings
 from pinspread.config.settings import EffectiveSettings, SettingsError
 from pinspread.errors import JournalFormatError, JournalFullError
 
@@ -115,6 +112,8 @@
 
 def serve_platform() -> None:
     """Serve as the platform's file says."""
+    from pinspread.config import last_good
+    from pinspread.config.amqp_front import amqp_file
     from pinspread.service import ServiceOptions
 
     early_sighup = _note_sighup()
@@ -139,6 +138,8 @@
 
 
 def _serve(options: "ServiceOptions") -> None:
+    import anyio
+
     from pinspread import service
 
     anyio.run(service.serve, options)
--- a/pinspread/core/log.py
+++ b/pinspread/core/log.py
@@ -1,13 +1,16 @@
 """The log: one JSON line an event on standard output."""
 
+from __future__ import annotations
+
 import os
 import select
 import time
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
-from pinspread.core.clock import Clock
+if TYPE_CHECKING:
+    from pinspread.core.clock import Clock
 
 MAX_LINE_BYTES = 4096  # what a pipe that is ready takes whole
 STANDARD_OUTPUT = 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -711,11 +711,20 @@
 # --- what the serving process loads -----------------------------------------------------------------
 
 
+def loaded_by(code):
+    """The modules that a process has loaded once it has run the code."""
+    run = subprocess.run(
+        [sys.executable, "-c", f"import sys\n{code}\nprint(*sys.modules)"],
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        check=True,
+    )
+    return run.stdout.split()
+
+
 def test_the_serving_process_loads_none_of_it():
-    code = "import sys; import pinspread.__main__, pinspread.service; print(*sys.modules)"
-    loaded = subprocess.run(
-        [sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT
-    ).stdout.split()
+    loaded = loaded_by("import pinspread.__main__, pinspread.service")
     heavy = (
         "numpy",
         "scipy",
@@ -737,3 +746,11 @@
     )  # membership only where a file turns it on
     assert "pinspread.core.engine" in loaded
     assert [name for name in loaded if name.startswith(heavy)] == []
+
+
+def test_a_command_that_serves_nothing_loads_no_event_loop():
+    loaded = loaded_by("from pinspread.__main__ import main; main(['version'])")
+    assert "pinspread.config.settings" in loaded
+    assert [
+        name for name in loaded if name.startswith(("anyio", "asyncio", "ssl", "pinspread.service"))
+    ] == []
