--- a/pinspread/replication/recovery.py
+++ b/pinspread/replication/recovery.py
@@ -114,13 +114,16 @@
         return token
 
     def _may_go_by(self, found: "Snapshots", token: int) -> bool:
-        """Return whether nothing that was promised is missing.
+        """Return whether nothing that was promised is missing, and it is known what others have taken over.
 
         Without its own journal, what this node promised may be on a replica that does not answer yet. Only a
         node that is granted its lease for the first time has promised nothing before.
         """
-        if self._read_local_journal().is_intact or is_first_token(token):
+        if is_first_token(token):
             return True
+        if self._read_local_journal().is_intact:
+            own_generation = GenerationFile(self._engine.journal.path).read()
+            return self._survey.knows_takeovers(token, found, own_generation)
         return self._survey.is_complete(self._node.id, found)
 
     def _read_local_journal(self) -> LocalJournal:
@@ -173,6 +176,9 @@
     async def _confirm(self, token: int) -> None:
         """Give up what others took over meanwhile, then let the engine promise again."""
         found = await self._survey.fetch(self._node.id, token)
+        # Who comes back from the minority side may still take all others for dead, and have asked nobody.
+        if not self._survey.knows_takeovers(token, found, self._primary.log.generation):
+            return
         released = await self._released_work(found)
         if not released.complete or self._node.ownership.local_token() != token:
             return
--- a/pinspread/replication/snapshots.py
+++ b/pinspread/replication/snapshots.py
@@ -74,11 +74,38 @@
         required_acks: How many it waits for.
     """
     return bool(chosen) and all(
-        len(set(answered) & set(replicas)) >= max(1, min(replica_count, len(replicas)) - required_acks + 1)
+        len(set(answered) & set(replicas)) >= _covering_count(len(replicas), replica_count, required_acks)
         for replicas in chosen
     )
 
 
+def covers_takeovers(found: Snapshots, own_generation: int, replica_count: int, required_acks: int) -> bool:
+    """Return whether a takeover of the owner's work must be known to one of the nodes that answered it.
+
+    A successor has asked as many replicas as `covers_promises` wants, and each of them remembers it. So one
+    of them is among the others and one more.
+
+    Args:
+        found: The answers that the owner has got.
+        own_generation: The owner's own: one that stores an older one may have been no replica since.
+        replica_count: How many replicas the owner wants.
+        required_acks: How many it waits for.
+    """
+    newest = newest_of(found.values())
+    if newest is None or newest.generation < own_generation:
+        return False
+    return all(
+        len(found.keys() & set(replicas))
+        > len(replicas) - _covering_count(len(replicas), replica_count, required_acks)
+        for replicas in replica_sets(found)
+    )
+
+
+def _covering_count(chosen_count: int, replica_count: int, required_acks: int) -> int:
+    """Return how many of the chosen replicas have one that holds any one promise among them."""
+    return max(1, min(replica_count, chosen_count) - required_acks + 1)
+
+
 def without_torn_tails(snapshots: Snapshots) -> dict[str, ReplicaSnapshot]:
     """Return the snapshots, the data of each up to its last whole record."""
     return {
--- a/pinspread/replication/survey.py
+++ b/pinspread/replication/survey.py
@@ -1,7 +1,7 @@
 """Collecting all replicas of one owner's journal, and knowing when they are all that matters."""
 
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from pinspread.core.log import log
 from pinspread.replication import clock, snapshots
@@ -19,6 +19,21 @@
 
     OWNERS_JOURNAL = "own"
     CANDIDATES_JOURNAL = "taken over by"
+    OWN_TAKEOVERS = "whether taken over"
+
+
+class WaitKey(NamedTuple):
+    """What is waited for, so that each wait has a bound of its own.
+
+    Attributes:
+        purpose: What the replicas are asked for.
+        owner: Whose replicas are waited for.
+        token: Of the lease under which they are, where another lease begins another wait; else 0.
+    """
+
+    purpose: SurveyPurpose
+    owner: str
+    token: int = 0
 
 
 class ReplicaSurvey:
@@ -27,7 +42,7 @@
     def __init__(self, node: "ReplicationNode", peers: "PeerClient") -> None:
         self._node = node
         self._peers = peers
-        self._incomplete_since_us: dict[tuple[SurveyPurpose, str], int] = {}
+        self._incomplete_since_us: dict[WaitKey, int] = {}
 
     async def fetch(self, owner: str, token: int) -> Snapshots:
         """Return every live node's replica of an owner's journal, fenced against all older tokens."""
@@ -43,24 +58,37 @@
         if snapshots.covers_promises(
             found, replica_sets, self._node.config.replica_count, self._node.config.required_acks
         ):
-            self._incomplete_since_us.pop((purpose, owner), None)
+            self._incomplete_since_us.pop(WaitKey(purpose, owner), None)
             return True
-        return self._has_waited_enough(owner, found, replica_sets, purpose)
+        return self._has_waited_enough(WaitKey(purpose, owner), found)
 
-    def _has_waited_enough(
-        self, owner: str, found: Snapshots, replica_sets: list[list[str]], purpose: SurveyPurpose
-    ) -> bool:
-        key = (purpose, owner)
+    def knows_takeovers(self, token: int, found: Snapshots, own_generation: int) -> bool:
+        """Return whether a takeover of this node's work is known by these answers, or was waited for long.
+
+        Args:
+            token: The fencing token of its work's lease, under which the replicas were asked for. A node that
+                is cut off while it waits must not count that time.
+            found: The answers. There may be none: who was cut off may take all others for dead.
+            own_generation: Of this node's journal.
+        """
+        key = WaitKey(SurveyPurpose.OWN_TAKEOVERS, self._node.id, token)
+        config = self._node.config
+        if snapshots.covers_takeovers(found, own_generation, config.replica_count, config.required_acks):
+            self._incomplete_since_us.pop(key, None)
+            return True
+        return self._has_waited_enough(key, found)
+
+    def _has_waited_enough(self, key: WaitKey, found: Snapshots) -> bool:
         is_first = key not in self._incomplete_since_us
         since_us = self._incomplete_since_us.setdefault(key, clock.monotonic_us())
         is_overdue = clock.monotonic_us() - since_us >= self._node.config.incomplete_timeout_us
         if is_first or is_overdue:
             self._node.events(
                 "copies_unsure" if is_overdue else "copies_awaited",
-                owner=owner,
-                wanted=purpose.value,
+                owner=key.owner,
+                wanted=key.purpose.value,
                 answered=sorted(found),
-                of=replica_sets,
+                of=snapshots.replica_sets(found),
             )
         if is_overdue:
             del self._incomplete_since_us[key]
@@ -68,7 +96,7 @@
 
     def forget(self, owner: str) -> None:
         """Forget a wait for replicas of an owner whose work is not due for another any more."""
-        self._incomplete_since_us.pop((SurveyPurpose.OWNERS_JOURNAL, owner), None)
+        self._incomplete_since_us.pop(WaitKey(SurveyPurpose.OWNERS_JOURNAL, owner), None)
 
     async def ids_in_candidates_journals(self, found: Snapshots, but: str) -> tuple[set[str], bool]:
         """Return the ids in the journals of others that have begun to take this work over.
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -19,11 +19,12 @@
 from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
+from pinspread.replication import clock
 from pinspread.replication.config import ReplicationConfig
 from pinspread.replication.protocol import Consent, FetchSnapshot, ReadSnapshot, Refusal, RequestRemoval
 from pinspread.replication.service import ReplicationService
 from pinspread.replication.snapshots import ReplicaSnapshot
-from pinspread.replication.store import ReplicaStore
+from pinspread.replication.store import GenerationFile, ReplicaStore
 
 TOKEN = 5
 DISK_BYTES = 3_000_000
@@ -207,3 +208,69 @@
         anyio.run(play)
     engine.release.assert_called_once_with({"id2"})
     assert service.blocked_reason() == ""
+
+
+def test_after_a_lost_lease_nothing_is_promised_before_a_replica_that_a_successor_asked_has_answered(
+    service, engine, tmp_path
+):
+    # Cut off from all others, this node takes them for dead and asks none; "a" has delivered both meanwhile.
+    own = ReplicaSnapshot(7, journal_of(tmp_path / "k", 1, 2), ["a"], ["a"], 6)
+    older = ReplicaSnapshot(6, journal_of(tmp_path / "k6", 1), ["c"], [], 0)
+    holds_nothing = ReplicaSnapshot(0, b"", [], [], 0)
+    answers = [{}, {"b": holds_nothing}, {"b": holds_nothing, "c": older}]
+    blocked = []
+    service.primary.log.generation = 7
+    service.node.ownership.confirmed_fencing_token = TOKEN - 1
+
+    async def call_all(request, but=()):
+        blocked.append(service.blocked_reason())
+        if request == FetchSnapshot("k", TOKEN):
+            return answers.pop(0) if answers else {"a": own}
+        return {"a": ReplicaSnapshot(4, journal_of(tmp_path / f"a{len(blocked)}"), ["a"], [], 0)}
+
+    async def play():
+        with anyio.fail_after(5):
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(service.recovery.run)
+                while service.blocked_reason():
+                    await anyio.sleep(0.01)
+                tasks.cancel_scope.cancel()
+
+    with mock.patch.object(service.peers, "call_all", call_all):
+        anyio.run(play)
+    engine.release.assert_called_once_with({"id1", "id2"})
+    assert not answers and all(blocked)
+
+
+def test_the_wait_for_who_knows_of_a_successor_is_bounded_and_begins_anew_with_each_lease(service):
+    service.node.config = replace(service.node.config, incomplete_timeout_us=100)
+    survey = service.recovery._survey
+    with mock.patch.object(clock, "monotonic_us") as now_us:
+        waits = [(0, TOKEN), (99, TOKEN), (500, TOKEN + 1), (599, TOKEN + 1), (600, TOKEN + 1)]
+        found = []
+        for now_us.return_value, token in waits:
+            found.append(survey.knows_takeovers(token, {}, 7))
+    assert found == [False, False, False, False, True]
+
+
+def test_a_start_with_its_journal_gives_up_what_was_taken_over_though_nobody_answered_at_first(
+    service, engine, tmp_path
+):
+    engine.journal.recover()
+    for number in (1, 2):
+        engine.journal.message_accepted(message(number))
+    engine.journal.close()
+    GenerationFile(engine.journal.path).write(7)
+    own = ReplicaSnapshot(7, engine.journal.path.read_bytes(), ["a"], ["a"], 6)
+    answers = [{}, {"a": own}]
+
+    async def call_all(request, but=()):
+        if request == FetchSnapshot("k", TOKEN):
+            return answers.pop(0)
+        return {"a": ReplicaSnapshot(4, journal_of(tmp_path / "a"), ["a"], [], 0)}
+
+    with mock.patch.object(service.peers, "call_all", call_all):
+        anyio.run(service.before_recovery)
+    assert not answers
+    assert engine.journal.recover() == []
+    assert engine.journal.finished_ids.keys() == {"id1", "id2"}
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -32,6 +32,7 @@
 from pinspread.replication.snapshots import (
     ReplicaSnapshot,
     covers_promises,
+    covers_takeovers,
     newest_of,
     without_torn_tails,
 )
@@ -182,6 +183,23 @@
     assert newest_of(found) == snapshot(3, b"ab") and not newest_of([snapshot(0, b"")])
 
 
+def test_which_replicas_must_answer_before_their_owner_goes_by_what_they_know_of_a_successor():
+    def told(replicas, generation=3):
+        return ReplicaSnapshot(generation, b"a", replicas, [], 0)
+
+    one = {"b": told(["b", "c"])}
+    assert covers_takeovers(one, 3, 2, 1)  # a successor has asked both
+    assert not covers_takeovers(one, 3, 2, 2)  # it may have asked the other alone
+    assert covers_takeovers(one | {"c": told(["b", "c"], 2)}, 3, 2, 2)
+    assert not covers_takeovers(one, 4, 2, 1)  # has missed a rewrite: others may be replicas since
+    assert not covers_takeovers({}, 0, 2, 1)
+    assert not covers_takeovers({"x": snapshot(0, b"")}, 0, 2, 1)
+    # "d" was chosen for "c" by then, and a successor may have asked "b" and "d", or "c" and another.
+    moved = {"c": told(["b", "c"]), "d": told(["d", "e"])}
+    assert covers_takeovers(moved, 3, 2, 1)
+    assert not covers_takeovers({"c": told(["d", "e"])}, 3, 2, 1)
+
+
 def message(number, **more):
     return Message(number, f"id{number}", "payment", "all", 1, 0, "", 10**18, b"body", "resp", **more)
 
