--- a/benchmarks/members_model.py
+++ b/benchmarks/members_model.py
@@ -29,7 +29,7 @@
         m.rng.shuffle(m.members.probe_order)
         m.members.live_count = n - 1
         m.next_probe_us = m.rng.randrange(tuning.period_us)  # not all in step
-        m.next_sync_us = m.rng.randrange(tuning.sync_us)
+        m.table_sync.next_us = m.rng.randrange(tuning.sync_us)
     return members
 
 
--- a/pinspread/membership/members.py
+++ b/pinspread/membership/members.py
@@ -90,6 +90,11 @@
         """How many members are alive or suspected, this one included."""
         return 1 + self.live_count
 
+    @property
+    def own_record(self) -> MemberRecord:
+        """The record of the table's owner."""
+        return self.records[self.own_id]
+
     def others(self, *states: MemberState) -> list[MemberRecord]:
         """Return the other members in any of the states."""
         return [
--- a/pinspread/membership/message_codec.py
+++ b/pinspread/membership/message_codec.py
@@ -6,7 +6,17 @@
 from pinspread.membership import codec
 from pinspread.membership.codec import DatagramError, is_of_type
 from pinspread.membership.members import MemberState
-from pinspread.membership.messages import Ack, Leave, Message, Nack, Ping, PingRequest, Sync, Update
+from pinspread.membership.messages import (
+    Ack,
+    Leave,
+    Message,
+    MessageHeader,
+    Nack,
+    Ping,
+    PingRequest,
+    Sync,
+    Update,
+)
 
 _PING = "ping"
 _ACK = "ack"
@@ -86,24 +96,24 @@
         DatagramError: It is not well-formed; the text says why.
     """
     _check(fields)
-    common = {
+    header: MessageHeader = {
         "sender": fields["from"],
         "sender_address": fields["from_at"],
         "incarnation": fields["inc"],
-        "updates": tuple(_update(row, row[4]) for row in fields["up"]),
+        "updates": tuple(_update(row, row[_TABLE_COLUMNS]) for row in fields["up"]),
     }
     kind = fields["t"]
     if kind == _PING:
-        return Ping(**common, sequence=fields["seq"], target=fields["to"])
+        return Ping(**header, sequence=fields["seq"], target=fields["to"])
     if kind == _ACK:
-        return Ack(**common, sequence=fields["seq"])
+        return Ack(**header, sequence=fields["seq"])
     if kind == _NACK:
-        return Nack(**common, sequence=fields["seq"])
+        return Nack(**header, sequence=fields["seq"])
     if kind == _PING_REQUEST:
         target, address = fields["to"], fields["to_at"]
-        return PingRequest(**common, sequence=fields["seq"], target=target, target_address=address)
+        return PingRequest(**header, sequence=fields["seq"], target=target, target_address=address)
     table = tuple(_update(row, fields["from"]) for row in fields["table"])
-    return Sync(**common, table=table, reply=fields["reply"])
+    return Sync(**header, table=table, reply=fields["reply"])
 
 
 def _update(row: Sequence[Any], reported_by: str) -> Update:
--- a/pinspread/membership/messages.py
+++ b/pinspread/membership/messages.py
@@ -1,6 +1,7 @@
 """What members send each other; `codec` has their form on the wire."""
 
 from dataclasses import dataclass
+from typing import TypedDict
 
 from pinspread.membership.members import MemberRecord, MemberState
 
@@ -29,6 +30,15 @@
         return cls(record.id, record.address, record.incarnation, record.state, reported_by)
 
 
+class MessageHeader(TypedDict):
+    """The arguments that all messages are made with: the fields of `Message`."""
+
+    sender: str
+    sender_address: str
+    incarnation: int
+    updates: tuple[Update, ...]
+
+
 @dataclass(frozen=True, kw_only=True)
 class Message:
     """What all messages hold.
--- a/pinspread/membership/service.py
+++ b/pinspread/membership/service.py
@@ -18,9 +18,10 @@
 from pinspread.membership.clock import monotonic_us
 from pinspread.membership.codec import DatagramError
 from pinspread.membership.config import SwimConfig
+from pinspread.membership.events import Event, MemberChanged
 from pinspread.membership.messages import Outgoing
 from pinspread.membership.seeds import Records, find_seeds_or_none
-from pinspread.membership.swim import MemberChanged, RumorRefuted, SwimMember
+from pinspread.membership.swim import SwimMember
 from pinspread.sockets import split_address
 
 _MAX_WAIT_S = 0.05  # a turn comes at least this often, whatever is due
@@ -194,7 +195,7 @@
         self.member.events.clear()
 
 
-def event_fields(event: MemberChanged | RumorRefuted) -> tuple[str, dict[str, str | int]]:
+def event_fields(event: Event) -> tuple[str, dict[str, str | int]]:
     """Return the name and the fields under which an event is logged."""
     if isinstance(event, MemberChanged):
         return "member", {
--- a/pinspread/membership/swim.py
+++ b/pinspread/membership/swim.py
@@ -4,31 +4,27 @@
 returns what to send, as pairs of an address and a message. `events` collects changes of the table for the
 log. Times are whole microseconds of the member's monotonic clock.
 
-Its parts: `members` has the table, `failure_detector` the probes, `suspicion` the time-out of suspected
-members, `gossip` what rides on messages.
+Its parts: `cluster_state` has what the member believes of the others, `failure_detector` the probes,
+`table_sync` the exchange of tables. Those of `cluster_state`: `members` has the table, `suspicion` the
+time-out of suspected members, `gossip` what rides on messages.
 
 Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2017).
 """
 
 import random
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, replace
 from typing import Any
 
+from pinspread.membership.cluster_state import ClusterState
 from pinspread.membership.config import SwimConfig
+from pinspread.membership.events import Event
 from pinspread.membership.failure_detector import FailureDetector, Probe
-from pinspread.membership.gossip import GossipQueue
-from pinspread.membership.members import (
-    LIVE_STATES,
-    PRECEDENCE,
-    MemberRecord,
-    MemberState,
-    MemberTable,
-)
+from pinspread.membership.members import LIVE_STATES, MemberRecord, MemberState, MemberTable
 from pinspread.membership.messages import (
     Ack,
     Leave,
     Message,
+    MessageHeader,
     Nack,
     Outgoing,
     Ping,
@@ -36,31 +32,9 @@
     Sync,
     Update,
 )
-from pinspread.membership.suspicion import Suspicion, suspicion_timeout_us
-
-__all__ = ["MemberChanged", "RumorRefuted", "SwimConfig", "SwimMember"]
-
-MAX_TABLE_ROWS = 400  # in one message: some 50 bytes a row, so that it fits a datagram
-_SYNC_WITH_DEAD_PROBABILITY = 0.5  # where there are dead members
-
-
-@dataclass(frozen=True)
-class MemberChanged:
-    """The state of a member has changed in this member's table; `reported_by` has caused it."""
-
-    id: str
-    state: MemberState
-    incarnation: int
-    reported_by: str
-
+from pinspread.membership.table_sync import TableSync
 
-@dataclass(frozen=True)
-class RumorRefuted:
-    """This member has refuted a claim that it is in `claimed_state`, by a higher incarnation."""
-
-    claimed_state: MemberState
-    reported_by: str
-    incarnation: int
+__all__ = ["SwimConfig", "SwimMember"]
 
 
 class SwimMember:
@@ -74,9 +48,10 @@
         now_us: The time.
 
     Attributes:
-        members: The member table.
-        seeds: Addresses of members to join by.
-        events: What has changed since the events were last cleared.
+        cluster: What this member believes of the cluster.
+        detector: The open probes, and this member's local health.
+        table_sync: The exchange of tables.
+        next_probe_us: When the next probe is due.
         counts: How many messages were sent and received.
     """
 
@@ -90,36 +65,45 @@
     ):
         self.id = id_
         self.address = address
-        self.seeds: list[str] = []
         self.config = config or SwimConfig()
-        self.incarnation = 0
         self.rng = rng or random.Random()
-        own = MemberRecord(id_, address, self.incarnation, MemberState.ALIVE, now_us)
-        self.members = MemberTable(own, self.rng)
+        own = MemberRecord(id_, address, 0, MemberState.ALIVE, now_us)
+        self.cluster = ClusterState(own, self.config, self.rng)
         self.detector = FailureDetector(self.config)
-        self.gossip = GossipQueue(self.config.gossip_lambda)
-        self.suspicions: dict[str, Suspicion] = {}
+        self.table_sync = TableSync(self.cluster.members, address, self.config, self.rng, now_us)
         self.next_probe_us = now_us
-        self.next_sync_us = now_us
-        self.events: list[MemberChanged | RumorRefuted] = []
         self.counts = {"sent": 0, "received": 0}
-        self._leaving = False
 
-    # --- the table ----------------------------------------------------------------------------------
+    # --- what is known --------------------------------------------------------------------------------
+
+    @property
+    def members(self) -> MemberTable:
+        """The member table."""
+        return self.cluster.members
 
     @property
     def table(self) -> Mapping[str, MemberRecord]:
         """The record of each member by its id, this one included."""
         return self.members.records
 
+    @property
+    def incarnation(self) -> int:
+        """This member's own incarnation."""
+        return self.cluster.incarnation
+
     @property
     def health(self) -> int:
         """Lifeguard's local health: 0 is well."""
         return self.detector.health
 
+    @property
+    def events(self) -> list[Event]:
+        """What has changed since the events were last cleared."""
+        return self.cluster.events
+
     def set_seeds(self, addresses: Iterable[str]) -> None:
-        """Replace the seeds; this member's own address is left out."""
-        self.seeds = [address for address in addresses if address != self.address]
+        """Replace the addresses of members to join by; this member's own address is left out."""
+        self.table_sync.set_seeds(addresses)
 
     def others(self, *states: MemberState) -> list[MemberRecord]:
         """Return the other members in any of the states."""
@@ -129,32 +113,32 @@
         """Return the table as operators see it, by id."""
         return [record.to_json() for record in sorted(self.table.values(), key=lambda record: record.id)]
 
-    # --- time ---------------------------------------------------------------------------------------
+    # --- time -----------------------------------------------------------------------------------------
 
     def due_us(self) -> int:
         """Return when `tick` has something to do next."""
-        times = [self.next_probe_us, self.next_sync_us, *self.detector.due_times_us()]
-        times += [self._suspicion_ends_us(suspicion) for suspicion in self.suspicions.values()]
-        return min(times)
+        return min(
+            self.next_probe_us,
+            self.table_sync.next_us,
+            *self.detector.due_times_us(),
+            *self.cluster.suspicion_ends_us(),
+        )
 
     def tick(self, now_us: int) -> Outgoing:
         """Do what is due by now; return the messages to send."""
         outgoing = self._check_probes(now_us)
-        for relay in self.detector.take_due_nacks(now_us):
-            nack = Nack(**self._header(), sequence=relay.sequence)
-            outgoing.append((relay.requester_address, nack))
-        self._check_suspicions(now_us)
+        outgoing += self._send_due_nacks(now_us)
+        self.cluster.expire_suspicions(now_us)
         if now_us >= self.next_probe_us:
-            self.next_probe_us = now_us + self.detector.scaled_us(self.config.period_us)
             outgoing += self._probe(now_us)
-        if now_us >= self.next_sync_us:
-            is_alone = not self.members.live_count
-            self.next_sync_us = now_us + (self.config.period_us if is_alone else self.config.sync_us)
-            outgoing += self._sync()
-        self._forget(now_us)
+        if now_us >= self.table_sync.next_us:
+            outgoing += self._send_table(now_us)
+        self.cluster.forget_down(now_us)
         self.counts["sent"] += len(outgoing)
         return outgoing
 
+    # --- probes ---------------------------------------------------------------------------------------
+
     def _check_probes(self, now_us: int) -> Outgoing:
         """End the probes that are over, and ask others where a direct one was not answered."""
         outgoing: Outgoing = []
@@ -168,29 +152,16 @@
                 outgoing += self._request_indirect_probes(probe)
         return outgoing
 
-    def _check_suspicions(self, now_us: int) -> None:
-        """Take members for dead that were suspected for long enough."""
-        for id_, suspicion in list(self.suspicions.items()):
-            if now_us >= self._suspicion_ends_us(suspicion):
-                record = self.table[id_]
-                self._change(record, MemberState.DEAD, record.incarnation, now_us, self.id)
-
-    def _suspicion_ends_us(self, suspicion: Suspicion) -> int:
-        confirmations = len(suspicion.confirmers)
-        return suspicion.began_us + suspicion_timeout_us(self.config, self.members.size, confirmations)
-
-    def _forget(self, now_us: int) -> None:
-        """Forget members that have been down for long."""
-        forget_us = self.config.forget_us
-        ids = [id_ for id_ in self.members.down if now_us - self.table[id_].since_us > forget_us]
-        self.members.remove(ids)
-        for id_ in ids:
-            self.gossip.discard(id_)
-
-    # --- probes -------------------------------------------------------------------------------------
+    def _send_due_nacks(self, now_us: int) -> Outgoing:
+        """Answer the indirect probes that have not been acknowledged for long."""
+        return [
+            (relay.requester_address, Nack(**self._header(), sequence=relay.sequence))
+            for relay in self.detector.take_due_nacks(now_us)
+        ]
 
     def _probe(self, now_us: int) -> Outgoing:
         """Probe the next member of the round."""
+        self.next_probe_us = now_us + self.detector.scaled_us(self.config.period_us)
         if not self.members.live_count:
             return []
         target = self.members.next_probe_target()
@@ -213,64 +184,38 @@
     def probe_failed(self, probe: Probe, now_us: int) -> None:
         """Suspect a member that has not answered a probe, directly or indirectly."""
         self.detector.probe_failed(probe)
-        record = self.table.get(probe.target)
-        if record and record.state == MemberState.ALIVE:
-            self._change(record, MemberState.SUSPECT, record.incarnation, now_us, self.id)
-        elif record and record.state == MemberState.SUSPECT:
-            self._spread(record, self.id)  # an independent confirmation for the others
-
-    # --- exchange of tables -------------------------------------------------------------------------
-
-    def _sync(self) -> Outgoing:
-        """Send the table to one member; to the seeds while nobody is known; sometimes to a dead member."""
-        addresses = self._sync_addresses()
-        return [(address, self._sync_message(self._table_sample(), reply=True)) for address in addresses]
-
-    def _sync_addresses(self) -> list[str]:
-        is_alone = not self.members.live_count
-        if is_alone and self.seeds:
-            return self.seeds
-        dead = [id_ for id_ in self.members.down if self.table[id_].state == MemberState.DEAD]
-        if dead and (is_alone or self.rng.random() < _SYNC_WITH_DEAD_PROBABILITY):
-            return [self.table[self.rng.choice(dead)].address]  # how the sides of a healed partition meet
-        if is_alone:
+        self.cluster.suspect(probe.target, now_us)
+
+    # --- exchange of tables ---------------------------------------------------------------------------
+
+    def _send_table(self, now_us: int) -> Outgoing:
+        """Send the table to a member, which is to answer with its own; to the seeds while nobody is known."""
+        addresses = self.table_sync.begin(now_us)
+        return [(address, self._sync(self.table_sync.sample(), reply=True)) for address in addresses]
+
+    def _answer_sync(self, message: Sync, now_us: int, joins: bool) -> Outgoing:
+        for row in message.table:
+            self.apply(row, now_us, from_table=True)
+        if not message.reply:
             return []
-        return [record.address for record in self.members.pick(1, states=LIVE_STATES)]
+        chunks = self.table_sync.chunks() if joins else [self.table_sync.sample()]
+        return [(message.sender_address, self._sync(chunk, reply=False)) for chunk in chunks]
 
-    def _sync_message(self, records: Iterable[MemberRecord], reply: bool) -> Sync:
+    def _sync(self, records: Iterable[MemberRecord], reply: bool) -> Sync:
         table = tuple(Update.from_record(record, self.id) for record in records)
         return Sync(**self._header(), table=table, reply=reply)
 
-    def _table_sample(self) -> list[MemberRecord]:
-        """Return the table, or as much of it as fits a message."""
-        return self.members.sample(MAX_TABLE_ROWS)
-
-    def _table_chunks(self) -> list[list[MemberRecord]]:
-        """Return the complete table in parts that fit a message each, for a member that has just joined."""
-        records = list(self.table.values())
-        return [records[n : n + MAX_TABLE_ROWS] for n in range(0, len(records), MAX_TABLE_ROWS)]
-
-    # --- messages -----------------------------------------------------------------------------------
+    # --- messages -------------------------------------------------------------------------------------
 
-    def _header(self, first: str | None = None) -> dict[str, Any]:
+    def _header(self, first: str | None = None) -> MessageHeader:
         """Return what all messages hold; updates about the member `first` come before all others."""
         return {
             "sender": self.id,
             "sender_address": self.address,
             "incarnation": self.incarnation,
-            "updates": self.take_updates(first),
+            "updates": self.cluster.take_updates(first),
         }
 
-    def take_updates(self, first: str | None = None) -> tuple[Update, ...]:
-        """Return the updates for one message, which count as sent."""
-        updates = []
-        suspicion = self.suspicions.get(first) if first is not None else None
-        if first is not None and suspicion and first not in self.gossip:
-            # Lifeguard's buddy system: a suspected member is informed in every message to it, so that it can
-            # refute even though the update has been sent its number of times, none of them to it.
-            updates.append(Update.from_record(self.table[first], suspicion.raised_by))
-        return (*updates, *self.gossip.take(first))
-
     def receive(self, message: Message, now_us: int) -> Outgoing:
         """Handle a message from another member; return the messages to send in answer."""
         self.counts["received"] += 1
@@ -278,21 +223,34 @@
             return []
         known = self.table.get(message.sender)
         if known and not known.is_live and message.incarnation <= known.incarnation:
-            self._spread(known, self.id)  # so that it is informed of its own end at once, and refutes
-        self._apply_message(message, now_us)
+            self.cluster.spread(known, self.id)  # so that it is informed of its own end at once, and refutes
+        self._apply_claims(message, now_us)
         outgoing = self._answer(message, now_us, joins=known is None)
         self.counts["sent"] += len(outgoing)
         return outgoing
 
-    def _apply_message(self, message: Message, now_us: int) -> None:
+    def _apply_claims(self, message: Message, now_us: int) -> None:
+        """Apply that the sender is alive, and the updates that ride on the message."""
         sender = message.sender
-        own_claim = Update(
+        sender_alive = Update(
             sender, message.sender_address, message.incarnation, MemberState.ALIVE, reported_by=sender
         )
-        self.apply(own_claim, now_us)
-        for update in message.updates:
+        for update in (sender_alive, *message.updates):
             self.apply(update, now_us)
 
+    def apply(self, update: Update, now_us: int, from_table: bool = False) -> None:
+        """Apply a claim about a member, by SWIM's order of precedence; refute one about this member's end.
+
+        Args:
+            update: The claim.
+            now_us: The time.
+            from_table: Whether it is a row of another member's table, which confirms no suspicion.
+        """
+        if update.id != self.id:
+            self.cluster.apply(update, now_us, from_table)
+        elif self.cluster.refute(update):
+            self.detector.adjust_health(1)
+
     def _answer(self, message: Message, now_us: int, joins: bool) -> Outgoing:
         address = message.sender_address
         match message:
@@ -312,99 +270,13 @@
                 return self._answer_sync(message, now_us, joins)
         return []
 
-    def _answer_sync(self, message: Sync, now_us: int, joins: bool) -> Outgoing:
-        for row in message.table:
-            self.apply(row, now_us, from_table=True)
-        if not message.reply:
-            return []
-        chunks = self._table_chunks() if joins else [self._table_sample()]
-        return [(message.sender_address, self._sync_message(chunk, reply=False)) for chunk in chunks]
-
-    # --- claims about members -----------------------------------------------------------------------
-
-    def apply(self, update: Update, now_us: int, from_table: bool = False) -> None:
-        """Apply a claim about a member, by SWIM's order of precedence.
-
-        Args:
-            update: The claim.
-            now_us: The time.
-            from_table: Whether it is a row of another member's table, which confirms no suspicion.
-        """
-        if update.id == self.id:
-            self._refute(update)
-            return
-        record = self.table.get(update.id)
-        if record is None:
-            if update.state in LIVE_STATES:
-                new = MemberRecord(update.id, update.address, update.incarnation, MemberState.DEAD, now_us)
-                self._change(new, update.state, update.incarnation, now_us, update.reported_by)
-        elif _prevails(update, record):
-            moved = replace(record, address=update.address)
-            self._change(moved, update.state, update.incarnation, now_us, update.reported_by)
-        elif not from_table and _agrees_on_suspicion(update, record):
-            self._confirm(update)
-
-    def _refute(self, update: Update) -> None:
-        """Answer a claim that this member is not alive by a higher incarnation, which wins over any claim."""
-        if update.state == MemberState.ALIVE or update.incarnation < self.incarnation or self._leaving:
-            return
-        self.incarnation = update.incarnation + 1
-        own = replace(self.table[self.id], incarnation=self.incarnation)
-        self.members.put_own(own)
-        self.detector.adjust_health(1)
-        self._spread(own, self.id)
-        self.events.append(RumorRefuted(update.state, update.reported_by, self.incarnation))
-
-    def _confirm(self, update: Update) -> None:
-        """Count an independent confirmation of a suspicion, which shortens its time-out."""
-        suspicion = self.suspicions.get(update.id)
-        if suspicion is None or update.reported_by in (suspicion.raised_by, self.id):
-            return
-        suspicion.confirmers.add(update.reported_by)
-
-    def _change(
-        self, record: MemberRecord, state: MemberState, incarnation: int, now_us: int, reported_by: str
-    ) -> None:
-        """Put a member into a state, and pass that on."""
-        changed = record.state != state
-        since_us = now_us if changed else record.since_us
-        new = MemberRecord(record.id, record.address, incarnation, state, since_us)
-        self.members.put(new, was_live=record.is_live)
-        if changed:
-            self.events.append(MemberChanged(record.id, state, incarnation, reported_by))
-        if state == MemberState.SUSPECT:
-            self.suspicions.setdefault(record.id, Suspicion(now_us, reported_by))
-        else:
-            self.suspicions.pop(record.id, None)
-        self._spread(new, reported_by)
-
-    def _spread(self, record: MemberRecord, reported_by: str) -> None:
-        self.gossip.add(Update.from_record(record, reported_by), self.members.size)
-
     def leave(self) -> Outgoing:
         """Leave; return the messages that say so to every live member."""
-        self._leaving = True
-        self.incarnation += 1
-        own = replace(self.table[self.id], state=MemberState.LEFT, incarnation=self.incarnation)
-        self.members.put_own(own)
-        self._spread(own, self.id)
+        departure = self.cluster.leave()
         message = Leave(
             sender=self.id,
             sender_address=self.address,
             incarnation=self.incarnation,
-            updates=(Update.from_record(own, self.id),),
+            updates=(departure,),
         )
         return [(record.address, message) for record in self.others(*LIVE_STATES)]
-
-
-def _prevails(update: Update, record: MemberRecord) -> bool:
-    """Return whether a claim changes what is known of a member."""
-    if update.incarnation != record.incarnation:
-        return update.incarnation > record.incarnation
-    return PRECEDENCE[update.state] > PRECEDENCE[record.state]
-
-
-def _agrees_on_suspicion(update: Update, record: MemberRecord) -> bool:
-    """Return whether a claim is that a suspected member is suspected."""
-    both_suspect = update.state == record.state == MemberState.SUSPECT
-    return both_suspect and update.incarnation == record.incarnation
--- /dev/null
+++ b/pinspread/membership/table_sync.py
@@ -0,0 +1,75 @@
+"""The exchange of member tables (push-pull anti-entropy): with whom, when, and which rows.
+
+It repairs what gossip has missed, lets members join through seeds, and lets the sides of a healed partition
+meet again. No I/O and no clock; times are whole microseconds of the member's monotonic clock.
+"""
+
+import random
+from collections.abc import Iterable, Iterator
+
+from pinspread.membership.config import SwimConfig
+from pinspread.membership.members import LIVE_STATES, MemberRecord, MemberState, MemberTable
+
+MAX_TABLE_ROWS = 400  # in one message: some 50 bytes a row, so that it fits a datagram
+_SYNC_WITH_DEAD_PROBABILITY = 0.5  # where there are dead members
+
+
+class TableSync:
+    """One member's exchanges of its table with others.
+
+    Args:
+        members: The member table.
+        own_address: Where this member receives datagrams.
+        config: The settings of the protocol.
+        rng: Draws the members to exchange with.
+        now_us: The time; the first exchange is due at once.
+
+    Attributes:
+        seeds: Addresses of members to join by.
+        next_us: When the next exchange is due.
+    """
+
+    def __init__(
+        self, members: MemberTable, own_address: str, config: SwimConfig, rng: random.Random, now_us: int
+    ):
+        self.seeds: list[str] = []
+        self.next_us = now_us
+        self._members = members
+        self._own_address = own_address
+        self._config = config
+        self._rng = rng
+
+    def set_seeds(self, addresses: Iterable[str]) -> None:
+        """Replace the seeds; this member's own address is left out."""
+        self.seeds = [address for address in addresses if address != self._own_address]
+
+    def begin(self, now_us: int) -> list[str]:
+        """Begin an exchange, and return the addresses that the table is sent to.
+
+        While no other member is live, the next exchange is due after a probe period, and the seeds are asked.
+        """
+        is_alone = not self._members.live_count
+        self.next_us = now_us + (self._config.period_us if is_alone else self._config.sync_us)
+        if is_alone and self.seeds:
+            return self.seeds
+        dead = self._dead_ids()
+        if dead and (is_alone or self._rng.random() < _SYNC_WITH_DEAD_PROBABILITY):
+            # How the sides of a healed partition meet.
+            return [self._members.records[self._rng.choice(dead)].address]
+        if is_alone:
+            return []
+        return [record.address for record in self._members.pick(1, states=LIVE_STATES)]
+
+    def _dead_ids(self) -> list[str]:
+        records = self._members.records
+        return [id_ for id_ in self._members.down if records[id_].state == MemberState.DEAD]
+
+    def sample(self) -> list[MemberRecord]:
+        """Return the table, or as much of it as fits a message."""
+        return self._members.sample(MAX_TABLE_ROWS)
+
+    def chunks(self) -> Iterator[list[MemberRecord]]:
+        """Yield the complete table in parts that fit a message each, for a member that has just joined."""
+        records = list(self._members.records.values())
+        for start in range(0, len(records), MAX_TABLE_ROWS):
+            yield records[start : start + MAX_TABLE_ROWS]
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -168,9 +168,9 @@
     a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "a"), 0)  # a's own suspicion
     b.apply(Update("x", "xx", 0, MemberState.SUSPECT, "a"), 0)  # b heard of it
     b.probe_failed(Probe("x", 1, 1, 2, True, 1, nacks=1), 10)  # then b's own probe of x failed too
-    for update in b.take_updates():
+    for update in b.cluster.take_updates():
         a.apply(update, 20)
-    assert a.suspicions["x"].confirmers == {"b"}
+    assert a.cluster.suspicions["x"].confirmers == {"b"}
     assert timeout_us(a, 1) < timeout_us(a, 0)
 
 
@@ -180,9 +180,9 @@
     a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "b"), 0)
     for _ in range(3):
         a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "b"), 1)  # the same rumour, by other ways
-    assert a.suspicions["x"].confirmers == set()
+    assert a.cluster.suspicions["x"].confirmers == set()
     a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "c"), 2)
-    assert a.suspicions["x"].confirmers == {"c"}
+    assert a.cluster.suspicions["x"].confirmers == {"c"}
 
 
 def test_a_table_of_5000_rows_goes_in_messages_that_fit_a_datagram_and_a_newcomer_gets_all():
@@ -200,7 +200,7 @@
     assert len(newcomer.table) == len(big.table) == 5002
     seen = set()
     for _ in range(200):  # those that know each other exchange runs, which cover all in time
-        seen |= {record.id for record in big._table_sample()}
+        seen |= {record.id for record in big.table_sync.sample()}
     assert len(seen) == len(big.table)
 
 
@@ -208,7 +208,7 @@
     one, two = (swim.SwimMember(f"m{i}", f"a{i}", rng=random.Random(i)) for i in (1, 2))
     one.apply(Update("m2", "a2", 0, MemberState.ALIVE, "m2"), 0)
     one.apply(Update("m2", "a2", 0, MemberState.SUSPECT, "m3"), 0)
-    one.gossip.clear()  # sent its number of times, to others
+    one.cluster.gossip.clear()  # sent its number of times, to others
     two.apply(Update("m1", "a1", 0, MemberState.ALIVE, "m1"), 0)
     ping = next(m for _, m in two.tick(0) if isinstance(m, Ping))
     ((_, ack),) = one.receive(ping, 1)
