--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 
 from pinspread.admin import status_client as show
-from pinspread.leases import model_checker as modelcheck
+from pinspread.leases.lease_model import Bounds
+from pinspread.leases.model_checker import explore
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed import lease_checker as judge_leases
 from pinspread.testbed import processes as cast
@@ -128,7 +129,7 @@
 
 
 def check(depth):
-    found = modelcheck.explore(modelcheck.Bounds(depth=depth, states=20_000_000, seconds=600))
+    found = explore(Bounds(depth=depth, states=20_000_000, seconds=600))
     print(f"exhaustive, depth {depth}:", {k: v for k, v in found._asdict().items() if k != "steps"})
     return not found.violation
 
--- a/pinspread/leases/model_checker.py
+++ b/pinspread/leases/model_checker.py
@@ -1,132 +1,14 @@
 """An exhaustive check of the lease decisions: every order of events for some parties, to a depth.
 
-The parties run `state_machine` itself. A state holds: real time in ticks; each party's clock, which gains or
-loses the drift bound against real time at any one tick; the agreed log, as Raft gives it (one order, entries
-appended one at a time, never lost once appended); how much of it each voter has applied and when, by its own
-clock; requests and answers under way, which stay there: one that is never delivered is lost, one that is
-delivered again is doubled, and any order counts; each contender's claim; and what it has checked but not done
-yet. A pause is a party that takes no step while others do, for any length, also between its check and its
-act. Any voter may decide, as one may that is partitioned off and takes itself for the leader. The states are
-explored breadth first, each once, so that a violation is found with the fewest steps.
-
-Asserted in every state: at most one contender may act (`may_act` by its own clock), and the tokens that the
-resource accepts never fall. `Rules` replaces parts of the decisions, to show that the check finds what their
-absence breaks. What is left out: a voter's hint when to ask again (contenders ask at once, which is harder).
+The states of `lease_model` are explored breadth first, each once, so that a violation is found with the
+fewest steps.
 """
 
 import time
-from collections.abc import Callable, Iterable, Iterator
-from typing import NamedTuple, TypeVar
-
-from pinspread.leases import state_machine
-from pinspread.leases.state_machine import (
-    OK,
-    Answer,
-    Claim,
-    Command,
-    CommandKind,
-    Contender,
-    LeaseRecord,
-    LeaseTerms,
-    Request,
-    RequestKind,
-)
-
-TASK = "t"
-TERMS = LeaseTerms(lease_us=3, drift_us=1, margin_us=0, renew_us=1, retry_us=1)
-
-_Item = TypeVar("_Item")
-
-
-class AppliedLog(NamedTuple):
-    """How much of the log a voter has applied, and when it last did, by its own clock."""
-
-    entries: int
-    at: int
-
-
-class AddressedAnswer(NamedTuple):
-    """An answer under way to a contender, by its number."""
-
-    contender: int
-    answer: Answer
-
-
-class PendingProposal(NamedTuple):
-    """A request that a voter answers once it applies the log's entry at `log_index`."""
-
-    voter: int
-    log_index: int
-    request: Request
-
-
-class World(NamedTuple):
-    """One state; all values are hashable.
-
-    Attributes:
-        real: Real time, in ticks.
-        clocks: The gain over real time of each contender's clock, then of each voter's.
-        log: The agreed log.
-        applied: What each voter has applied.
-        claims: The claim of each contender.
-        request_count: How many request ids have been given out.
-        requests: The requests that were sent.
-        answers: The answers that were sent.
-        pending: The requests that are answered when a voter applies its proposal.
-        checked: For each contender, the token by which it is about to act, or 0.
-        newest_token: The newest token that the resource has accepted.
-    """
-
-    real: int
-    clocks: tuple[int, ...]
-    log: tuple[Command, ...]
-    applied: tuple[AppliedLog, ...]
-    claims: tuple[Claim, ...]
-    request_count: int
-    requests: frozenset[Request]
-    answers: frozenset[AddressedAnswer]
-    pending: frozenset[PendingProposal]
-    checked: tuple[int, ...]
-    newest_token: int
-
-
-class Bounds(NamedTuple):
-    """How much is explored.
-
-    Attributes:
-        contenders: How many contenders there are.
-        voters: How many voters there are.
-        depth: The most steps from a start.
-        log: The most entries in the log.
-        requests: The most requests with an id of their own.
-        acts: Whether contenders check and act, too.
-        jumps: The most clocks that drift in one run.
-        drift: What a clock may gain or lose, in ticks; the terms have the same.
-        states: The most states.
-        seconds: The longest run.
-    """
-
-    contenders: int = 2
-    voters: int = 3
-    depth: int = 9
-    log: int = 3
-    requests: int = 3
-    acts: bool = False
-    jumps: int = 2
-    drift: int = 1
-    states: int = 5_000_000
-    seconds: float = 600.0
-
-
-class Rules(NamedTuple):
-    """The decisions under test; `fenced` is whether the resource refuses old tokens."""
+from typing import NamedTuple
 
-    evaluate_request: Callable[[LeaseRecord, int, Request, LeaseTerms, int], Command | Answer] = (
-        state_machine.evaluate_request
-    )
-    apply_command: Callable[[LeaseRecord, Command], tuple[LeaseRecord, str]] = state_machine.apply_command
-    may_act: Callable[[Claim, LeaseTerms, int], bool] = state_machine.may_act
-    fenced: bool = True
+from pinspread.leases.lease_model import TERMS, Bounds, Model, Rules, World
+from pinspread.leases.state_machine import LeaseTerms
 
 
 class Result(NamedTuple):
@@ -149,209 +31,11 @@
     steps: list[str]
 
 
-Step = tuple[str, World]  # its name, and the state that it leads to
+class _Violation(NamedTuple):
+    """What is broken, and the names of the steps that lead to it."""
 
-
-class Model:
-    """The states and steps for some bounds, rules and terms."""
-
-    def __init__(self, bounds: Bounds, rules: Rules, terms: LeaseTerms):
-        self.bounds = bounds
-        self.rules = rules
-        self.terms = terms
-
-    # --- states ---------------------------------------------------------------------------------------
-
-    def starts(self) -> Iterator[Step]:
-        """Yield where to begin: nobody has asked; or, to reach further, contender 0 was just granted."""
-        contenders, voters = self.bounds.contenders, self.bounds.voters
-        first = World(
-            real=0,
-            clocks=(0,) * (contenders + voters),
-            log=(),
-            applied=(AppliedLog(0, 0),) * voters,
-            claims=(Claim(),) * contenders,
-            request_count=0,
-            requests=frozenset(),
-            answers=frozenset(),
-            pending=frozenset(),
-            checked=(0,) * contenders,
-            newest_token=0,
-        )
-        yield "nobody has asked", first
-        claim = Claim(1, self.terms.lease_us, next_request_us=self.terms.renew_us)
-        granted = first._replace(
-            log=(Command(CommandKind.GRANT, "c0", 0, 1),),
-            claims=_replaced(first.claims, 0, claim),
-            request_count=1,
-            requests=frozenset([Request(RequestKind.ACQUIRE, TASK, "c0", 0, 1)]),
-        )
-        for informed in range(1, voters + 1):  # voters that have applied the grant by now
-            applied = (AppliedLog(1, 0),) * informed + (AppliedLog(0, 0),) * (voters - informed)
-            yield f"c0 holds, {informed} know", granted._replace(applied=applied)
-
-    def violation(self, world: World) -> str:
-        """Return what is broken in a state; empty if nothing is."""
-        able = [
-            contender
-            for contender, claim in enumerate(world.claims)
-            if self.rules.may_act(claim, self.terms, self._contender_time(world, contender))
-        ]
-        return f"both {able} may act at {world.real}" if len(able) > 1 else ""
-
-    def canonical(self, world: World) -> World:
-        """Return one of the states that differ only by which voter is which."""
-        contenders = self.bounds.contenders
-
-        def sort_key(voter: int) -> tuple[object, ...]:
-            pending = sorted(item[1:] for item in world.pending if item.voter == voter)
-            return world.applied[voter], world.clocks[contenders + voter], pending
-
-        voters = sorted(range(self.bounds.voters), key=sort_key)
-        place = {voter: index for index, voter in enumerate(voters)}
-        return world._replace(
-            applied=tuple(world.applied[voter] for voter in voters),
-            clocks=world.clocks[:contenders] + tuple(world.clocks[contenders + voter] for voter in voters),
-            pending=frozenset(item._replace(voter=place[item.voter]) for item in world.pending),
-        )
-
-    def _contender_time(self, world: World, contender: int) -> int:
-        return world.real + world.clocks[contender]
-
-    def _voter_time(self, world: World, voter: int) -> int:
-        return world.real + world.clocks[self.bounds.contenders + voter]
-
-    def _record(self, log: Iterable[Command]) -> LeaseRecord:
-        """Return the record after some commands."""
-        record = LeaseRecord()
-        for command in log:
-            record, _ = self.rules.apply_command(record, command)
-        return record
-
-    # --- steps ----------------------------------------------------------------------------------------
-
-    def steps(self, world: World) -> Iterator[Step]:
-        """Yield every next state, with the name of the step."""
-        yield from self._time_steps(world)
-        for contender in range(self.bounds.contenders):
-            yield from self._request_steps(world, contender)
-            if self.bounds.acts:
-                yield from self._act_steps(world, contender)
-        yield from self._delivery_steps(world)
-        yield from self._answer_steps(world)
-        for voter in range(self.bounds.voters):
-            if world.applied[voter].entries < len(world.log):
-                yield f"apply {voter}", self._apply(world, voter)
-
-    def _time_steps(self, world: World) -> Iterator[Step]:
-        later = world._replace(real=world.real + 1)
-        yield "tick", later
-        if sum(map(bool, world.clocks)) >= self.bounds.jumps:
-            return
-        drift = self.bounds.drift
-        for party, gain in enumerate(world.clocks):
-            if gain == 0:
-                yield f"tick, {party} fast", later._replace(clocks=_replaced(world.clocks, party, drift))
-                yield f"tick, {party} slow", later._replace(clocks=_replaced(world.clocks, party, -drift))
-
-    def _request_steps(self, world: World, contender: int) -> Iterator[Step]:
-        before = world.claims[contender]
-        now = self._contender_time(world, contender)
-        new_id = world.request_count + 1
-        claim, request = state_machine.tick(before, self.terms, Contender(TASK, f"c{contender}"), now, new_id)
-        is_new = claim.request_id == new_id
-        if claim == before and not request:
-            return
-        if is_new and world.request_count >= self.bounds.requests:
-            return
-        requests = world.requests | {request} if request else world.requests
-        after = world._replace(
-            claims=_replaced(world.claims, contender, claim),
-            request_count=world.request_count + is_new,
-            requests=requests,
-        )
-        yield f"ask {contender}", after
-
-    def _act_steps(self, world: World, contender: int) -> Iterator[Step]:
-        checked = world.checked[contender]
-        claim = world.claims[contender]
-        if checked:
-            yield f"act {contender}", self._act(world, contender)
-        elif self.rules.may_act(claim, self.terms, self._contender_time(world, contender)):
-            yield (
-                f"check {contender}",
-                world._replace(checked=_replaced(world.checked, contender, claim.token)),
-            )
-
-    def _act(self, world: World, contender: int) -> World:
-        """Have an act reach the resource, which refuses a token older than one that it has accepted."""
-        token = world.checked[contender]
-        accepted = token >= world.newest_token or not self.rules.fenced
-        return world._replace(
-            checked=_replaced(world.checked, contender, 0),
-            newest_token=token if accepted else world.newest_token,
-        )
-
-    def _delivery_steps(self, world: World) -> Iterator[Step]:
-        if len(world.log) >= self.bounds.log:
-            return
-        for request in world.requests:
-            for voter in range(self.bounds.voters):
-                delivered = self._deliver(world, voter, request)
-                yield f"deliver to {voter}", delivered
-                proposed = len(delivered.log) > len(world.log)
-                if proposed and world.applied[voter].entries == len(world.log):
-                    yield f"deliver to {voter}, apply", self._apply(delivered, voter)
-
-    def _deliver(self, world: World, voter: int, request: Request) -> World:
-        """Have a voter decide on a request."""
-        count, at = world.applied[voter]
-        now = self._voter_time(world, voter)
-        record = self._record(world.log[:count])
-        decision = self.rules.evaluate_request(record, at, request, self.terms, now)
-        if isinstance(decision, Answer):
-            answer = _addressed(request, decision._replace(retry_after_us=0))
-            return world._replace(answers=world.answers | {answer})
-        pending = PendingProposal(voter, len(world.log), request)
-        return world._replace(log=(*world.log, decision), pending=world.pending | {pending})
-
-    def _answer_steps(self, world: World) -> Iterator[Step]:
-        for contender, answer in world.answers:
-            before = world.claims[contender]
-            now = self._contender_time(world, contender)
-            claim = state_machine.apply_answer(before, answer, self.terms, now)
-            if claim != before:
-                yield (
-                    f"answer {contender}",
-                    world._replace(claims=_replaced(world.claims, contender, claim)),
-                )
-
-    def _apply(self, world: World, voter: int) -> World:
-        """Have a voter apply the next entry of the log, and answer the request that led to it."""
-        count = world.applied[voter].entries
-        before = self._record(world.log[:count])
-        record, outcome = self.rules.apply_command(before, world.log[count])
-        token = record.token if outcome == OK else 0
-        done = {item for item in world.pending if item.voter == voter and item.log_index == count}
-        answers = {
-            _addressed(item.request, Answer(TASK, item.request.request_id, outcome, token)) for item in done
-        }
-        applied = AppliedLog(count + 1, self._voter_time(world, voter))
-        return world._replace(
-            applied=_replaced(world.applied, voter, applied),
-            answers=world.answers | answers,
-            pending=world.pending - done,
-        )
-
-
-def _replaced(values: tuple[_Item, ...], index: int, value: _Item) -> tuple[_Item, ...]:
-    """Return the values with another one at an index."""
-    return (*values[:index], value, *values[index + 1 :])
-
-
-def _addressed(request: Request, answer: Answer) -> AddressedAnswer:
-    """Return an answer to the contender that a request is from."""
-    return AddressedAnswer(int(request.member.removeprefix("c")), answer)
+    description: str
+    steps: list[str]
 
 
 class _Exploration:
@@ -377,28 +61,27 @@
             self.depth += 1
             layer, self.frontier = self.frontier, []
             for world in layer:
-                violation, steps = self._expand(world)
+                violation = self._expand(world)
                 if violation:
-                    return self._result(violation, steps)
+                    return self._result(violation)
                 if len(self._came_from) > bounds.states or self._elapsed_s() > bounds.seconds:
                     return self._result(complete=False)
         return self._result()
 
-    def _expand(self, world: World) -> tuple[str, list[str]]:
-        """Visit the next states of one; return a violation and the steps to it, or empty values."""
+    def _expand(self, world: World) -> _Violation | None:
+        """Visit the next states of one; return the first violation, if any."""
         for name, raw in self.model.steps(world):
-            if raw.newest_token < world.newest_token:
-                # This is a fault of the step, not of the state, which another way may have led to.
-                violation = f"the resource took token {raw.newest_token} after {world.newest_token}"
-                return violation, [*self._steps_to(world), name]
+            broken = self.model.step_violation(world, raw)
+            if broken:
+                return _Violation(broken, [*self._steps_to(world), name])
             state = self.model.canonical(raw)
             if state in self._came_from:
                 continue
             self._visit(state, world, name)
-            violation = self.model.violation(state)
-            if violation:
-                return violation, self._steps_to(state)
-        return "", []
+            broken = self.model.violation(state)
+            if broken:
+                return _Violation(broken, self._steps_to(state))
+        return None
 
     def _steps_to(self, world: World | None) -> list[str]:
         steps = []
@@ -410,9 +93,10 @@
     def _elapsed_s(self) -> float:
         return time.monotonic() - self.started_s
 
-    def _result(self, violation: str = "", steps: Iterable[str] = (), complete: bool = True) -> Result:
+    def _result(self, violation: _Violation | None = None, complete: bool = True) -> Result:
+        description, steps = violation or ("", [])
         elapsed_s = round(self._elapsed_s(), 2)
-        return Result(len(self._came_from), self.depth, elapsed_s, complete, violation, list(steps))
+        return Result(len(self._came_from), self.depth, elapsed_s, complete, description, steps)
 
 
 def explore(bounds: Bounds | None = None, rules: Rules | None = None, terms: LeaseTerms = TERMS) -> Result:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -2,8 +2,10 @@
 
 import pytest
 
-from pinspread.leases import model_checker as modelcheck
+from pinspread.leases import lease_model
 from pinspread.leases import state_machine as lease
+from pinspread.leases.lease_model import Bounds, Rules
+from pinspread.leases.model_checker import explore
 from pinspread.leases.state_machine import Answer, Claim, Command, LeaseRecord, Request
 
 TERMS = lease.LeaseTerms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
@@ -101,7 +103,7 @@
 
 
 def test_no_order_of_events_within_six_steps_gives_two_holders():
-    found = modelcheck.explore(modelcheck.Bounds(depth=6))
+    found = explore(Bounds(depth=6))
     assert found.complete and not found.violation, found
     assert found.states > 500_000
 
@@ -109,25 +111,25 @@
 @pytest.mark.parametrize(
     "rules",
     [
-        modelcheck.Rules(may_act=without_drift_of_the_holder),
-        modelcheck.Rules(evaluate_request=without_drift_of_the_voter),
-        modelcheck.Rules(evaluate_request=without_the_wait),
-        modelcheck.Rules(apply_command=without_the_version),
+        Rules(may_act=without_drift_of_the_holder),
+        Rules(evaluate_request=without_drift_of_the_voter),
+        Rules(evaluate_request=without_the_wait),
+        Rules(apply_command=without_the_version),
     ],
     ids=["holder's drift", "voter's drift", "the wait", "the version"],
 )
 def test_the_check_finds_two_holders_where_a_rule_is_taken_out(rules):
-    found = modelcheck.explore(modelcheck.Bounds(depth=6), rules)
+    found = explore(Bounds(depth=6), rules)
     assert "may act" in found.violation, found
     assert 3 <= len(found.steps) <= 7
 
 
 def test_acts_of_a_holder_that_paused_are_refused_by_the_fence_alone():
-    bounds = modelcheck.Bounds(depth=9, voters=1, jumps=0, drift=0, requests=2, log=2, acts=True)
-    terms = modelcheck.TERMS._replace(lease_us=2, drift_us=0)
-    found = modelcheck.explore(bounds, terms=terms)
+    bounds = Bounds(depth=9, voters=1, jumps=0, drift=0, requests=2, log=2, acts=True)
+    terms = lease_model.TERMS._replace(lease_us=2, drift_us=0)
+    found = explore(bounds, terms=terms)
     assert found.complete and not found.violation, found
-    unfenced = modelcheck.explore(bounds, modelcheck.Rules(fenced=False), terms)
+    unfenced = explore(bounds, Rules(fenced=False), terms)
     assert unfenced.violation == "the resource took token 1 after 2", unfenced
 
 
