--- a/pinspread/leases/codec.py
+++ b/pinspread/leases/codec.py
@@ -86,6 +86,8 @@
     codec.require_fields(message, _REQUEST_FIELDS if kind == _REQUEST else _ANSWER_FIELDS)
     if kind == _REQUEST and message["kind"] not in set(RequestKind):
         raise DatagramError(f"a request to {message['kind'][:_MAX_SHOWN_CHARS]!r}")
+    if kind == _REQUEST and not codec.is_address(message["at"]):
+        raise DatagramError("a request from no address")
     numbers = [message[name] for name in ("token", "number", "wait_us") if name in message]
     in_range = min(numbers) >= 0 and max(numbers) < _INT_LIMIT
     if not in_range or len(message["task"]) > MAX_TASK_CHARS:
--- a/pinspread/membership/codec.py
+++ b/pinspread/membership/codec.py
@@ -13,10 +13,12 @@
 import xxhash
 
 from pinspread.errors import PinspreadError
+from pinspread.sockets import split_address
 
 MAGIC = b"PSM"  # of membership's datagrams
 VERSION = 1
 HEAD = struct.Struct(">3sBII")
+_MAX_PORT = 65_535
 
 
 class DatagramError(PinspreadError):
@@ -84,6 +86,18 @@
     return isinstance(value, type_) and not (type_ is int and isinstance(value, bool))
 
 
+def is_address(text: str) -> bool:
+    """Return whether a datagram can be sent to an address that was received, `host:port`.
+
+    The event loop closes a socket that is to send to any other.
+    """
+    try:
+        host, port = split_address(text)
+    except ValueError:
+        return False
+    return port <= _MAX_PORT and "\0" not in host
+
+
 def require_fields(message: Mapping[str, Any], fields: Mapping[str, type]) -> None:
     """Check that a message has each field with a value of its type.
 
--- a/pinspread/membership/message_codec.py
+++ b/pinspread/membership/message_codec.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from pinspread.membership import codec
-from pinspread.membership.codec import DatagramError, is_of_type
+from pinspread.membership.codec import DatagramError, is_address, is_of_type
 from pinspread.membership.members import MemberState
 from pinspread.membership.messages import (
     Ack,
@@ -32,6 +32,7 @@
     _PING_REQUEST: {"seq": int, "to": str, "to_at": str},
     _SYNC: {"table": list, "reply": bool},
 }
+_ADDRESS_FIELDS = {"from_at", "to_at"}
 _STATES = frozenset(state.value for state in MemberState)
 _TABLE_COLUMNS = 4  # id, address, incarnation, state
 _UPDATE_COLUMNS = 5  # and who reported it
@@ -125,7 +126,11 @@
     kind = fields.get("t")
     if not isinstance(kind, str) or kind not in _FIELDS:
         raise DatagramError(f"kind {kind!r}")
-    codec.require_fields(fields, _COMMON_FIELDS | _FIELDS[kind])
+    required = _COMMON_FIELDS | _FIELDS[kind]
+    codec.require_fields(fields, required)
+    for name in _ADDRESS_FIELDS & required.keys():
+        if not is_address(fields[name]):
+            raise DatagramError(f"{kind}: field {name!r} is no address")
     if fields["inc"] < 0 or not all(_is_row(row, _UPDATE_COLUMNS) for row in fields["up"]):
         raise DatagramError(f"{kind}: an update is not well-formed")
     if kind == _SYNC and not all(_is_row(row, _TABLE_COLUMNS) for row in fields["table"]):
@@ -139,7 +144,8 @@
     id_, address, incarnation, state = row[:_TABLE_COLUMNS]
     return (
         is_of_type(id_, str)
-        and is_of_type(address, str)
+        and isinstance(address, str)
+        and is_address(address)
         and is_of_type(incarnation, int)
         and incarnation >= 0
         and isinstance(state, str)
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -1,9 +1,14 @@
 """Membership's datagrams: what is not whole, not ours or not well-formed is dropped with a reason."""
 
+import anyio
+import anyio.abc
 import pytest
 
+from pinspread.leases import codec as lease_codec
+from pinspread.leases.state_machine import Request, RequestKind
 from pinspread.membership import codec as wire
-from pinspread.membership import message_codec
+from pinspread.membership import message_codec, service
+from pinspread.membership.config import SwimConfig
 from pinspread.membership.framing import ConnectionClosedError, FrameStream
 
 KEY = b"fleet-a"
@@ -44,6 +49,11 @@
     assert message_codec.to_map(message_codec.decode_message(wire.encode(PING, KEY), KEY)) == PING
 
 
+def test_a_field_of_another_kind_of_message_is_ignored():
+    data = wire.encode(PING | {"to_at": 5}, KEY)
+    assert message_codec.to_map(message_codec.decode_message(data, KEY)) == PING
+
+
 def test_garbage_of_every_length_is_dropped_and_nothing_else_is_raised():
     import random
 
@@ -56,14 +66,9 @@
 
 
 def test_a_leave_while_the_turns_go_on_breaks_no_socket():
-    import anyio
-
-    from pinspread.membership import service as member
-    from pinspread.membership import swim
-
     async def play():
-        plan = member.MembershipConfig("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, swim.SwimConfig())
-        one = member.MembershipService(plan)
+        plan = service.MembershipConfig("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, SwimConfig())
+        one = service.MembershipService(plan)
         await one.open()
         out = [("127.0.0.1:9", message_codec.from_map(PING))] * 20
         async with one._socket, anyio.create_task_group() as tasks:
@@ -83,8 +88,6 @@
     ],
 )
 def test_a_stream_of_frames_tells_its_end_from_a_frame_that_is_not_accepted(sent, error):
-    import anyio
-
     async def play():
         async def serve(stream):
             async with stream:
@@ -111,3 +114,53 @@
 def test_a_list_where_a_word_belongs_is_dropped_too(change):
     with pytest.raises(wire.DatagramError):
         message_codec.decode_message(wire.encode(PING | change, KEY), KEY)
+
+
+NO_ADDRESSES = ["nowhere", "", ":7001", "127.0.0.1:", "127.0.0.1:99999", "127.0.0.1:\u00b2", "a\0b:1"]
+
+
+@pytest.mark.parametrize("address", NO_ADDRESSES)
+@pytest.mark.parametrize(
+    "change",
+    [
+        lambda address: {"from_at": address},
+        lambda address: {"up": [["c", address, 0, "alive", "a"]]},
+        lambda address: {"t": "ask", "to_at": address},
+        lambda address: {"t": "sync", "reply": False, "table": [["c", address, 0, "alive"]]},
+    ],
+    ids=["sender", "update", "target", "table"],
+)
+def test_an_address_that_nothing_can_be_sent_to_is_dropped(change, address):
+    with pytest.raises(wire.DatagramError):
+        message_codec.decode_message(wire.encode(PING | change(address), KEY), KEY)
+
+
+@pytest.mark.parametrize("address", NO_ADDRESSES)
+def test_a_lease_request_that_cannot_be_answered_is_dropped(address):
+    request = Request(RequestKind.ACQUIRE, "nightly", "a", 0, 1)
+    with pytest.raises(wire.DatagramError):
+        lease_codec.decode(lease_codec.encode_request(request, address, KEY), KEY)
+
+
+@pytest.mark.parametrize("address", ["nowhere", "127.0.0.1:99999"])
+def test_membership_goes_on_after_a_datagram_from_no_address(address, capfd):
+    async def play():
+        config = service.MembershipConfig("b", "127.0.0.1:0", "127.0.0.1:9", (), KEY, SwimConfig())
+        member = service.MembershipService(config)
+        await member.open()
+        port = member._socket.extra(anyio.abc.SocketAttribute.local_port)
+        async with await anyio.create_udp_socket(local_host="127.0.0.1") as sender:
+            own_port = sender.extra(anyio.abc.SocketAttribute.local_port)
+            good = PING | {"from_at": f"127.0.0.1:{own_port}"}
+            with anyio.fail_after(5):
+                async with anyio.create_task_group() as tasks:
+                    tasks.start_soon(member.run)
+                    for _ in range(3):  # two turns more may pass before a socket that was closed is noticed
+                        await sender.sendto(wire.encode(PING | {"from_at": address}, KEY), "127.0.0.1", port)
+                        await sender.sendto(wire.encode(good, KEY), "127.0.0.1", port)
+                        await sender.receive()
+                    tasks.cancel_scope.cancel()
+        assert member.dropped == 3 and member.member.table["a"].address == good["from_at"]
+
+    anyio.run(play)
+    assert capfd.readouterr().out.count('"event":"member_dropped"') == 3
