--- a/pinspread/leases/service.py
+++ b/pinspread/leases/service.py
@@ -13,7 +13,6 @@
 from typing import Any
 
 import anyio
-import anyio.abc
 
 from pinspread.core.log import log
 from pinspread.leases import codec
@@ -30,8 +29,10 @@
     tick,
 )
 from pinspread.leases.task_calls import LeaseTask, TaskCaller
+from pinspread.membership.background import IndependentService
 from pinspread.membership.clock import monotonic_us
 from pinspread.membership.codec import DatagramError
+from pinspread.membership.datagram_socket import Datagram, DatagramSocket
 from pinspread.membership.service import MembershipService
 from pinspread.sockets import split_address
 
@@ -42,7 +43,6 @@
 _TICK_S = 0.05  # claims are checked at least this often
 _RELEASE_TIMEOUT_S = 0.2  # for giving leases back, of the 3.7 s that SIGTERM leaves
 _REQUEST_ID_BITS = 62
-_MAX_SHOWN_CHARS = 100  # of an address that was received, in the log
 
 
 @dataclass(frozen=True)
@@ -70,7 +70,7 @@
     sync: bool = False
 
 
-class LeaseService:
+class LeaseService(IndependentService):
     """A background service of the instance.
 
     Args:
@@ -98,9 +98,10 @@
             fleet=self,
             send_answer=self._send_answer,
         )
-        self._socket: anyio.abc.UDPSocket | None = None
+        self._socket = DatagramSocket(
+            config.listen, send_failed="lease_send_failed", receive_failed="lease_receive_failed"
+        )
         self._run_vote: Callable[[], Coroutine[Any, Any, None]] | None = None  # where this member has a vote
-        self._send_lock = anyio.Lock()  # the socket takes one sender at a time
 
     def now(self) -> int:
         """Return this member's time, in microseconds."""
@@ -158,31 +159,22 @@
 
     # --- life cycle -----------------------------------------------------------------------------------
 
-    def attach(self, engine: object) -> None:
-        """Do nothing: leases need nothing of the delivery engine."""
-
-    async def before_recovery(self) -> None:
-        """Do nothing: no recovered message depends on leases."""
-
-    async def close(self) -> None:
-        """Do nothing: leases have nothing to close."""
-
     async def open(self) -> None:
         """Bind the sockets.
 
         Raises:
             OSError: The address cannot be bound.
         """
-        host, port = split_address(self.config.listen)
-        self._socket = await anyio.create_udp_socket(local_host=host, local_port=port)
+        await self._socket.open()
         if self.id in self.config.voters:
-            await self._open_vote(host, port)
+            await self._open_vote()
         log("leases_up", id=self.id, listen=self.config.listen, voter=self.handler.raft is not None)
 
-    async def _open_vote(self, host: str, port: int) -> None:
+    async def _open_vote(self) -> None:
         # Imported here so that a member without a vote does not load the library of the agreement.
         from pinspread.leases.raft import RaftConfig, RaftNode
 
+        host, port = split_address(self.config.listen)
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         raft_config = RaftConfig(
             id=self.id,
@@ -199,7 +191,7 @@
 
     async def run(self) -> None:
         """Claim and act until cancelled; `open` comes first."""
-        async with self._open_socket(), anyio.create_task_group() as tasks:
+        async with self._socket, anyio.create_task_group() as tasks:
             if self._run_vote:
                 tasks.start_soon(self._run_vote)
             tasks.start_soon(self._receive)
@@ -213,7 +205,7 @@
 
     async def announce_departure(self) -> None:
         """Give back what is held, as SIGTERM asks; replication gives back the member's own work."""
-        if self._socket is None:
+        if not self._socket.is_open:
             return
         for name in [name for name in self.claims if name != WORK_TASK_PREFIX + self.id]:
             await self.withdraw(name)
@@ -301,45 +293,27 @@
 
     # --- datagrams ------------------------------------------------------------------------------------
 
-    def _open_socket(self) -> anyio.abc.UDPSocket:
-        if self._socket is None:
-            raise RuntimeError("the service is not open")
-        return self._socket
-
     async def _send_request(self, voter: str, request: Request) -> None:
         data = codec.encode_request(request, self.config.advertise, self.key)
-        await self._send(data, self.config.voters[voter])
+        await self._socket.send(data, self.config.voters[voter])
 
     async def _send_answer(self, address: str, answer: Answer) -> None:
-        await self._send(codec.encode_answer(answer, self.key), address)
-
-    async def _send(self, data: bytes, address: str) -> None:
-        try:
-            host, port = split_address(address)
-            async with self._send_lock:
-                await self._open_socket().sendto(data, host, port)
-        except (OSError, ValueError, anyio.ClosedResourceError, anyio.BrokenResourceError) as error:
-            # Only logged: a lease that cannot be requested must not end an instance that serves.
-            shown = str(address)[:_MAX_SHOWN_CHARS]
-            log("lease_send_failed", to=shown, error=repr(error), mono_us=monotonic_us())
+        await self._socket.send(codec.encode_answer(answer, self.key), address)
 
     async def _receive(self) -> None:
         async with anyio.create_task_group() as answer_tasks:
             self.handler.answer_tasks = answer_tasks
             while True:
-                try:
-                    data, (source, _) = await self._open_socket().receive()
-                except OSError as error:
-                    log("lease_receive_failed", error=str(error), mono_us=monotonic_us())
-                    continue
-                await self._handle_datagram(data, source)
-
-    async def _handle_datagram(self, data: bytes, source: str) -> None:
+                datagram = await self._socket.receive()
+                if datagram:
+                    await self._handle_datagram(datagram)
+
+    async def _handle_datagram(self, datagram: Datagram) -> None:
         try:
-            message = codec.decode(data, self.key)
+            message = codec.decode(datagram.data, self.key)
         except DatagramError as error:
             self.counts["dropped"] += 1
-            log("lease_dropped", source=source, why=str(error), mono_us=monotonic_us())
+            log("lease_dropped", source=datagram.source, why=str(error), mono_us=monotonic_us())
             return
         if isinstance(message, Answer):
             self.counts["answers"] += 1
--- a/pinspread/membership/service.py
+++ b/pinspread/membership/service.py
@@ -10,19 +10,19 @@
 from typing import Any
 
 import anyio
-import anyio.abc
 import anyio.to_thread
 
 from pinspread.core.log import log
 from pinspread.membership import message_codec
+from pinspread.membership.background import IndependentService
 from pinspread.membership.clock import monotonic_us
 from pinspread.membership.codec import DatagramError
 from pinspread.membership.config import SwimConfig
+from pinspread.membership.datagram_socket import Datagram, DatagramSocket
 from pinspread.membership.events import Event, MemberChanged
 from pinspread.membership.messages import Outgoing
 from pinspread.membership.seeds import Records, find_seeds_or_none
 from pinspread.membership.swim import SwimMember
-from pinspread.sockets import split_address
 
 _MAX_WAIT_S = 0.05  # a turn comes at least this often, whatever is due
 _SEED_SEARCH_PERIOD_S = 1.0  # while this member knows no other
@@ -56,7 +56,7 @@
     service: str = ""
 
 
-class MembershipService:
+class MembershipService(IndependentService):
     """A background service of the instance: its member of the fleet.
 
     Args:
@@ -77,8 +77,9 @@
         self.member.set_seeds(config.seeds)
         self.dropped = 0
         self._records = records
-        self._socket: anyio.abc.UDPSocket | None = None
-        self._send_lock = anyio.Lock()
+        self._socket = DatagramSocket(
+            config.listen, send_failed="member_send_failed", receive_failed="member_receive_failed"
+        )
 
     def now(self) -> int:
         """Return this member's monotonic time in microseconds, by its configured offset and rate."""
@@ -96,29 +97,19 @@
 
     # --- life cycle -----------------------------------------------------------------------------------
 
-    def attach(self, engine: object) -> None:
-        """Do nothing: membership needs nothing of the delivery engine."""
-
-    async def before_recovery(self) -> None:
-        """Do nothing: no recovered message depends on membership."""
-
-    async def close(self) -> None:
-        """Do nothing: membership has nothing to close."""
-
     async def open(self) -> None:
         """Bind the socket.
 
         Raises:
             OSError: The address cannot be bound.
         """
-        host, port = split_address(self.config.listen)
-        self._socket = await anyio.create_udp_socket(local_host=host, local_port=port)
+        await self._socket.open()
         log("members_up", id=self.config.id, listen=self.config.listen, advertise=self.config.advertise)
 
     async def run(self) -> None:
         """Take part until cancelled; `open` comes first."""
         try:
-            async with self._open_socket(), anyio.create_task_group() as tasks:
+            async with self._socket, anyio.create_task_group() as tasks:
                 if self.config.service and self._records:
                     tasks.start_soon(self._search_seeds, self._records)
                 while True:
@@ -128,17 +119,12 @@
 
     async def announce_departure(self) -> None:
         """Notify the other members that this one leaves, as SIGTERM asks."""
-        if self._socket is None:
+        if not self._socket.is_open:
             return
         with anyio.move_on_after(_LEAVE_TIMEOUT_S):
             await self._send(self.member.leave())
         log("members_left", id=self.config.id, mono_us=monotonic_us())
 
-    def _open_socket(self) -> anyio.abc.UDPSocket:
-        if self._socket is None:
-            raise RuntimeError("the service is not open")
-        return self._socket
-
     # --- running --------------------------------------------------------------------------------------
 
     async def _search_seeds(self, records: Records) -> None:
@@ -158,37 +144,25 @@
         await self._send(self.member.tick(now_us))
         wait_s = min(_MAX_WAIT_S, max(0, self.member.due_us() - now_us) / 1e6)
         with anyio.move_on_after(wait_s):
-            try:
-                data, (source, _) = await self._open_socket().receive()
-            except OSError as error:
-                # Only logged: the kernel reports here that an earlier datagram was refused by its receiver,
-                # which must not end membership.
-                log("member_receive_failed", error=str(error), mono_us=monotonic_us())
-                return
-            await self._handle_datagram(data, source)
-
-    async def _handle_datagram(self, data: bytes, source: str) -> None:
+            datagram = await self._socket.receive()
+            if datagram:
+                await self._handle_datagram(datagram)
+
+    async def _handle_datagram(self, datagram: Datagram) -> None:
         now_us = self.now()
         try:
-            message = message_codec.decode_message(data, self.config.fleet_key)
+            message = message_codec.decode_message(datagram.data, self.config.fleet_key)
         except DatagramError as error:
             self.dropped += 1
-            log("member_dropped", source=source, why=str(error), mono_us=monotonic_us())
+            log("member_dropped", source=datagram.source, why=str(error), mono_us=monotonic_us())
             return
         await self._send(self.member.receive(message, now_us))
 
     async def _send(self, outgoing: Outgoing) -> None:
         """Send messages, and log what has changed in the table."""
         for address, message in outgoing:
-            host, port = split_address(address)
             data = message_codec.encode_message(message, self.config.fleet_key)
-            try:
-                # The socket takes one sender at a time, and `leave` is called while turns go on.
-                async with self._send_lock:
-                    await self._open_socket().sendto(data, host, port)
-            except (OSError, anyio.ClosedResourceError, anyio.BrokenResourceError) as error:
-                # Only logged: membership that cannot send must not end an instance that serves.
-                log("member_send_failed", to=address, error=repr(error), mono_us=monotonic_us())
+            await self._socket.send(data, address)
         for event in self.member.events:
             name, fields = event_fields(event)
             log(name, seer=self.config.id, mono_us=monotonic_us(), **fields)
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -329,7 +329,7 @@
         sent.append((f"{host}:{port}", data))
 
     for one in parties.values():
-        one._socket = SimpleNamespace(sendto=sendto)
+        one._socket.socket = SimpleNamespace(sendto=sendto)
     taken = []
 
     async def settle():
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -148,7 +148,7 @@
         config = service.MembershipConfig("b", "127.0.0.1:0", "127.0.0.1:9", (), KEY, SwimConfig())
         member = service.MembershipService(config)
         await member.open()
-        port = member._socket.extra(anyio.abc.SocketAttribute.local_port)
+        port = member._socket.socket.extra(anyio.abc.SocketAttribute.local_port)
         async with await anyio.create_udp_socket(local_host="127.0.0.1") as sender:
             own_port = sender.extra(anyio.abc.SocketAttribute.local_port)
             good = PING | {"from_at": f"127.0.0.1:{own_port}"}
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,12 +1,20 @@
 """The lease decisions step by step, and the exhaustive check, which finds each rule that is taken out."""
 
+import socket
+from unittest import mock
+
+import anyio
 import pytest
+from standins import until
 
-from pinspread.leases import lease_model
+from pinspread.leases import lease_model, raft_transport
 from pinspread.leases import state_machine as lease
 from pinspread.leases.lease_model import Bounds, Rules
 from pinspread.leases.model_checker import explore
+from pinspread.leases.service import LeaseConfig, LeaseService, LeaseTask
 from pinspread.leases.state_machine import Answer, Claim, Command, LeaseRecord, Request
+from pinspread.membership.config import SwimConfig
+from pinspread.membership.service import MembershipConfig, MembershipService
 
 TERMS = lease.LeaseTerms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
 A = lease.Contender("t", "a")
@@ -165,3 +173,40 @@
     answers = asyncio.run(play())
     assert answers == ["200", "409", "200", "200", "200", "400", "400", "400"]
     assert said == [("t", 5, True), ("t", 4, False), ("t", 5, True), ("t", 6, True), ("u", 1, True)]
+
+
+@pytest.fixture
+def free_address():
+    with socket.socket() as found:
+        found.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{found.getsockname()[1]}"
+
+
+def test_the_only_voter_grants_itself_a_lease_over_its_sockets_and_takes_it_back(tmp_path, free_address):
+    membership = MembershipService(MembershipConfig("a", "", free_address, (), b"fleet", SwimConfig()))
+    terms = lease.LeaseTerms(retry_us=20_000)
+    config = LeaseConfig(
+        free_address,
+        free_address,
+        {"a": free_address},
+        (LeaseTask("nightly"),),
+        terms,
+        election_s=0.05,
+        folder=str(tmp_path),
+    )
+
+    async def play():
+        leases = LeaseService(config, membership, seed=1)
+        await leases.open()
+        with mock.patch.object(raft_transport, "FIRST_VOTE_DELAY_S", 0), anyio.fail_after(10):
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(leases.run)
+                await until(lambda: leases.fencing_token("nightly"))
+                assert leases.fencing_token("nightly") == 1
+                assert leases.view()["tasks"][0]["holder"] == "a"
+                await leases.announce_departure()
+                await until(lambda: leases.view()["tasks"][0]["holder"] == "")
+                assert leases.fencing_token("nightly") == 0
+                tasks.cancel_scope.cancel()
+
+    anyio.run(play)
