--- a/pinspread/leases/request_handler.py
+++ b/pinspread/leases/request_handler.py
@@ -7,6 +7,7 @@
 from anyio.abc import TaskGroup
 
 from pinspread.core.log import log
+from pinspread.leases import codec
 from pinspread.leases.state_machine import (
     OK,
     Answer,
@@ -100,9 +101,18 @@
         """Note that this voter has applied a task's record now."""
         self.applied_us[task] = self._now()
 
-    def binding_for_us(self, task: str, now_us: int) -> int:
-        """Return for how long a task's record binds this voter from now on; negative once it does not."""
-        return binding_until_us(self.terms, self.applied_us.get(task, now_us)) - now_us
+    def view(self) -> dict[str, dict[str, Any]]:
+        """Return each task's record, as operators see it; it is empty where nothing was ever granted."""
+        records = self.raft.records if self.raft else {}
+        now_us = self._now()
+        return {task: self._record_view(task, record, now_us) for task, record in records.items()}
+
+    def _record_view(self, task: str, record: LeaseRecord, now_us: int) -> dict[str, Any]:
+        if not record.version:
+            return {}
+        binding_us = binding_until_us(self.terms, self.applied_us.get(task, now_us)) - now_us
+        binding_ms = max(0, binding_us) // 1000 if record.holder else 0
+        return {**codec.record_to_json(record), "binds_for_ms": binding_ms}
 
     async def handle(self, request: Request, reply_address: str) -> None:
         """Answer a request, at once or when the command that it leads to has been applied.
