--- a/pinspread/leases/raft.py
+++ b/pinspread/leases/raft.py
@@ -18,6 +18,7 @@
 from pysyncobj.node import Node
 
 from pinspread.core.log import log
+from pinspread.leases.learner import LearnerStatus
 from pinspread.leases.raft_log import RaftLog, RaftLogFormatError
 from pinspread.leases.raft_transport import MAGIC, TransportConfig, VoterTransport
 from pinspread.leases.state_machine import Command, CommandKind, LeaseRecord, apply_command
@@ -110,6 +111,7 @@
         sync_object: The library's object.
         raft_log: This voter's log.
         transport: The streams to and from the other voters.
+        learner: Whether this voter may vote.
     """
 
     def __init__(self, config: RaftConfig, on_change: OnRecord):
@@ -120,8 +122,9 @@
         others = {id_: split_address(at) for id_, at in config.voters.items() if id_ != config.id}
         self._others = list(others)
         self.table = LeaseTable(on_change)
-        transport_config = TransportConfig(config.id, host, others, config.key, self.folder / _VOTED_FILE)
-        self.transport = VoterTransport(self, transport_config)
+        self.learner = LearnerStatus(config.id, self.folder / _VOTED_FILE, len(others))
+        transport_config = TransportConfig(config.id, host, others, config.key)
+        self.transport = VoterTransport(self, transport_config, self.learner)
         self._wake_event = anyio.Event()
         self._logged_leader: str | None = None
         self.raft_log = self._open_log(config.sync)
@@ -247,15 +250,15 @@
             log("quorum_damaged", id=self.id, why=str(error))
             for path in list(self.folder.iterdir()):
                 path.rename(path.with_name(_DAMAGED_PREFIX + path.name))
-            self.transport.is_learner = True
+            self.learner.is_learner = True
             return RaftLog(self.folder / _LOG_FILE, sync)
 
     # --- running --------------------------------------------------------------------------------------
 
     async def run(self, listener: anyio.abc.Listener[anyio.abc.SocketStream]) -> None:
         """Take part until cancelled or until the log cannot be written; `listener` is open."""
-        learner = self.transport.is_learner
-        log("quorum_up", id=self.id, voters=sorted([self.id, *self._others]), fresh=learner)
+        voters = sorted([self.id, *self._others])
+        log("quorum_up", id=self.id, voters=voters, fresh=self.learner.is_learner)
         try:
             async with anyio.create_task_group() as tasks:
                 for voter in self._others:
--- a/pinspread/leases/raft_transport.py
+++ b/pinspread/leases/raft_transport.py
@@ -4,12 +4,7 @@
 hello, then frames as `membership.framing` has them. The library relies on the order within a stream, since it
 cuts a follower's log at what a message says; so a stream that is opened again ends the one before it. A
 message that is not well-formed, not from a voter, or holds a command that could call something is logged and
-refused, and ends its stream.
-
-A voter whose folder is empty may have forgotten votes and entries. It is a *learner* until all other voters
-have reported that their logs are empty too (the fleet's first start), or until it has applied an entry of a
-leader's own term, which got there without a vote of its own; until then it neither votes nor stands for
-election.
+refused, and ends its stream. A voter that may not vote yet (`learner`) only follows a leader.
 """
 
 import random
@@ -17,7 +12,6 @@
 from collections.abc import Mapping
 from contextlib import suppress
 from dataclasses import dataclass
-from pathlib import Path
 from typing import Protocol
 
 import anyio
@@ -27,15 +21,13 @@
 
 from pinspread.core.log import log
 from pinspread.leases import raft_messages
+from pinspread.leases.learner import LearnerStatus
 from pinspread.leases.raft_messages import MAX_FRAME_BYTES, Message
 from pinspread.membership import codec
 from pinspread.membership.codec import DatagramError
 from pinspread.membership.framing import FrameStream
 
 MAGIC = b"PSQ"
-FIRST_VOTE_DELAY_S = (
-    1.0  # from a learner's start to its first vote: votes from before its loss are over by then
-)
 _CONNECT_TIMEOUT_S = 1.0
 _RECONNECT_DELAY_S = (0.1, 0.3)  # between connections to one voter, drawn at random
 _HELLO_TIMEOUT_S = 2.0
@@ -78,14 +70,12 @@
         local_host: The address to connect from.
         others: The host and port of each other voter, by its id.
         key: The fleet's key.
-        voted_marker: A file that exists once this voter may vote.
     """
 
     member_id: str
     local_host: str
     others: Mapping[str, tuple[str, int]]
     key: bytes
-    voted_marker: Path
 
 
 class OutgoingStream:
@@ -126,58 +116,33 @@
     Args:
         node: The Raft node.
         config: The settings.
+        learner: Whether this voter may vote.
 
     Attributes:
-        is_learner: Whether this voter neither votes nor stands for election yet.
         sent_counts: How many messages were sent, by kind; `entries` are `append_entries` that hold some.
     """
 
-    def __init__(self, node: RaftState, config: TransportConfig):
+    def __init__(self, node: RaftState, config: TransportConfig, learner: LearnerStatus):
         super().__init__(None, None, [])
-        self.is_learner = not config.voted_marker.exists()
         self.sent_counts: Counter[str] = Counter()
         self._node = node
+        self._learner = learner
         self._id = config.member_id
         self._local_host = config.local_host
         self._others = config.others
         self._key = config.key
-        self._voted_marker = config.voted_marker
         self._outgoing: dict[str, OutgoingStream] = {}
         self._incoming: dict[str, anyio.CancelScope] = {}  # the stream from each voter
         self._incoming_count = 0
-        self._reported_empty: dict[str, bool] = {}  # whether a voter's last hello said that its log is empty
-        self._started_at = anyio.current_time()
-        self._leader_term_index = 0  # of the newest entry from a leader in that leader's own term
-
-    # --- the learner ----------------------------------------------------------------------------------
 
     def promote_if_safe(self) -> None:
         """Vote and stand for election from now on, if it is safe."""
-        if not self.is_learner:
-            return
-        delay_is_over = anyio.current_time() - self._started_at >= FIRST_VOTE_DELAY_S
-        all_reported = len(self._reported_empty) == len(self._others)
-        first_start = delay_is_over and all_reported and all(self._reported_empty.values())
-        caught_up = 0 < self._leader_term_index <= self._node.last_applied
-        if not first_start and not caught_up:
+        if not self._learner.promote_if_safe(self._node.last_applied):
             return
-        self._voted_marker.touch()
-        self.is_learner = False
-        log("quorum_votes", id=self._id, why="first start" if first_start else "caught up")
         for voter, outgoing in self._outgoing.items():
             if outgoing.connected:
                 self._onNodeConnected(Node(voter))
 
-    def _note_leader_term(self, message: Message) -> None:
-        """Remember up to where the leader's log is known to hold all that was committed before."""
-        if message["type"] != "append_entries":
-            return
-        if message.get("prevLogTerm") == message["term"]:
-            self._leader_term_index = max(self._leader_term_index, message["prevLogIdx"])
-        for _, index, term in message.get("entries", ()):
-            if term == message["term"]:
-                self._leader_term_index = max(self._leader_term_index, index)
-
     # --- sending --------------------------------------------------------------------------------------
 
     def send(self, node: Node, message: Message) -> bool:
@@ -186,7 +151,7 @@
         if outgoing is None or not outgoing.connected:
             return False
         # A voter must not send what it could not write to its log.
-        if self._node.write_failed or (self.is_learner and message["type"] == "request_vote"):
+        if self._node.write_failed or (self._learner.is_learner and message["type"] == "request_vote"):
             return False
         body = {"term": self._node.term, "message": message}
         outgoing.put(codec.encode(body, self._key, MAGIC))
@@ -212,7 +177,7 @@
             hello = {"from": self._id, "to": voter, "empty": self._node.log_is_empty}
             await stream.send(codec.encode(hello, self._key, MAGIC))
             outgoing.connected = True
-            if not self.is_learner:
+            if not self._learner.is_learner:
                 self._onNodeConnected(Node(voter))
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(_wait_closed, stream, tasks.cancel_scope)
@@ -246,7 +211,7 @@
         voter: str = hello["from"]
         if voter not in self._others or hello["to"] != self._id:
             raise DatagramError(f"{voter[:64]!r} to {hello['to'][:64]!r} is no stream of voters")
-        self._reported_empty[voter] = hello["empty"]
+        self._learner.note_hello(voter, hello["empty"])
         return voter
 
     async def _receive_messages(self, voter: str, frames: FrameStream) -> None:
@@ -265,10 +230,9 @@
         if message is None:
             return
         kind = message["type"]
-        if self.is_learner:
-            self._note_leader_term(message)
-            if kind in ("request_vote", "timeout_now"):
-                return
+        self._learner.note_message(message)
+        if self._learner.forbids(message):
+            return
         if kind == "next_node_idx" and body["term"] != self._node.term:
             return  # it says what a log held in another term, which no longer counts
         try:
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -14,7 +14,7 @@
 import msgpack
 
 from pinspread.leases import codec as lease_codec
-from pinspread.leases import raft, raft_transport
+from pinspread.leases import learner, raft, raft_transport
 from pinspread.leases import raft_log as raftlog
 from pinspread.leases import service as leases
 from pinspread.leases import state_machine as lease
@@ -274,7 +274,7 @@
 
 def no_wait():
     """A voter that is fresh needs no wait before it votes."""
-    return mock.patch.object(raft_transport, "FIRST_VOTE_DELAY_S", 0)
+    return mock.patch.object(learner, "FIRST_VOTE_DELAY_S", 0)
 
 
 # --- membership's datagrams -------------------------------------------------------------------------
@@ -509,7 +509,7 @@
     rows = []
     with no_wait():
         q = voter(folder, rows=lambda task, found: rows.append([task, told_row(found)]))
-        fresh = q.transport.is_learner
+        fresh = q.learner.is_learner
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(q._run_library)
             await leads(q)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,7 @@
 import pytest
 from standins import until
 
-from pinspread.leases import lease_model, raft_transport
+from pinspread.leases import learner, lease_model
 from pinspread.leases import state_machine as lease
 from pinspread.leases.lease_model import Bounds, Rules
 from pinspread.leases.model_checker import explore
@@ -198,7 +198,7 @@
     async def play():
         leases = LeaseService(config, membership, seed=1)
         await leases.open()
-        with mock.patch.object(raft_transport, "FIRST_VOTE_DELAY_S", 0), anyio.fail_after(10):
+        with mock.patch.object(learner, "FIRST_VOTE_DELAY_S", 0), anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(leases.run)
                 await until(lambda: leases.fencing_token("nightly"))
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from pysyncobj.journal import MemoryJournal
 
-from pinspread.leases import raft, raft_transport
+from pinspread.leases import learner, raft, raft_transport
 from pinspread.leases import raft_log as raftlog
 from pinspread.leases import state_machine as lease
 
@@ -112,7 +112,7 @@
 
 
 def test_a_voter_keeps_its_entries_there_and_is_fresh_when_they_are_damaged(tmp_path, monkeypatch):
-    monkeypatch.setattr(raft_transport, "FIRST_VOTE_DELAY_S", 0)
+    monkeypatch.setattr(learner, "FIRST_VOTE_DELAY_S", 0)
 
     async def grant(q):
         await leads(q)
@@ -126,7 +126,7 @@
     assert rows[-1].holder == "m"
 
     async def look(q):
-        assert not q.transport.is_learner
+        assert not q.learner.is_learner
         with anyio.fail_after(5):
             while not rows or rows[-1].holder != "m":
                 await anyio.sleep(0.01)
@@ -139,9 +139,7 @@
 
     async def damaged(q):
         assert (
-            q.transport.is_learner
-            and (tmp_path / "damaged-log").exists()
-            and not (tmp_path / "votes").exists()
+            q.learner.is_learner and (tmp_path / "damaged-log").exists() and not (tmp_path / "votes").exists()
         )
 
     monkeypatch.setattr(raft_transport.VoterTransport, "promote_if_safe", lambda self: None)
@@ -149,7 +147,7 @@
 
 
 def test_a_voter_whose_log_cannot_be_written_says_nothing_and_the_courier_goes_on(tmp_path, monkeypatch):
-    monkeypatch.setattr(raft_transport, "FIRST_VOTE_DELAY_S", 0)
+    monkeypatch.setattr(learner, "FIRST_VOTE_DELAY_S", 0)
 
     async def fail(q):
         await leads(q)
