--- a/pinspread/leases/raft.py
+++ b/pinspread/leases/raft.py
@@ -20,7 +20,8 @@
 from pinspread.core.log import log
 from pinspread.leases.learner import LearnerStatus
 from pinspread.leases.raft_log import RaftLog, RaftLogFormatError
-from pinspread.leases.raft_transport import MAGIC, TransportConfig, VoterTransport
+from pinspread.leases.raft_messages import MAGIC
+from pinspread.leases.raft_transport import TransportConfig, VoterTransport
 from pinspread.leases.state_machine import Command, CommandKind, LeaseRecord, apply_command
 from pinspread.membership import codec
 from pinspread.sockets import split_address
--- a/pinspread/leases/raft_messages.py
+++ b/pinspread/leases/raft_messages.py
@@ -1,18 +1,21 @@
-"""What voters send each other: checks that a message is well-formed and safe before the library sees it.
+"""What voters send each other: a hello, then the library's messages, each with the sender's term.
 
-The library unpickles the commands in messages. A pickle can import and call anything, so only pickles of
-plain values pass.
+The library's messages stay maps with the library's keys. They are checked before the library sees them: it
+unpickles the commands in them, and a pickle can import and call anything, so only pickles of plain values
+pass.
 """
 
 import pickletools
 from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from pinspread.membership import codec
 from pinspread.membership.codec import DatagramError, is_of_type
 
-Message = dict[str, Any]
+Message = dict[str, Any]  # as the library has it
 
+MAGIC = b"PSQ"
 MAX_FRAME_BYTES = 1 << 21
 _MAX_SHOWN_CHARS = 64  # of what was received, in a reason for the log
 
@@ -42,23 +45,58 @@
 _BODY_FIELDS = {"term": int, "message": dict}
 
 
-def check_hello(hello: Message) -> None:
-    """Check the first message on a stream.
+@dataclass(frozen=True)
+class Hello:
+    """The first frame on a stream.
+
+    Attributes:
+        sender: The id of the voter that has opened the stream.
+        recipient: The id of the voter that it is for.
+        log_is_empty: Whether the sender's log holds no entries.
+    """
+
+    sender: str
+    recipient: str
+    log_is_empty: bool
+
+
+@dataclass(frozen=True)
+class TermMessage:
+    """A message of the library, and the term in which its sender sent it."""
+
+    term: int
+    message: Message
+
+
+def encode_hello(hello: Hello, key: bytes) -> bytes:
+    """Return the frame of a hello."""
+    fields = {"from": hello.sender, "to": hello.recipient, "empty": hello.log_is_empty}
+    return codec.encode(fields, key, MAGIC)
+
+
+def decode_hello(fields: dict[str, Any]) -> Hello:
+    """Return the hello in a frame's map.
 
     Raises:
         DatagramError: It is not well-formed.
     """
-    codec.require_fields(hello, _HELLO_FIELDS)
+    codec.require_fields(fields, _HELLO_FIELDS)
+    return Hello(fields["from"], fields["to"], fields["empty"])
+
+
+def encode_message(message: TermMessage, key: bytes) -> bytes:
+    """Return the frame of a message."""
+    return codec.encode({"term": message.term, "message": message.message}, key, MAGIC)
 
 
-def check_body(body: Message) -> Message:
-    """Return the message in a body that is well-formed, in the shape that the library takes.
+def decode_message(fields: dict[str, Any]) -> TermMessage:
+    """Return the message in a frame's map, in the shape that the library takes.
 
     Raises:
         DatagramError: It is not well-formed, or holds a command that could call something.
     """
-    codec.require_fields(body, _BODY_FIELDS)
-    return check_message(body["message"])
+    codec.require_fields(fields, _BODY_FIELDS)
+    return TermMessage(fields["term"], check_message(fields["message"]))
 
 
 def check_message(message: Message) -> Message:
--- a/pinspread/leases/raft_transport.py
+++ b/pinspread/leases/raft_transport.py
@@ -22,18 +22,17 @@
 from pinspread.core.log import log
 from pinspread.leases import raft_messages
 from pinspread.leases.learner import LearnerStatus
-from pinspread.leases.raft_messages import MAX_FRAME_BYTES, Message
-from pinspread.membership import codec
+from pinspread.leases.raft_messages import MAGIC, MAX_FRAME_BYTES, Hello, Message, TermMessage
 from pinspread.membership.codec import DatagramError
 from pinspread.membership.framing import FrameStream
 
-MAGIC = b"PSQ"
 _CONNECT_TIMEOUT_S = 1.0
 _RECONNECT_DELAY_S = (0.1, 0.3)  # between connections to one voter, drawn at random
 _HELLO_TIMEOUT_S = 2.0
 _MAX_BACKLOG_BYTES = 1 << 22  # that wait for one stream before it is ended
 _MAX_INCOMING = 64  # streams
 _MAX_ERROR_CHARS = 200  # in the log
+_MAX_ID_CHARS = 64  # of an id that was received, in the log
 
 _STREAM_ERRORS = (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
@@ -153,8 +152,7 @@
         # A voter must not send what it could not write to its log.
         if self._node.write_failed or (self._learner.is_learner and message["type"] == "request_vote"):
             return False
-        body = {"term": self._node.term, "message": message}
-        outgoing.put(codec.encode(body, self._key, MAGIC))
+        outgoing.put(raft_messages.encode_message(TermMessage(self._node.term, message), self._key))
         self.sent_counts["entries" if message.get("entries") else message["type"]] += 1
         return True
 
@@ -174,8 +172,8 @@
         with anyio.fail_after(_CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(host, port, local_host=self._local_host)
         async with stream:
-            hello = {"from": self._id, "to": voter, "empty": self._node.log_is_empty}
-            await stream.send(codec.encode(hello, self._key, MAGIC))
+            hello = Hello(self._id, voter, self._node.log_is_empty)
+            await stream.send(raft_messages.encode_hello(hello, self._key))
             outgoing.connected = True
             if not self._learner.is_learner:
                 self._onNodeConnected(Node(voter))
@@ -206,13 +204,13 @@
         if self._incoming_count > _MAX_INCOMING:
             raise DatagramError("too many streams")
         with anyio.fail_after(_HELLO_TIMEOUT_S):
-            hello = await frames.receive()
-        raft_messages.check_hello(hello)
-        voter: str = hello["from"]
-        if voter not in self._others or hello["to"] != self._id:
-            raise DatagramError(f"{voter[:64]!r} to {hello['to'][:64]!r} is no stream of voters")
-        self._learner.note_hello(voter, hello["empty"])
-        return voter
+            hello = raft_messages.decode_hello(await frames.receive())
+        sender, recipient = hello.sender, hello.recipient
+        if sender not in self._others or recipient != self._id:
+            shown = f"{sender[:_MAX_ID_CHARS]!r} to {recipient[:_MAX_ID_CHARS]!r}"
+            raise DatagramError(f"{shown} is no stream of voters")
+        self._learner.note_hello(sender, hello.log_is_empty)
+        return sender
 
     async def _receive_messages(self, voter: str, frames: FrameStream) -> None:
         """Handle what a voter sends until the stream ends or the voter opens another."""
@@ -221,19 +219,19 @@
         with anyio.CancelScope() as scope:
             self._incoming[voter] = scope
             while True:
-                self._handle(Node(voter), await frames.receive())
+                received = raft_messages.decode_message(await frames.receive())
+                self._handle(Node(voter), received)
 
-    def _handle(self, sender: Node, body: Message) -> None:
+    def _handle(self, sender: Node, received: TermMessage) -> None:
         """Hand a message to the library, unless it is out of date."""
-        checked = raft_messages.check_body(body)
-        message = raft_messages.skip_applied_entries(checked, self._node.last_applied)
+        message = raft_messages.skip_applied_entries(received.message, self._node.last_applied)
         if message is None:
             return
         kind = message["type"]
         self._learner.note_message(message)
         if self._learner.forbids(message):
             return
-        if kind == "next_node_idx" and body["term"] != self._node.term:
+        if kind == "next_node_idx" and received.term != self._node.term:
             return  # it says what a log held in another term, which no longer counts
         try:
             self._onMessageReceived(sender, message)
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -14,7 +14,7 @@
 import msgpack
 
 from pinspread.leases import codec as lease_codec
-from pinspread.leases import learner, raft, raft_transport
+from pinspread.leases import learner, raft, raft_messages
 from pinspread.leases import raft_log as raftlog
 from pinspread.leases import service as leases
 from pinspread.leases import state_machine as lease
@@ -39,7 +39,7 @@
     wire.MAGIC,
     lease_codec.MAGIC,
     protocol.MAGIC,
-    raft_transport.MAGIC,
+    raft_messages.MAGIC,
 )
 pack, unpack, DatagramError = wire.encode, wire.decode, wire.DatagramError
 
