--- a/pinspread/leases/raft_messages.py
+++ b/pinspread/leases/raft_messages.py
@@ -124,7 +124,7 @@
 
 def _check_position(message: Message) -> None:
     """Check what `append_entries` says of the log before its entries."""
-    if "prevLogIdx" in message:
+    if "prevLogIdx" in message or "prevLogTerm" in message:
         if not all(is_of_type(message.get(name), int) for name in ("prevLogIdx", "prevLogTerm")):
             raise DatagramError("append_entries: what goes before")
     elif not _is_serialized_part(message.get("serialized")):
--- a/tests/test_raft_voters.py
+++ b/tests/test_raft_voters.py
@@ -102,3 +102,17 @@
         await until(lambda: "nightly" in voters["a"].records)
     refused = [line for line in capfd.readouterr().out.splitlines() if "quorum_refused" in line]
     assert any(why in line for line in refused), refused
+
+
+@pytest.mark.parametrize(
+    "half", [{"prevLogTerm": 1}, {"prevLogIdx": 1}, {"prevLogIdx": 1, "prevLogTerm": "1"}]
+)
+async def test_half_of_what_goes_before_entries_is_refused_by_a_learner(tmp_path, port, capfd, half):
+    async with running(port, tmp_path, "a") as voters:
+        async with await connect(port) as stream:
+            await stream.send(HELLO + frame(APPEND | half))
+            with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
+                await stream.receive()
+        assert voters["a"].learner.is_learner
+    refused = [line for line in capfd.readouterr().out.splitlines() if "quorum_refused" in line]
+    assert len(refused) == 1 and "what goes before" in refused[0]
