--- a/pinspread/leases/raft.py
+++ b/pinspread/leases/raft.py
@@ -1,7 +1,7 @@
 """The voters' agreement on lease records: Raft by the library pysyncobj, over streams of our own.
 
 `RaftNode` runs the library on this event loop, with its log in `raft_log` and its messages in
-`raft_transport`. The replicated state is `LeaseTable`.
+`raft_transport`. The replicated state is `lease_table.LeaseTable`.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -18,12 +18,13 @@
 from pysyncobj.node import Node
 
 from pinspread.core.log import log
+from pinspread.leases import lease_table
 from pinspread.leases.learner import LearnerStatus
+from pinspread.leases.lease_table import LeaseDump, LeaseTable, OnRecord
 from pinspread.leases.raft_log import RaftLog, RaftLogFormatError
-from pinspread.leases.raft_messages import MAGIC
 from pinspread.leases.raft_transport import TransportConfig, VoterTransport
-from pinspread.leases.state_machine import Command, CommandKind, LeaseRecord, apply_command
-from pinspread.membership import codec
+from pinspread.leases.state_machine import Command, LeaseRecord
+from pinspread.membership.codec import DatagramError
 from pinspread.sockets import split_address
 
 _TICK_S = 0.02  # the library runs at least this often
@@ -37,8 +38,8 @@
 _VOTED_FILE = "votes"
 _DAMAGED_PREFIX = "damaged-"
 
-OnRecord = Callable[[str, LeaseRecord], None]
-Dump = tuple[tuple[Any, ...], tuple[Any, ...], list[Any]]  # the library's last two entries, and its members
+# What the library has dumped with the records: its last two entries, the newer first, and its members.
+LibraryDump = tuple[tuple[Any, ...], tuple[Any, ...], list[Any]]
 
 
 @dataclass(frozen=True)
@@ -64,43 +65,6 @@
     sync: bool = False
 
 
-class LeaseTable(pysyncobj.SyncObjConsumer):  # type: ignore[misc]  # the library comes without types
-    """The replicated state: the lease record of each task.
-
-    The library numbers the replicated methods by the order of their names, and the log holds these numbers:
-    there is to be only one.
-    """
-
-    def __init__(self, on_change: OnRecord):
-        super().__init__()
-        self.records: dict[str, LeaseRecord] = {}
-        self._on_change = on_change
-
-    @pysyncobj.replicated  # type: ignore[untyped-decorator]
-    def change(
-        self, task: str, kind: str, holder: str, expected: int, request_id: int
-    ) -> tuple[LeaseRecord, str]:
-        """Apply a command; return the record and `OK` or why it was refused, the same on every voter."""
-        command = Command(_command_kind(kind), holder, expected, request_id)
-        record, outcome = apply_command(self.records.get(task, LeaseRecord()), command)
-        if self.records.get(task) != record:
-            self.records[task] = record
-            self._on_change(task, record)
-        return record, outcome
-
-    def restore(self, records: Mapping[str, LeaseRecord]) -> None:
-        """Put these records in the place of all that there are."""
-        self.records.clear()
-        for task, record in records.items():
-            self.records[task] = record
-            self._on_change(task, record)
-
-
-def _command_kind(kind: str) -> CommandKind:
-    """Return the kind of a command in the log; whatever is neither a grant nor a renewal is a release."""
-    return next((known for known in CommandKind if known == kind), CommandKind.RELEASE)
-
-
 class RaftNode:
     """This voter's part of the agreement.
 
@@ -225,27 +189,26 @@
 
     # --- storage --------------------------------------------------------------------------------------
 
-    def _write_dump(self, path: str, data: Dump) -> None:
-        """Write the records and the library's last two entries, as the library asks."""
-        after, before, _ = data
-        rows = {task: list(record) for task, record in self.records.items()}
-        message = {"rows": rows, "after": list(after), "before": list(before)}
-        Path(path).write_bytes(codec.encode(message, b"", MAGIC))
+    def _write_dump(self, path: str, data: LibraryDump) -> None:
+        """Write a dump, as the library asks."""
+        last_entry, entry_before, _ = data
+        dump = LeaseDump(self.records, last_entry, entry_before)
+        Path(path).write_bytes(lease_table.encode_dump(dump))
 
-    def _read_dump(self, path: str) -> Dump:
+    def _read_dump(self, path: str) -> LibraryDump:
         """Read what `_write_dump` wrote, as the library asks."""
-        message = codec.decode(Path(path).read_bytes(), b"", MAGIC)
-        self.table.restore({task: LeaseRecord(*row) for task, row in message["rows"].items()})
-        return tuple(message["after"]), tuple(message["before"]), []
+        dump = lease_table.decode_dump(Path(path).read_bytes())
+        self.table.restore(dump.records)
+        return dump.last_entry, dump.entry_before, []
 
     def _open_log(self, sync: bool) -> RaftLog:
         """Open the log; if it or the dump is damaged, all files are set aside and this voter is a learner."""
         dump = self.folder / _DUMP_FILE
         try:
             if dump.exists():
-                codec.decode(dump.read_bytes(), b"", MAGIC)
+                lease_table.decode_dump(dump.read_bytes())
             return RaftLog(self.folder / _LOG_FILE, sync)
-        except (codec.DatagramError, RaftLogFormatError) as error:
+        except (DatagramError, RaftLogFormatError) as error:
             # Without this, entries behind a lost dump would be applied to other records than theirs; and a
             # log with a flipped bit may hold a vote that was never given, or lack one that was.
             log("quorum_damaged", id=self.id, why=str(error))
