--- a/pinspread/replication/protocol.py
+++ b/pinspread/replication/protocol.py
@@ -200,7 +200,7 @@
         DatagramError: The kind is unknown, or a field is missing or of another type.
     """
     kind = message.get("t")
-    if kind not in _LAYOUTS:
+    if not isinstance(kind, str) or kind not in _LAYOUTS:
         raise DatagramError(f"kind {str(kind)[:MAX_SHOWN_KIND]!r}")
     layout = _LAYOUTS[kind]
     require_fields(message, _ADDRESS_TYPES | {key: type_ for key, (_, type_) in layout.fields.items()})
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -314,7 +314,17 @@
     )
 
 
-@pytest.mark.parametrize("message", [{}, {"t": "steal"}, SEND | {"token": "5"}, DATA | {"bytes": "text"}])
+@pytest.mark.parametrize(
+    "message",
+    [
+        {},
+        {"t": "steal"},
+        {"t": []},
+        SEND | {"t": {"send": 1}},
+        SEND | {"token": "5"},
+        DATA | {"bytes": "text"},
+    ],
+)
 def test_a_message_that_is_not_well_formed_ends_its_stream(service, message):
     with pytest.raises(wire.DatagramError):
         answer(service, message)
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -15,6 +15,7 @@
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
 from pinspread.replication.config import ReplicationConfig
+from pinspread.replication.peers import open_frames
 from pinspread.replication.service import ReplicationService
 
 pytestmark = pytest.mark.anyio
@@ -114,3 +115,21 @@
                 assert await a.wait_replicated()
                 assert b.stores["a"].data() == a.journal.path.read_bytes()
                 assert a.primary.sent_bytes - before == lacking > 0
+
+
+def refusals(capfd):
+    return [line for line in capfd.readouterr().out.splitlines() if '"copies_refused"' in line]
+
+
+async def test_a_frame_whose_kind_is_a_list_ends_its_stream_alone(tmp_path, port, capfd):
+    with anyio.fail_after(10):
+        async with running(node("b", port, tmp_path)) as b, running(node("a", port, tmp_path)) as a:
+            async with await anyio.connect_tcp(HOSTS["b"], port, local_host=HOSTS["a"]) as stream:
+                await open_frames(stream, b.node.fleet.key).send({"t": [], "from": "a", "to": "b"})
+                with pytest.raises(anyio.EndOfStream):
+                    await stream.receive()
+            a.journal.message_accepted(message(1))
+            assert await a.wait_replicated()
+            assert b.stores["a"].data() == a.journal.path.read_bytes()
+    (line,) = refusals(capfd)
+    assert "kind" in line
