--- a/pinspread/replication/protocol.py
+++ b/pinspread/replication/protocol.py
@@ -249,16 +249,22 @@
 
 
 def _decode_content(message: WireMessage) -> ReplicaContent:
-    require_fields(message, {"generation": int, "size": int, "sums": list})
+    _require_answer(message, {"generation": int, "size": int, "sums": list})
+    _require_items(message, "sums", int)
     return ReplicaContent(message["generation"], message["size"], message["sums"])
 
 
 def _decode_acknowledgement(message: WireMessage) -> Acknowledgement:
-    require_fields(message, {"generation": int, "size": int})
+    _require_answer(message, {"generation": int, "size": int})
     return Acknowledgement(message["generation"], message["size"])
 
 
 def _decode_snapshot(message: WireMessage) -> ReplicaSnapshot:
+    _require_answer(
+        message, {"generation": int, "bytes": bytes, "keepers": list, "tried": list, "adopted": int}
+    )
+    _require_items(message, "keepers", str)
+    _require_items(message, "tried", str)
     return ReplicaSnapshot(
         message["generation"],
         message["bytes"],
@@ -268,6 +274,20 @@
     )
 
 
+def _require_answer(message: WireMessage, fields: Mapping[str, type]) -> None:
+    """Check that an answer has each field with a value of its type, and no number below 0."""
+    require_fields(message, fields)
+    for name, type_ in fields.items():
+        if type_ is int and message[name] < 0:
+            raise DatagramError(f"{message.get('t')}: field {name!r} is below 0")
+
+
+def _require_items(message: WireMessage, name: str, type_: type) -> None:
+    """Check that all items of a list are of a type."""
+    if not all(is_of_type(item, type_) for item in message[name]):
+        raise DatagramError(f"{message.get('t')}: an item of {name!r}")
+
+
 def _decode_consent(message: WireMessage) -> Consent | Refusal:
     return Consent() if message.get("t") == "ack" else Refusal(f"answered {message.get('t')}")
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -18,7 +18,7 @@
 from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
-from pinspread.replication import fleet, placement
+from pinspread.replication import fleet, placement, protocol
 from pinspread.replication.config import ReplicationConfig
 from pinspread.replication.journal_bytes import replay
 from pinspread.replication.log import (
@@ -330,6 +330,34 @@
         answer(service, message)
 
 
+HAVE = {"t": "have", "generation": 7, "size": 4, "sums": [1]}
+COPY = {"t": "copy", "generation": 7, "bytes": b"x", "keepers": ["k"], "tried": [], "adopted": 0}
+
+
+@pytest.mark.parametrize(
+    ("request_", "message"),
+    [
+        *(
+            (protocol.FetchSnapshot("a", 5), {k: v for k, v in COPY.items() if k != key})
+            for key in COPY
+            if key != "t"
+        ),
+        (protocol.FetchSnapshot("a", 5), COPY | {"bytes": "text"}),
+        (protocol.FetchSnapshot("a", 5), COPY | {"keepers": [["k"]]}),
+        (protocol.ReadSnapshot("a"), COPY | {"tried": [1]}),
+        (protocol.ReadSnapshot("a"), COPY | {"generation": -1}),
+        (protocol.ReadSnapshot("a"), COPY | {"adopted": True}),
+        (protocol.AnnounceReplicas("a", 5, ["k"]), HAVE | {"sums": ["1"]}),
+        (protocol.AnnounceReplicas("a", 5, ["k"]), HAVE | {"size": -1}),
+        (protocol.AppendData("a", 5, 7, 4, 0, b"x"), {"t": "ack", "generation": 7, "size": -1}),
+        (protocol.AppendData("a", 5, 7, 4, 0, b"x"), {"t": "ack", "generation": 7}),
+    ],
+)
+def test_an_answer_that_is_not_well_formed_is_refused(request_, message):
+    with pytest.raises(wire.DatagramError):
+        protocol.decode_answer(request_, message)
+
+
 def test_waiting_for_replicas_is_bounded_and_promises_on_one_disk_only_where_allowed(service, monkeypatch):
     service.primary.replicas = ["a", "b"]
     service.primary.announced = {"a": ["a", "b"], "b": ["a", "c"]}
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -10,12 +10,14 @@
 from test_replication import message
 
 from pinspread.core.journal import Journal
+from pinspread.membership.framing import ConnectionClosedError
 from pinspread.membership.members import MemberState
 from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
 from pinspread.replication.config import ReplicationConfig
 from pinspread.replication.peers import open_frames
+from pinspread.replication.protocol import FetchSnapshot
 from pinspread.replication.service import ReplicationService
 
 pytestmark = pytest.mark.anyio
@@ -133,3 +135,29 @@
             assert b.stores["a"].data() == a.journal.path.read_bytes()
     (line,) = refusals(capfd)
     assert "kind" in line
+
+
+async def test_an_answer_without_its_keys_counts_as_none_and_ends_its_stream_alone(tmp_path, port, capfd):
+    streams = []
+
+    async def answer_with_no_keys(stream):
+        async with stream:
+            streams.append(stream)
+            frames = open_frames(stream, b"fleet")
+            await frames.receive()
+            await frames.send({"t": "copy"})
+            with pytest.raises(ConnectionClosedError):
+                await frames.receive()
+            streams.remove(stream)
+
+    with anyio.fail_after(10):
+        listener = await anyio.create_tcp_listener(local_host=HOSTS["b"], local_port=port)
+        async with listener, anyio.create_task_group() as tasks:
+            tasks.start_soon(listener.serve, answer_with_no_keys)
+            a = node("a", port, tmp_path)
+            answers = await a.peers.call_all(FetchSnapshot("a", TOKEN))
+            assert list(answers) == ["a"]  # its own replica
+            await until(lambda: not streams)
+            tasks.cancel_scope.cancel()
+    (line,) = refusals(capfd)
+    assert "generation" in line and '"by":"b"' in line
