--- a/pinspread/policy/actions.py
+++ b/pinspread/policy/actions.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: handing the message in again is harmless, after `retry_after_ns`."""
+    """Final result: not delivered; submitting it again is harmless, after `retry_after_ns`."""
 
     request: int
     retry_after_ns: int = 0
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; nothing is said about its effect."""
+    """Final result: failed; it may or may not have taken effect."""
 
     request: int
 
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Send a check to an endpoint."""
+    """Send a health check to an endpoint."""
 
     endpoint: EndpointId
 
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired after a while."""
+    """Ask for a TimerFired in `delay_ns`."""
 
     tag: int
     delay_ns: int
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask for the changes of the list, missed ones first; one EndpointsChanged answers."""
+    """Poll for changes of the list, from the last known one on; one EndpointsChanged answers."""
 
 
 Action = Send | Reject | Fail | CheckHealth | Disconnect | SetTimer | Subscribe
--- a/pinspread/policy/delivery_policy.py
+++ b/pinspread/policy/delivery_policy.py
@@ -1,4 +1,4 @@
-"""The decisions of a sender, put together of parts; pinspread/policy/settings.py has the settings."""
+"""The delivery policy, composed of its parts; pinspread/policy/settings.py has its settings."""
 
 from random import Random
 
@@ -14,7 +14,7 @@
 
 
 class DeliveryPolicy:
-    """One sender: `handle` takes what happened and gives what to do. No I/O, no clock, no shared state."""
+    """One sender: `handle` maps events to actions. No I/O, no clock, no state shared with other senders."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.context = PolicyContext(settings, Random(seed))
--- a/pinspread/policy/discovery.py
+++ b/pinspread/policy/discovery.py
@@ -1,13 +1,13 @@
-"""Discovery: the endpoints as the list has them, what new ones start with, and when to poll for changes."""
+"""Discovery: the endpoints as the list has them, what new ones inherit, and when to poll for changes."""
 
-from pinspread.policy.events import EndpointId, EndpointsChanged, EndpointState, UpdateScope
+from pinspread.policy.events import EndpointEntry, EndpointId, EndpointsChanged, EndpointState, UpdateScope
 from pinspread.policy.rate_limit import RateLimitPolicy
 from pinspread.policy.retry_budget import JITTER, RetryBudget
 from pinspread.policy.state import NEVER, SECOND, Destination, RateLimiter, TrackedEndpoint
 
-FIRST_POLL_SPREAD = 0.3  # share of the longest poll interval over which first polls spread
-POLL_BACKOFF = 0.05  # share that is the first backoff after a failed poll; it doubles up to the above
-REMOVED_KEPT_NS = 10 * SECOND  # least time that a removed endpoint's record is kept, for its successor
+FIRST_POLL_SPREAD = 0.3  # fraction of the longest poll interval over which first polls spread
+POLL_BACKOFF = 0.05  # fraction of it that is the first backoff after a failed poll; doubles up to the above
+REMOVED_KEPT_NS = 10 * SECOND  # minimum time that a removed endpoint's record stays, for its successor
 
 
 class Discovery:
@@ -26,42 +26,42 @@
         return self.destinations[number]
 
     def update(self, event: EndpointsChanged) -> None:
-        """Take over an update; what drains or is removed gets nothing more from this turn on."""
+        """Apply an update; what drains or is removed gets nothing more from this turn on (rule 3)."""
         now_ns = self.context.now_ns
         if self.context.settings.polled_discovery:
             self._plan_poll(event.scope)
         if event.scope in (UpdateScope.FULL, UpdateScope.CACHED):
             for endpoint in self.endpoints.values():
-                endpoint.usable = False
-                endpoint.removed_since_ns = endpoint.removed_since_ns or now_ns
+                endpoint.mark_removed(now_ns)
         for entry in event.entries:
-            known, removed = self.endpoints.get(entry.endpoint), entry.state is EndpointState.REMOVED
-            if known:
-                known.update(entry)
-                known.removed_since_ns = (known.removed_since_ns or now_ns) if removed else 0
+            if known := self.endpoints.get(entry.endpoint):
+                known.update(entry, now_ns)
                 if entry.cold:
                     self.limits.start_ramp(known, now_ns)
-            elif not removed:
-                destination, rank = self.destination(entry.destination), self.context.random.random()
-                apart = self.context.settings.kind(entry.kind).limits_per_endpoint
-                limiter = RateLimiter() if apart else destination.limiter
-                endpoint = TrackedEndpoint(entry, destination, limiter, now_ns, rank)
-                self._seed_from_siblings(endpoint)
-                limiter.rate = limiter.rate or self.limits.max_rate(endpoint) % NEVER
-                self.endpoints[entry.endpoint] = destination.endpoints[entry.endpoint] = endpoint
+            elif entry.state is not EndpointState.REMOVED:
+                self._add(entry)
         self._forget_removed()
 
+    def _add(self, entry: EndpointEntry) -> None:
+        destination, rank = self.destination(entry.destination), self.context.random.random()
+        has_own_limiter = self.context.settings.kind(entry.kind).limits_per_endpoint
+        limiter = RateLimiter() if has_own_limiter else destination.limiter
+        endpoint = TrackedEndpoint(entry, destination, limiter, self.context.now_ns, rank)
+        self._seed_from_siblings(endpoint)
+        limiter.rate = limiter.rate or self.limits.max_rate(endpoint) % NEVER  # no bound: no rate
+        self.endpoints[entry.endpoint] = destination.endpoints[entry.endpoint] = endpoint
+
     def _forget_removed(self) -> None:  # else each event would pass over all endpoints there ever were
-        now_ns, kept_ns = self.context.now_ns, max(self.context.settings.slow_start_ns, REMOVED_KEPT_NS)
-        removed = [e for e in self.endpoints.values() if 0 < e.removed_since_ns < now_ns - kept_ns]
-        for endpoint in removed:
-            listed, limiter = endpoint.destination.endpoints, endpoint.limiter
-            busy = endpoint.calls or endpoint.health_check_out or limiter.retry_after_until_ns > now_ns
-            if not busy and any(e.usable for e in listed.values()):
-                del self.endpoints[endpoint.id], listed[endpoint.id]
+        now_ns = self.context.now_ns
+        expired_ns = now_ns - max(self.context.settings.slow_start_ns, REMOVED_KEPT_NS)
+        for endpoint in [e for e in self.endpoints.values() if 0 < e.removed_since_ns < expired_ns]:
+            siblings, limiter = endpoint.destination.endpoints, endpoint.limiter
+            needed = endpoint.calls or endpoint.health_check_out or limiter.retry_after_until_ns > now_ns
+            if not needed and any(e.usable for e in siblings.values()):
+                del self.endpoints[endpoint.id], siblings[endpoint.id]
 
     def _seed_from_siblings(self, endpoint: TrackedEndpoint) -> None:
-        for other in endpoint.destination.endpoints.values():  # else each sender sends all it held (rule 4)
+        for other in endpoint.destination.endpoints.values():  # else each sender sends all at once (rule 4)
             endpoint.latency_mean_ns = max(endpoint.latency_mean_ns, other.latency_mean_ns)
             endpoint.latency_deviation_ns = max(endpoint.latency_deviation_ns, other.latency_deviation_ns)
             endpoint.limiter.limit = endpoint.limiter.limit or other.limiter.limit
@@ -74,13 +74,12 @@
                 if other.ejected and (other.usable or recent):
                     endpoint.ejected, endpoint.failure_rate = True, other.failure_rate
                     endpoint.health_checks = max(endpoint.health_checks, other.health_checks)
-                    next_ns = other.next_health_check_ns
-                    endpoint.next_health_check_ns = max(endpoint.next_health_check_ns, next_ns)
+                    endpoint.delay_health_check(other.next_health_check_ns)
         if warming_since_ns := max((e.warming_since_ns for e in siblings), default=0):
             self.limits.start_ramp(endpoint, warming_since_ns)
 
     def _plan_poll(self, scope: UpdateScope) -> None:
-        random = self.context.random  # discovery takes few calls, so all senders must not poll at one instant
+        random = self.context.random  # discovery serves few calls: not all senders may poll at one instant
         interval = self.context.settings.max_poll_interval_ns or SECOND / POLL_BACKOFF
         if scope is UpdateScope.FAILED:
             wait = min(POLL_BACKOFF * 2**self.failed_polls, FIRST_POLL_SPREAD) * random.uniform(*JITTER)
--- a/pinspread/policy/dispatch.py
+++ b/pinspread/policy/dispatch.py
@@ -8,13 +8,13 @@
 from pinspread.policy.outlier_detection import NOT_SENT_STEP, SUSPECT_FROM, OutlierDetector
 from pinspread.policy.retry_budget import JITTER, backoff_ns
 from pinspread.policy.settings import DeduplicationScope, Idempotency
-from pinspread.policy.state import NEVER, Call, Destination, QueuedMessage, TrackedEndpoint
+from pinspread.policy.state import NEVER, Call, Destination, PendingAttempt, QueuedMessage, TrackedEndpoint
 
 MAY_HAVE_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR)
-PAUSES_KEPT = 256  # ordering pauses that are kept before those that are over are dropped
-RECOVERED_WAIT = 0.5  # share of its time left after which a recovered message waits for Retry-After only
-SPARE_PLACES = 0.05  # share of the places for queued messages that is kept free for what comes in
-LEAST_PRIORITY = 0.25  # share of its weight under which a refused message gives way to fresh ones
+PAUSES_KEPT = 256  # number of ordering pauses above which those that are over are dropped
+RECOVERED_WAIT = 0.5  # fraction of its time left after which a recovered message waits for Retry-After only
+SPARE_PLACES = 0.05  # fraction of the places for queued messages that is left free for new ones
+LEAST_PRIORITY = 0.25  # fraction of its priority weight under which a refused message gives way to new ones
 
 
 class Dispatcher:
@@ -27,16 +27,14 @@
         self.expiry: list[tuple[int, int]] = []  # heap of (when a message's time is over, its request)
         self.keys: dict[int, deque[QueuedMessage]] = {}  # by ordering key, in the order accepted
         self.ordering_pauses: dict[int, int] = {}  # by ordering key: until when it pauses
-        self.attempts: dict[tuple[int, int], tuple[QueuedMessage, Call, bool]] = {}  # bool: is a retry
-        self.calls_in_flight = self.turn = 0  # `turn` counts calls
-        self.wake_ns = NEVER
+        self.attempts: dict[tuple[int, int], PendingAttempt] = {}  # by request and attempt
+        self.calls_in_flight = self.turn = 0
+        self.wake_ns = NEVER  # when the next message or endpoint that waits may have its turn
 
     def accept(self, event: MessageAccepted, destination: Destination) -> None:
         """Queue a message for its destination, behind its key's earlier ones."""
-        now_ns, settings = self.context.now_ns, self.context.settings
-        rules = event.traffic_class or settings.classes[event.class_index]
-        max_attempts = event.max_attempts or settings.max_attempts
-        message = QueuedMessage(event, rules, destination, now_ns, max_attempts)
+        now_ns = self.context.now_ns
+        message = QueuedMessage(event, self.context.settings, destination, now_ns)
         if event.recovered:
             message.overdue_from_ns = now_ns + int(RECOVERED_WAIT * (message.deadline_ns - now_ns))
         self.messages[message.request] = message
@@ -44,7 +42,7 @@
         self._enqueue(message)
         if message.key:
             self.keys.setdefault(message.key, deque()).append(message)
-        if event.may_have_run_ns:  # before a restart (rule 2)
+        if event.may_have_run_ns:  # before a restart: a repeat might run twice (rule 2)
             self._mark_may_have_run(message, event.may_have_run_ns, event.may_have_run_zone)
         if event.attempts and not self.may_repeat(message, now_ns):
             self.reject_or_fail(message)
@@ -65,7 +63,8 @@
 
     def complete(self, event: AttemptCompleted) -> None:
         """Account for an attempt's outcome; then retry, give up, or be done."""
-        message, call, retry = self.attempts.pop((event.request, event.attempt))
+        attempt = self.attempts.pop((event.request, event.attempt))
+        message, call = attempt.message, attempt.call
         message.in_flight = False
         call.remaining -= 1
         if call.remaining == 0:
@@ -74,7 +73,7 @@
             del call.endpoint.calls[call]
             if not call.endpoint.calls:
                 self.outliers.balancer.unused[call.endpoint] = True
-        message.destination.retry_budget.record(event.outcome, retry)
+        message.destination.retry_budget.record(event.outcome, attempt.is_retry)
         self.outliers.record_attempt(call, event)
         if event.outcome in MAY_HAVE_RUN:
             self._record_unknown(message, call, event.outcome)
@@ -99,21 +98,20 @@
             heappush(self.expiry, (message.may_repeat_until_ns(), message.request))
 
     def _retry_or_give_up(self, message: QueuedMessage, call: Call, event: AttemptCompleted) -> None:
-        sent, limiter = event.outcome is not Outcome.NOT_SENT, call.endpoint.limiter
-        message.max_attempts += event.unsent  # barred ones would use up all attempts within milliseconds
+        sent = event.outcome is not Outcome.NOT_SENT
+        message.max_attempts += event.unsent  # blocked ones would use up all attempts within milliseconds
         if event.unsent or sent:
             step = NOT_SENT_STEP if event.unsent else message.failures
             message.ready_ns = self.context.now_ns + backoff_ns(self.context.random, step)
         message.failures += sent
-        at_ns = max(self.context.now_ns, message.ready_ns, limiter.retry_after_until_ns)
-        at_ns = max(at_ns, limiter.backoff_until_ns, limiter.next_call_ns)
-        least = LEAST_PRIORITY * message.traffic_class.priority_weight  # at a limit, fresh ones go first
+        at_ns = max(self.context.now_ns, message.ready_ns, call.endpoint.limiter.opens_ns())
+        least = LEAST_PRIORITY * message.traffic_class.priority_weight  # at a limit, new ones go first
         stale = event.outcome is Outcome.OVERLOADED and self._priority(message, at_ns) < least
         if stale or not self.may_repeat(message, at_ns):
             self.reject_or_fail(message)
 
     def may_repeat(self, message: QueuedMessage, at_ns: int) -> bool:
-        """Whether another attempt at that time is in time, not one too many and harmless (rule 2)."""
+        """Whether another attempt at that time is in time, among those allowed, and harmless (rule 2)."""
         if at_ns >= message.deadline_ns or message.attempts >= message.max_attempts:
             return False
         effect = message.traffic_class.effect
@@ -122,7 +120,7 @@
         return effect is Idempotency.WITH_KEY and at_ns < message.may_repeat_until_ns()
 
     def reject_or_fail(self, message: QueuedMessage) -> None:
-        """Answer at once: rejected where handing it in again is harmless, else failed (rules 1 and 2)."""
+        """End it at once: rejected where submitting it again is harmless, else failed (rules 1 and 2)."""
         settings, rules, now_ns = self.context.settings, message.traffic_class, self.context.now_ns
         harmless = not message.may_have_run_ns or rules.effect is Idempotency.IDEMPOTENT
         if not harmless and rules.effect is Idempotency.WITH_KEY and rules.group is DeduplicationScope.ALL:
@@ -136,7 +134,7 @@
         self.end(message)
 
     def dispatch(self) -> int:
-        """Use the free slots, passing over destinations with a queue only; give the time to look again."""
+        """Give up what is over, fill the free slots; returns when to dispatch again at the latest."""
         while self.expiry and self.expiry[0][0] <= self.context.now_ns:
             message = self.messages.get(heappop(self.expiry)[1])
             if message and not message.in_flight and not self.may_repeat(message, self.context.now_ns):
@@ -166,7 +164,7 @@
         waiting = self.waiting.values() if self.calls_in_flight < slots else ()
         ready = [d for d in waiting if opens_ns(d, any(map(overdue, d.queue.values()))) <= now_ns]
         best = {d.number: min(map(self._urgency, d.queue.values()))[0] for d in ready}
-        while ready and self.calls_in_flight < slots:  # by turns, and by priority where slots are scarce
+        while ready and self.calls_in_flight < slots:  # by turns, and by priority where many wait
             destination = min(ready, key=lambda d: (d.calls_in_flight, best[d.number], d.last_turn))
             if destination.calls_in_flight >= max(1, slots - self.calls_in_flight):
                 break  # a hung destination or a burst may hold as many slots as it leaves free
@@ -212,12 +210,11 @@
         ready.sort(key=self._urgency)
         if ready and endpoint.failure_rate > SUSPECT_FROM:
             ready = self._for_suspect(endpoint, ready)
-        if endpoint.ejected or endpoint.warming_since_ns:
-            return ready[:1]
-        return ready[: self.context.settings.kind(endpoint.kind).max_bundle_size]
+        single = endpoint.ejected or endpoint.warming_since_ns
+        return ready[: 1 if single else self.context.settings.kind(endpoint.kind).max_bundle_size]
 
     def _for_suspect(self, endpoint: TrackedEndpoint, ready: list[QueuedMessage]) -> list[QueuedMessage]:
-        # Each failure loses an unsafe message: others or health checks find out, or unsafe ones one by one.
+        # A failure loses what must not be repeated: others go first, or a health check, or one at a time.
         if safe := [m for m in ready if m.traffic_class.effect is not Idempotency.NOT_IDEMPOTENT]:
             return safe
         if endpoint.calls or endpoint.health_check_out or endpoint.next_health_check_ns > self.context.now_ns:
@@ -247,14 +244,14 @@
                 call.remaining -= 1
                 continue
             budget.retries_in_flight += retry
-            self.attempts[message.request, message.attempts] = (message, call, retry)
+            self.attempts[message.request, message.attempts] = PendingAttempt(message, call, retry)
             message.attempts, message.in_flight = message.attempts + 1, True
             del destination.queue[message.request]
             timeout_ns = self.outliers.timeout_ns(message, endpoint, self.calls_in_flight)
             self.context.actions.append(Send(message.request, endpoint.id, timeout_ns))
 
     def may_send(self, message: QueuedMessage, endpoint: TrackedEndpoint) -> bool:
-        """The one gate: whether all rules and waits let this message go to this endpoint now."""
+        """Whether all rules and waits let this message go to this endpoint now: the only gate."""
         now_ns, rules = self.context.now_ns, message.traffic_class
         zoned = rules.effect is Idempotency.WITH_KEY and rules.group is DeduplicationScope.ZONE
         if zoned and message.may_have_run_ns and endpoint.zone != message.may_have_run_zone:
--- a/pinspread/policy/events.py
+++ b/pinspread/policy/events.py
@@ -13,10 +13,10 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     OK = 0
-    NOT_SENT = 249  # not sent
+    NOT_SENT = 249
     CANCELLED = 250
     RESET = 251
     CONNECT_FAILED = 252
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class EndpointsChanged:
-    """News of the list of endpoints."""
+    """An update of the list of endpoints."""
 
     scope: UpdateScope
     entries: list[EndpointEntry]
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class MessageAccepted:
-    """A message was handed in; one final answer is owed."""
+    """A message was accepted; it is to get exactly one final result."""
 
     request: int
     class_index: int
@@ -74,11 +74,11 @@
     key: int = 0  # 0: none
     tenant: int = 0
     attempts: int = 0  # made before the sender was restarted
-    may_have_run_ns: int = 0  # when the first of them was sent that may have run; 0: none
+    may_have_run_ns: int = 0  # when the first of these that may have run was sent; 0: none
     may_have_run_zone: int = 0  # and to which zone
     traffic_class: TrafficClass | None = None  # accepted under this, where not `class_index` of the settings
     recovered: bool = False  # it was accepted before the sender was restarted
-    max_attempts: int = 0  # the same for its attempts; 0: as the settings say
+    max_attempts: int = 0  # attempts allowed when it was accepted; 0: as the settings say
 
 
 @dataclass(slots=True)
@@ -91,40 +91,40 @@
     outcome: Outcome
     elapsed_ns: int
     done: bool
-    retry_after_ns: int = 0  # with OVERLOADED: the told wait, 0 where none is told
-    limit_remaining: float = 0.0  # share of the limit that is left just now
+    retry_after_ns: int = 0  # with OVERLOADED: its Retry-After; 0: it has none
+    limit_remaining: float = 0.0  # fraction of the limit that is left just now
     limit_per_s: float = 0.0  # the limit in calls a second; 0: none is known
     opened: bool = False  # its connection was opened for it, as far as the caller knows
-    unsent: bool = False  # with NOT_SENT: no byte of it was written, as what barred it came behind the choice
+    unsent: bool = False  # with NOT_SENT: blocked between the decision and the write; no byte was written
 
 
 @dataclass(slots=True)
 class HealthCheckCompleted:
-    """A probe has its result."""
+    """A health check has its result."""
 
     endpoint: EndpointId
     outcome: Outcome
     elapsed_ns: int
-    retry_after_ns: int = 0  # with OVERLOADED: the told wait, 0 where none is told
+    retry_after_ns: int = 0  # with OVERLOADED: its Retry-After; 0: it has none
 
 
 @dataclass(slots=True)
 class ClientCancelled:
-    """The client withdrew the message, or its time is over: nothing is owed for it any more."""
+    """The client withdrew the message, or its deadline has passed: it gets no final result any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the sender had set has come due."""
+    """A timer that the sender set has expired."""
 
     tag: int
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings count from now on; what is held keeps the rules that it came under."""
+    """Other settings apply from now on; messages keep the rules that they were accepted under."""
 
     settings: Settings
 
--- a/pinspread/policy/load_balancing.py
+++ b/pinspread/policy/load_balancing.py
@@ -5,10 +5,10 @@
 from pinspread.policy.rate_limit import REFUSAL_GAIN, RateLimitPolicy
 from pinspread.policy.state import SECOND, TrackedEndpoint
 
-SATURATED_FROM = 0.1  # share of calls to a kind whose connection failed, from which tables are full
+SATURATED_FROM = 0.1  # fraction of a kind's calls whose connection failed, from which its tables are full
 SATURATED_TO = 0.015  # and under which they are no longer
-LET_GO = 0.1  # share of idle connections that very many senders close, to learn of full tables
-ROUTE_SPREAD = 0.3  # price by chance between endpoints with limits of their own, to spread senders
+LET_GO = 0.1  # fraction of idle connections that very many senders close, to learn of full tables
+ROUTE_SPREAD = 0.3  # random price of endpoints with limits of their own, so that senders spread over them
 
 
 class LoadBalancer:
@@ -16,7 +16,7 @@
 
     def __init__(self, limits: RateLimitPolicy, endpoints: dict[EndpointId, TrackedEndpoint]) -> None:
         self.context, self.limits, self.endpoints = limits.context, limits, endpoints
-        self.saturation: dict[int, float] = {}  # by kind: share of calls whose connection failed
+        self.saturation: dict[int, float] = {}  # by kind: fraction of calls whose connection failed
         self.saturated: set[int] = set()  # kinds whose connection tables seem full
         self.reports_opened = False  # whether the caller knows which connections were opened for a call
         self.unused: dict[TrackedEndpoint, bool] = {}  # whose last call in flight ended in this turn
@@ -33,7 +33,7 @@
         return calls, endpoint.last_outcome_ns if endpoint.ejected else 0, cost, endpoint.rank
 
     def record_connection(self, kind: int, turned_away: bool, weight: float) -> None:
-        """Account for whether a new connection was turned away."""
+        """Account for whether a new connection was refused."""
         share = self.saturation.get(kind, 0.0)
         share = self.saturation[kind] = share + REFUSAL_GAIN * weight * (turned_away - share)
         if share > SATURATED_FROM and kind not in self.saturated:
@@ -44,12 +44,12 @@
 
     def keeps_connections(self, endpoint: TrackedEndpoint) -> bool:
         """Whether idle connections may stay open; those of many senders fill small tables."""
-        few = self.context.small_fleet_share
+        few, keepalive_ns = self.context.small_fleet_share, self.context.settings.keepalive_ns
         if few == 1:
             return True
-        if endpoint.kind not in self.saturated:
-            return self.context.random.random() > LET_GO * (1 - few)  # without one it learns of full tables
-        return self.limits.delivered_rate(endpoint) * few**2 * self.context.settings.keepalive_ns >= SECOND
+        if endpoint.kind not in self.saturated:  # only who opens a new connection learns of full tables
+            return self.context.random.random() > LET_GO * (1 - few)
+        return self.limits.delivered_rate(endpoint) * few**2 * keepalive_ns >= SECOND
 
     def close_unused(self) -> None:
         """Close the connections that became idle in this turn, where they should not stay."""
--- a/pinspread/policy/outlier_detection.py
+++ b/pinspread/policy/outlier_detection.py
@@ -9,9 +9,9 @@
 EJECTED_FROM = 0.5  # failure rate above which an endpoint is ejected
 SUSPECT_FROM = 0.25  # failure rate above which no unsafe message goes while others can find out
 FAILURE_WEIGHT = 0.3  # weight of the newest outcome in the failure rate: two failures in a row eject
-RECENT_SUCCESS_NS = 2 * SECOND  # since which an endpoint with overdue calls may be checked again
+RECENT_SUCCESS_NS = 2 * SECOND  # success within which an endpoint with overdue calls may be tried again
 FEW_HARD_FAILURES = 3  # from which a short outage was one
-SHORT_OUTAGE = 0.33  # share of the slow start's time under which a silence was no outage
+SHORT_OUTAGE = 0.33  # fraction of the slow start's time under which a silence was no outage
 LATENCY_GAIN = 0.125  # weight of the newest latency in the mean and in the deviation
 TIMEOUT_DEVIATIONS = 4  # a time-out is twice (mean + this many deviations)
 LEAST_TIMEOUT_NS = SECOND  # a jam must not turn into lost calls
@@ -19,14 +19,14 @@
 MOST_TIMEOUT_FACTOR = 2.0  # growth of time-outs while they strike: hung calls must not hold the slots
 UNSAFE_FACTOR = 2.5  # for messages that are not idempotent, which a time-out loses
 UNSAFE_CROWDED_FACTOR = 1.5  # the same where half the slots are taken
-LOST_SHARE = 0.15  # slot time of lost calls, as a share of answers', that ends LEAST_TIMEOUT_NS
-LOST_GAIN = 0.05  # weight of the newest call in the share of lost calls
+LOST_SHARE = 0.15  # slot time of lost calls, as a fraction of answers', that ends LEAST_TIMEOUT_NS
+LOST_GAIN = 0.05  # weight of the newest call in the fraction of lost calls
 SILENCE_NS = 300 * MS  # least silence, with calls in flight, that makes an endpoint suspect
 NOT_SENT_STEP = 2  # backoff step after a health check or call that could not be sent: 160 ms median
 
 
 class OutlierDetector:
-    """Judges endpoints by their outcomes; owns the share of calls lost while later ones are answered."""
+    """Judges endpoints by their outcomes; owns the fraction of calls lost while later ones are answered."""
 
     def __init__(self, balancer: LoadBalancer) -> None:
         self.context, self.limits, self.balancer = balancer.context, balancer.limits, balancer
@@ -36,9 +36,7 @@
         """From when an endpoint may be called; `overdue` messages wait for no backoff or rate."""
         if not endpoint.usable:
             return NEVER  # rule 3
-        limiter, at_ns = endpoint.limiter, endpoint.limiter.retry_after_until_ns  # rule 5
-        if not overdue:
-            at_ns = max(at_ns, limiter.backoff_until_ns, limiter.next_call_ns)
+        at_ns = endpoint.limiter.retry_after_until_ns if overdue else endpoint.limiter.opens_ns()  # rule 5
         if endpoint.ejected:
             checked_ns = max((self._check_ends_ns(e) for e in endpoint.siblings() if e.ejected), default=0)
             return max(at_ns, endpoint.next_health_check_ns, checked_ns)
@@ -54,7 +52,7 @@
         """From when any endpoint of a destination may be called."""
         return min((self.opens_ns(e, overdue) for e in destination.endpoints.values()), default=NEVER)
 
-    def _check_ends_ns(self, endpoint: TrackedEndpoint) -> int:  # a lost check must not keep it shut
+    def _check_ends_ns(self, endpoint: TrackedEndpoint) -> int:  # a lost one must not close the endpoint
         if not (endpoint.calls or endpoint.health_check_out):
             return 0
         if endpoint.health_check_out or self.context.now_ns - endpoint.last_success_ns > RECENT_SUCCESS_NS:
@@ -65,7 +63,7 @@
         if sent_ns < endpoint.limiter.last_refusal_ns:
             return  # sent before the last refusal was known: the same one
         if endpoint.ejected:
-            self._eject(endpoint)
+            self._plan_health_check(endpoint)
         self.limits.record_refusal(endpoint, retry_after_ns)
 
     def record_attempt(self, call: Call, event: AttemptCompleted) -> None:
@@ -116,7 +114,8 @@
             if sibling is not endpoint and sibling.last_success_ns < sent_ns:
                 sibling.failure_rate += FAILURE_WEIGHT * (1 - sibling.failure_rate)
                 if sibling.failure_rate > EJECTED_FROM and not sibling.ejected:
-                    self._eject(sibling)
+                    sibling.ejected = True  # only spaced single calls from now on (rule 4)
+                    self._plan_health_check(sibling)
         if outcome is Outcome.TIMEOUT:
             endpoint.timeout_factor = min(endpoint.timeout_factor * 2, MOST_TIMEOUT_FACTOR)
         endpoint.ejected |= endpoint.failure_rate > EJECTED_FROM
@@ -135,8 +134,8 @@
             endpoint.latency_mean_ns += LATENCY_GAIN * error
             endpoint.latency_deviation_ns += LATENCY_GAIN * (abs(error) - endpoint.latency_deviation_ns)
         endpoint.timeout_factor = max(1.0, endpoint.timeout_factor / 2)
-        if endpoint.ejected or shut:  # judged at the second success, a long outage would look short
-            endpoint.warming_since_ns = endpoint.warming_since_ns if lossy else now_ns
+        if (endpoint.ejected or shut) and not lossy:  # judged now: at a second success it looks short
+            endpoint.warming_since_ns = now_ns
         if endpoint.failure_rate > EJECTED_FROM and (endpoint.ejected or shut):
             endpoint.next_health_check_ns = now_ns  # one success among failures: check at once
             self._share_ramp(endpoint)
@@ -151,12 +150,8 @@
         for sibling in endpoint.siblings() if many and endpoint.warming_since_ns else ():
             if sibling.ejected:
                 sibling.warming_since_ns = endpoint.warming_since_ns
-                next_ns = self.limits.ramp_next_ns(sibling, self.context.random.uniform(*JITTER))
-                sibling.next_health_check_ns = max(sibling.next_health_check_ns, next_ns)
-
-    def _eject(self, endpoint: TrackedEndpoint) -> None:  # only spaced single calls from now on (rule 4)
-        endpoint.ejected = True
-        self._plan_health_check(endpoint)
+                jitter = self.context.random.uniform(*JITTER)
+                sibling.delay_health_check(self.limits.ramp_next_ns(sibling, jitter))
 
     def _plan_health_check(self, endpoint: TrackedEndpoint) -> None:
         endpoint.health_check_passed = False
@@ -164,7 +159,7 @@
         endpoint.next_health_check_ns = self.context.now_ns + wait_ns
         endpoint.health_checks += 1
         for sibling in endpoint.siblings() if endpoint.ejected else ():
-            sibling.next_health_check_ns = max(sibling.next_health_check_ns, endpoint.next_health_check_ns)
+            sibling.delay_health_check(endpoint.next_health_check_ns)
 
     def on_health_check(self, endpoint: TrackedEndpoint, event: HealthCheckCompleted) -> None:
         """Account for a health check; a good one lets one message try."""
@@ -178,11 +173,11 @@
                 self.limits.apply_retry_after(endpoint, event.retry_after_ns)
             self._record_refusal(endpoint, event.retry_after_ns, now_ns)
         elif event.outcome is Outcome.NOT_SENT:  # asked for again at once, it would be barred at once
-            next_ns = now_ns + backoff_ns(self.context.random, NOT_SENT_STEP)
-            endpoint.next_health_check_ns = max(endpoint.next_health_check_ns, next_ns)
+            endpoint.delay_health_check(now_ns + backoff_ns(self.context.random, NOT_SENT_STEP))
         else:
             endpoint.failure_rate += FAILURE_WEIGHT * (1 - endpoint.failure_rate)
-            self._eject(endpoint)
+            endpoint.ejected = True
+            self._plan_health_check(endpoint)
 
     def _usual_answer_ns(self, endpoint: TrackedEndpoint) -> float:
         return max(SILENCE_NS, endpoint.latency_mean_ns + TIMEOUT_DEVIATIONS * endpoint.latency_deviation_ns)
--- a/pinspread/policy/rate_limit.py
+++ b/pinspread/policy/rate_limit.py
@@ -1,4 +1,4 @@
-"""Rates: fair shares, what refusals and successes make of them, waits between looks, and slow start."""
+"""Rate limits: fair shares, rates that refusals cut and successes raise, health check waits, slow start."""
 
 from math import exp, sqrt
 
@@ -15,13 +15,13 @@
 LEAST_RATE = 1.5  # calls a second that no rate falls below, so that recovery can be seen
 RATE_SPAN_S = 8.0  # span of the mean of delivered rates
 USUAL_RATE_SPAN_S = 60.0  # fading time of the usual rate: longer than outages and throttled times
-FEW = 4  # senders that need not mind their sum
-SHUT_AFTER = 4  # refusals in a row from which a destination may be shut
+FEW = 4  # up to so many senders behave as if each were alone
+SHUT_AFTER = 4  # refusals in a row from which a destination may be unavailable
 SHUT_SPAN_NS = SECOND  # and their least duration: a limit lets something through in that time
-LONG_RETRY_AFTER_NS = 2500 * MS  # longer ones are no rate limit: the destination is shut
+LONG_RETRY_AFTER_NS = 2500 * MS  # longer ones are no rate limit: the destination is unavailable
 WEIGHT_TRUST = 0.67  # share of what rough listed weights promise that is counted on
-EXHAUSTED = 0.6  # share of a kind's refusals with little left of the limit, from which they exhaust it
-REFUSAL_GAIN = 0.12  # weight of the newest refusal in that share, and of the newest connection in its own
+EXHAUSTED = 0.6  # fraction of a kind's refusals with little left of the limit, from which calls exhaust it
+REFUSAL_GAIN = 0.12  # weight of the newest refusal in that fraction, and of a connection in LoadBalancer's
 RAMP_SAFETY = 0.8  # share of the permitted overload that a slow start uses: arrivals vary by chance
 LEAST_RAMP_RATE = 1.0  # calls a second of all senders to a warming endpoint of which nothing is known
 
@@ -31,7 +31,7 @@
 
     def __init__(self, context: PolicyContext) -> None:
         self.context = context
-        self.exhausted: dict[int, float] = {}  # by kind: share of refusals with little left of the limit
+        self.exhausted: dict[int, float] = {}  # by kind: fraction of refusals with little left
 
     def record_call(self, limiter: RateLimiter) -> None:
         """Put the limiter's next call off by the rate that this sender may have there."""
@@ -55,13 +55,13 @@
 
     def delivered_rate(self, endpoint: TrackedEndpoint) -> float:
         """Calls a second delivered at an endpoint, up to its last success."""
-        age = exp((endpoint.first_seen_ns - endpoint.delivered_ns) / (RATE_SPAN_S * SECOND))
-        rate = endpoint.delivered / (RATE_SPAN_S * (1.02 - age))
+        unseen = exp((endpoint.first_seen_ns - endpoint.delivered_ns) / (RATE_SPAN_S * SECOND))
+        rate = endpoint.delivered / (RATE_SPAN_S * (1.02 - unseen))  # 1.02: no division by 0 at first
         endpoint.usual_rate = max(endpoint.usual_rate, rate)  # from a rate after refusals no ramp would end
         return rate
 
     def record_delivery(self, endpoint: TrackedEndpoint) -> None:
-        """Count a success in."""
+        """Count a delivery, with the older ones fading."""
         aged = (endpoint.delivered_ns - self.context.now_ns) / SECOND
         endpoint.delivered = endpoint.delivered * exp(aged / RATE_SPAN_S) + 1
         endpoint.usual_rate *= exp(aged / USUAL_RATE_SPAN_S)
@@ -72,16 +72,16 @@
         return sum(self.delivered_rate(e) for e in endpoint.siblings())
 
     def wait_ns(self, endpoint: TrackedEndpoint, n: int, steps: int = 1, refused: bool = False) -> int:
-        """The wait before look `n`: the backoff's, or the longest one divided in `steps` steps."""
+        """The wait before health check `n`: the backoff's, or the longest one, reached in `steps` steps."""
         longest_ns = self.longest_wait_ns(endpoint, refused)
         if longest_ns <= LONGEST_WAIT_NS:
             return min(backoff_ns(self.context.random, n), longest_ns)
         return int(longest_ns * self.context.random.uniform(*JITTER) / BACKOFF_FACTOR ** max(0, steps - n))
 
     def longest_wait_ns(self, endpoint: TrackedEndpoint, refused: bool = False) -> int:
-        """The longest wait between looks; looks of many senders must not overload what recovers."""
-        age = exp((endpoint.last_success_ns - self.context.now_ns) / (RATE_SPAN_S * SECOND))
-        usual = max(self._own_rate(endpoint) * age, self.fair_share(endpoint))
+        """The longest wait between health checks; those of many senders must not overload what recovers."""
+        fading = exp((endpoint.last_success_ns - self.context.now_ns) / (RATE_SPAN_S * SECOND))
+        usual = max(self._own_rate(endpoint) * fading, self.fair_share(endpoint))
         if not (refused and endpoint.limiter.limit):
             usual = max(HEALTH_CHECK_SHARE * usual, SECOND / max(SECOND, self.context.settings.slow_start_ns))
         return int(max(LONGEST_WAIT_NS, SECOND / max(self.context.small_fleet_share, usual)))
@@ -96,20 +96,10 @@
 
     def record_refusal(self, endpoint: TrackedEndpoint, retry_after_ns: int) -> None:
         """Lower the rate, lest a fleet keeps a limit exhausted; back off on top of a Retry-After."""
-        limiter, now_ns, few = endpoint.limiter, self.context.now_ns, self.context.small_fleet_share
-        many, check_rate = 1 - few, SECOND / self.longest_wait_ns(endpoint, refused=True)
-        low = bool(limiter.limit) and limiter.remaining < LITTLE_LEFT
-        share = self.exhausted.get(endpoint.kind, 0.8)
-        share = self.exhausted[endpoint.kind] = share + REFUSAL_GAIN * (low - share)
-        exhausted = low and share > EXHAUSTED
-        usual = max(self.fair_share(endpoint) or LEAST_RATE * few, check_rate, self._own_rate(endpoint))
-        if not limiter.refusals:
-            limiter.refusals_since_ns = now_ns
-            limiter.rate = usual - many * max(0.0, usual - (limiter.rate or usual))
-        if many or not limiter.refusals:
-            cut = EXHAUSTED_CUT if exhausted else few**CUT_POWER
-            limiter.rate = max(many * few * LEAST_RATE, limiter.rate * cut)
-        if many and retry_after_ns <= LONG_RETRY_AFTER_NS:  # many that were told the same follow in turns
+        limiter, now_ns = endpoint.limiter, self.context.now_ns
+        exhausted = self._exhausts_limit(endpoint)
+        self._cut_rate(endpoint, exhausted)
+        if self.context.small_fleet_share < 1 and retry_after_ns <= LONG_RETRY_AFTER_NS:  # in turns
             wait_ns = int(SECOND / limiter.rate * self.context.random.random())
             limiter.backoff_until_ns = now_ns + retry_after_ns + wait_ns
         elif exhausted or not retry_after_ns:
@@ -122,12 +112,32 @@
                     self._back_off(other)
         limiter.last_refusal_ns, limiter.refusals = now_ns, limiter.refusals + 1
 
+    def _exhausts_limit(self, endpoint: TrackedEndpoint) -> bool:
+        limiter = endpoint.limiter  # in some kinds refused calls count against the limit too
+        low = bool(limiter.limit) and limiter.remaining < LITTLE_LEFT
+        fraction = self.exhausted.get(endpoint.kind, 0.8)
+        fraction = self.exhausted[endpoint.kind] = fraction + REFUSAL_GAIN * (low - fraction)
+        return low and fraction > EXHAUSTED
+
+    def _cut_rate(self, endpoint: TrackedEndpoint, exhausted: bool) -> None:
+        limiter, few = endpoint.limiter, self.context.small_fleet_share
+        many = 1 - few  # 0 with few senders, towards 1 with many
+        check_rate = SECOND / self.longest_wait_ns(endpoint, refused=True)
+        share = self.fair_share(endpoint) or LEAST_RATE * few
+        usual = max(share, check_rate, self._own_rate(endpoint))
+        if not limiter.refusals:
+            limiter.refusals_since_ns = self.context.now_ns
+            limiter.rate = usual - many * max(0.0, usual - (limiter.rate or usual))
+        if many or not limiter.refusals:
+            cut = EXHAUSTED_CUT if exhausted else few**CUT_POWER
+            limiter.rate = max(many * few * LEAST_RATE, limiter.rate * cut)
+
     def _back_off(self, endpoint: TrackedEndpoint) -> None:
         until_ns = self.context.now_ns + self.wait_ns(endpoint, 1, 3, refused=True)
         endpoint.limiter.backoff_until_ns = max(endpoint.limiter.backoff_until_ns, until_ns)
 
     def record_success(self, endpoint: TrackedEndpoint) -> bool:
-        """Raise the rate after a success; true if it ends refusals that looked like a shut destination."""
+        """Raise the rate after a success; true if the destination had seemed unavailable, not limited."""
         limiter, now_ns = endpoint.limiter, self.context.now_ns
         shut = limiter.refusals >= SHUT_AFTER and now_ns - limiter.refusals_since_ns > SHUT_SPAN_NS
         limiter.refusals = 0
@@ -147,13 +157,14 @@
         endpoint.next_call_ns = self.ramp_next_ns(endpoint, self.context.random.random())
 
     def ramp_next_ns(self, endpoint: TrackedEndpoint, calls: float) -> int:
-        """When this sender's part of the ramp has grown by so many calls (rule 4)."""
-        settings, first = self.context.settings, self.context.settings.slow_start_fraction
+        """When the ramp has room for so many more calls of this sender (rule 4)."""
+        settings, start = self.context.settings, self.context.settings.slow_start_fraction
         share = self.fair_share(endpoint) / max(1, sum(e.usable for e in endpoint.siblings()))
         usual = max(endpoint.usual_rate, share, LEAST_RAMP_RATE / settings.senders)
-        span = max(1, settings.slow_start_ns) / SECOND
-        since = min(span, max(0, self.context.now_ns - endpoint.warming_since_ns) / SECOND)
-        rise = max(1e-9, (1 - first) / (2 * span))
-        spent = first * since + rise * since**2 + calls / (RAMP_SAFETY * settings.overload_multiple * usual)
-        then = (sqrt(first**2 + 4 * rise * spent) - first) / (2 * rise)  # capacity rises evenly to all
-        return endpoint.warming_since_ns + int(min(then, span) * SECOND)
+        ramp_s = max(1, settings.slow_start_ns) / SECOND
+        elapsed_s = min(ramp_s, max(0, self.context.now_ns - endpoint.warming_since_ns) / SECOND)
+        rise = max(1e-9, (1 - start) / (2 * ramp_s))
+        price = calls / (RAMP_SAFETY * settings.overload_multiple * usual)
+        spent = start * elapsed_s + rise * elapsed_s**2 + price  # capacity rises evenly, from `start` to 1
+        paid_s = (sqrt(start**2 + 4 * rise * spent) - start) / (2 * rise)
+        return endpoint.warming_since_ns + int(min(paid_s, ramp_s) * SECOND)
--- a/pinspread/policy/settings.py
+++ b/pinspread/policy/settings.py
@@ -24,19 +24,19 @@
 class TrafficClass:
     """A class of message."""
 
-    latency_objective_ns: int  # delivered within this time it earns its full priority weight
+    latency_objective_ns: int  # a message delivered within this time has its full priority weight
     deadline_ns: int
     effect: Idempotency = Idempotency.IDEMPOTENT
     group: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_ns: int = 0  # for keyed messages: how long repeats are dropped
-    late_value_share: float = 0.0  # share of the priority weight that is left at the deadline
+    late_value_share: float = 0.0  # fraction of the priority weight that is left at the deadline
     priority_weight: float = 1.0
     in_order: bool = False  # messages with one key go one at a time
 
 
 @dataclass(slots=True)
 class Tenant:
-    """A tenant and the rate, summed over all senders, that is within its share."""
+    """A tenant and its quota: a rate, summed over all senders."""
 
     quota_per_s: float
     share: float
@@ -46,45 +46,47 @@
 class DestinationKind:
     """A kind of destination."""
 
-    limits_per_endpoint: bool = False  # its endpoints have limits, pace and outages of their own
+    limits_per_endpoint: bool = False  # its endpoints have limits, rates and outages of their own
     max_bundle_size: int = 1  # messages that one call may carry
 
 
 @dataclass(slots=True)
 class Settings:
-    """What a sender is told at its start."""
+    """Settings of one sender."""
 
     classes: list[TrafficClass]
     kinds: list[DestinationKind]
-    max_concurrent_calls: int  # calls that this sender may have out at once
-    max_held_messages: int  # messages that it may hold, sent or not
+    max_concurrent_calls: int  # calls that this sender may have in flight at once
+    max_held_messages: int  # messages that it may hold, queued or in flight
     max_attempts: int  # for one message
     tenants: list[Tenant] = field(default_factory=list)
     senders: int = 1  # how many senders there are
     zone: int = 0
     over_quota_weight: float = 1.0
-    value_halves: bool = False  # worth falls by half with each further aim, otherwise evenly
-    weights_known: bool = False  # listed weights tell the calls a second that a destination takes
+    value_halves: bool = False  # priority halves with each further latency objective, else falls evenly
+    weights_known: bool = False  # listed weights are the calls a second that a destination takes
     weights_exact: bool = False  # and they are exact, not rough
     health_checks_allowed: bool = False
     cancellation_allowed: bool = False
-    retry_after_allowed: bool = False  # a come-back time reaches the client
+    retry_after_allowed: bool = False  # a Retry-After may be given to the client
     max_retry_after_ns: int = 0
     streams_per_connection: int = 1
     keepalive_ns: int = 0
     drain_grace_ns: int = 0
-    slow_start_fraction: float = 1.0  # share of capacity that a destination has right after an outage
-    slow_start_ns: int = 0  # all of it after this
-    overload_multiple: float = 1.0  # of its present capacity: sent more, a cold destination falls over
-    ordering_pause_ns: int = 0  # a key rests this long after an attempt that may still be running
-    polled_discovery: bool = False  # changes of the list come only to a subscriber
-    max_poll_interval_ns: int = 0  # who has not asked for this long is held to know what was listed then
-    handshake_price: float = 0.0  # what a new connection costs, against one message's mean worth
+    slow_start_fraction: float = 1.0  # fraction of its capacity that a destination has right after an outage
+    slow_start_ns: int = 0  # after this it has all of it
+    overload_multiple: float = 1.0  # of its present capacity; above it, a destination that warms up fails
+    ordering_pause_ns: int = 0  # a key pauses this long after an attempt that may still be running
+    polled_discovery: bool = False  # changes of the list come only in answer to polls
+    max_poll_interval_ns: int = (
+        0  # drains count as notified this long after the last poll, polled again or not
+    )
+    handshake_price: float = 0.0  # cost of a new connection, in units of a message's mean priority weight
     cross_zone_price: float = 0.0  # the same for a call to another zone
-    zone_fees: list[float] = field(default_factory=list)  # for each zone, where routes are apart
+    zone_fees: list[float] = field(default_factory=list)  # by zone, for endpoints with limits of their own
 
     def kind(self, n: int) -> DestinationKind:
-        """The kind of that place; what the settings do not name is a plain one."""
+        """The kind of that number; one that the settings do not name has the defaults."""
         return self.kinds[n] if 0 <= n < len(self.kinds) else DestinationKind()
 
     def __post_init__(self) -> None:
--- a/pinspread/policy/state.py
+++ b/pinspread/policy/state.py
@@ -1,4 +1,4 @@
-"""What a sender remembers: messages, calls, limits, endpoints, destinations; units of time. No decisions."""
+"""State of a sender: messages, calls, rate limiters, endpoints, destinations; units of time. No decisions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from pinspread.policy.actions import Action
 from pinspread.policy.events import EndpointEntry, EndpointId, EndpointState, MessageAccepted
-from pinspread.policy.settings import Settings, TrafficClass
+from pinspread.policy.settings import Settings
 
 if TYPE_CHECKING:
     from pinspread.policy.retry_budget import RetryBudget
@@ -24,7 +24,7 @@
     Attributes:
         now_ns: The time of the present turn, in nanoseconds of the caller's clock.
         actions: The actions of the present turn, in order.
-        small_fleet_share: 1 with few senders; the less of it, the more senders there are.
+        small_fleet_share: 1 with few senders, inversely proportional to their number above that.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
@@ -61,12 +61,12 @@
     def __init__(
         self,
         event: MessageAccepted,
-        traffic_class: TrafficClass,
+        settings: Settings,
         destination: Destination,
         now_ns: int,
-        max_attempts: int,
     ) -> None:
-        """Record a message that was accepted at `now_ns` under the rules of `traffic_class`."""
+        """Record a message accepted at `now_ns`, under the rules of the event or else of `settings`."""
+        traffic_class = event.traffic_class or settings.classes[event.class_index]
         self.request = event.request
         self.class_index = event.class_index
         self.traffic_class = traffic_class
@@ -77,7 +77,7 @@
         self.accepted_ns = now_ns
         self.ready_ns = now_ns  # its backoff runs until then
         self.overdue_from_ns = NEVER  # recovered at a restart: from then on only Retry-After holds it back
-        self.max_attempts = max_attempts
+        self.max_attempts = event.max_attempts or settings.max_attempts
         self.attempts = event.attempts
         self.failures = event.attempts
         self.in_flight = False
@@ -90,7 +90,7 @@
 
 
 class Call:
-    """One call in flight: one slot, one fate, one message or a bundle."""
+    """One call in flight: it holds one slot, carries one message or a bundle, and has one outcome."""
 
     __slots__ = ("endpoint", "fresh", "remaining", "sent_ns")
 
@@ -99,23 +99,36 @@
         self.endpoint = endpoint
         self.sent_ns = now_ns
         self.remaining = messages  # without an outcome yet
-        self.fresh = True  # no outcome has come yet
+        self.fresh = True
+
+
+@dataclass(slots=True, eq=False)
+class PendingAttempt:
+    """An attempt of a message that has no outcome yet."""
+
+    message: QueuedMessage
+    call: Call
+    is_retry: bool
 
 
 @dataclass(slots=True, eq=False)
 class RateLimiter:
     """A limit that endpoints share, one per destination or one per endpoint."""
 
-    retry_after_until_ns: int = 0  # as told by the destination
-    backoff_until_ns: int = 0  # as chosen by this sender after refusals
+    retry_after_until_ns: int = 0  # as the destination asked
+    backoff_until_ns: int = 0  # as this sender chose after refusals
     refusals: int = 0  # in a row
     refusals_since_ns: int = 0
     last_refusal_ns: int = 0
     rate: float = 0.0  # calls a second; 0: no refusal has set one
     limit: float = 0.0  # calls a second for all senders together, as reported in answers; 0: not reported
-    remaining: float = 1.0  # the share of the limit that was left then
+    remaining: float = 1.0  # the fraction of the limit that was left at the last report
     next_call_ns: int = 0
 
+    def opens_ns(self) -> int:
+        """When the last of its waits is over."""
+        return max(self.retry_after_until_ns, self.backoff_until_ns, self.next_call_ns)
+
 
 class TrackedEndpoint:
     """What one endpoint has shown: list state, outcomes, latencies, delivered rate."""
@@ -168,12 +181,12 @@
         self.first_seen_ns = now_ns
         self.last_success_ns = 0
         self.answered_ns = 0  # when the newest call was sent that succeeded
-        self.delivered = 0.0  # successes, fading
-        self.delivered_ns = now_ns  # when they were counted last
+        self.delivered = 0.0  # successes, older ones fading exponentially
+        self.delivered_ns = now_ns  # when the last of them was counted
         self.failure_rate = 0.0
         self.ejected = False
         self.hard_failures = 0  # since its last success, other than time-outs and resets
-        self.failed = False  # its latest outcome was a failure
+        self.failed = False  # whether its latest outcome was a failure
         self.health_checks = 0
         self.next_health_check_ns = 0
         self.health_check_out = False
@@ -183,14 +196,27 @@
         self.next_call_ns = 0  # while it warms up
         self.removed_since_ns = 0  # since when it is off the list; 0: it is listed
         self.rank = rank  # this sender's order among endpoints that are as good
-        self.update(entry)
+        self.update(entry, now_ns)
 
-    def update(self, entry: EndpointEntry) -> None:
-        """Take over what the list says."""
+    def update(self, entry: EndpointEntry, now_ns: int) -> None:
+        """Apply its entry of the endpoint list."""
         self.zone = entry.zone
         self.kind = entry.kind
         self.weight = entry.weight
         self.usable = entry.state is EndpointState.READY
+        if entry.state is EndpointState.REMOVED:
+            self.mark_removed(now_ns)
+        else:
+            self.removed_since_ns = 0
+
+    def mark_removed(self, now_ns: int) -> None:
+        """Take it off the list; `now_ns` counts unless it was off it before."""
+        self.usable = False
+        self.removed_since_ns = self.removed_since_ns or now_ns
+
+    def delay_health_check(self, until_ns: int) -> None:
+        """Have no health check before that time."""
+        self.next_health_check_ns = max(self.next_health_check_ns, until_ns)
 
     def siblings(self) -> list[TrackedEndpoint]:
         """The endpoints of its destination, itself included, that share its limiter."""
@@ -208,4 +234,4 @@
     limiter: RateLimiter = field(default_factory=RateLimiter)
     queue: dict[int, QueuedMessage] = field(default_factory=dict)  # by request, in order of arrival
     calls_in_flight: int = 0
-    last_turn: int = 0  # number of the turn in which it last got a slot
+    last_turn: int = 0  # the sender's count of calls at its last one
