--- a/pinspread/policy/delivery_policy.py
+++ b/pinspread/policy/delivery_policy.py
@@ -30,7 +30,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Decide by these settings from now on; messages keep the rules that they came under."""
         self.context.settings = settings
-        self.context.small_fleet_share = min(1.0, FEW / settings.senders)
+        self.context.fleet_factor = min(1.0, FEW / settings.senders)
 
     def handle(self, now_ns: int, batch: list[events.Event]) -> list[Action]:
         """Take the events of one turn and give the actions, in order; TypeError for an unknown event."""
--- a/pinspread/policy/dispatch.py
+++ b/pinspread/policy/dispatch.py
@@ -28,7 +28,7 @@
         self.keys: dict[int, deque[QueuedMessage]] = {}  # by ordering key, in the order accepted
         self.ordering_pauses: dict[int, int] = {}  # by ordering key: until when it pauses
         self.attempts: dict[tuple[int, int], PendingAttempt] = {}  # by request and attempt
-        self.calls_in_flight = self.turn = 0
+        self.calls_in_flight = self.calls_made = 0
         self.wake_ns = NEVER  # when the next message or endpoint that waits may have its turn
 
     def accept(self, event: MessageAccepted, destination: Destination) -> None:
@@ -153,10 +153,10 @@
         while len(self.messages) > places:
             longest = max(self.waiting.values(), key=lambda d: len(d.queue), default=None)
             queued = longest.queue.values() if longest else ()
-            held = [m for m in queued if not m.may_have_run_ns and (m.attempts or m.overdue_from_ns == NEVER)]
-            if not held:
+            safe = [m for m in queued if not m.may_have_run_ns and (m.attempts or m.overdue_from_ns == NEVER)]
+            if not safe:
                 break
-            self.reject_or_fail(min(held, key=lambda m: (self._priority(m, now_ns), m.accepted_ns)))
+            self.reject_or_fail(min(safe, key=lambda m: (self._priority(m, now_ns), m.accepted_ns)))
 
     def _fill_slots(self) -> None:
         now_ns, slots = self.context.now_ns, self.context.settings.max_concurrent_calls
@@ -165,7 +165,7 @@
         ready = [d for d in waiting if opens_ns(d, any(map(overdue, d.queue.values()))) <= now_ns]
         best = {d.number: min(map(self._urgency, d.queue.values()))[0] for d in ready}
         while ready and self.calls_in_flight < slots:  # by turns, and by priority where many wait
-            destination = min(ready, key=lambda d: (d.calls_in_flight, best[d.number], d.last_turn))
+            destination = min(ready, key=lambda d: (d.calls_in_flight, best[d.number], d.last_call))
             if destination.calls_in_flight >= max(1, slots - self.calls_in_flight):
                 break  # a hung destination or a burst may hold as many slots as it leaves free
             if not self._serve(destination):
@@ -234,7 +234,7 @@
         endpoint.calls[call] = True
         self.calls_in_flight += 1
         destination.calls_in_flight += 1
-        self.turn = destination.last_turn = self.turn + 1
+        self.calls_made = destination.last_call = self.calls_made + 1
         self.limits.record_call(endpoint.limiter)
         if endpoint.warming_since_ns:
             endpoint.next_call_ns = self.limits.ramp_next_ns(endpoint, self.context.random.uniform(*JITTER))
@@ -270,13 +270,13 @@
 
     def _priority(self, message: QueuedMessage, at_ns: int) -> float:
         rules, objective_ns = message.traffic_class, message.traffic_class.latency_objective_ns
-        late_ns = at_ns - (message.deadline_ns - rules.deadline_ns) - objective_ns
-        if late_ns <= 0:
+        delay_ns = at_ns - (message.deadline_ns - rules.deadline_ns) - objective_ns
+        if delay_ns <= 0:
             return rules.priority_weight
         if self.context.settings.value_halves:
-            share: float = 0.5 ** (late_ns / objective_ns)
+            share: float = 0.5 ** (delay_ns / objective_ns)
         else:
-            share = 1 - (1 - rules.late_value_share) * late_ns / max(1, rules.deadline_ns - objective_ns)
+            share = 1 - (1 - rules.late_value_share) * delay_ns / max(1, rules.deadline_ns - objective_ns)
         return rules.priority_weight * max(share, rules.late_value_share)
 
     def _urgency(self, message: QueuedMessage) -> tuple[float, int]:
--- a/pinspread/policy/load_balancing.py
+++ b/pinspread/policy/load_balancing.py
@@ -32,24 +32,24 @@
         calls = len(endpoint.calls) + endpoint.failed
         return calls, endpoint.last_outcome_ns if endpoint.ejected else 0, cost, endpoint.rank
 
-    def record_connection(self, kind: int, turned_away: bool, weight: float) -> None:
+    def record_connection(self, kind: int, refused: bool, weight: float) -> None:
         """Account for whether a new connection was refused."""
-        share = self.saturation.get(kind, 0.0)
-        share = self.saturation[kind] = share + REFUSAL_GAIN * weight * (turned_away - share)
-        if share > SATURATED_FROM and kind not in self.saturated:
+        rate = self.saturation.get(kind, 0.0)
+        rate = self.saturation[kind] = rate + REFUSAL_GAIN * weight * (refused - rate)
+        if rate > SATURATED_FROM and kind not in self.saturated:
             self.saturated.add(kind)
             self.unused |= {e: True for e in self.endpoints.values() if e.kind == kind}
-        elif share < SATURATED_TO:
+        elif rate < SATURATED_TO:
             self.saturated.discard(kind)
 
     def keeps_connections(self, endpoint: TrackedEndpoint) -> bool:
         """Whether idle connections may stay open; those of many senders fill small tables."""
-        few, keepalive_ns = self.context.small_fleet_share, self.context.settings.keepalive_ns
-        if few == 1:
+        fleet_factor, keepalive_ns = self.context.fleet_factor, self.context.settings.keepalive_ns
+        if fleet_factor == 1:
             return True
         if endpoint.kind not in self.saturated:  # only who opens a new connection learns of full tables
-            return self.context.random.random() > LET_GO * (1 - few)
-        return self.limits.delivered_rate(endpoint) * few**2 * keepalive_ns >= SECOND
+            return self.context.random.random() > LET_GO * (1 - fleet_factor)
+        return self.limits.delivered_rate(endpoint) * fleet_factor**2 * keepalive_ns >= SECOND
 
     def close_unused(self) -> None:
         """Close the connections that became idle in this turn, where they should not stay."""
--- a/pinspread/policy/outlier_detection.py
+++ b/pinspread/policy/outlier_detection.py
@@ -30,7 +30,7 @@
 
     def __init__(self, balancer: LoadBalancer) -> None:
         self.context, self.limits, self.balancer = balancer.context, balancer.limits, balancer
-        self.lost_share = 0.0
+        self.lost_call_rate = 0.0
 
     def opens_ns(self, endpoint: TrackedEndpoint, overdue: bool = False) -> int:
         """From when an endpoint may be called; `overdue` messages wait for no backoff or rate."""
@@ -73,14 +73,14 @@
             limiter.limit, limiter.remaining = event.limit_per_s, event.limit_remaining
         if retry_after_ns:  # the messages of a bundle may be told different waits
             self.limits.apply_retry_after(endpoint, retry_after_ns)
-        if not call.fresh:
+        if not call.outcome_pending:
             return
-        call.fresh = False
+        call.outcome_pending = False
         endpoint.last_outcome_ns = self.context.now_ns
         self.balancer.reports_opened |= event.opened
         if event.outcome is Outcome.OVERLOADED:
             if event.opened and not retry_after_ns and not limiter.refusals:  # perhaps of a full table
-                self.balancer.record_connection(endpoint.kind, True, 1 - self.context.small_fleet_share)
+                self.balancer.record_connection(endpoint.kind, True, 1 - self.context.fleet_factor)
             self._record_refusal(endpoint, retry_after_ns, call.sent_ns)
         elif event.outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
             self._record_outcome(call, event.outcome, event.elapsed_ns)
@@ -90,14 +90,14 @@
         reported = self.balancer.reports_opened  # else an outage may pass for a full connection table
         unanswered = outcome is not Outcome.ERROR and endpoint.failure_rate < SUSPECT_FROM and not reported
         if unanswered or not failed:
-            weight = self.context.small_fleet_share if reported else 1.0
+            weight = self.context.fleet_factor if reported else 1.0
             self.balancer.record_connection(endpoint.kind, failed, weight)
         if not failed:
             endpoint.answered_ns = max(endpoint.answered_ns, sent_ns)
         if not failed or outcome is Outcome.TIMEOUT:  # a lost one shows by those answered around it
             missed = endpoint.failed and not endpoint.hard_failures
             lost = endpoint.answered_ns > sent_ns if failed else missed
-            self.lost_share += LOST_GAIN * (lost - self.lost_share)
+            self.lost_call_rate += LOST_GAIN * (lost - self.lost_call_rate)
         single = outcome in (Outcome.TIMEOUT, Outcome.RESET)  # a call or a connection, at first
         if single and endpoint.last_success_ns > sent_ns and not endpoint.ejected:
             return  # a single lost call while the rest is answered is no outage and no slowness
@@ -123,7 +123,7 @@
 
     def _record_success(self, endpoint: TrackedEndpoint, elapsed_ns: int) -> None:
         now_ns, slow_start_ns = self.context.now_ns, self.context.settings.slow_start_ns
-        shut = self.limits.record_success(endpoint)
+        unavailable = self.limits.record_success(endpoint)
         short = now_ns - endpoint.last_success_ns < SHORT_OUTAGE * slow_start_ns  # lost calls are no outage
         lossy = endpoint.hard_failures < FEW_HARD_FAILURES and short
         endpoint.hard_failures, endpoint.last_success_ns = 0, now_ns
@@ -134,19 +134,19 @@
             endpoint.latency_mean_ns += LATENCY_GAIN * error
             endpoint.latency_deviation_ns += LATENCY_GAIN * (abs(error) - endpoint.latency_deviation_ns)
         endpoint.timeout_factor = max(1.0, endpoint.timeout_factor / 2)
-        if (endpoint.ejected or shut) and not lossy:  # judged now: at a second success it looks short
+        if (endpoint.ejected or unavailable) and not lossy:  # judged now: at a second success it looks short
             endpoint.warming_since_ns = now_ns
-        if endpoint.failure_rate > EJECTED_FROM and (endpoint.ejected or shut):
+        if endpoint.failure_rate > EJECTED_FROM and (endpoint.ejected or unavailable):
             endpoint.next_health_check_ns = now_ns  # one success among failures: check at once
-            self._share_ramp(endpoint)
+            self._ramp_siblings(endpoint)
         else:
             endpoint.ejected, endpoint.health_checks = False, 0
         if endpoint.warming_since_ns and now_ns - endpoint.warming_since_ns > slow_start_ns:
             endpoint.warming_since_ns = 0
         self.limits.record_delivery(endpoint)
 
-    def _share_ramp(self, endpoint: TrackedEndpoint) -> None:
-        many = self.context.small_fleet_share < 1  # their checks would overload what warms up (rule 4)
+    def _ramp_siblings(self, endpoint: TrackedEndpoint) -> None:
+        many = self.context.fleet_factor < 1  # their checks would overload what warms up (rule 4)
         for sibling in endpoint.siblings() if many and endpoint.warming_since_ns else ():
             if sibling.ejected:
                 sibling.warming_since_ns = endpoint.warming_since_ns
@@ -184,13 +184,13 @@
 
     def timeout_ns(self, message: QueuedMessage, endpoint: TrackedEndpoint, calls_in_flight: int) -> int:
         """How long an attempt may wait for its answer."""
-        crowded = 2 * calls_in_flight >= self.context.settings.max_concurrent_calls
+        slots_scarce = 2 * calls_in_flight >= self.context.settings.max_concurrent_calls
         unsafe, mean_ns = message.traffic_class.effect is Idempotency.NOT_IDEMPOTENT, endpoint.latency_mean_ns
-        factor = (UNSAFE_CROWDED_FACTOR if crowded else UNSAFE_FACTOR) if unsafe else 1.0
+        factor = (UNSAFE_CROWDED_FACTOR if slots_scarce else UNSAFE_FACTOR) if unsafe else 1.0
         slow_ns = mean_ns + TIMEOUT_DEVIATIONS * endpoint.latency_deviation_ns
         learned_ns = 2 * slow_ns or message.traffic_class.latency_objective_ns
         # Where single calls get lost, those that wait for their time-outs would hold all slots.
-        lossy = crowded and self.lost_share * LEAST_TIMEOUT_NS > LOST_SHARE * mean_ns
+        lossy = slots_scarce and self.lost_call_rate * LEAST_TIMEOUT_NS > LOST_SHARE * mean_ns
         least_ns = SILENCE_NS if lossy else LEAST_TIMEOUT_NS
         wait_ns = int(max(least_ns, learned_ns) * factor * endpoint.timeout_factor)
         left_ns = message.deadline_ns - self.context.now_ns
--- a/pinspread/policy/rate_limit.py
+++ b/pinspread/policy/rate_limit.py
@@ -49,9 +49,9 @@
 
     def max_rate(self, endpoint: TrackedEndpoint) -> float:
         """The highest rate of one of many senders where limits are listed; else no bound."""
-        few = self.context.small_fleet_share
-        highest = self.fair_share(endpoint) * FEW / few**BURST_POWER
-        return highest if few < 1 and self.context.settings.weights_known else NEVER
+        fleet_factor = self.context.fleet_factor
+        highest = self.fair_share(endpoint) * FEW / fleet_factor**BURST_POWER
+        return highest if fleet_factor < 1 and self.context.settings.weights_known else NEVER
 
     def delivered_rate(self, endpoint: TrackedEndpoint) -> float:
         """Calls a second delivered at an endpoint, up to its last success."""
@@ -68,7 +68,7 @@
         endpoint.delivered_ns = self.context.now_ns
         self.delivered_rate(endpoint)
 
-    def _own_rate(self, endpoint: TrackedEndpoint) -> float:
+    def _siblings_rate(self, endpoint: TrackedEndpoint) -> float:
         return sum(self.delivered_rate(e) for e in endpoint.siblings())
 
     def wait_ns(self, endpoint: TrackedEndpoint, n: int, steps: int = 1, refused: bool = False) -> int:
@@ -81,10 +81,10 @@
     def longest_wait_ns(self, endpoint: TrackedEndpoint, refused: bool = False) -> int:
         """The longest wait between health checks; those of many senders must not overload what recovers."""
         fading = exp((endpoint.last_success_ns - self.context.now_ns) / (RATE_SPAN_S * SECOND))
-        usual = max(self._own_rate(endpoint) * fading, self.fair_share(endpoint))
+        usual = max(self._siblings_rate(endpoint) * fading, self.fair_share(endpoint))
         if not (refused and endpoint.limiter.limit):
             usual = max(HEALTH_CHECK_SHARE * usual, SECOND / max(SECOND, self.context.settings.slow_start_ns))
-        return int(max(LONGEST_WAIT_NS, SECOND / max(self.context.small_fleet_share, usual)))
+        return int(max(LONGEST_WAIT_NS, SECOND / max(self.context.fleet_factor, usual)))
 
     def apply_retry_after(self, endpoint: TrackedEndpoint, retry_after_ns: int) -> None:
         """Keep a Retry-After that an attempt or a health check was answered with (rule 5)."""
@@ -99,7 +99,7 @@
         limiter, now_ns = endpoint.limiter, self.context.now_ns
         exhausted = self._exhausts_limit(endpoint)
         self._cut_rate(endpoint, exhausted)
-        if self.context.small_fleet_share < 1 and retry_after_ns <= LONG_RETRY_AFTER_NS:  # in turns
+        if self.context.fleet_factor < 1 and retry_after_ns <= LONG_RETRY_AFTER_NS:  # many return in turns
             wait_ns = int(SECOND / limiter.rate * self.context.random.random())
             limiter.backoff_until_ns = now_ns + retry_after_ns + wait_ns
         elif exhausted or not retry_after_ns:
@@ -120,17 +120,17 @@
         return low and fraction > EXHAUSTED
 
     def _cut_rate(self, endpoint: TrackedEndpoint, exhausted: bool) -> None:
-        limiter, few = endpoint.limiter, self.context.small_fleet_share
-        many = 1 - few  # 0 with few senders, towards 1 with many
+        limiter, fleet_factor = endpoint.limiter, self.context.fleet_factor
+        many = 1 - fleet_factor  # 0 with few senders, towards 1 with many
         check_rate = SECOND / self.longest_wait_ns(endpoint, refused=True)
-        share = self.fair_share(endpoint) or LEAST_RATE * few
-        usual = max(share, check_rate, self._own_rate(endpoint))
+        share = self.fair_share(endpoint) or LEAST_RATE * fleet_factor
+        usual = max(share, check_rate, self._siblings_rate(endpoint))
         if not limiter.refusals:
             limiter.refusals_since_ns = self.context.now_ns
             limiter.rate = usual - many * max(0.0, usual - (limiter.rate or usual))
         if many or not limiter.refusals:
-            cut = EXHAUSTED_CUT if exhausted else few**CUT_POWER
-            limiter.rate = max(many * few * LEAST_RATE, limiter.rate * cut)
+            cut = EXHAUSTED_CUT if exhausted else fleet_factor**CUT_POWER
+            limiter.rate = max(many * fleet_factor * LEAST_RATE, limiter.rate * cut)
 
     def _back_off(self, endpoint: TrackedEndpoint) -> None:
         until_ns = self.context.now_ns + self.wait_ns(endpoint, 1, 3, refused=True)
@@ -139,17 +139,17 @@
     def record_success(self, endpoint: TrackedEndpoint) -> bool:
         """Raise the rate after a success; true if the destination had seemed unavailable, not limited."""
         limiter, now_ns = endpoint.limiter, self.context.now_ns
-        shut = limiter.refusals >= SHUT_AFTER and now_ns - limiter.refusals_since_ns > SHUT_SPAN_NS
+        unavailable = limiter.refusals >= SHUT_AFTER and now_ns - limiter.refusals_since_ns > SHUT_SPAN_NS
         limiter.refusals = 0
         if limiter.limit and limiter.remaining < LITTLE_LEFT:
             self._back_off(endpoint)  # the next call would be refused, which exhausts some limits further
-            return shut
-        few = self.context.small_fleet_share
+            return unavailable
+        fleet_factor = self.context.fleet_factor
         aged = (now_ns - endpoint.last_success_ns) / (RATE_SPAN_S * SECOND)
         gain = max(RATE_GAIN, aged, limiter.remaining / 4 if limiter.limit else 0.0)
-        gain *= few if limiter.rate > self.fair_share(endpoint) else few ** (-2 * CUT_POWER)
-        limiter.rate = min(limiter.rate * (1 + min(few**-CUT_POWER, gain)), self.max_rate(endpoint))
-        return shut
+        gain *= fleet_factor if limiter.rate > self.fair_share(endpoint) else fleet_factor ** (-2 * CUT_POWER)
+        limiter.rate = min(limiter.rate * (1 + min(fleet_factor**-CUT_POWER, gain)), self.max_rate(endpoint))
+        return unavailable
 
     def start_ramp(self, endpoint: TrackedEndpoint, since_ns: int) -> None:
         """Begin a slow start; the first call of each sender comes at a random time."""
--- a/pinspread/policy/state.py
+++ b/pinspread/policy/state.py
@@ -24,7 +24,7 @@
     Attributes:
         now_ns: The time of the present turn, in nanoseconds of the caller's clock.
         actions: The actions of the present turn, in order.
-        small_fleet_share: 1 with few senders, inversely proportional to their number above that.
+        fleet_factor: 1 with few senders, inversely proportional to their number above that.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
@@ -33,7 +33,7 @@
         self.random = random
         self.now_ns = 0
         self.actions: list[Action] = []
-        self.small_fleet_share = 1.0
+        self.fleet_factor = 1.0
 
 
 class QueuedMessage:
@@ -92,14 +92,14 @@
 class Call:
     """One call in flight: it holds one slot, carries one message or a bundle, and has one outcome."""
 
-    __slots__ = ("endpoint", "fresh", "remaining", "sent_ns")
+    __slots__ = ("endpoint", "outcome_pending", "remaining", "sent_ns")
 
     def __init__(self, endpoint: TrackedEndpoint, now_ns: int, messages: int) -> None:
         """Record a call that was sent at `now_ns` with so many messages."""
         self.endpoint = endpoint
         self.sent_ns = now_ns
         self.remaining = messages  # without an outcome yet
-        self.fresh = True
+        self.outcome_pending = True
 
 
 @dataclass(slots=True, eq=False)
@@ -234,4 +234,4 @@
     limiter: RateLimiter = field(default_factory=RateLimiter)
     queue: dict[int, QueuedMessage] = field(default_factory=dict)  # by request, in order of arrival
     calls_in_flight: int = 0
-    last_turn: int = 0  # the sender's count of calls at its last one
+    last_call: int = 0  # the sender's count of calls at its last one
