--- /dev/null
+++ b/pinspread/service/components.py
@@ -0,0 +1,102 @@
+"""The parts of a process, made and connected; other settings reach all of them here."""
+
+from typing import TYPE_CHECKING, cast
+
+from pinspread.amqp.server import FRONT_NAME as AMQP
+from pinspread.amqp.server import AmqpFront
+from pinspread.amqp.transport import BrokerTransport
+from pinspread.config.settings import EffectiveSettings
+from pinspread.core.engine import DeliveryEngine
+from pinspread.core.folder_lock import FolderLock
+from pinspread.core.journal import Journal
+from pinspread.core.ports import Discovery, Transport
+from pinspread.discovery.client import DiscoveryClient
+from pinspread.http.pool import ConnectionPool
+from pinspread.http.transport import HttpTransport
+from pinspread.policy.delivery_policy import DeliveryPolicy
+from pinspread.resp.front import NAME as RESP
+from pinspread.resp.front import RespFront
+from pinspread.resp.notifications import NotificationSender
+from pinspread.service.options import ReloadedSettings, ServiceOptions
+from pinspread.sockets import ConnectionLimiter
+
+if TYPE_CHECKING:
+    from anyio.abc import TaskGroup
+
+
+class Components:
+    """The parts of one process; none of them runs yet.
+
+    Attributes:
+        clock: The clock of the process.
+        lock: The lock of the state folder, not acquired.
+        engine: The engine, with its fronts, transports and background services.
+        pool: Idle connections to endpoints.
+        limiter: Limits of client connections, for both fronts.
+        discovery: Reports endpoints to the engine.
+        notifications: Sends final results to the platform's clients.
+    """
+
+    def __init__(self, options: ServiceOptions) -> None:
+        settings = options.settings
+        self.clock = options.clock
+        self.lock = FolderLock(settings.state)
+        self.engine = _make_engine(options)
+        self.pool = ConnectionPool(self.clock, settings.keepalive_us)
+        self.notifications = NotificationSender(settings.discovery)
+        self.limiter = ConnectionLimiter(self.clock, *_connection_limits(settings))
+        self.http_transport = HttpTransport(
+            self.clock, self.pool, settings.connect_timeout_us, settings.load_reports_enabled
+        )
+        self.resp_front = RespFront(self.engine, self.notifications, self.limiter)
+        self.amqp_front = AmqpFront(self.engine, options.amqp.heartbeat_s, self.limiter)
+        self.engine.transports["http"] = self.http_transport
+        self.engine.fronts[RESP] = self.resp_front
+        self.engine.fronts[AMQP] = self.amqp_front
+        self.discovery = _make_discovery(options, self.engine)
+        self.engine.subscribe = self.discovery.poll
+        self.background_services = list(options.background_services)
+        for background in self.background_services:
+            background.attach(self.engine)
+
+    def connect_brokers(self, tasks: "TaskGroup", connect_timeout_us: int, login: str) -> None:
+        """Add the transport to AMQP brokers, whose connections run in `tasks`."""
+        transport = BrokerTransport(self.clock, tasks, connect_timeout_us, login)
+        self.engine.transports["amqp"] = cast("Transport", transport)  # bundles go by HTTP only
+
+    def recover(self) -> None:
+        """Start from what the folder holds: the last endpoint list and the journal."""
+        self.discovery.start()
+        self.engine.recover()
+
+    def apply_settings(self, new: ReloadedSettings) -> None:
+        """Put other settings in force, in one step between two turns of the engine."""
+        settings = new.settings
+        self.engine.apply_settings(settings)
+        self.http_transport.dial_us = settings.connect_timeout_us
+        self.http_transport.reports = settings.load_reports_enabled
+        self.pool.set_keepalive(settings.keepalive_us)
+        self.limiter.resize(*_connection_limits(settings))
+        self.engine.journal.resize(settings.disk_bytes)
+        self.discovery.apply_settings(settings)
+        self.discovery.change_address(new.discovery_source)
+        self.notifications.change_address(new.notification_address)
+
+
+def _make_engine(options: ServiceOptions) -> DeliveryEngine:
+    settings = options.settings
+    journal = Journal(settings.state, settings.disk_bytes)
+    policy = DeliveryPolicy(settings.policy_settings, settings.seed)
+    return DeliveryEngine(policy, settings, options.clock, journal)
+
+
+def _make_discovery(options: ServiceOptions, engine: DeliveryEngine) -> Discovery:
+    """The discovery that the options ask for, else the platform's."""
+    if options.make_discovery:
+        return options.make_discovery(engine)
+    return DiscoveryClient(options.settings.discovery, engine, options.settings)
+
+
+def _connection_limits(settings: EffectiveSettings) -> tuple[int, int]:
+    """How many connections of clients there may be, and how many bytes for them."""
+    return settings.sockets * 5 // 8, settings.memory_bytes // 8
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -8,14 +8,13 @@
 import pytest
 from standins import Client, HttpStandIn, configuration, engine, listener, own_address, standing, until
 
-from pinspread import service as platform_module
 from pinspread import sockets
 from pinspread.config import settings
 from pinspread.config.amqp_front import AmqpFile
 from pinspread.core import log as log_module
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
-from pinspread.service import Service, ServiceOptions
+from pinspread.service import Service, ServiceOptions, listeners
 from pinspread.sockets import limiter
 
 pytestmark = pytest.mark.anyio
@@ -184,7 +183,7 @@
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform, early_sighup=[True])
         changed = []
-        parts.reload_settings = lambda: changed.append(parts.engine.serving)
+        parts.reloader.reload = lambda: changed.append(parts.engine.serving)
         async with running(parts):
             await until(lambda: changed)
     assert changed == [True]
@@ -201,7 +200,7 @@
             if event == "address_in_use":
                 before.close()  # now that the new one has met it
 
-        monkeypatch.setattr(platform_module, "log", heard)
+        monkeypatch.setattr(listeners, "log", heard)
         async with running(parts):
             await until(lambda: parts.engine.serving)
     assert "address_in_use" in said
