--- a/pinspread/config/settings.py
+++ b/pinspread/config/settings.py
@@ -1,7 +1,7 @@
 """What a node is told at its start, read from the file that `RELAY_CONFIG` names.
 
 The file's keys and the names in the environment are the platform's; this module maps them to the fields of
-`EffectiveSettings`, and by way of `wire.read_settings` to the policy's settings.
+`EffectiveSettings`, and by way of `policy_settings.py` to the policy's settings.
 """
 
 import re
@@ -11,7 +11,7 @@
 
 import orjson
 
-from pinspread import wire
+from pinspread.config.policy_settings import flatten, read_settings
 from pinspread.core.messages import DeliveryRules
 from pinspread.errors import PinspreadError
 from pinspread.policy.settings import Settings
@@ -84,27 +84,6 @@
         return self.policy_settings.max_retry_after_ns // NS_PER_MS
 
 
-def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Nested settings as the path=value lines of the simulator's wire."""
-    if isinstance(value, dict):
-        for name, inner in value.items():
-            yield from flatten(inner, f"{path}.{name}" if path else name)
-    elif isinstance(value, list) and any(isinstance(item, dict | list) for item in value):
-        yield f"{path}.count={len(value)}"
-        for n, inner in enumerate(value):
-            yield from flatten(inner, f"{path}.{n}")
-    elif isinstance(value, list):
-        yield f"{path}={','.join(map(_plain, value))}"
-    else:
-        yield f"{path}={_plain(value)}"
-
-
-def _plain(value: object) -> str:
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    return str(value).replace(" ", "_").replace(",", "_")
-
-
 def from_environment(
     environment: Mapping[str, str], last: EffectiveSettings | None = None
 ) -> EffectiveSettings:
@@ -152,7 +131,7 @@
 def _read(document: dict[str, Any], environment: Mapping[str, str]) -> EffectiveSettings:
     settings = document["settings"]
     text = "\n".join(flatten(settings)).encode()
-    policy_settings, report_fields = wire.read_settings(text)
+    policy_settings, report_fields = read_settings(text)
     policy_limits = settings["policyLimits"]
     return EffectiveSettings(
         name=environment.get("RELAY_NAME") or document["name"],
--- a/pinspread/simhost.py
+++ b/pinspread/simhost.py
@@ -3,9 +3,11 @@
 import sys
 from typing import BinaryIO
 
-from pinspread import wire
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import Event
+from pinspread.simulator_wire import encoder
+from pinspread.simulator_wire.decoder import Decoder, Start, Stop
+from pinspread.simulator_wire.protocol import BATCH_HEADER, MAX_BATCH_BYTES, WireError
 
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
@@ -15,7 +17,7 @@
 
 def _whole(data: bytes, size: int, what: str) -> bytes:
     if len(data) < size:
-        raise wire.WireError(f"input ended inside {what}: {len(data)} of {size} bytes")
+        raise WireError(f"input ended inside {what}: {len(data)} of {size} bytes")
     return data
 
 
@@ -23,7 +25,7 @@
     """The instances of this process, each with a policy of its own."""
 
     def __init__(self) -> None:
-        self._decoder = wire.Decoder()
+        self._decoder = Decoder()
         self._policies: dict[int, DeliveryPolicy] = {}
 
     def answer(self, now_ns: int, count: int, payload: bytes) -> bytes:
@@ -33,22 +35,22 @@
         for instance, events in turns.items():
             actions = self._actions(instance, now_ns, events)
             if actions:
-                records.append(wire.source(instance))
+                records.append(encoder.source(instance))
                 records += actions
-        return wire.reply(records)
+        return encoder.reply(records)
 
     def _turns(self, count: int, payload: bytes) -> dict[int, list[Event]]:
         """The events of each instance; those that start or stop are carried out on the way."""
         turns: dict[int, list[Event]] = {}
         for instance, event in self._decoder.batch(count, payload):
-            if isinstance(event, wire.Start):
+            if isinstance(event, Start):
                 self._policies[instance] = DeliveryPolicy(event.settings, event.seed)
                 turns[instance] = []
-            elif isinstance(event, wire.Stop):
+            elif isinstance(event, Stop):
                 self._policies.pop(instance, None)
                 turns.pop(instance, None)
             elif instance not in self._policies:
-                raise wire.WireError(f"instance {instance} was never configured")
+                raise WireError(f"instance {instance} was never configured")
             else:
                 turns.setdefault(instance, []).append(event)
         return turns
@@ -56,25 +58,25 @@
     def _actions(self, instance: int, now_ns: int, events: list[Event]) -> list[bytes]:
         """The records of an instance's actions, or of its failure, which ends no other instance."""
         try:
-            return [wire.encode(action) for action in self._policies[instance].handle(now_ns, events)]
+            return [encoder.encode(action) for action in self._policies[instance].handle(now_ns, events)]
         except Exception as error:
-            return [wire.fault(f"{type(error).__name__}: {error}")]
+            return [encoder.fault(f"{type(error).__name__}: {error}")]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batch after batch until the input ends; WireError on bad input."""
     host = Host()
     frame = 0
-    while header := source.read(wire.BATCH_HEADER.size):
-        header = _whole(header, wire.BATCH_HEADER.size, f"the header of frame {frame}")
-        count, size, now_ns = wire.BATCH_HEADER.unpack(header)
-        if size > wire.FIRST_FRAME_LIMIT or count > size:
-            raise wire.WireError(f"frame {frame}: {count} records in {size} bytes cannot be")
+    while header := source.read(BATCH_HEADER.size):
+        header = _whole(header, BATCH_HEADER.size, f"the header of frame {frame}")
+        count, size, now_ns = BATCH_HEADER.unpack(header)
+        if size > MAX_BATCH_BYTES or count > size:
+            raise WireError(f"frame {frame}: {count} records in {size} bytes cannot be")
         payload = read_exactly(source, size, f"frame {frame}")
         try:
             reply = host.answer(now_ns, count, payload)
         except ValueError as error:
-            raise wire.WireError(f"frame {frame}: {error}") from None
+            raise WireError(f"frame {frame}: {error}") from None
         sink.write(reply)
         sink.flush()
         frame += 1
@@ -84,7 +86,7 @@
     """Serve standard input and output; plain words and a non-zero exit on bad input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as error:
+    except WireError as error:
         print(f"pinspread: {error}", file=sys.stderr)
         return 1
     except (BrokenPipeError, KeyboardInterrupt):
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -4,8 +4,8 @@
 type or field of the package. First line: a JSON array of the seed and the settings' row. Then a line a turn,
 three fields parted by tabs: nanoseconds since the turn before, the events as a JSON array of rows, the
 actions as one. Last line: a digest of the state of the sender's random generator, so that draws which led to
-no action count too. A row is an array: a code as on the simulator's wire (`pinspread/wire.py`; 0 stands for
-other settings), then values by position.
+no action count too. A row is an array: a code as on the simulator's wire (`pinspread/simulator_wire/`; 0
+stands for other settings), then values by position.
 
 `benchmarks/record_decisions.py` makes the files. They are not made anew to get a pass: a difference is a
 change of what the software decides, which has to be meant and argued.
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from pinspread import simhost, wire
+from pinspread import simhost
+from pinspread.simulator_wire import encoder, protocol
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = """az=0
@@ -34,7 +35,7 @@
 
 def frame(*records, now=1, count=None):
     body = b"".join(records)
-    return wire.BATCH_HEADER.pack(len(records) if count is None else count, len(body), now) + body
+    return protocol.BATCH_HEADER.pack(len(records) if count is None else count, len(body), now) + body
 
 
 def configure(text=SETTINGS):
@@ -59,9 +60,9 @@
     fleet = b"\x01" + struct.pack(">QHB", 1, 0, 2)
     job = b"\x02" + struct.pack(">QBIQQQfH", 99, 0, 0, 0, 10_000_000_000, 0, 57.0, 0)
     done = run(frame(rows, ON, configure(), fleet, job))
-    size, count = wire.REPLY_HEADER.unpack(done.stdout[:8])
+    size, count = protocol.REPLY_HEADER.unpack(done.stdout[:8])
     assert done.returncode == 0 and size == len(done.stdout) - 8 and count == 2
-    assert done.stdout[8:12] == wire.source(3) + b"\x01"  # the call itself
+    assert done.stdout[8:12] == encoder.source(3) + b"\x01"  # the call itself
 
 
 @pytest.mark.parametrize(
@@ -93,4 +94,4 @@
     monkeypatch.setattr(simhost.DeliveryPolicy, "handle", lambda *_: 1 / 0)
     sink = io.BytesIO()
     simhost.serve(io.BytesIO(frame(ON, configure())), sink)
-    assert wire.fault("ZeroDivisionError: division by zero") in sink.getvalue()
+    assert encoder.fault("ZeroDivisionError: division by zero") in sink.getvalue()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from pinspread import wire
 from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer
 from pinspread.policy.events import (
     ClientCancelled,
@@ -14,6 +13,9 @@
     TimerFired,
     UpdateScope,
 )
+from pinspread.simulator_wire import encoder
+from pinspread.simulator_wire.decoder import Decoder
+from pinspread.simulator_wire.protocol import WireError
 
 
 def records(*texts):
@@ -32,7 +34,7 @@
 
 
 def decode(count, *texts):
-    return wire.Decoder().batch(count, records(*texts))
+    return Decoder().batch(count, records(*texts))
 
 
 def test_message_and_timer():
@@ -69,20 +71,20 @@
 
 def test_actions_and_reply():
     endpoint = bytes.fromhex("0a124a071f43")
-    assert wire.source(3) == records("07 0003")
-    assert wire.encode(Send(0x000BAC885D3A91C4, endpoint, 80_000_000)) == records(
+    assert encoder.source(3) == records("07 0003")
+    assert encoder.encode(Send(0x000BAC885D3A91C4, endpoint, 80_000_000)) == records(
         "01 000bac885d3a91c4 0a124a07 1f43 0000000004c4b400"
     )
-    assert wire.encode(SetTimer(0x4D, 500_000_000)) == records("08 000000000000004d 000000001dcd6500")
-    assert wire.encode(Reject(0x0007FA040E6F2B19, 250_000_000)) == records(
+    assert encoder.encode(SetTimer(0x4D, 500_000_000)) == records("08 000000000000004d 000000001dcd6500")
+    assert encoder.encode(Reject(0x0007FA040E6F2B19, 250_000_000)) == records(
         "06 0007fa040e6f2b19 000000000ee6b280"
     )
-    assert wire.encode(Fail(0x0007FA040E6F2B19)) == records("0a 0007fa040e6f2b19")
-    assert wire.encode(Disconnect(bytes.fromhex("0a9011f21f6c"))) == records("0b 0a9011f2 1f6c")
-    assert wire.encode(CheckHealth(bytes.fromhex("0a9011f21f6c"))) == records("04 0a9011f2 1f6c")
-    assert wire.fault("index out of range") == records("09 0012 696e646578206f7574206f662072616e6765")
-    assert wire.reply([]) == bytes(8)
-    assert wire.reply([b"\x07\x00\x03"]) == struct.pack(">II", 3, 1) + b"\x07\x00\x03"
+    assert encoder.encode(Fail(0x0007FA040E6F2B19)) == records("0a 0007fa040e6f2b19")
+    assert encoder.encode(Disconnect(bytes.fromhex("0a9011f21f6c"))) == records("0b 0a9011f2 1f6c")
+    assert encoder.encode(CheckHealth(bytes.fromhex("0a9011f21f6c"))) == records("04 0a9011f2 1f6c")
+    assert encoder.fault("index out of range") == records("09 0012 696e646578206f7574206f662072616e6765")
+    assert encoder.reply([]) == bytes(8)
+    assert encoder.reply([b"\x07\x00\x03"]) == struct.pack(">II", 3, 1) + b"\x07\x00\x03"
 
 
 @pytest.mark.parametrize(
@@ -98,5 +100,5 @@
     ],
 )
 def test_malformed_records_are_named(count, texts, words):
-    with pytest.raises(wire.WireError, match=words):
+    with pytest.raises(WireError, match=words):
         decode(count, *texts)
