--- a/pinspread/admin/status_client.py
+++ b/pinspread/admin/status_client.py
@@ -6,6 +6,7 @@
 
 import orjson
 
+from pinspread.core.clock import US_PER_S
 from pinspread.sockets import split_address
 
 REQUEST_TIMEOUT_S = 5.0
@@ -54,7 +55,7 @@
     """Format the members: id, address, state, incarnation, seconds in that state."""
     rows = [("id", "address", "state", "incarnation", "for s")]
     for member in view["members"]:
-        age = f"{(now_us - member['since_us']) / 1e6:.1f}"
+        age = f"{(now_us - member['since_us']) / US_PER_S:.1f}"
         rows.append((member["id"], member["address"], member["state"], str(member["incarnation"]), age))
     return [f"{view['id']}: incarnation {view['incarnation']}, health {view['health']}", *align(rows)]
 
--- a/pinspread/amqp/broker_connection.py
+++ b/pinspread/amqp/broker_connection.py
@@ -10,7 +10,7 @@
 from pinspread.amqp.frame_stream import FrameStream
 from pinspread.amqp.frames import FRAME_MAX, PROTOCOL_HEADER, Payload, marshal_content
 from pinspread.amqp.pending_confirm import PendingConfirm
-from pinspread.core.clock import Clock
+from pinspread.core.clock import US_PER_MS, Clock
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
 from pinspread.policy.events import Outcome
@@ -22,7 +22,6 @@
 PERSISTENT = 2  # the delivery mode of messages that outlive the broker's restart
 BLOCKED_RETRY_US = 1_000_000  # a broker that blocks publishers gives no time: try again after this
 BLOCKED = "the broker blocks publishers"
-US_PER_MS = 1000
 CLIENT_PROPERTIES: FieldTable = {
     "product": "pinspread",
     "capabilities": {"connection.blocked": True, "publisher_confirms": True, "basic.nack": True},
--- a/pinspread/amqp/frame_stream.py
+++ b/pinspread/amqp/frame_stream.py
@@ -5,11 +5,10 @@
 
 from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.amqp.frames import FRAME_MAX, PROTOCOL_HEADER, ParsedFrame, Payload, parse_frame
-from pinspread.core.clock import Clock
+from pinspread.core.clock import US_PER_S, Clock
 from pinspread.sockets import Connection, ReadBuffer
 
 MISSED_HEARTBEATS = 2  # intervals of silence after which the other side counts as gone
-MICROSECONDS = 1_000_000
 
 
 class FrameStream:
@@ -103,6 +102,6 @@
         while True:
             await anyio.sleep(interval_s / 2)
             silent_us = self.clock.now() - self.received_us
-            if silent_us > MISSED_HEARTBEATS * interval_s * MICROSECONDS:
+            if silent_us > MISSED_HEARTBEATS * interval_s * US_PER_S:
                 raise ConnectionResetError("no heartbeat")
             await self.write(heartbeat.Heartbeat().marshal())
--- a/pinspread/amqp/publishing.py
+++ b/pinspread/amqp/publishing.py
@@ -11,6 +11,7 @@
 from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.amqp.frame_writer import FrameWriter
 from pinspread.core import message_fields
+from pinspread.core.clock import NS_PER_MS, US_PER_MS
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
 from pinspread.core.message_fields import (
@@ -26,8 +27,6 @@
 
 FRONT_NAME = "amqp"  # in the journal and the log
 KEY_BYTES = 8
-NS_PER_MS = 1_000_000
-US_PER_MS = 1000
 
 
 def parse_key(text: str) -> int:
--- a/pinspread/amqp/transport.py
+++ b/pinspread/amqp/transport.py
@@ -13,14 +13,13 @@
 from pinspread.amqp.broker_connection import BrokerConnection, blocked_result
 from pinspread.amqp.errors import AmqpError
 from pinspread.amqp.pending_confirm import PendingConfirm
-from pinspread.core.clock import Clock
+from pinspread.core.clock import US_PER_S, Clock
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
 from pinspread.policy.events import Outcome
 from pinspread.sockets import dial
 
 HEARTBEAT_S = 10
 GUEST_LOGIN = "\0guest\0guest"  # the PLAIN response of the specification's default user
-US_PER_S = 1_000_000
 
 
 class BrokerTransport:
--- a/pinspread/config/application.py
+++ b/pinspread/config/application.py
@@ -11,8 +11,7 @@
 from pinspread.config.checks import problems
 from pinspread.config.models import Class, File
 from pinspread.config.settings import EffectiveSettings, SettingsError
-
-NS_PER_S = 1_000_000_000
+from pinspread.core.clock import NS_PER_S
 
 # What a file does not say. A destination that was out has a fifth of its capacity at first, all of it 9 s
 # later, and falls over at twice what it has; an endpoint takes nothing new 250 ms after its drain was told.
--- a/pinspread/config/settings.py
+++ b/pinspread/config/settings.py
@@ -12,12 +12,11 @@
 import orjson
 
 from pinspread.config.policy_settings import flatten, read_settings
+from pinspread.core.clock import NS_PER_MS, NS_PER_US
 from pinspread.core.messages import DeliveryRules
 from pinspread.errors import PinspreadError
 from pinspread.policy.settings import Settings
 
-NS_PER_US = 1000
-NS_PER_MS = 1_000_000
 BYTES_PER_MB = 1_000_000
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
--- a/pinspread/config/summary.py
+++ b/pinspread/config/summary.py
@@ -3,11 +3,10 @@
 from collections.abc import Iterator
 
 from pinspread.config.settings import EffectiveSettings
+from pinspread.core.clock import NS_PER_MS
 from pinspread.core.messages import DeliveryRules
 from pinspread.policy.settings import Settings
 
-NS_PER_MS = 1_000_000
-
 
 def summary(effective: EffectiveSettings) -> Iterator[str]:
     """The lines, for whoever checks a deployment before it is served."""
--- a/pinspread/core/acceptance.py
+++ b/pinspread/core/acceptance.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Collection, Iterable
 
+from pinspread.core.clock import NS_PER_US, US_PER_MS
 from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
 from pinspread.core.log import log
@@ -74,7 +75,7 @@
             key=message.key,
             size_bytes=len(message.body),
             time_left_ms=(message.deadline_unix_us - self._context.clock.unix(self._context.clock.now()))
-            // 1000,
+            // US_PER_MS,
         )
 
     def _check_replication(self) -> None:
@@ -193,11 +194,13 @@
                 request=message.number,
                 class_index=0,
                 destination=message.destination,
-                deadline_ns=clock.monotonic(message.deadline_unix_us) * 1000,
+                deadline_ns=clock.monotonic(message.deadline_unix_us) * NS_PER_US,
                 key=message.key,
                 tenant=self._context.settings.tenants.get(message.tenant, 0),
                 attempts=message.attempts,
-                may_have_run_ns=clock.monotonic(may_have_run_unix_us) * 1000 if may_have_run_unix_us else 0,
+                may_have_run_ns=clock.monotonic(may_have_run_unix_us) * NS_PER_US
+                if may_have_run_unix_us
+                else 0,
                 may_have_run_zone=message.zone,
                 traffic_class=rules.traffic_class,
                 max_attempts=rules.max_attempts,
--- a/pinspread/core/attempts.py
+++ b/pinspread/core/attempts.py
@@ -5,6 +5,7 @@
 import anyio
 
 from pinspread.core.bundling import group_into_calls
+from pinspread.core.clock import NS_PER_US
 from pinspread.core.context import POLL_S, EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
 from pinspread.core.log import log
@@ -51,7 +52,7 @@
         """Start an attempt as the policy decided; it runs from the end of the turn on."""
         message = self._messages.open[action.request]
         endpoint = self._registry.endpoints[str(action.endpoint)]
-        attempt = Attempt(message, message.attempts, endpoint, now_us, action.timeout_ns // 1000)
+        attempt = Attempt(message, message.attempts, endpoint, now_us, action.timeout_ns // NS_PER_US)
         attempt.check_before_write = lambda: self._write_check.check(attempt)
         attempt.apply_retry_after = self._retry_after_callback(endpoint)
         message.attempts += 1
@@ -206,9 +207,9 @@
                 attempt.number,
                 attempt.endpoint.id,
                 result.outcome,
-                elapsed_us * 1000,
+                elapsed_us * NS_PER_US,
                 message.number not in self._messages.open,
-                result.retry_after_us * 1000,
+                result.retry_after_us * NS_PER_US,
                 limit_remaining=result.limit_remaining,
                 limit_per_s=result.limit_per_s,
                 opened=result.opened,
--- a/pinspread/core/clock.py
+++ b/pinspread/core/clock.py
@@ -3,6 +3,12 @@
 import asyncio
 import time
 
+US_PER_MS = 1_000
+US_PER_S = 1_000_000
+NS_PER_US = 1_000
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000_000_000
+
 
 class Clock:
     """Time that stands still during a turn of the event loop; Unix time is it plus a constant offset.
@@ -13,7 +19,7 @@
 
     def __init__(self) -> None:
         self._now_us = 0  # 0: not read yet in this turn
-        self.offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
+        self.offset_us = time.time_ns() // NS_PER_US - time.monotonic_ns() // NS_PER_US
 
     def now(self) -> int:
         """Return the monotonic time of this turn in microseconds.
@@ -22,7 +28,7 @@
         happens at the same time and costs one call.
         """
         if not self._now_us:
-            self._now_us = time.monotonic_ns() // 1000
+            self._now_us = time.monotonic_ns() // NS_PER_US
             asyncio.get_running_loop().call_soon(self._forget)
         return self._now_us
 
--- a/pinspread/core/context.py
+++ b/pinspread/core/context.py
@@ -6,7 +6,7 @@
 
 from anyio.abc import TaskGroup
 
-from pinspread.core.clock import Clock
+from pinspread.core.clock import US_PER_S, Clock
 from pinspread.core.event_queue import EventQueue
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
@@ -14,7 +14,6 @@
 from pinspread.core.ports import EngineSettings, Front, ReplicationService, Successor, Transport
 from pinspread.errors import JournalFullError
 
-SECOND_US = 1_000_000
 POLL_S = 0.02  # between two questions whether replication still blocks what waits for it
 
 P = ParamSpec("P")
@@ -54,7 +53,7 @@
 
     def seconds_to(self, at_us: int) -> float:
         """Return the seconds until a time of the monotonic clock, which may have passed."""
-        return max(0, at_us - self.clock.now()) / SECOND_US
+        return max(0, at_us - self.clock.now()) / US_PER_S
 
     def record(self, write: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
         """Write to the journal what has happened whether it can be recorded or not."""
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -8,8 +8,8 @@
 
 from pinspread.core.acceptance import Acceptance
 from pinspread.core.attempts import AttemptId, AttemptRunner
-from pinspread.core.clock import Clock
-from pinspread.core.context import SECOND_US, EngineContext
+from pinspread.core.clock import NS_PER_MS, NS_PER_US, US_PER_S, Clock
+from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_blocklist import EndpointBlocklist
 from pinspread.core.endpoint_registry import EndpointRegistry, RetryAfterScope
 from pinspread.core.event_queue import EventQueue
@@ -35,7 +35,6 @@
 )
 LINGER_US = 500_000  # new clients keep arriving for a while and must be told that they are rejected
 ACKNOWLEDGEMENT_POLL_S = 0.005
-NS_PER_MS = 1_000_000
 
 
 def _ignore_subscription() -> None:
@@ -317,12 +316,12 @@
             self._drained.set()
 
     def _decide(self, events: list[Event], now_us: int) -> None:
-        for action in self.policy.handle(now_us * 1000, events):
+        for action in self.policy.handle(now_us * NS_PER_US, events):
             self._performers[type(action)](action, now_us)
         self.attempt_runner.launch()
 
     def _set_timer(self, action: SetTimer, now_us: int) -> None:
-        self.events.set_timer(now_us + max(1, action.delay_ns // 1000), action.tag)
+        self.events.set_timer(now_us + max(1, action.delay_ns // NS_PER_US), action.tag)
 
     def _send(self, action: Send, now_us: int) -> None:
         if not self.stopping:  # what is not sent now stays in the journal for the next start
@@ -353,8 +352,8 @@
         log("stopping", in_flight=len(self.attempts), open=len(self.open_messages))
         self.stopping = True
         self.events.wake()
-        with anyio.move_on_after(DRAIN_US / SECOND_US):
-            await anyio.sleep(LINGER_US / SECOND_US)
+        with anyio.move_on_after(DRAIN_US / US_PER_S):
+            await anyio.sleep(LINGER_US / US_PER_S)
             await self._drained.wait()
             while self.pending_notifications:
                 await anyio.sleep(ACKNOWLEDGEMENT_POLL_S)
--- a/pinspread/core/health_checks.py
+++ b/pinspread/core/health_checks.py
@@ -2,7 +2,8 @@
 
 import anyio
 
-from pinspread.core.context import SECOND_US, EngineContext
+from pinspread.core.clock import NS_PER_US, US_PER_S
+from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
 from pinspread.core.log import log
 from pinspread.core.messages import AttemptResult, Endpoint
@@ -31,7 +32,7 @@
     async def _check(self, endpoint: Endpoint, started_us: int) -> None:
         self.in_flight[endpoint.id] = started_us
         result = AttemptResult(Outcome.TIMEOUT)
-        with anyio.move_on_after(TIMEOUT_US / SECOND_US):
+        with anyio.move_on_after(TIMEOUT_US / US_PER_S):
             result = await self._context.transports[endpoint.scheme].check_health(
                 endpoint, lambda: self._registry.blocked_reason(endpoint)
             )
@@ -46,7 +47,9 @@
             self._context.successor.health_check_ended(endpoint.id, result)
         log("health_check", endpoint=endpoint.id, outcome=result.outcome.name, note=result.note)
         self._context.events.post(
-            HealthCheckCompleted(endpoint.id, result.outcome, elapsed_us * 1000, result.retry_after_us * 1000)
+            HealthCheckCompleted(
+                endpoint.id, result.outcome, elapsed_us * NS_PER_US, result.retry_after_us * NS_PER_US
+            )
         )
 
     def complete_predecessors(self, endpoint_id: str, result: AttemptResult) -> None:
--- a/pinspread/core/log.py
+++ b/pinspread/core/log.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from pinspread.core.clock import Clock
+from pinspread.core.clock import NS_PER_US, Clock
 
 MAX_LINE_BYTES = 4096  # what a pipe that is ready takes whole
 STANDARD_OUTPUT = 1
@@ -29,7 +29,7 @@
     the next one that is written says how many were.
     """
     global _dropped
-    at_us = _clock.unix(_clock.now()) if _clock else time.time_ns() // 1000
+    at_us = _clock.unix(_clock.now()) if _clock else time.time_ns() // NS_PER_US
     line = {"at_us": at_us, "event": event, **fields}
     if _dropped:
         line["dropped_before"] = _dropped
--- a/pinspread/core/write_check.py
+++ b/pinspread/core/write_check.py
@@ -1,5 +1,6 @@
 """The last check of an attempt, right before its first byte is written."""
 
+from pinspread.core.clock import NS_PER_US
 from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
 from pinspread.core.messages import Attempt, Endpoint, Message
@@ -69,7 +70,7 @@
             return True
         # The policy chose in time, but connecting may outlast the window in which the destination drops
         # duplicates.
-        window_end_us = message.may_have_run_unix_us + traffic_class.deduplication_window_ns // 1000
+        window_end_us = message.may_have_run_unix_us + traffic_class.deduplication_window_ns // NS_PER_US
         in_time = self._context.clock.unix(self._context.clock.now()) < window_end_us
         in_scope = traffic_class.group is not DeduplicationScope.ZONE or endpoint.zone == message.zone
         return traffic_class.effect is Idempotency.WITH_KEY and in_time and in_scope
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -7,6 +7,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
+from pinspread.core.clock import US_PER_S
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
 from pinspread.core.messages import Endpoint
@@ -35,7 +36,6 @@
 OPEN_INTERVAL_S = 0.3  # between watches that are opened while an agent is silent
 MAX_OPENING = 4  # that wait for their responses beside each other
 MAX_LOGGED_FAILURES = 3  # in a row
-SECOND_US = 1_000_000
 
 
 class DiscoverySettings(Protocol):
@@ -161,7 +161,7 @@
                 if wait_us <= 0:
                     self._open(tasks)
                     continue
-                with anyio.move_on_after(wait_us / SECOND_US):
+                with anyio.move_on_after(wait_us / US_PER_S):
                     await self._wake.wait()
                 self._wake = anyio.Event()
 
@@ -179,7 +179,7 @@
             return watch.silent_at_us - now_us
         max_opening = len({self.address, self._last_address} - {""}) if self._shared else MAX_OPENING
         if len(self._opening) >= max_opening:
-            return SECOND_US  # the end of one wakes
+            return US_PER_S  # the end of one wakes
         return self._next_open_us - now_us
 
     def _open(self, tasks: TaskGroup) -> None:
@@ -190,7 +190,7 @@
         """
         if self._current and not self._full_wanted and not self._opening and not self._failures:
             log("watch_broke", address=self._current.address, error="silent")
-        self._next_open_us = self.engine.clock.now() + int(OPEN_INTERVAL_S * SECOND_US)
+        self._next_open_us = self.engine.clock.now() + int(OPEN_INTERVAL_S * US_PER_S)
         addresses = {self.address}
         if self._current is None and self._last_address:
             # The old watch broke before the new address was up: better to follow the old one than none.
@@ -227,7 +227,7 @@
         soon = own_agent and (watch.up or isinstance(error, ConnectionRefusedError))
         instances = 1 if soon else self.settings.policy_settings.senders
         delay_s = reopen_delay_s(self._failures, instances, self._random.random())
-        self._next_open_us = self.engine.clock.now() + int(delay_s * SECOND_US)
+        self._next_open_us = self.engine.clock.now() + int(delay_s * US_PER_S)
         self._failures += 1
 
     def _promote(self, watch: Watch) -> None:
@@ -283,7 +283,7 @@
         """
         if self._shared and self.settings.policy_settings.senders > SMALL_FLEET:
             timeout_s += SHARED_SPREAD_S * self._random.random()
-        watch.silent_at_us = self.engine.clock.now() + int(timeout_s * SECOND_US)
+        watch.silent_at_us = self.engine.clock.now() + int(timeout_s * US_PER_S)
 
     def _apply(self, update: EndpointUpdate, scope: UpdateScope | None = None, moved: bool = False) -> None:
         """Hand an update to the engine.
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -12,7 +12,7 @@
 import anyio
 import orjson
 
-from pinspread.core.clock import Clock
+from pinspread.core.clock import US_PER_S, Clock
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.handover import HandoverStep, HandoverTarget, TargetState
@@ -247,7 +247,7 @@
 
     A process that hangs reports nothing, and without this a message would never have its final result.
     """
-    await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / 1e6)
+    await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / US_PER_S)
     engine.predecessor_attempt_ended(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
 
 
--- a/pinspread/http/call.py
+++ b/pinspread/http/call.py
@@ -2,6 +2,7 @@
 
 from dataclasses import dataclass
 
+from pinspread.core.clock import US_PER_MS
 from pinspread.core.log import log
 from pinspread.core.messages import AttemptResult
 from pinspread.http.exchange import Exchange, Response
@@ -49,7 +50,7 @@
         """Say how much of the response had come when the call was given up."""
         if self.exchange is None or not self.exchange.received:
             return "silent"
-        silent_ms = (now_us - self.exchange.last_read_us) // 1000
+        silent_ms = (now_us - self.exchange.last_read_us) // US_PER_MS
         return f"{len(self.exchange.received)} bytes, the last {silent_ms} ms ago"
 
     def timed_out(self, now_us: int) -> AttemptResult:
--- a/pinspread/http/exchange.py
+++ b/pinspread/http/exchange.py
@@ -7,6 +7,7 @@
 
 import h11
 
+from pinspread.core.clock import NS_PER_US
 from pinspread.sockets import Connection
 
 MAX_HEAD_BYTES = 16 * 1024
@@ -128,7 +129,7 @@
         """
         while self._status is None:
             self.received += await self._read()
-            self.last_read_us = time.monotonic_ns() // 1000
+            self.last_read_us = time.monotonic_ns() // NS_PER_US
             self._status = parse_status(self.received)
         return self._status
 
--- a/pinspread/http/transport.py
+++ b/pinspread/http/transport.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from pinspread.core.clock import Clock
+from pinspread.core.clock import US_PER_S, Clock
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
 from pinspread.http import bundle
@@ -25,7 +25,6 @@
 LIMIT_REMAINING, LIMIT_PER_S = "x0", "x1"  # the figures of a load report that are used
 SLOT_PAUSE_S = 0.05
 DRAIN_TIMEOUT_S = 0.05  # for the rest of a response with status 200, after which the connection is closed
-SECOND_US = 1_000_000
 
 
 class HttpTransport:
@@ -73,7 +72,7 @@
         return state.timed_out(self.clock.now())
 
     def _seconds_until(self, at_us: int) -> float:
-        return max(0, at_us - self.clock.now()) / SECOND_US
+        return max(0, at_us - self.clock.now()) / US_PER_S
 
     async def _open(self, endpoint: Endpoint, state: CallState) -> Connection:
         """Take a usable connection from the pool, or open one."""
@@ -81,7 +80,7 @@
         if connection is not None:
             state.idle_us = self.clock.now() - connection.idle_since_us
             return connection
-        with anyio.fail_after(self.dial_us / SECOND_US):
+        with anyio.fail_after(self.dial_us / US_PER_S):
             connection = state.connection = await dial(endpoint.address)
         state.opened = True
         if not connection.is_idle():
--- a/pinspread/resp/commands.py
+++ b/pinspread/resp/commands.py
@@ -2,6 +2,7 @@
 
 from typing import NamedTuple
 
+from pinspread.core.clock import US_PER_MS
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
 from pinspread.core.message_fields import InvalidFieldError
@@ -112,7 +113,7 @@
                 destination=options.destination,
                 key=request.key,
                 idempotency_key=options.idempotency_key,
-                deadline_unix_us=engine.clock.unix(engine.clock.now()) + options.deadline_ms * 1000,
+                deadline_unix_us=engine.clock.unix(engine.clock.now()) + options.deadline_ms * US_PER_MS,
                 body=bytes(request.body),
                 front=NAME,
             )
--- a/pinspread/sockets/limiter.py
+++ b/pinspread/sockets/limiter.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from pinspread.core.clock import Clock
+from pinspread.core.clock import US_PER_S, Clock
 from pinspread.core.log import log
 from pinspread.sockets.connection import Connection
 
@@ -165,7 +165,7 @@
         # Bytes that are there unread may be its command, where the event loop was late: closed now, it would
         # have no answer. A client that always has bytes unread and never a complete command is closed all the
         # same, two sweeps later.
-        excused = idle or waited_us < COMMAND_TIMEOUT_US + int(2 * SWEEP_INTERVAL_S * 1_000_000)
+        excused = idle or waited_us < COMMAND_TIMEOUT_US + int(2 * SWEEP_INTERVAL_S * US_PER_S)
         if excused and not client.connection.is_idle():
             return False
         return waited_us > (IDLE_TIMEOUT_US if idle else COMMAND_TIMEOUT_US)
--- a/pinspread/standalone.py
+++ b/pinspread/standalone.py
@@ -13,6 +13,7 @@
 from pinspread.config.dnssd import DnsSdDiscovery, Records
 from pinspread.config.models import Brokers, Copies, File, Leases, Members
 from pinspread.config.settings import EffectiveSettings, SettingsError
+from pinspread.core.clock import US_PER_MS, US_PER_S
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.ports import BackgroundService
 from pinspread.service import ReloadedSettings, ServiceOptions
@@ -22,9 +23,6 @@
     from pinspread.membership.service import MembershipConfig
     from pinspread.replication.config import ReplicationConfig
 
-US_PER_S = 1_000_000
-US_PER_MS = 1000
-
 
 def service_options(path: str, seed: int, early_sighup: Sequence[bool]) -> ServiceOptions:
     """What a process that serves this file is made of; its state folder is made if it is not there.
