--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -19,6 +19,7 @@
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult
+from pinspread.core.time_units import US_PER_S
 from pinspread.errors import JournalFormatError
 from pinspread.hot_restart import packet_codec
 from pinspread.hot_restart.link import (
@@ -247,7 +248,7 @@
 
     A process that hangs reports nothing, and without this a message would never have its final result.
     """
-    await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / 1e6)
+    await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / US_PER_S)
     engine.predecessor_attempt_ended(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
 
 
