--- a/pinspread/replication/snapshots.py
+++ b/pinspread/replication/snapshots.py
@@ -83,22 +83,25 @@
     """Return whether a takeover of the owner's work must be known to one of the nodes that answered it.
 
     A successor has asked as many replicas as `covers_promises` wants, and each of them remembers it. So one
-    of them is among the others and one more.
+    of them is among the others and one more. Where the owner has rewritten its journal since, those that
+    store the older generation may be replicas no longer, and all that they name have to answer.
 
     Args:
         found: The answers that the owner has got.
-        own_generation: The owner's own: one that stores an older one may have been no replica since.
+        own_generation: The owner's own.
         replica_count: How many replicas the owner wants.
         required_acks: How many it waits for.
     """
     newest = newest_of(found.values())
-    if newest is None or newest.generation < own_generation:
+    if newest is None:
         return False
-    return all(
-        len(found.keys() & set(replicas))
-        > len(replicas) - _covering_count(len(replicas), replica_count, required_acks)
-        for replicas in replica_sets(found)
-    )
+    is_current = newest.generation >= own_generation
+    for replicas in replica_sets(found):
+        covering = _covering_count(len(replicas), replica_count, required_acks)
+        needed = len(replicas) - covering + 1 if is_current else len(replicas)
+        if len(found.keys() & set(replicas)) < needed:
+            return False
+    return True
 
 
 def _covering_count(chosen_count: int, replica_count: int, required_acks: int) -> int:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -215,7 +215,7 @@
 ):
     # Cut off from all others, this node takes them for dead and asks none; "a" has delivered both meanwhile.
     own = ReplicaSnapshot(7, journal_of(tmp_path / "k", 1, 2), ["a"], ["a"], 6)
-    older = ReplicaSnapshot(6, journal_of(tmp_path / "k6", 1), ["c"], [], 0)
+    older = ReplicaSnapshot(6, journal_of(tmp_path / "k6", 1), ["c", "a"], [], 0)
     holds_nothing = ReplicaSnapshot(0, b"", [], [], 0)
     answers = [{}, {"b": holds_nothing}, {"b": holds_nothing, "c": older}]
     blocked = []
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -192,6 +192,8 @@
     assert not covers_takeovers(one, 3, 2, 2)  # it may have asked the other alone
     assert covers_takeovers(one | {"c": told(["b", "c"], 2)}, 3, 2, 2)
     assert not covers_takeovers(one, 4, 2, 1)  # has missed a rewrite: others may be replicas since
+    assert not covers_takeovers(one | {"x": snapshot(0, b"")}, 4, 2, 1)
+    assert covers_takeovers(one | {"c": snapshot(0, b"")}, 4, 2, 1)  # the rewrite has reached none of them
     assert not covers_takeovers({}, 0, 2, 1)
     assert not covers_takeovers({"x": snapshot(0, b"")}, 0, 2, 1)
     # "d" was chosen for "c" by then, and a successor may have asked "b" and "d", or "c" and another.
