--- a/tests/test_replication_stage.py
+++ b/tests/test_replication_stage.py
@@ -1,10 +1,13 @@
 """Copies with real couriers under load and faults between them: nothing promised is lost or done twice."""
 
+import asyncio
+
 import pytest
 from test_leases_stage import FAST, LEASES
 
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed import processes as cast
+from pinspread.testbed.stand_ins import until
 
 pytestmark = pytest.mark.stage
 # The last message's time is up before a scene ends: what is then neither delivered nor told is lost.
@@ -147,9 +150,27 @@
 
 
 def test_a_start_that_waits_for_its_lease_ends_at_sigterm(tmp_path):
-    scene = {"members": 4, "late": ["m0", "m1", "m2", "m3"], "seconds": 4, "tuning": FAST, "leases": LEASES}
-    at = [{"s": 0, "do": "start", "who": ["m3"]}, {"s": 3, "do": "term", "who": ["m3"]}]
-    cast.play(scene | {"copies": {}, "at": at}, tmp_path)
+    late = ["m0", "m1", "m2", "m3"]
+    scene = {"members": 4, "late": late, "seconds": 0, "tuning": FAST, "leases": LEASES, "copies": {}}
+
+    async def until_sigterm():
+        stage = cast.Stage(scene, tmp_path)
+
+        def has_logged(event):
+            return any(li["who"] == "m3" and li.get("event") == event for li in stage.history.lines)
+
+        try:
+            await stage.begin(set(late))
+            await stage.act({"do": "start", "who": ["m3"]})
+            # From here on it waits, however long the interpreter's start has taken.
+            await until(lambda: has_logged("copies_up"), cast.READY_S)
+            await asyncio.sleep(2)
+            await stage.act({"do": "term", "who": ["m3"]})
+            await until(lambda: has_logged("exited"), cast.READY_S)
+        finally:
+            await asyncio.to_thread(stage.finish)
+
+    asyncio.run(until_sigterm())
     lines = judge.read_scene(tmp_path / "history.jsonl")
     of = {li["event"]: li for li in lines if li["who"] == "m3"}
     assert "copies_up" in of and "serving" not in of
