--- a/tests/test_replication_stage.py
+++ b/tests/test_replication_stage.py
@@ -154,7 +154,7 @@
     scene = {"members": 4, "late": late, "seconds": 0, "tuning": FAST, "leases": LEASES, "copies": {}}
 
     async def until_sigterm():
-        stage = cast.Stage(scene, tmp_path)
+        stage = cast.ClusterTestbed(scene, tmp_path)
 
         def has_logged(event):
             return any(li["who"] == "m3" and li.get("event") == event for li in stage.history.lines)
