--- a/pinspread/membership/cluster_state.py
+++ b/pinspread/membership/cluster_state.py
@@ -27,7 +27,7 @@
     """The table of one member, with the suspicions and updates that go with it.
 
     Args:
-        own: The record of this member.
+        local: The record of this member.
         config: The settings of the protocol.
         rng: Draws the probe order and the members that are picked.
 
@@ -39,9 +39,9 @@
         events: What has changed since the events were last cleared.
     """
 
-    def __init__(self, own: MemberRecord, config: SwimConfig, rng: random.Random):
-        self.incarnation = own.incarnation
-        self.members = MemberTable(own, rng)
+    def __init__(self, local: MemberRecord, config: SwimConfig, rng: random.Random):
+        self.incarnation = local.incarnation
+        self.members = MemberTable(local, rng)
         self.suspicions: dict[str, Suspicion] = {}
         self.gossip = GossipQueue(config.gossip_lambda)
         self.events: list[Event] = []
@@ -73,14 +73,14 @@
         """Suspect a member that has not answered a probe of this one."""
         record = self.members.records.get(member_id)
         if record and record.state == MemberState.ALIVE:
-            self._change(record, MemberState.SUSPECT, record.incarnation, now_us, self.members.own_id)
+            self._change(record, MemberState.SUSPECT, record.incarnation, now_us, self.members.local_id)
         elif record and record.state == MemberState.SUSPECT:
-            self.spread(record, self.members.own_id)  # an independent confirmation for the others
+            self.spread(record, self.members.local_id)  # an independent confirmation for the others
 
     def _confirm(self, update: Update) -> None:
         """Count an independent confirmation of a suspicion, which shortens its time-out."""
         suspicion = self.suspicions.get(update.id)
-        if suspicion is None or update.reported_by in (suspicion.raised_by, self.members.own_id):
+        if suspicion is None or update.reported_by in (suspicion.raised_by, self.members.local_id):
             return
         suspicion.confirmers.add(update.reported_by)
 
@@ -115,7 +115,7 @@
         for id_, suspicion in list(self.suspicions.items()):
             if now_us >= self._ends_us(suspicion):
                 record = self.members.records[id_]
-                self._change(record, MemberState.DEAD, record.incarnation, now_us, self.members.own_id)
+                self._change(record, MemberState.DEAD, record.incarnation, now_us, self.members.local_id)
 
     def forget_down(self, now_us: int) -> None:
         """Forget members that have been down for long."""
@@ -137,9 +137,9 @@
         if update.state == MemberState.ALIVE or update.incarnation < self.incarnation or self._leaving:
             return False
         self.incarnation = update.incarnation + 1
-        own = replace(self.members.own_record, incarnation=self.incarnation)
-        self.members.put_own(own)
-        self.spread(own, own.id)
+        local = replace(self.members.local_record, incarnation=self.incarnation)
+        self.members.put_local(local)
+        self.spread(local, local.id)
         self.events.append(RumorRefuted(update.state, update.reported_by, self.incarnation))
         return True
 
@@ -147,10 +147,10 @@
         """Leave; return the claim that says so."""
         self._leaving = True
         self.incarnation += 1
-        own = replace(self.members.own_record, state=MemberState.LEFT, incarnation=self.incarnation)
-        self.members.put_own(own)
-        self.spread(own, own.id)
-        return Update.from_record(own, own.id)
+        local = replace(self.members.local_record, state=MemberState.LEFT, incarnation=self.incarnation)
+        self.members.put_local(local)
+        self.spread(local, local.id)
+        return Update.from_record(local, local.id)
 
     # --- updates to pass on ---------------------------------------------------------------------------
 
--- a/pinspread/membership/failure_detector.py
+++ b/pinspread/membership/failure_detector.py
@@ -5,7 +5,7 @@
 
 from pinspread.membership.config import SwimConfig
 
-_NACK_SHARE = 0.8  # of the probe time-out, after which an indirect probe is answered by a nack (Lifeguard)
+_NACK_FRACTION = 0.8  # of the probe time-out, after which an indirect probe is answered by a nack (Lifeguard)
 
 
 @dataclass
@@ -92,10 +92,10 @@
 
     def begin_relay(self, requester_address: str, sequence: int, now_us: int) -> int:
         """Open a probe for another member, and return this member's sequence number of it."""
-        nack_us = now_us + int(self._config.timeout_us * _NACK_SHARE)
-        own_sequence = self._next_sequence()
-        self.relays[own_sequence] = Relay(requester_address, sequence, nack_us)
-        return own_sequence
+        nack_us = now_us + int(self._config.timeout_us * _NACK_FRACTION)
+        local_sequence = self._next_sequence()
+        self.relays[local_sequence] = Relay(requester_address, sequence, nack_us)
+        return local_sequence
 
     def _next_sequence(self) -> int:
         self._sequence += 1
--- a/pinspread/membership/members.py
+++ b/pinspread/membership/members.py
@@ -36,7 +36,7 @@
         address: `host:port` at which it receives membership datagrams.
         incarnation: A number that only the member itself raises, to refute claims about it.
         state: Its state.
-        since_us: When it got into that state, by the clock of the table's owner.
+        since_us: When it got into that state, by the clock of the member that has the table.
     """
 
     id: str
@@ -65,7 +65,7 @@
     """All members that one member knows, itself included.
 
     Args:
-        own: The record of the table's owner.
+        local: The record of the member whose table it is, the local member.
         rng: Draws the probe order and the members that are picked.
 
     Attributes:
@@ -76,9 +76,9 @@
         probe_position: Where in `probe_order` the next probe is.
     """
 
-    def __init__(self, own: MemberRecord, rng: random.Random):
-        self.own_id = own.id
-        self.records = {own.id: own}
+    def __init__(self, local: MemberRecord, rng: random.Random):
+        self.local_id = local.id
+        self.records = {local.id: local}
         self.live_count = 0
         self.down: set[str] = set()
         self.probe_order: list[str] = []
@@ -91,14 +91,16 @@
         return 1 + self.live_count
 
     @property
-    def own_record(self) -> MemberRecord:
-        """The record of the table's owner."""
-        return self.records[self.own_id]
+    def local_record(self) -> MemberRecord:
+        """The record of the local member."""
+        return self.records[self.local_id]
 
     def others(self, *states: MemberState) -> list[MemberRecord]:
         """Return the other members in any of the states."""
         return [
-            record for record in self.records.values() if record.id != self.own_id and record.state in states
+            record
+            for record in self.records.values()
+            if record.id != self.local_id and record.state in states
         ]
 
     def put(self, record: MemberRecord, was_live: bool) -> None:
@@ -114,8 +116,8 @@
             self.probe_order.insert(position, record.id)
             self.probe_position += position < self.probe_position
 
-    def put_own(self, record: MemberRecord) -> None:
-        """Replace the record of the table's owner."""
+    def put_local(self, record: MemberRecord) -> None:
+        """Replace the record of the local member."""
         self.records[record.id] = record
 
     def remove(self, ids: Iterable[str]) -> None:
@@ -164,13 +166,13 @@
     def sample(self, max_count: int) -> list[MemberRecord]:
         """Return all records or, if there are more than `max_count`, some.
 
-        Those are the owner, members that are down, up to a quarter of `max_count`, and a run of the others,
-        so that several samples cover the table.
+        Those are the local member, members that are down, up to a quarter of `max_count`, and a run of the
+        others, so that several samples cover the table.
         """
         if len(self.records) <= max_count:
             return list(self.records.values())
         down = self._rng.sample(sorted(self.down), min(len(self.down), max_count // 4))
-        ids = [self.own_id, *down]
+        ids = [self.local_id, *down]
         start = self._rng.randrange(len(self.probe_order))
         run = self.probe_order[start : start + max_count - len(ids)]
         run += self.probe_order[: max_count - len(ids) - len(run)]
--- a/pinspread/membership/swim.py
+++ b/pinspread/membership/swim.py
@@ -67,8 +67,8 @@
         self.address = address
         self.config = config or SwimConfig()
         self.rng = rng or random.Random()
-        own = MemberRecord(id_, address, 0, MemberState.ALIVE, now_us)
-        self.cluster = ClusterState(own, self.config, self.rng)
+        local = MemberRecord(id_, address, 0, MemberState.ALIVE, now_us)
+        self.cluster = ClusterState(local, self.config, self.rng)
         self.detector = FailureDetector(self.config)
         self.table_sync = TableSync(self.cluster.members, address, self.config, self.rng, now_us)
         self.next_probe_us = now_us
--- a/pinspread/membership/table_sync.py
+++ b/pinspread/membership/table_sync.py
@@ -19,7 +19,7 @@
 
     Args:
         members: The member table.
-        own_address: Where this member receives datagrams.
+        local_address: Where this member receives datagrams.
         config: The settings of the protocol.
         rng: Draws the members to exchange with.
         now_us: The time; the first exchange is due at once.
@@ -30,33 +30,33 @@
     """
 
     def __init__(
-        self, members: MemberTable, own_address: str, config: SwimConfig, rng: random.Random, now_us: int
+        self, members: MemberTable, local_address: str, config: SwimConfig, rng: random.Random, now_us: int
     ):
         self.seeds: list[str] = []
         self.next_us = now_us
         self._members = members
-        self._own_address = own_address
+        self._local_address = local_address
         self._config = config
         self._rng = rng
 
     def set_seeds(self, addresses: Iterable[str]) -> None:
         """Replace the seeds; this member's own address is left out."""
-        self.seeds = [address for address in addresses if address != self._own_address]
+        self.seeds = [address for address in addresses if address != self._local_address]
 
     def begin(self, now_us: int) -> list[str]:
         """Begin an exchange, and return the addresses that the table is sent to.
 
         While no other member is live, the next exchange is due after a probe period, and the seeds are asked.
         """
-        is_alone = not self._members.live_count
-        self.next_us = now_us + (self._config.period_us if is_alone else self._config.sync_us)
-        if is_alone and self.seeds:
+        is_isolated = not self._members.live_count
+        self.next_us = now_us + (self._config.period_us if is_isolated else self._config.sync_us)
+        if is_isolated and self.seeds:
             return self.seeds
         dead = self._dead_ids()
-        if dead and (is_alone or self._rng.random() < _SYNC_WITH_DEAD_PROBABILITY):
+        if dead and (is_isolated or self._rng.random() < _SYNC_WITH_DEAD_PROBABILITY):
             # How the sides of a healed partition meet.
             return [self._members.records[self._rng.choice(dead)].address]
-        if is_alone:
+        if is_isolated:
             return []
         return [record.address for record in self._members.pick(1, states=LIVE_STATES)]
 
--- a/pinspread/replication/log.py
+++ b/pinspread/replication/log.py
@@ -57,9 +57,9 @@
     """Return up to which offset a replica of `size` bytes with these checksums is the same as the data."""
     if size > len(data) or len(checksums) != -(-size // CHECKSUM_RANGE_BYTES):
         size = 0
-    own_checksums = range_checksums(memoryview(data)[:size])
-    for index, (own, other) in enumerate(zip(own_checksums, checksums, strict=False)):
-        if own != other:
+    local_checksums = range_checksums(memoryview(data)[:size])
+    for index, (local, remote) in enumerate(zip(local_checksums, checksums, strict=False)):
+        if local != remote:
             return index * CHECKSUM_RANGE_BYTES
     return size
 
