--- a/pinspread/membership/framing.py
+++ b/pinspread/membership/framing.py
@@ -1,4 +1,4 @@
-"""Frames on streams between members: length-prefixed, checked and read whole, as `codec` encodes them."""
+"""Frames on streams between members: length-prefixed and checked, as `codec` encodes them."""
 
 from typing import Any
 
--- a/pinspread/membership/gossip.py
+++ b/pinspread/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Dissemination: which updates ride on the messages that are sent anyhow."""
+"""Dissemination by gossip: which updates are piggybacked on the messages that are sent anyhow."""
 
 import math
 from dataclasses import dataclass
--- a/pinspread/membership/messages.py
+++ b/pinspread/membership/messages.py
@@ -47,7 +47,7 @@
         sender: The sender's id.
         sender_address: Where the sender receives datagrams.
         incarnation: The sender's incarnation.
-        updates: The claims that ride on the message.
+        updates: The claims that are piggybacked on the message.
     """
 
     sender: str
--- a/pinspread/membership/swim.py
+++ b/pinspread/membership/swim.py
@@ -6,7 +6,7 @@
 
 Its parts: `cluster_state` has what the member believes of the others, `failure_detector` the probes,
 `table_sync` the exchange of tables. Those of `cluster_state`: `members` has the table, `suspicion` the
-time-out of suspected members, `gossip` what rides on messages.
+time-out of suspected members, `gossip` what is piggybacked on messages.
 
 Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2017).
 """
@@ -230,7 +230,7 @@
         return outgoing
 
     def _apply_claims(self, message: Message, now_us: int) -> None:
-        """Apply that the sender is alive, and the updates that ride on the message."""
+        """Apply that the sender is alive, and the updates that are piggybacked on the message."""
         sender = message.sender
         sender_alive = Update(
             sender, message.sender_address, message.incarnation, MemberState.ALIVE, reported_by=sender
--- a/pinspread/replication/journal_bytes.py
+++ b/pinspread/replication/journal_bytes.py
@@ -1,4 +1,4 @@
-"""What replication does with the bytes of a journal: whole records, replay, and dropping messages."""
+"""What replication does with the bytes of a journal: complete records, replay, and dropping messages."""
 
 import tempfile
 from collections.abc import Iterator, Set
@@ -26,23 +26,23 @@
 
 
 def record_sizes(data: bytes) -> Iterator[int]:
-    """Yield the size in bytes of each whole record at the start of the data."""
+    """Yield the size in bytes of each complete record at the start of the data."""
     for payload in journal_records.payloads(data):
         yield journal_records.HEADER_BYTES + len(payload)
 
 
 def record_count(data: bytes) -> int:
-    """Return how many whole records the data starts with."""
+    """Return how many complete records the data starts with."""
     return sum(1 for _ in record_sizes(data))
 
 
 def complete_length(data: bytes) -> int:
-    """Return how many bytes at the start of the data are whole records."""
+    """Return how many bytes at the start of the data are complete records."""
     return journal_records.complete_bytes(data)
 
 
 def is_intact(data: bytes) -> bool:
-    """Return whether the data is whole records, or ends in one that was cut short as it was written."""
+    """Return whether the data is complete records, or ends in one that was cut short as it was written."""
     length = complete_length(data)
     return length == len(data) or journal_records.is_truncated(data, length)
 
--- a/pinspread/replication/log.py
+++ b/pinspread/replication/log.py
@@ -1,7 +1,7 @@
 """The primary's side of replication: decisions alone, with no I/O and no clock.
 
 A journal is bytes that only grow, until it is rewritten: then it is another *generation*, whose first part
-(the *base*) holds all that is owed. Offsets and sizes are in bytes, times in microseconds.
+(the *base*) holds all that is still needed. Offsets and sizes are in bytes, times in microseconds.
 """
 
 from array import array
@@ -76,7 +76,7 @@
         required_acks: How many replicas a promise waits for.
         generation: Of the journal; 0 before it is first written.
         data: The bytes of this generation.
-        base: How many bytes at its start hold all that was owed when it was rewritten.
+        base: How many bytes at its start hold all that was still needed when it was rewritten.
         acknowledged: For each replica, the position up to which it has stored the journal.
         record_ends: The offset at which each record ends.
         record_times_us: When each record was written.
--- a/pinspread/replication/ownership.py
+++ b/pinspread/replication/ownership.py
@@ -13,8 +13,8 @@
     """The leases of nodes' work, as this node holds them.
 
     Attributes:
-        confirmed_fencing_token: The token of the own work's lease under which this node knows what of its
-            work others have taken over; 0 before the first.
+        confirmed_fencing_token: The token of this node's work lease under which it knows what of its work
+            others have taken over; 0 before the first.
     """
 
     def __init__(self, leases: "LeaseService", node_id: str) -> None:
@@ -31,7 +31,7 @@
         return self.token(self._node_id)
 
     def confirmed_local_token(self) -> int:
-        """Return the own work's token if it is confirmed, else 0."""
+        """Return the fencing token of this node's own work if it is confirmed, else 0."""
         token = self.local_token()
         return token if token == self.confirmed_fencing_token else 0
 
--- a/pinspread/replication/primary.py
+++ b/pinspread/replication/primary.py
@@ -33,7 +33,7 @@
         node: This node.
         log: The journal's bytes and what each replica has acknowledged.
         replicas: The nodes that are chosen to store the journal.
-        announced: For each replica, the replicas that it was last told of.
+        announced: For each replica, the replica set that was last announced to it.
         connected: The replicas that are connected and have been up to date once.
         sent_bytes: Of the journal, to all replicas, since the start.
         generation_file: Where the journal's generation is stored; set before the journal is written.
@@ -58,12 +58,12 @@
     # --- the journal's observer ---------------------------------------------------------------------
 
     def appended(self, record: bytes) -> None:
-        """The journal has written a record, or several."""
+        """Take up one or several records that the journal has appended."""
         self.log.append(record, clock.monotonic_us())
         self._notify_grown()
 
     def rewritten(self, data: bytes) -> None:
-        """The journal was written anew; OSError if its generation cannot be stored."""
+        """Take up a journal that was rewritten; OSError if its generation cannot be stored."""
         self.log.rewrite(data, clock.unix_us(), clock.monotonic_us())
         self.generation_file.write(self.log.generation)
         self._notify_grown()
@@ -111,7 +111,7 @@
     def informed_replicas(self) -> list[str]:
         """Return the replicas that know of all the others.
 
-        One that does not know would make a successor sure too soon that it has all there is.
+        From one that does not, a successor would conclude too soon that it has all that was promised.
         """
         return [replica for replica in self.replicas if self.announced.get(replica) == self.replicas]
 
@@ -134,7 +134,7 @@
         if chosen == self.replicas:
             return
         self.replicas = chosen
-        self._notify_grown()  # those that stay are told of it
+        self._notify_grown()  # the others are announced to those that stay
         self.node.events("copies_at", keepers=chosen)
         for replica in [replica for replica in self._scopes if replica not in chosen]:
             self._drop_replica(replica)
@@ -165,7 +165,7 @@
 
     async def _connect_and_send(self, replica: str) -> None:
         token = self.node.ownership.confirmed_local_token()
-        # Sent before it is known what was taken over, this journal would pass for that.
+        # Sent before it is known what others took over, a new generation would have the replica forget that.
         if not token or not self.log.generation:
             return
         with suppress(OSError):
@@ -173,7 +173,7 @@
                 await self.send_journal(replica, session, token)
 
     async def send_journal(self, replica: str, session: "PeerSession", token: int) -> None:
-        """Send the journal on one connection, for as long as the own work's lease has this token."""
+        """Send the journal on one connection, for as long as this node's work lease has this token."""
         transfer = JournalTransfer(self, replica, session, token)
         while True:
             if transfer.must_announce():
--- a/pinspread/replication/protocol.py
+++ b/pinspread/replication/protocol.py
@@ -13,7 +13,7 @@
 from pinspread.replication.snapshots import ReplicaSnapshot
 
 MAGIC = b"PSC"
-MAX_FRAME_BYTES = 64 << 20  # a whole journal; [journal] disk_mb bounds it in fact
+MAX_FRAME_BYTES = 64 << 20  # a complete journal; [journal] disk_mb bounds it in fact
 MAX_SHOWN_KIND = 64  # characters of an unknown kind in a log line
 
 WireMessage = dict[str, Any]
@@ -82,9 +82,9 @@
     """The owner sends bytes of its journal.
 
     Attributes:
-        fencing_token: Of the owner's lease of its own work.
+        fencing_token: Of the lease under which the owner does its work.
         generation: Of the journal.
-        base: How many bytes make the generation whole.
+        base: How many bytes make the generation complete (see `log`).
         offset: Where the data begins, in bytes.
         data: The bytes; what the replica holds behind them is cut off.
     """
--- a/pinspread/replication/recovery.py
+++ b/pinspread/replication/recovery.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class ReleasedWork:
-    """What of this node's work others owe by now.
+    """The part of this node's work that others have taken over.
 
     Attributes:
         ids: Of the messages.
@@ -82,7 +82,7 @@
     # --- at a start ---------------------------------------------------------------------------------
 
     async def recover(self) -> None:
-        """Hold the lease of the own work, and have its journal as the replicas have it if that is newer.
+        """Acquire the lease of this node's work, and replace its journal by a replica that is newer.
 
         Raises:
             OSError: The journal cannot be read or written.
@@ -127,7 +127,7 @@
         return LocalJournal.read(self._engine.journal.path)
 
     def restore(self, found: "Snapshots", released: ReleasedWork) -> None:
-        """Replace the journal's file by a newer replica, and drop from it what others owe by now."""
+        """Replace the journal's file by a newer replica, and drop from it what others have taken over."""
         newest = snapshots.newest_of(found.values())
         local = self._read_local_journal()
         if newest and self._is_newer(newest, local):
@@ -162,7 +162,7 @@
     # --- after the lease was lost -------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Confirm each new token of the own work's lease, until cancelled."""
+        """Confirm each new token of this node's work lease, until cancelled."""
         while True:
             await anyio.sleep(CONFIRM_INTERVAL_S)
             token = self._node.ownership.local_token()
--- a/pinspread/replication/replica.py
+++ b/pinspread/replication/replica.py
@@ -7,7 +7,7 @@
 
 
 class ReplicaRefusedError(PinspreadError):
-    """A request that the state of the replica forbids; the text is the reason that the sender is told."""
+    """A request that the state of the replica forbids; the text is the reason that the sender gets."""
 
 
 class WriteTarget(Enum):
@@ -23,12 +23,12 @@
 
     Attributes:
         owner: The node whose journal it is.
-        fencing_token: The highest that was heard; nobody with a lower one may append.
-        generation: Of the newest whole generation; 0 for none.
+        fencing_token: The highest that was received; nobody with a lower one may append.
+        generation: Of the newest complete generation; 0 for none.
         size: Bytes of that generation.
-        incoming_generation: One that is not whole yet; 0 for none.
+        incoming_generation: One that is not complete yet; 0 for none.
         incoming_size: Bytes of it so far.
-        incoming_base: How many bytes make it whole.
+        incoming_base: How many bytes make it complete.
         replicas: The nodes that the owner replicates to, as it last said.
         takeover_candidates: Nodes that have begun to take the owner's work over.
         takeover_token: The token under which the work was taken over for good; 0 if it was not.
@@ -46,7 +46,7 @@
     takeover_token: int = 0
 
     def require_current_token(self, token: int) -> None:
-        """Check a token against the highest that was heard.
+        """Check a token against the highest that was received.
 
         Raises:
             ReplicaRefusedError: The token is lower.
@@ -58,7 +58,7 @@
         """Let the owner send under this token.
 
         Raises:
-            ReplicaRefusedError: A newer token was heard.
+            ReplicaRefusedError: A newer token was received.
         """
         self.require_current_token(token)
         self.fencing_token = token
@@ -67,7 +67,7 @@
         """Accept no older token from now on: `by` fetches the replica, to take over or as the owner itself.
 
         Raises:
-            ReplicaRefusedError: A newer token was heard.
+            ReplicaRefusedError: A newer token was received.
         """
         self.require_current_token(token)
         self.fencing_token = token
@@ -104,7 +104,7 @@
         self.incoming_base = base
 
     def promote_incoming(self) -> bool:
-        """Let the incoming generation take the current one's place if it is whole; return whether it did."""
+        """Replace the current generation by the incoming one if that is complete; return whether it is."""
         if not self.incoming_generation or self.incoming_size < self.incoming_base:
             return False
         self.generation = self.incoming_generation
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -29,7 +29,7 @@
     from pinspread.leases.service import LeaseService
     from pinspread.membership.service import MembershipService
 
-CLOSE_TIMEOUT_S = 0.1  # what the last records may take of the 3.7 s of SIGTERM
+CLOSE_TIMEOUT_S = 0.1  # for the last records, of the 3.7 s that SIGTERM leaves
 
 
 class ReplicationService:
@@ -111,10 +111,10 @@
             await self.primary.run(tasks)
 
     async def announce_departure(self) -> None:
-        """Nothing to say at SIGTERM: what is out still ends, and that is replicated."""
+        """Do nothing at SIGTERM: attempts in flight still end, and their outcomes are replicated."""
 
     async def close(self) -> None:
-        """All that was out has ended: have it replicated, then give the lease of the own work back."""
+        """Have the last records replicated, then release the lease of this node's own work."""
         if self.node.ownership.local_token():
             with anyio.move_on_after(CLOSE_TIMEOUT_S):
                 await self.wait_replicated()
--- a/pinspread/replication/snapshots.py
+++ b/pinspread/replication/snapshots.py
@@ -15,8 +15,8 @@
 
     Attributes:
         generation: Of the data; 0 if the node holds nothing.
-        data: The newest whole generation.
-        replicas: The nodes that the owner replicates to, as it last told this one.
+        data: The newest complete generation.
+        replicas: The nodes that the owner replicates to, as it last announced to this one.
         takeover_candidates: Nodes that have begun to take the owner's work over.
         takeover_token: The token under which the work was taken over for good; 0 if it was not.
     """
@@ -52,7 +52,7 @@
 
 
 def replica_sets(snapshots: Snapshots) -> list[list[str]]:
-    """Return the owner's replicas as each holder of the newest generation was told."""
+    """Return the owner's replicas as announced to each node that holds the newest generation."""
     newest = newest_of(snapshots.values())
     if newest is None:
         return []
@@ -69,7 +69,7 @@
 
     Args:
         answered: The nodes that answered, those that hold nothing among them.
-        chosen: The owner's replicas as each holder was told, which differ while the owner changes them.
+        chosen: The owner's replicas as announced to each of them, which differ while the owner changes them.
         replica_count: How many replicas the owner wants.
         required_acks: How many it waits for.
     """
@@ -80,7 +80,7 @@
 
 
 def without_torn_tails(snapshots: Snapshots) -> dict[str, ReplicaSnapshot]:
-    """Return the snapshots, the data of each up to its last whole record."""
+    """Return the snapshots, the data of each up to its last complete record."""
     return {
         node_id: replace(snapshot, data=snapshot.data[: complete_length(snapshot.data)])
         for node_id, snapshot in snapshots.items()
--- a/pinspread/replication/store.py
+++ b/pinspread/replication/store.py
@@ -1,7 +1,7 @@
 """Replication's files: a folder for each owner's replica, and the generation of the node's own journal.
 
 An owner's folder holds `meta` (JSON, what is known beside the data), `journal.N` (the data of generation N)
-and `coming` (a generation that is not whole yet). The stored keys of `meta` are named here and nowhere else.
+and `coming` (a generation that is not complete yet). The stored keys of `meta` are named only here.
 """
 
 import os
@@ -61,14 +61,14 @@
                 self.replica.size = path.stat().st_size
 
     def save(self) -> None:
-        """Write what is known beside the data; called before it is told to another node."""
+        """Write what is known beside the data; called before an answer speaks of it."""
         new_path = self.folder / f"{META_FILE}.new"
         stored = {key: getattr(self.replica, name) for key, name in STORED_FIELDS.items()}
         new_path.write_bytes(orjson.dumps(stored))
         os.replace(new_path, self.folder / META_FILE)
 
     def data(self) -> bytes:
-        """Return the newest whole generation."""
+        """Return the newest complete generation."""
         path = self._journal_path(self.replica.generation)
         return path.read_bytes() if path.exists() else b""
 
--- a/pinspread/replication/survey.py
+++ b/pinspread/replication/survey.py
@@ -1,4 +1,4 @@
-"""Collecting all replicas of one owner's journal, and knowing when they are all that matters."""
+"""Collecting the replicas of one owner's journal, until they cover all that it promised."""
 
 from enum import Enum
 from typing import TYPE_CHECKING
@@ -94,7 +94,7 @@
 
 
 def _checked(answers: Snapshots) -> Snapshots:
-    """Return the answers up to the last whole record of each; what is cut off is logged."""
+    """Return the answers up to the last complete record of each; what is cut off is logged."""
     complete = snapshots.without_torn_tails(answers)
     for node_id, snapshot in complete.items():
         place, size = len(snapshot.data), len(answers[node_id].data)
--- a/pinspread/replication/transfer.py
+++ b/pinspread/replication/transfer.py
@@ -28,7 +28,7 @@
         self._compared_us = _NEVER_US
 
     def must_announce(self) -> bool:
-        """Return whether the replica is to be compared with the journal, or told of other replicas."""
+        """Return whether the replica must be compared with the journal, or be told of other replicas."""
         check_interval_us = self._node.config.check_interval_us
         is_due = clock.monotonic_us() - self._compared_us > check_interval_us
         if is_due or self._compared_us == _NEVER_US:
