--- a/pinspread/admin/limiter.py
+++ b/pinspread/admin/limiter.py
@@ -4,7 +4,7 @@
 
 MAX_CONNECTIONS = 32
 MIN_CONNECTIONS = 4
-DESCRIPTOR_SHARE = 24  # one connection for so many descriptors of the process
+DESCRIPTORS_PER_CONNECTION = 24  # one connection for so many descriptors of the process
 
 
 class OldestFirstLimiter:
@@ -22,7 +22,9 @@
     """
 
     def __init__(self, descriptors: int) -> None:
-        self.max_connections = max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, descriptors // DESCRIPTOR_SHARE))
+        self.max_connections = max(
+            MIN_CONNECTIONS, min(MAX_CONNECTIONS, descriptors // DESCRIPTORS_PER_CONNECTION)
+        )
         self.connections: dict[Connection, None] = {}
 
     def admit(self) -> bool:
--- a/pinspread/core/acceptance.py
+++ b/pinspread/core/acceptance.py
@@ -11,9 +11,7 @@
 from pinspread.errors import JournalFullError, RejectedError
 from pinspread.policy.events import ClientCancelled, MessageAccepted
 
-REJECTED_RETRY_MS = (
-    1000  # when to come back if there is no room: about the wait that clients choose themselves
-)
+REJECTED_RETRY_MS = 1000  # Retry-After if there is no room: about the wait that clients choose themselves
 SHOWN_NAME_LENGTH = 32  # characters of an unknown name that the client is shown
 
 
--- a/pinspread/core/bundling.py
+++ b/pinspread/core/bundling.py
@@ -4,7 +4,7 @@
 
 from pinspread.core.messages import Attempt
 
-SIMILAR_TIMEOUT_SHARE = 0.9  # of the longest time-out of a call, from which an attempt may join it
+SIMILAR_TIMEOUT_FRACTION = 0.9  # of the longest time-out of a call, from which an attempt may join it
 
 
 def group_into_calls(attempts: Iterable[Attempt], max_size: int) -> list[list[Attempt]]:
@@ -23,7 +23,7 @@
     calls: list[list[Attempt]] = []
     for attempt in sorted(attempts, key=lambda attempt: -attempt.timeout_us):
         call = calls[-1] if calls else []
-        if 0 < len(call) < max_size and attempt.timeout_us >= SIMILAR_TIMEOUT_SHARE * call[0].timeout_us:
+        if 0 < len(call) < max_size and attempt.timeout_us >= SIMILAR_TIMEOUT_FRACTION * call[0].timeout_us:
             call.append(attempt)
         else:
             calls.append([attempt])
--- a/pinspread/core/endpoint_blocklist.py
+++ b/pinspread/core/endpoint_blocklist.py
@@ -31,9 +31,9 @@
         del self.ids[endpoint_id]
         return True
 
-    def effective_state(self, endpoint_id: str, listed: EndpointState) -> EndpointState:
-        """Return the state by which the policy is to go for an endpoint that the list shows as `listed`."""
+    def effective_state(self, endpoint_id: str, reported: EndpointState) -> EndpointState:
+        """Return the state by which the policy is to go for an endpoint that the list shows as `reported`."""
         # A list that names a blocked endpoint as ready, late or anew, would have it called while it is
         # restarted.
-        blocked = listed is EndpointState.READY and endpoint_id in self.ids
-        return EndpointState.DRAINING if blocked else listed
+        blocked = reported is EndpointState.READY and endpoint_id in self.ids
+        return EndpointState.DRAINING if blocked else reported
--- a/pinspread/core/endpoint_registry.py
+++ b/pinspread/core/endpoint_registry.py
@@ -38,9 +38,9 @@
         """Take in a change of the list, or the whole list: endpoints and their listed states."""
         removed = set(self.endpoints) if scope in (UpdateScope.FULL, UpdateScope.CACHED) else set()
         entries = []
-        for listed_endpoint, listed in endpoints:
-            state = self.blocklist.effective_state(listed_endpoint.id, listed)
-            endpoint = self._merge(listed_endpoint, listed, state)
+        for reported_endpoint, reported in endpoints:
+            state = self.blocklist.effective_state(reported_endpoint.id, reported)
+            endpoint = self._merge(reported_endpoint, reported, state)
             entries.append(_entry(endpoint, state))
             if state is EndpointState.REMOVED:
                 removed.add(endpoint.id)
@@ -55,9 +55,9 @@
         }
         self._context.events.post(EndpointsChanged(scope, entries))
 
-    def _merge(self, endpoint: Endpoint, listed: EndpointState, state: EndpointState) -> Endpoint:
+    def _merge(self, endpoint: Endpoint, reported: EndpointState, state: EndpointState) -> Endpoint:
         """Return the object that stands for an endpoint from now on."""
-        endpoint.listed = listed
+        endpoint.listed = reported
         endpoint.usable = state is EndpointState.READY
         known = self.endpoints.get(endpoint.id)
         # An attempt that is being connected holds the object that it began with. If each list replaced it,
@@ -126,7 +126,7 @@
             self._context.journal.endpoint_blocked(endpoint_id, False)
             self.blocklist.unblock(endpoint_id)
             if endpoint_id in self.endpoints:
-                self._report_state(self.endpoints[endpoint_id], cold=True)
+                self._report_state(self.endpoints[endpoint_id], restarted=True)
         log("endpoint_enabled", endpoint=endpoint_id, disabled=len(self.blocklist.ids))
         return True
 
@@ -135,12 +135,12 @@
             raise RejectedError(NOT_SERVING_RETRY_MS, "not serving yet")
         return endpoint_id in self.endpoints or endpoint_id in self.blocklist.ids
 
-    def _report_state(self, endpoint: Endpoint, cold: bool = False) -> None:
+    def _report_state(self, endpoint: Endpoint, restarted: bool = False) -> None:
         """Tell the policy how an endpoint reads now that it was blocked or unblocked."""
         state = self.blocklist.effective_state(endpoint.id, endpoint.listed)
         endpoint.usable = state is EndpointState.READY
         self._disconnect_if_unusable(endpoint)
-        self._context.events.post(EndpointsChanged(UpdateScope.DELTA, [_entry(endpoint, state, cold)]))
+        self._context.events.post(EndpointsChanged(UpdateScope.DELTA, [_entry(endpoint, state, restarted)]))
 
     # --- what binds calls -------------------------------------------------------------------------
 
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -30,9 +30,7 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, Event, SettingsChanged, UpdateScope
 
-DRAIN_US = (
-    3_000_000  # after SIGTERM: the process is killed 3.7 s after it, and connections are closed after this
-)
+DRAIN_US = 3_000_000  # after SIGTERM, before connections are closed; the process is killed 3.7 s after it
 LINGER_US = 500_000  # new clients keep arriving for a while and must be told that they are rejected
 ACKNOWLEDGEMENT_POLL_S = 0.005
 
@@ -274,7 +272,7 @@
 
     def resume_from_handover(self, state: EngineState) -> None:
         """Take over from the process before; the journal has been read."""
-        self.policy = state["sender"]
+        self.policy = state["policy"]
         self.ownership.resume(state)
 
     def predecessor_attempt_ended(self, number: int, attempt_number: int, result: AttemptResult) -> None:
--- a/pinspread/core/ownership.py
+++ b/pinspread/core/ownership.py
@@ -23,28 +23,28 @@
     """What the next process needs beside the journal, under the names by which it is sent.
 
     Attributes:
-        sender: The policy.
-        inbox: Events that it has not been told of.
+        policy: The policy.
+        pending_events: Events that the policy has not taken yet.
         timers: When its timers are due, and their tags.
-        told_us: Until when destinations and endpoints said to wait.
-        hops: The endpoints.
-        dests: The destinations that the list has named.
-        next: The number of the next message.
-        made: How many attempts each open message has had, by the message's number.
-        out: The attempts in flight.
-        probes: Since when health checks have been in flight, by the endpoint's id.
+        retry_after_until_us: Until when destinations and endpoints asked not to be called.
+        endpoints: The endpoints.
+        destinations: The destinations that the list has named.
+        next_message_number: The number of the next message.
+        attempts_made: How many attempts each open message has had, by the message's number.
+        attempts_in_flight: The attempts in flight.
+        health_checks: Since when health checks have been in flight, by the endpoint's id.
     """
 
-    sender: DeliveryPolicy
-    inbox: list[Event]
+    policy: DeliveryPolicy
+    pending_events: list[Event]
     timers: list[tuple[int, int]]
-    told_us: dict[RetryAfterScope, int]
-    hops: list[Endpoint]
-    dests: set[int]
-    next: int
-    made: dict[int, int]
-    out: list[TransferredAttempt]
-    probes: dict[str, int]
+    retry_after_until_us: dict[RetryAfterScope, int]
+    endpoints: list[Endpoint]
+    destinations: set[int]
+    next_message_number: int
+    attempts_made: dict[int, int]
+    attempts_in_flight: list[TransferredAttempt]
+    health_checks: dict[str, int]
 
 
 class Ownership:
@@ -72,19 +72,19 @@
         self._context.successor = successor
         self._context.journal.close()
         return EngineState(
-            sender=policy,
-            inbox=self._context.events.inbox,
+            policy=policy,
+            pending_events=self._context.events.inbox,
             timers=self._context.events.timers,
-            told_us=self._registry.retry_after_until_us,
-            hops=list(self._registry.endpoints.values()),
-            dests=self._registry.destinations,
-            next=self._messages.next_number(),
-            made={message.number: message.attempts for message in self._messages.open.values()},
-            out=[
+            retry_after_until_us=self._registry.retry_after_until_us,
+            endpoints=list(self._registry.endpoints.values()),
+            destinations=self._registry.destinations,
+            next_message_number=self._messages.next_number(),
+            attempts_made={message.number: message.attempts for message in self._messages.open.values()},
+            attempts_in_flight=[
                 (*attempt_id, attempt.endpoint, attempt.started_us, attempt.timeout_us)
                 for attempt_id, attempt in self._attempts.in_flight.items()
             ],
-            probes=self._health_checks.in_flight,
+            health_checks=self._health_checks.in_flight,
         )
 
     def cancel(self) -> None:
@@ -107,20 +107,20 @@
             JournalFullError: The journal can't be rewritten.
         """
         events, journal = self._context.events, self._context.journal
-        events.inbox, events.timers = state["inbox"], state["timers"]
-        self._registry.retry_after_until_us = state["told_us"]
-        self._registry.destinations = state["dests"]
-        self._messages.continue_numbers(state["next"])
-        self._registry.endpoints = {endpoint.id: endpoint for endpoint in state["hops"]}
+        events.inbox, events.timers = state["pending_events"], state["timers"]
+        self._registry.retry_after_until_us = state["retry_after_until_us"]
+        self._registry.destinations = state["destinations"]
+        self._messages.continue_numbers(state["next_message_number"])
+        self._registry.endpoints = {endpoint.id: endpoint for endpoint in state["endpoints"]}
         journal.begin()
         recorded = list(journal.open_messages.values())
-        in_flight = {number for number, *_ in state["out"]}
+        in_flight = {number for number, *_ in state["attempts_in_flight"]}
         announced = {event.request for event in events.inbox if type(event) is MessageAccepted}
-        self._acceptance.restore(recorded, in_flight, announced | state["sender"].messages.keys())
+        self._acceptance.restore(recorded, in_flight, announced | state["policy"].messages.keys())
         for message in self._messages.open.values():
-            message.attempts = max(message.attempts, state["made"].get(message.number, 0))
-        self._resume_attempts(state["out"], {message.number: message for message in recorded})
-        self._health_checks.in_flight = dict(state["probes"])
+            message.attempts = max(message.attempts, state["attempts_made"].get(message.number, 0))
+        self._resume_attempts(state["attempts_in_flight"], {message.number: message for message in recorded})
+        self._health_checks.in_flight = dict(state["health_checks"])
         open_count = len(self._messages.open)
         log(
             "handover_received",
@@ -149,7 +149,7 @@
             self._attempts.complete(attempt, result)
 
     def predecessor_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
-        """Heed that an endpoint told the process before to wait."""
+        """Apply a Retry-After that an endpoint gave the process before."""
         if endpoint_id in self._registry.endpoints:
             self._registry.apply_retry_after(self._registry.endpoints[endpoint_id], retry_after_us)
 
--- a/pinspread/discovery/departures.py
+++ b/pinspread/discovery/departures.py
@@ -11,7 +11,7 @@
 from pinspread.policy.events import EndpointState
 
 FILE_NAME = "list.left"  # in the state folder
-DISK_SHARE = 0.002  # of the folder's room, for each of the file and its successor
+DISK_FRACTION = 0.002  # of the folder's room, for each of the file and its successor
 
 
 class DepartedEndpoints:
@@ -27,7 +27,7 @@
 
     def __init__(self, folder: str | Path, disk_bytes: int) -> None:
         self.path = Path(folder) / FILE_NAME
-        self.max_bytes = int(disk_bytes * DISK_SHARE)
+        self.max_bytes = int(disk_bytes * DISK_FRACTION)
         self.health: dict[str, str] = {}
         self.load()
 
--- a/pinspread/hot_restart/state_codec.py
+++ b/pinspread/hot_restart/state_codec.py
@@ -27,7 +27,7 @@
 from pinspread.policy.rate_limit import RateLimitPolicy
 from pinspread.policy.retry_budget import RetryBudget
 
-POLICY_KEY = "sender"  # of the delivery policy in the state
+POLICY_KEY = "policy"  # of the delivery policy in the state
 STATE_KEYS = (*EngineState.__annotations__, "discovery")  # the engine's state, and discovery's beside it
 DISCOVERY_STATE_KEYS = ("address", "seq")
 
--- a/pinspread/service/handover.py
+++ b/pinspread/service/handover.py
@@ -91,7 +91,7 @@
         idle_connections = self._components.pool.detach_all()
         return source.HandoverPayload(
             packed_state=pack_state(state),
-            attempts_in_flight=len(engine_state["out"]),
+            attempts_in_flight=len(engine_state["attempts_in_flight"]),
             client_connections=_within_limit(connections, self._max_connections),
             idle_connections=[target.IdleEndpointConnection(*idle) for idle in idle_connections],
             listeners={name: sock for name, sock in self._serving.listeners.items() if name != RESP},
--- a/pinspread/simhost.py
+++ b/pinspread/simhost.py
@@ -12,10 +12,10 @@
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
     """Read `size` bytes; WireError if the input ends before."""
-    return _whole(stream.read(size), size, what)
+    return _complete(stream.read(size), size, what)
 
 
-def _whole(data: bytes, size: int, what: str) -> bytes:
+def _complete(data: bytes, size: int, what: str) -> bytes:
     if len(data) < size:
         raise WireError(f"input ended inside {what}: {len(data)} of {size} bytes")
     return data
@@ -68,7 +68,7 @@
     host = Host()
     frame = 0
     while header := source.read(BATCH_HEADER.size):
-        header = _whole(header, BATCH_HEADER.size, f"the header of frame {frame}")
+        header = _complete(header, BATCH_HEADER.size, f"the header of frame {frame}")
         count, size, now_ns = BATCH_HEADER.unpack(header)
         if size > MAX_BATCH_BYTES or count > size:
             raise WireError(f"frame {frame}: {count} records in {size} bytes cannot be")
