--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -29,11 +29,6 @@
 READY = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 @asynccontextmanager
 async def served(state, endpoints=(), **more):
     """A courier with its door; gives it and the door's address."""
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -19,11 +19,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 @pytest.mark.parametrize(
     ("todo", "state", "effects", "tries"),
     [
--- a/tests/test_amqp_bytes.py
+++ b/tests/test_amqp_bytes.py
@@ -31,11 +31,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 class Dialogue:
     """A session that is recorded, or compared with its recording at each step."""
 
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -13,11 +13,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 @pytest.mark.parametrize(
     ("status", "cls", "state"),
     [(200, "payment", "delivered"), (500, "payment", "failed"), (503, "status-update", "returned")],
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -20,11 +20,6 @@
 HEARD = (204, [], b"")
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 # --- what is pure -------------------------------------------------------------------------------------
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -46,11 +46,6 @@
 """
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 def test_what_config_write_makes_config_check_finds_well(tmp_path, capsys):
     path = str(tmp_path / "booking.toml")
     assert main(["config", "write", "booking", "--file", path]) == 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,11 +22,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 @pytest.mark.parametrize("change", ["drain", "gone", "ban", "moved"])
 async def test_a_list_read_twice_while_a_call_is_dialled_still_keeps_it_unsent(tmp_path, monkeypatch, change):
     endpoint = HttpStandIn()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -14,11 +14,6 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 @pytest.fixture
 def policy(tmp_path):
     told = settings.read(configuration(tmp_path), {})
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -17,11 +17,6 @@
 HELD = 40
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 class Partner(HttpStandIn):
     """Holds its answers until told otherwise; knows which call came in which life of the courier."""
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -12,11 +12,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 BRANCH = '"event":"branch","id":"x","hop":"h","took_us":5'
 ONE = """0.1 {"at_us":1,"event":"taken","id":"x","cls":"a","dest":1,"for_ms":900}
 0.1 {"at_us":2,%s,"verdict":"FULL","note":"","idle_us":-1,"wait_us":9}
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -33,11 +33,6 @@
 HEARD = (204, [], b"")
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 def platform():
     return HttpStandIn(lambda request: HEARD)
 
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -22,11 +22,6 @@
 TOKEN = 5
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 @pytest.fixture
 def port():
     with socket.socket() as found:
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -21,11 +21,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 async def test_what_may_have_run_before_one_kill_may_have_run_after_the_next_one_too(tmp_path):
     answers = [anyio.sleep_forever(), (429, [("Retry-After", "60")], b"")]
     endpoint = HttpStandIn(lambda request: answers.pop(0))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -23,11 +23,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 def lane(name="payment", **more):
     """A class of the configuration's form."""
     found = next(n for n in configuration("")["settings"]["lanes"] if n["name"] == "payment")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,11 +21,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 class Deployment:
     """A courier whose clients' socket the platform holds, and its processes one after the other."""
 
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -12,11 +12,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 class ReplicationService:
     """Copies that a test holds back."""
 
