--- a/tests/test_testbed_history.py
+++ b/tests/test_testbed_history.py
@@ -38,7 +38,9 @@
 def broken(lines):
     """The history with faults of the couriers in it: each kind of expectation meets what it looks for."""
     acked = [li for li in lines if li.get("event") == "acked"]
-    lost, returned, failed, late = (li["id"] for li in acked[:4])
+    notified = [li["id"] for li in lines if li.get("event") == "final" and li["who"] == "platform"]
+    returned, failed = notified[:2]
+    lost, late = [li["id"] for li in acked if li["id"] not in (returned, failed)][:2]
     again = {returned, *(li["id"] for li in acked if li["cls"] == "payment" or li["key"])}
     found, seen = [], set()
     for line in lines:
@@ -53,8 +55,10 @@
             found.append(line | {"mono_us": line["mono_us"] + 4_000_000, "token": 0, "holder": "m9"})
         if event == "delivered" and id_ in again:
             found.append(line | {"mono_us": line["mono_us"] + 9_000_000})
-        if event == "final" and id_ == returned:
-            line = line | {"state": "returned"}
+        if event == "final" and id_ == returned and line["who"] == "platform":
+            line = line | {"state": "returned", "mono_us": line["mono_us"] + 100_000}
+        if event == "taken":
+            line = line | {"key": 1}
         if event == "final" and id_ == failed:
             found.append(line | {"state": "failed"})
         if event in ("final", "delivered") and id_ == late:
