--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -20,7 +20,10 @@
 import orjson
 
 from pinspread import sockets
-from pinspread.testbed.stand_ins import Client, HttpStandIn, configuration, host, listener, standing
+from pinspread.testbed.clients import Client
+from pinspread.testbed.courier_settings import configuration, host
+from pinspread.testbed.loopback import listener, standing
+from pinspread.testbed.stand_ins import HttpStandIn
 
 
 class Processes:
--- /dev/null
+++ b/pinspread/testbed/loopback.py
@@ -0,0 +1,55 @@
+"""Sockets on loopback and waiting, for stand-ins and for the tests that script them."""
+
+import time
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from socket import socket
+from typing import Protocol
+
+import anyio
+
+from pinspread import sockets
+from pinspread.errors import PinspreadError
+
+POLL_INTERVAL_S = 0.005
+
+
+class ConditionTimeoutError(PinspreadError):
+    """A condition did not come to hold in time."""
+
+
+class Server(Protocol):
+    """What serves a listening socket until it is cancelled."""
+
+    async def run(self, sock: socket) -> None:
+        """Serve the socket's connections."""
+
+
+def listener() -> tuple[socket, str]:
+    """Return a listening socket on a free port of loopback, and its address."""
+    sock = sockets.listen("127.0.0.1:0")
+    return sock, f"127.0.0.1:{sock.getsockname()[1]}"
+
+
+async def until(condition: Callable[[], object], timeout_s: float = 5.0) -> None:
+    """Wait until a condition holds.
+
+    Raises:
+        ConditionTimeoutError: It did not within `timeout_s`.
+    """
+    end = time.monotonic() + timeout_s
+    while not condition():
+        if time.monotonic() >= end:
+            raise ConditionTimeoutError(f"the condition did not hold within {timeout_s} s")
+        await anyio.sleep(POLL_INTERVAL_S)
+
+
+@asynccontextmanager
+async def standing(server: Server) -> AsyncIterator[str]:
+    """Serve on a free port of loopback while the context lasts; the context is the address."""
+    sock, address = listener()
+    async with anyio.create_task_group() as tasks:
+        tasks.start_soon(server.run, sock)
+        yield address
+        tasks.cancel_scope.cancel()
+    sock.close()
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -31,7 +31,9 @@
 from pinspread.simulation.recorded_events import recorded
 from pinspread.simulation.rules import RuleChecker
 from pinspread.simulation.simulate import REPLACED_NS, STATE_OF, policy_settings
-from pinspread.testbed.stand_ins import Client, HttpStandIn, until
+from pinspread.testbed.clients import Client
+from pinspread.testbed.loopback import until
+from pinspread.testbed.stand_ins import HttpStandIn
 
 CLIENT_WAITS_S = 0.4
 LOOK_S = 0.05  # how soon a stand-in sees that a caller whose call it has not answered is gone
--- a/pinspread/testbed/traffic.py
+++ b/pinspread/testbed/traffic.py
@@ -12,7 +12,8 @@
 from pamqp import commands
 
 from pinspread import sockets
-from pinspread.testbed.stand_ins import AmqpClient, Client, HttpStandIn
+from pinspread.testbed.clients import AmqpClient, Client
+from pinspread.testbed.stand_ins import HttpStandIn
 
 PARTNER, PLATFORM = ("201", 8080), ("202", 8500)
 CLASSES = {"payment": 0.4, "booking-change": 0.4, "status-update": 0.2}
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -30,16 +30,10 @@
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.resp import front
 from pinspread.resp.notifications import NotificationSender
-from pinspread.testbed.stand_ins import (
-    AmqpClient,
-    Client,
-    HttpStandIn,
-    configuration,
-    host,
-    listener,
-    standing,
-    until,
-)
+from pinspread.testbed.clients import AmqpClient, Client
+from pinspread.testbed.courier_settings import configuration, host
+from pinspread.testbed.loopback import listener, standing, until
+from pinspread.testbed.stand_ins import HttpStandIn
 
 _ports = count(20_000 + os.getpid() % 750 * 16)  # under those that outgoing connections take
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -15,7 +15,8 @@
 from pinspread.simulation.destination import SILENT
 from pinspread.simulation.model import FleetModel
 from pinspread.testbed import platform as stage
-from pinspread.testbed.stand_ins import Client, until
+from pinspread.testbed.clients import Client
+from pinspread.testbed.loopback import until
 
 ROOT = Path(__file__).parents[1]
 CALM = {"length_s": 5, "traffic": {"load": 0.5}, "network": {"silent_accepts": True}}
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -7,7 +7,8 @@
 
 from pinspread.simulation import cli, losses
 from pinspread.simulation.recorded_events import recorded
-from pinspread.testbed.stand_ins import Client, standing, until
+from pinspread.testbed.clients import Client
+from pinspread.testbed.loopback import standing, until
 
 pytestmark = pytest.mark.anyio
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -191,7 +191,7 @@
             again = ("answered", *sorted(SENT_AGAIN))  # a client that lost its connection says them once more
             for id_ in again:
                 cls, key, dest = engine.MESSAGES[id_]
-                assert await client.enqueue(cls, id_, key, 20_000, dest) == "+OK\r\n"
+                assert await client.enqueue(cls, id_, key, 20_000, dest=dest) == "+OK\r\n"
             await until(lambda: set(had) >= SENT_AGAIN and platform.ends() >= ends, 8)
             for n in range(8):
                 assert await client.enqueue("status-update", f"new-{n}", for_ms=9_000) == "+OK\r\n"
