--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -15,7 +15,7 @@
 from pinspread.simulation import simulate
 from pinspread.simulation.compare import interval, judge
 from pinspread.simulation.model import FleetModel
-from pinspread.simulation.random_streams import whole
+from pinspread.simulation.random_streams import random_seed
 
 WORLD = {
     "length_s": 15,
@@ -27,7 +27,7 @@
     """The accounts of one day with two seeds of the module's chance."""
     world = FleetModel.model_validate(WORLD)
     drawn = scenarios.draw_scenario(world, seed)
-    return [brief(simulate.Simulation(world, drawn, whole(seed, name)).run()) for name in "ab"]
+    return [brief(simulate.Simulation(world, drawn, random_seed(seed, name)).run()) for name in "ab"]
 
 
 def brief(found):
--- a/benchmarks/record_decisions.py
+++ b/benchmarks/record_decisions.py
@@ -49,7 +49,7 @@
 from pinspread.simulation import scenario as scenarios  # noqa: E402
 from pinspread.simulation import simulate  # noqa: E402
 from pinspread.simulation.model import FleetModel  # noqa: E402
-from pinspread.simulation.random_streams import whole  # noqa: E402
+from pinspread.simulation.random_streams import random_seed  # noqa: E402
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
@@ -140,7 +140,7 @@
     def make_sender(self, courier, start):
         if courier not in self.chosen:
             return super().make_sender(courier, start)
-        seed = whole(self.module_seed, "module", courier, start)
+        seed = random_seed(self.module_seed, "module", courier, start)
         name = f"fleet-{self.name}-{courier}-{start}"
         self.recorders.append(Recorder(name, self.settings, seed, self.most_turns))
         return RecordedCourier(self, courier, self.recorders[-1], start)
--- a/benchmarks/replays.py
+++ b/benchmarks/replays.py
@@ -18,7 +18,7 @@
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
 from pinspread.simulation.model import FleetModel
-from pinspread.simulation.random_streams import stream
+from pinspread.simulation.random_streams import random_stream
 
 # On loopback the day begins when all couriers are ready.
 BASE = {"length_s": 20.0, "network": {"silent_accepts": True}, "couriers": {"start_spread_s": 0.0}}
@@ -52,7 +52,7 @@
     """One run of the model: the module's chance, jitter, the time of starts and clients' timing drawn anew."""
     one = world(scenario)
     drawn = scenarios.draw_scenario(one, scenario[2])
-    rng = stream(seed, "replay")
+    rng = random_stream(seed, "replay")
     drawn.chances[:, :, :2] = rng.random(drawn.chances.shape[:2] + (2,))
     drawn.start_draws = rng.random(drawn.start_draws.shape)
     late = LATE_MS[0] + rng.exponential(LATE_MS[1], len(drawn.arrival_ns))
--- a/pinspread/simulation/clients.py
+++ b/pinspread/simulation/clients.py
@@ -3,7 +3,7 @@
 import numpy as np
 
 from pinspread.simulation.engine import SECOND
-from pinspread.simulation.random_streams import stream
+from pinspread.simulation.random_streams import random_stream
 
 
 class ClientBehavior:
@@ -14,7 +14,9 @@
         self.tries = np.zeros(len(scenario.arrival_ns), dtype=np.int16)
         self._allowed_ns = [int(c.deadline_s * SECOND) for c in model.classes]
         shares = np.cumsum(scenario.instance_share)
-        keys = stream(scenario.seed, "key couriers").random(int(scenario.ordering_key.max(initial=0)) + 1)
+        keys = random_stream(scenario.seed, "key couriers").random(
+            int(scenario.ordering_key.max(initial=0)) + 1
+        )
         last = model.couriers.count - 1
         self._by_row = np.searchsorted(shares, scenario.client_draws[:, 0]).clip(0, last)
         self._by_key = np.searchsorted(shares, keys).clip(0, last)
--- a/pinspread/simulation/compare.py
+++ b/pinspread/simulation/compare.py
@@ -3,7 +3,7 @@
 import numpy as np
 from scipy import stats
 
-from pinspread.simulation.random_streams import stream
+from pinspread.simulation.random_streams import random_stream
 
 LEVEL = 0.90
 RESAMPLES = 2000
@@ -38,7 +38,7 @@
     n, mean = len(values), float(values.mean())
     if n < 2 or np.ptp(values) == 0:
         return mean, mean, mean
-    rng = stream(seed, "bootstrap", n)
+    rng = random_stream(seed, "bootstrap", n)
     means = values[rng.integers(0, n, (resamples, n))].mean(axis=1)
     tail = stats.norm.cdf(np.sqrt(n / (n - 1)) * stats.t.ppf((1 - level) / 2, n - 1))
     low, high = np.quantile(means, (tail, 1 - tail))
--- a/pinspread/simulation/metrics.py
+++ b/pinspread/simulation/metrics.py
@@ -70,7 +70,7 @@
     }
 
 
-def of(fleet, seen=()):
+def measure(fleet, seen=()):
     """The accounts of a run that is over, with breaks that others have `seen`: plain numbers, lists and names only, the same for the same run."""
     model, scenario = fleet.model, fleet.scenario
     n = max(1, len(scenario.arrival_ns))
--- a/pinspread/simulation/paper.py
+++ b/pinspread/simulation/paper.py
@@ -2,12 +2,14 @@
 
 import numpy as np
 
-from pinspread.simulation.random_streams import stream
+from pinspread.simulation.random_streams import random_stream
 
 
 def waits(seed, requests, retries, base_ms, factor, randomness):
     """When each request's retries go out, in ms after its first failure: [requests, retries]."""
-    scale = stream(seed, "paper", randomness).uniform(1 - randomness, 1 + randomness, (requests, retries))
+    scale = random_stream(seed, "paper", randomness).uniform(
+        1 - randomness, 1 + randomness, (requests, retries)
+    )
     return np.cumsum(base_ms * factor ** np.arange(retries) * scale, axis=1)
 
 
--- a/pinspread/simulation/runs.py
+++ b/pinspread/simulation/runs.py
@@ -26,13 +26,13 @@
     from pinspread.simulation import simulate, trace
     from pinspread.simulation.engine import SimulationStalledError
     from pinspread.simulation.model import FleetModel
-    from pinspread.simulation.random_streams import whole
+    from pinspread.simulation.random_streams import random_seed
 
     model = FleetModel.model_validate(point["world"])
     scenario = (
         trace.replay(point["trace"], model, seed) if point["trace"] else scenarios.draw_scenario(model, seed)
     )
-    module_seed = whole(seed, "variant", point["module_seed"]) if point["module_seed"] else seed
+    module_seed = random_seed(seed, "variant", point["module_seed"]) if point["module_seed"] else seed
     with variants.Constants(point["constants"]):
         try:
             return simulate.Simulation(model, scenario, module_seed, point["settings"]).run()
--- a/pinspread/simulation/scenario.py
+++ b/pinspread/simulation/scenario.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from pinspread.simulation.engine import MS, SECOND
-from pinspread.simulation.random_streams import stream
+from pinspread.simulation.random_streams import random_stream
 
 ATTEMPT_DRAWS = 8  # attempts of a message that have chance numbers of their own; later ones start over
 
@@ -93,29 +93,31 @@
 
 def draw_scenario(model, seed: int) -> Scenario:
     """The day of a world and a seed; the same for every variant."""
-    rng = stream(seed, "world")
+    rng = random_stream(seed, "world")
     partners = _partners(model, rng)
     shares = np.array([p.share for p in partners])
-    troubles = _troubles(model, stream(seed, "troubles"), shares)
+    troubles = _troubles(model, random_stream(seed, "troubles"), shares)
     traffic = model.traffic
     length = model.length_s
-    at, dest = _arrivals(model, stream(seed, "arrivals"), partners, troubles)
+    at, dest = _arrivals(model, random_stream(seed, "arrivals"), partners, troubles)
     n = len(at)
-    rng = stream(seed, "messages")
+    rng = random_stream(seed, "messages")
     classes, teams = model.classes, model.teams
     cls = rng.choice(len(classes), n, p=_normal([c.share for c in classes])).astype(np.int16)
     offers = [t.share if t.offers is None else t.offers for t in teams]
     team = rng.choice(len(teams), n, p=_normal(offers)).astype(np.int16)
-    key = _keys(model, stream(seed, "keys"), at, cls, dest)
+    key = _keys(model, random_stream(seed, "keys"), at, cls, dest)
     low = np.array([c.work_ms[0] for c in classes])[cls]
     high = np.array([c.work_ms[1] for c in classes])[cls]
     mean = (low + (high - low) * rng.random(n)) * MS
-    work = _work(model, stream(seed, "work"), mean)
+    work = _work(model, random_stream(seed, "work"), mean)
     within = _within(at, team, tenant_quotas(model))
-    skew = _draw(stream(seed, "skew"), traffic.courier_skew)
-    weights = stream(seed, "couriers").gamma(1 / max(skew, 0.01) ** 2, size=model.couriers.count) + 1e-9
+    skew = _draw(random_stream(seed, "skew"), traffic.courier_skew)
+    weights = (
+        random_stream(seed, "couriers").gamma(1 / max(skew, 0.01) ** 2, size=model.couriers.count) + 1e-9
+    )
     full = traffic.rate_per_s / traffic.load
-    rng = stream(seed, "slots")
+    rng = random_stream(seed, "slots")
     busy = full / model.couriers.count * float(np.mean(mean) / SECOND if n else 0.15)
     pace = float(np.dot(shares, [p.pace for p in partners]))
     slots = max(model.couriers.least_slots, round(busy * pace * _draw(rng, model.couriers.slots)))
@@ -123,7 +125,7 @@
         model.couriers.least_held, round(full / model.couriers.count * _draw(rng, model.couriers.hold_s))
     )
     low, high = model.network.delay_ms
-    delay = (low + (high - low) * stream(seed, "delay").random(len(partners))) * MS
+    delay = (low + (high - low) * random_stream(seed, "delay").random(len(partners))) * MS
     return Scenario(
         seed=seed,
         length_ns=int(length * SECOND),
@@ -136,10 +138,10 @@
         ordering_key=key,
         within_quota=within,
         work_ns=work,
-        chances=stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
-        client_draws=stream(seed, "habits").random((n, 4), dtype=np.float32),
+        chances=random_stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
+        client_draws=random_stream(seed, "habits").random((n, 4), dtype=np.float32),
         instance_share=weights / weights.sum(),
-        start_draws=stream(seed, "boot").random((model.couriers.count, START_DRAWS)),
+        start_draws=random_stream(seed, "boot").random((model.couriers.count, START_DRAWS)),
         max_concurrent_calls=slots,
         max_held_messages=held,
         delay_ns=delay,
--- a/pinspread/simulation/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -11,7 +11,7 @@
 from pinspread.simulation.destination import Endpoint, build_destinations
 from pinspread.simulation.engine import SECOND, Engine
 from pinspread.simulation.instance import Instance
-from pinspread.simulation.random_streams import stream, whole
+from pinspread.simulation.random_streams import random_seed, random_stream
 from pinspread.simulation.rules import RuleChecker
 from pinspread.simulation.scenario import START_DRAWS, Scenario, tenant_quotas
 from pinspread.simulation.variants import SETTINGS_KEYS
@@ -43,7 +43,7 @@
         self.entries = {e.id: self._entry(e) for e in self.endpoints.values()}
         self.delays = scenario.delay_ns.tolist()
         low, high = model.network.list_late_s
-        lag = stream(scenario.seed, "lag").uniform(low, high, model.couriers.count)
+        lag = random_stream(scenario.seed, "lag").uniform(low, high, model.couriers.count)
         self.lag_ns = (lag * SECOND).astype(np.int64).tolist()
         self.instances = [Instance(n, self) for n in range(model.couriers.count)]
         n = len(scenario.arrival_ns)
@@ -64,14 +64,16 @@
 
     def make_sender(self, courier, start):
         """The module of a courier that starts."""
-        return self.sender(self.settings, whole(self.module_seed, "module", courier, start))
+        return self.sender(self.settings, random_seed(self.module_seed, "module", courier, start))
 
     def run(self):
         """Play the day; gives its accounts."""
         engine, scenario, couriers = self.engine, self.scenario, self.instances
         entries = list(self.entries.values())
         spread = (
-            stream(scenario.seed, "start").random(len(couriers)) * self.model.couriers.start_spread_s * SECOND
+            random_stream(scenario.seed, "start").random(len(couriers))
+            * self.model.couriers.start_spread_s
+            * SECOND
         )
         for courier, at in zip(couriers, spread.tolist(), strict=True):
             engine.at(int(at), courier.start, entries)
@@ -84,7 +86,7 @@
         while engine.now < end and any(c.open for c in couriers):
             engine.run(engine.now + SECOND)
         self.checker.close(engine.now, {c.number for c in couriers if c.up})
-        return accounts.of(self)
+        return accounts.measure(self)
 
     # --- clients ----------------------------------------------------------------------------------
 
--- a/pinspread/simulation/trace.py
+++ b/pinspread/simulation/trace.py
@@ -14,7 +14,7 @@
 
 from pinspread.simulation.engine import MS, SECOND
 from pinspread.simulation.fit import fits
-from pinspread.simulation.random_streams import stream
+from pinspread.simulation.random_streams import random_stream
 from pinspread.simulation.recorded_events import recorded
 from pinspread.simulation.scenario import (
     ATTEMPT_DRAWS,
@@ -194,9 +194,11 @@
                 )
             )
     spreads = np.array([sigma[int(d)] for d in dest])[:, None]
-    factor = np.exp(stream(seed, "work").standard_normal((n, ATTEMPT_DRAWS)) * spreads - spreads**2 / 2)
+    factor = np.exp(
+        random_stream(seed, "work").standard_normal((n, ATTEMPT_DRAWS)) * spreads - spreads**2 / 2
+    )
     low, high = (np.array([c.work_ms[k] for c in model.classes])[cls] for k in (0, 1))
-    mean = (low + (high - low) * stream(seed, "messages").random(n)) * MS
+    mean = (low + (high - low) * random_stream(seed, "messages").random(n)) * MS
     couriers = max(1, found["couriers"])
     shares = np.bincount(np.array(a["courier"]) % model.couriers.count, minlength=model.couriers.count) + 1e-9
     full = n / (length / SECOND) / model.traffic.load
@@ -206,9 +208,9 @@
         seed=seed, length_ns=length, destinations=partners, faults=troubles, arrival_ns=at, class_index=cls,
         tenant_index=np.array(a["team"], dtype=np.int16) % len(model.teams), destination=dest, ordering_key=np.array(a["key"], dtype=np.int64),
         within_quota=np.ones(n, dtype=bool), work_ns=(mean[:, None] * factor).astype(np.int64) + 1,
-        chances=stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
-        client_draws=stream(seed, "habits").random((n, 4), dtype=np.float32), instance_share=shares / shares.sum(),
+        chances=random_stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
+        client_draws=random_stream(seed, "habits").random((n, 4), dtype=np.float32), instance_share=shares / shares.sum(),
         max_concurrent_calls=slots, max_held_messages=max(model.couriers.least_held, round(full / couriers * 9)),
-        delay_ns=stream(seed, "delay").uniform(net[0], net[1], len(partners)) * MS,
-        start_draws=stream(seed, "boot").random((model.couriers.count, START_DRAWS)), size_bytes=np.array(a["size"], dtype=np.int64),
+        delay_ns=random_stream(seed, "delay").uniform(net[0], net[1], len(partners)) * MS,
+        start_draws=random_stream(seed, "boot").random((model.couriers.count, START_DRAWS)), size_bytes=np.array(a["size"], dtype=np.int64),
     )  # fmt: skip
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -27,7 +27,7 @@
 from pinspread.simulation.clients import ClientBehavior
 from pinspread.simulation.destination import CRASHED, FALLEN, Endpoint, build_destinations
 from pinspread.simulation.engine import SECOND
-from pinspread.simulation.random_streams import stream, whole
+from pinspread.simulation.random_streams import random_seed, random_stream
 from pinspread.simulation.recorded_events import recorded
 from pinspread.simulation.rules import RuleChecker
 from pinspread.simulation.simulate import REPLACED_NS, STATE_OF, policy_settings
@@ -324,7 +324,7 @@
 
 
 class PlatformTestbed:
-    """A day on loopback. After `play`, it has what `accounts.of` needs."""
+    """A day on loopback. After `play`, it has what `accounts.measure` needs."""
 
     def __init__(self, model, scenario, folder):
         self.model, self.scenario = model, scenario
@@ -350,7 +350,7 @@
         self.processes, self.platforms = [], []
         self.first = len(self.endpoints)  # endpoints up to this number were there from the start
         low, high = model.network.list_late_s
-        self.lag_s = stream(scenario.seed, "lag").uniform(low, high, model.couriers.count).tolist()
+        self.lag_s = random_stream(scenario.seed, "lag").uniform(low, high, model.couriers.count).tolist()
         self.unheard = 0  # calls that ran, and whose courier was gone when they were answered
         self.past_drain = 0  # calls to an endpoint after its courier's grace
         self.told_at = {}  # (courier, endpoint) -> when it was told that nothing may go there
@@ -421,7 +421,7 @@
         self._read_logs()
         boots = [s for process in self.processes for s in process.boots[1:]]
         more = {"lost": lost, "taken": len(self.taken), "unheard": self.unheard, "boots_s": boots}
-        return accounts.of(self, seen) | more
+        return accounts.measure(self, seen) | more
 
     def _read_logs(self):
         """Probes and branches that reached nobody are known to the couriers alone."""
@@ -566,7 +566,7 @@
 
     async def _say(self, process, row, left_ms):
         scenario, model = self.scenario, self.model
-        id_ = f"{row:08x}{int(self.habits.tries[row]):02x}{whole(scenario.seed, 'id', row, self.unanswered) & 0xFFFFFF:06x}"
+        id_ = f"{row:08x}{int(self.habits.tries[row]):02x}{random_seed(scenario.seed, 'id', row, self.unanswered) & 0xFFFFFF:06x}"
         cls, team = (
             model.classes[scenario.class_index[row]].name,
             model.teams[scenario.tenant_index[row]].name,
@@ -638,7 +638,7 @@
     }  # fmt: skip
     return {
         "name": f"n{number}", "listen": address, "discovery": stage.address(number, 1), "state": state,
-        "seed": f"{whole(scenario.seed, 'module', number, time.time_ns()):x}",
+        "seed": f"{random_seed(scenario.seed, 'module', number, time.time_ns()):x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
         "known": stage.listed(number),
         "settings": {
