--- a/pinspread/core/message_table.py
+++ b/pinspread/core/message_table.py
@@ -1,7 +1,6 @@
 """The messages that the engine has accepted and not ended."""
 
 from collections.abc import Iterable
-from itertools import count
 
 from pinspread.core.messages import Message
 
@@ -17,15 +16,19 @@
     def __init__(self) -> None:
         self.open: dict[int, Message] = {}
         self.by_id: dict[str, Message] = {}
-        self._numbers = count(1)
+        self._next_number = 1
 
     def next_number(self) -> int:
         """Return a number that no message has had."""
-        return next(self._numbers)
+        number = self._next_number
+        self._next_number += 1
+        return number
 
     def continue_numbers(self, first: int) -> None:
-        """Number messages from this one on."""
-        self._numbers = count(first)
+        """Number messages from this one on, or from a higher one that has been reached already."""
+        # The journal forgets what has ended. A message that took such a number would be mistaken for the old
+        # one, whose attempt may still be in flight in the process before.
+        self._next_number = max(self._next_number, first)
 
     def continue_numbers_after(self, messages: Iterable[Message]) -> None:
         """Number messages from behind these on."""
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -4,8 +4,9 @@
 from collections import OrderedDict
 from types import SimpleNamespace
 
+import anyio
 import pytest
-from standins import configuration, engine
+from standins import Client, HttpStandIn, configuration, engine, standing, until
 
 from pinspread.config import settings
 from pinspread.discovery.client import DiscoveryClient
@@ -72,6 +73,22 @@
         rig.engine.cancel_handover()
 
 
+@pytest.mark.anyio
+async def test_no_number_is_given_twice_though_the_journal_has_forgotten_the_last_messages(tmp_path):
+    answers = [(200, [], b""), anyio.sleep_forever()]
+    endpoint = HttpStandIn(lambda request: answers.pop(0))
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+        client = Client(rig.address)
+        await client.enqueue(id_="before")
+        number = rig.engine.messages_by_id["before"].number
+        await until(lambda: not rig.engine.messages_by_id)  # it ended, and nothing is owed for it
+        state = rig.engine.pause_for_handover(SimpleNamespace())
+        rig.engine.cancel_handover()
+        rig.engine.resume_from_handover(state)
+        await client.enqueue(id_="after")
+        assert rig.engine.messages_by_id["after"].number > number
+
+
 def test_a_state_is_read_as_it_was_packed(policy):
     read = state_codec.read_state(state_codec.pack_state({state_codec.POLICY_KEY: policy, "next": 7}))
     assert type(read[state_codec.POLICY_KEY]) is DeliveryPolicy and read["next"] == 7
