--- a/pinspread/amqp/channel_methods.py
+++ b/pinspread/amqp/channel_methods.py
@@ -6,7 +6,7 @@
 
 from pamqp import base, commands
 
-from pinspread.amqp.channel import Channel
+from pinspread.amqp.channel import Channel, Delivery
 from pinspread.amqp.consumer import Consumer
 from pinspread.amqp.content import ReceivedMethod
 from pinspread.amqp.errors import AmqpError, ReplyCode
@@ -114,9 +114,7 @@
             self._writer.send(channel.number, commands.Basic.CancelOk(method.consumer_tag))
 
     def _acknowledge(self, channel: Channel, method: commands.Basic.Ack) -> None:
-        for delivery in channel.take_deliveries(method.delivery_tag, method.multiple):
-            delivery.pending.acknowledged.set()
-            delivery.consumer.queue.dispatch()
+        _settle(channel.take_deliveries(method.delivery_tag, method.multiple))
 
     def _refuse_deliveries(self, channel: Channel, method: commands.Basic.Nack) -> None:
         self._refuse(channel, method.delivery_tag, method.multiple, method.requeue)
@@ -126,8 +124,16 @@
 
     def _refuse(self, channel: Channel, tag: int, multiple: bool, requeue: bool) -> None:
         """Put deliveries back into their queues, or forget them if the consumer wants no more of them."""
-        for delivery in reversed(channel.take_deliveries(tag, multiple)):
-            if requeue:
-                delivery.consumer.queue.requeue([delivery.pending])
-            else:
-                delivery.pending.acknowledged.set()
+        deliveries = channel.take_deliveries(tag, multiple)
+        if not requeue:
+            _settle(deliveries)
+            return
+        for delivery in reversed(deliveries):
+            delivery.consumer.queue.requeue([delivery.pending])
+
+
+def _settle(deliveries: list[Delivery]) -> None:
+    """Owe these results no longer, and use the room that their consumers have for others."""
+    for delivery in deliveries:
+        delivery.pending.acknowledged.set()
+        delivery.consumer.queue.dispatch()
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -89,6 +89,20 @@
         assert (await client.end())[0]["id"] == "m2"
 
 
+async def test_a_result_that_is_refused_for_good_makes_room_for_the_next(tmp_path):
+    async with engine(tmp_path) as rig:
+        client = await AmqpClient.open(rig.amqp)
+        for n in (1, 2):
+            await client.publish(f"m{n}", for_ms=50 * n)
+            await client.next()
+        await until(lambda: len(rig.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
+        await client.consume(prefetch=1)
+        result, method = await client.end(ack=False)
+        await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, False), 1)
+        with anyio.fail_after(1):
+            assert (result["id"], (await client.end())[0]["id"]) == ("m1", "m2")
+
+
 @pytest.mark.parametrize(
     ("send", "code"),
     [
