--- a/pinspread/amqp/frame_writer.py
+++ b/pinspread/amqp/frame_writer.py
@@ -46,10 +46,13 @@
             await self._wake.wait()
             self._wake = anyio.Event()
             while self._unsent:
-                data, self._unsent = bytes(self._unsent), bytearray()
-                await self._stream.write(data)
+                await self._stream.write(self._take())
 
     async def flush(self) -> None:
         """Write what waits now, before the last words of the connection."""
-        await self._stream.write(bytes(self._unsent))
-        self._unsent.clear()
+        await self._stream.write(self._take())
+
+    def _take(self) -> bytes:
+        """What waits, which whoever takes it must write: left here meanwhile, it would be written twice."""
+        data, self._unsent = bytes(self._unsent), bytearray()
+        return data
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 from pamqp import commands
-from standins import AmqpClient, Client, HttpStandIn, engine, malformed, standing, until
+from standins import AmqpClient, Client, HttpStandIn, engine, malformed, marshal, standing, until
 
 from pinspread.amqp import frames
 from pinspread.amqp.errors import ReplyCode
@@ -103,6 +103,15 @@
             assert (result["id"], (await client.end())[0]["id"]) == ("m1", "m2")
 
 
+async def test_an_answer_that_waits_when_the_connection_is_closed_is_written_once(tmp_path):
+    async with engine(tmp_path) as rig:
+        client = await AmqpClient.open(rig.amqp)
+        declare = commands.Queue.Declare(0, "q")
+        await client.wire.write(marshal(declare) + malformed(b"\0\0\0\0"))  # in one read of the front's
+        heard = [(await client.next())[0].name for _ in range(2)]
+        assert heard == ["Queue.DeclareOk", "Connection.Close"]
+
+
 @pytest.mark.parametrize(
     ("send", "code"),
     [
