--- a/pinspread/amqp/frames.py
+++ b/pinspread/amqp/frames.py
@@ -71,7 +71,10 @@
     try:
         _, _, decoded = frame.unmarshal(data)
     except exceptions.UnmarshalingException as error:
-        raise AmqpError(ReplyCode.SYNTAX_ERROR, f"a frame that cannot be decoded: {error}") from None
+        broken, reason = error.args  # the error's own text may show the method object's address
+        name = broken.name if isinstance(broken, base.Frame) else broken
+        text = f"a frame that cannot be decoded: Could not unmarshal {name} frame: {reason}"
+        raise AmqpError(ReplyCode.SYNTAX_ERROR, text) from None
     except Exception as error:  # pamqp lets others through on hostile input
         raise AmqpError(ReplyCode.SYNTAX_ERROR, f"a malformed frame: {type(error).__name__}") from None
     return decoded  # type: ignore[return-value]  # the frame's type was checked by the caller
--- a/tests/test_amqp_bytes.py
+++ b/tests/test_amqp_bytes.py
@@ -26,7 +26,6 @@
 FRAME_MAX = 4096  # the least that may be agreed on, so that contents of a few kilobytes take several frames
 GREETING = b"AMQP\x00\x00\x09\x01"
 RANDOM_NAME = re.compile(rb"(amq\.gen-|ctag-)[0-9a-f]{16}")
-MEMORY_ADDRESS = re.compile(rb"( at 0x)[0-9a-f]{12}")  # in what pamqp says of a frame that it cannot decode
 
 pytestmark = pytest.mark.anyio
 
@@ -60,8 +59,7 @@
     async def hear(self):
         """Read what the program says now."""
         data = await (self._until_silent() if self.recorded is None else self._as_much())
-        data = RANDOM_NAME.sub(rb"\g<1>0000000000000000", data)
-        self.step("program", MEMORY_ADDRESS.sub(rb"\g<1>000000000000", data).hex())
+        self.step("program", RANDOM_NAME.sub(rb"\g<1>0000000000000000", data).hex())
 
     async def exchange(self, *data):
         """Write bytes, and read what the program says to them."""
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -112,6 +112,15 @@
         assert heard == ["Queue.DeclareOk", "Connection.Close"]
 
 
+async def test_what_cannot_be_decoded_is_named_without_addresses_of_memory(tmp_path):
+    async with engine(tmp_path) as rig:
+        client = await AmqpClient.open(rig.amqp)
+        await client.wire.write(malformed(marshal(commands.Basic.Ack(1))[7:-1][:-3]))
+        method, _, _ = await client.next()
+        assert method.reply_code == ReplyCode.SYNTAX_ERROR
+        assert "Basic.Ack" in method.reply_text and "0x" not in method.reply_text
+
+
 @pytest.mark.parametrize(
     ("send", "code"),
     [
