--- a/pinspread/hot_restart/link.py
+++ b/pinspread/hot_restart/link.py
@@ -65,6 +65,11 @@
     data: bytes
     descriptor: int | None
 
+    def discard_descriptor(self) -> None:
+        """Close the descriptor, where the reader expects none."""
+        if self.descriptor is not None:
+            os.close(self.descriptor)
+
 
 class Link:
     """One connection between two processes."""
--- a/pinspread/hot_restart/source.py
+++ b/pinspread/hot_restart/source.py
@@ -129,6 +129,7 @@
         try:
             while True:
                 packet = await self.link.receive()
+                packet.discard_descriptor()
                 if packet.kind == PacketKind.ENDPOINT_DISABLED:
                     number, known = orjson.loads(packet.data)
                     self._questions[number].answer(known)
@@ -205,6 +206,7 @@
         try:
             with anyio.fail_after(STEP_S):
                 packet = await link.receive()
+                packet.discard_descriptor()
                 step = HandoverStep.DECLINE
                 if packet.kind == PacketKind.HELLO:
                     step = await self._greet(link, packet.data.decode())
@@ -231,6 +233,7 @@
             with anyio.fail_after(2 * STEP_S):
                 await self._send(link, payload)
                 packet = await link.receive()
+                packet.discard_descriptor()
             if packet.kind == PacketKind.DECLINED:
                 reason, _ = packet_codec.decode_refusal(packet.data)
                 log("handover_declined", why=reason)
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -60,22 +60,32 @@
 
     def add(self, packet: Packet) -> None:
         """Take in one packet of what is handed over; HandoverFormatError if it is none of these."""
-        kind, data, descriptor = packet
-        if kind == PacketKind.STATE:
-            self.state = read_state(data)
-        elif kind == PacketKind.CLIENT_CONNECTION and descriptor is not None:
-            connection = _connection(descriptor)
-            self.client_connections.append(packet_codec.decode_client_connection(data, connection))
-        elif kind == PacketKind.IDLE_CONNECTION and descriptor is not None:
-            endpoint_id, address, idle_since_us = orjson.loads(data)
-            connection = _connection(descriptor)
-            self.idle_connections.append(
-                IdleEndpointConnection(endpoint_id, address, idle_since_us, connection)
-            )
-        elif kind == PacketKind.LISTENER and descriptor is not None:
-            self.listeners[data.decode()] = socket.socket(fileno=descriptor)
+        if packet.descriptor is not None:
+            self._add_socket(packet.kind, packet.data, packet.descriptor)
+        elif packet.kind == PacketKind.STATE:
+            self.state = read_state(packet.data)
         else:
-            _refuse(kind, descriptor)
+            raise _out_of_place(packet.kind)
+
+    def _add_socket(self, kind: int, data: bytes, descriptor: int) -> None:
+        """Take in the socket of a descriptor; it is closed if the packet is malformed."""
+        with ExitStack() as on_error:
+            sock = _socket_of(descriptor)
+            on_error.callback(sock.close)
+            if kind == PacketKind.CLIENT_CONNECTION:
+                connection = _connection(sock)
+                self.client_connections.append(packet_codec.decode_client_connection(data, connection))
+            elif kind == PacketKind.IDLE_CONNECTION:
+                endpoint_id, address, idle_since_us = orjson.loads(data)
+                connection = _connection(sock)
+                self.idle_connections.append(
+                    IdleEndpointConnection(endpoint_id, address, idle_since_us, connection)
+                )
+            elif kind == PacketKind.LISTENER:
+                self.listeners[data.decode()] = sock
+            else:
+                raise _out_of_place(kind)
+            on_error.pop_all()
 
     def close(self) -> None:
         """Close all that came, for the exchange came to nothing."""
@@ -87,14 +97,20 @@
             listener.close()
 
 
-def _refuse(kind: int, descriptor: int | None) -> None:
-    if descriptor is not None:
+def _out_of_place(kind: int) -> HandoverFormatError:
+    return HandoverFormatError(f"message {int(kind)} is out of place")
+
+
+def _socket_of(descriptor: int) -> socket.socket:
+    """The socket of a descriptor, which is closed if it is no socket's."""
+    try:
+        return socket.socket(fileno=descriptor)
+    except OSError:
         os.close(descriptor)
-    raise HandoverFormatError(f"message {int(kind)} is out of place")
+        raise
 
 
-def _connection(descriptor: int) -> Connection:
-    sock = socket.socket(fileno=descriptor)
+def _connection(sock: socket.socket) -> Connection:
     try:
         return Connection(sock)
     except OSError:  # its other side has reset it: that shows at the first use
@@ -174,6 +190,7 @@
             with anyio.fail_after(STEP_S):
                 packet = await link.receive()
             if packet.kind == PacketKind.DECLINED:
+                packet.discard_descriptor()
                 reason, busy = packet_codec.decode_refusal(packet.data)
                 log("handover_declined", why=reason)
                 self.target.declined(busy)
@@ -232,8 +249,7 @@
         try:
             while True:
                 packet = await link.receive()
-                if packet.descriptor is not None:
-                    os.close(packet.descriptor)
+                packet.discard_descriptor()
                 await _report(link, engine, packet.kind, orjson.loads(packet.data))
         except (OSError, ValueError, KeyError, TypeError) as error:
             log("predecessor_gone", why=str(error) or type(error).__name__)
@@ -268,4 +284,4 @@
         known = await (engine.disable(endpoint_id) if disabled else engine.enable(endpoint_id))
         await link.send(PacketKind.ENDPOINT_DISABLED, orjson.dumps([question, known]))
     else:
-        raise HandoverFormatError(f"message {int(kind)} is out of place")
+        raise _out_of_place(kind)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,7 +1,11 @@
 """The state that one process hands the next: what its shape covers, and what a reader lets in."""
 
+import gc
+import os
 import pickle
+import socket
 from collections import OrderedDict
+from contextlib import suppress
 from types import SimpleNamespace
 
 import anyio
@@ -10,8 +14,8 @@
 
 from pinspread.config import settings
 from pinspread.discovery.client import DiscoveryClient
-from pinspread.hot_restart import state_codec
-from pinspread.hot_restart.link import HandoverFormatError
+from pinspread.hot_restart import source, state_codec, target
+from pinspread.hot_restart.link import HandoverFormatError, Link, Packet, PacketKind
 from pinspread.policy.delivery_policy import DeliveryPolicy
 
 
@@ -89,6 +93,38 @@
         assert rig.engine.messages_by_id["after"].number > number
 
 
+def open_descriptors():
+    gc.collect()
+    return len(os.listdir("/proc/self/fd"))
+
+
+@pytest.mark.parametrize("kind", [*PacketKind, 99])
+def test_the_descriptor_of_a_malformed_packet_is_closed(kind):
+    transferred, before = target.TransferredState(), open_descriptors()
+    ours, theirs = socket.socketpair()
+    for data in (b"", b"{}", b"[]", b"\xff"):
+        for descriptor in (os.dup(ours.fileno()), os.open(os.devnull, os.O_RDONLY)):
+            with suppress(Exception):
+                transferred.add(Packet(kind, data, descriptor))
+    transferred.close()  # closes what was well-formed
+    ours.close()
+    theirs.close()
+    assert open_descriptors() == before
+
+
+@pytest.mark.anyio
+@pytest.mark.parametrize("kind", [PacketKind.HELLO, PacketKind.LOCK, PacketKind.TAKEN_OVER])
+async def test_a_descriptor_that_the_new_process_sends_is_closed(tmp_path, kind):
+    here, there = (Link(one) for one in socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET))
+    handover = source.HandoverListener(SimpleNamespace(), str(tmp_path))
+    before = open_descriptors()
+    await there.send(kind, b"another shape", here.sock.fileno())
+    assert not await handover._agree(here)
+    assert open_descriptors() == before
+    here.close()
+    there.close()
+
+
 def test_a_state_is_read_as_it_was_packed(policy):
     read = state_codec.read_state(state_codec.pack_state({state_codec.POLICY_KEY: policy, "next": 7}))
     assert type(read[state_codec.POLICY_KEY]) is DeliveryPolicy and read["next"] == 7
