--- a/pinspread/resp/session.py
+++ b/pinspread/resp/session.py
@@ -68,7 +68,7 @@
         batch = self.handler.execute_batch(self.client, self.buffer, output)
         self.following, self._min_bytes = batch.following, batch.min_bytes
         if output:
-            if replies.OK in output and not await self.handler.engine.wait_committed():
+            if replies.OK in output and not await self._wait_committed():
                 # BUSY would say that nothing was accepted, OK that it is safe; neither is known. A client
                 # that hears nothing submits the same id again.
                 return False
@@ -83,6 +83,14 @@
             await anyio.lowlevel.checkpoint()  # hundreds of commands may be there at once: others in turn
         return True
 
+    async def _wait_committed(self) -> bool:
+        """Wait until an OK may be written; cut short by a hand-over, the connection cannot go on."""
+        # Its replies may not be written yet, and without them the client would take later ones for these.
+        following, self.following = self.following, False
+        committed = await self.handler.engine.wait_committed()
+        self.following = following
+        return committed
+
     def _restore(self, handed_over: IdleConnection) -> None:
         self.client.answered = handed_over.answered
         self.client.submitted = handed_over.submitted
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -55,6 +55,22 @@
         await until(lambda: not rig.engine.messages_by_id)
 
 
+async def test_a_connection_whose_replies_wait_for_copies_is_closed_at_a_hand_over(tmp_path):
+    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
+        copies = rig.engine.replication = ReplicationService()
+        async with anyio.create_task_group() as tasks:
+
+            async def submit():
+                with pytest.raises(anyio.EndOfStream):
+                    await Client(rig.address).enqueue()
+
+            tasks.start_soon(submit)
+            await until(lambda: copies.waited)
+            with anyio.fail_after(1):
+                # Served on without its reply, the next one would be taken for this one.
+                assert await rig.engine.fronts["resp"].detach_connections() == []
+
+
 async def test_waiting_for_copies_costs_no_attempt_and_is_not_taken_for_the_partners_time(tmp_path):
     partner, ended = HttpStandIn(), []
     async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
