--- a/pinspread/leases/lease_model.py
+++ b/pinspread/leases/lease_model.py
@@ -59,7 +59,7 @@
     request: Request
 
 
-class World(NamedTuple):
+class ModelState(NamedTuple):
     """One state; all values are hashable.
 
     Attributes:
@@ -128,7 +128,7 @@
     fenced: bool = True
 
 
-Step = tuple[str, World]  # its name, and the state that it leads to
+Step = tuple[str, ModelState]  # its name, and the state that it leads to
 
 
 class Model:
@@ -144,7 +144,7 @@
     def starts(self) -> Iterator[Step]:
         """Yield where to begin: nobody has asked; or, to reach further, contender 0 was just granted."""
         contenders, voters = self.bounds.contenders, self.bounds.voters
-        first = World(
+        first = ModelState(
             real=0,
             clocks=(0,) * (contenders + voters),
             log=(),
@@ -169,42 +169,42 @@
             applied = (AppliedLog(1, 0),) * informed + (AppliedLog(0, 0),) * (voters - informed)
             yield f"c0 holds, {informed} know", granted._replace(applied=applied)
 
-    def violation(self, world: World) -> str:
+    def violation(self, state: ModelState) -> str:
         """Return what is broken in a state; empty if nothing is."""
         able = [
             contender
-            for contender, claim in enumerate(world.claims)
-            if self.rules.may_act(claim, self.terms, self._contender_time(world, contender))
+            for contender, claim in enumerate(state.claims)
+            if self.rules.may_act(claim, self.terms, self._contender_time(state, contender))
         ]
-        return f"both {able} may act at {world.real}" if len(able) > 1 else ""
+        return f"both {able} may act at {state.real}" if len(able) > 1 else ""
 
-    def step_violation(self, before: World, after: World) -> str:
+    def step_violation(self, before: ModelState, after: ModelState) -> str:
         """Return what is broken by a step, not by the state that it leads to; empty if nothing is."""
         if after.newest_token >= before.newest_token:
             return ""
         return f"the resource took token {after.newest_token} after {before.newest_token}"
 
-    def canonical(self, world: World) -> World:
+    def canonical(self, state: ModelState) -> ModelState:
         """Return one of the states that differ only by which voter is which."""
         contenders = self.bounds.contenders
 
         def sort_key(voter: int) -> tuple[object, ...]:
-            pending = sorted(item[1:] for item in world.pending if item.voter == voter)
-            return world.applied[voter], world.clocks[contenders + voter], pending
+            pending = sorted(item[1:] for item in state.pending if item.voter == voter)
+            return state.applied[voter], state.clocks[contenders + voter], pending
 
         voters = sorted(range(self.bounds.voters), key=sort_key)
         place = {voter: index for index, voter in enumerate(voters)}
-        return world._replace(
-            applied=tuple(world.applied[voter] for voter in voters),
-            clocks=world.clocks[:contenders] + tuple(world.clocks[contenders + voter] for voter in voters),
-            pending=frozenset(item._replace(voter=place[item.voter]) for item in world.pending),
+        return state._replace(
+            applied=tuple(state.applied[voter] for voter in voters),
+            clocks=state.clocks[:contenders] + tuple(state.clocks[contenders + voter] for voter in voters),
+            pending=frozenset(item._replace(voter=place[item.voter]) for item in state.pending),
         )
 
-    def _contender_time(self, world: World, contender: int) -> int:
-        return world.real + world.clocks[contender]
+    def _contender_time(self, state: ModelState, contender: int) -> int:
+        return state.real + state.clocks[contender]
 
-    def _voter_time(self, world: World, voter: int) -> int:
-        return world.real + world.clocks[self.bounds.contenders + voter]
+    def _voter_time(self, state: ModelState, voter: int) -> int:
+        return state.real + state.clocks[self.bounds.contenders + voter]
 
     def _record(self, log: Iterable[Command]) -> LeaseRecord:
         """Return the record after some commands."""
@@ -215,117 +215,117 @@
 
     # --- steps ----------------------------------------------------------------------------------------
 
-    def steps(self, world: World) -> Iterator[Step]:
+    def steps(self, state: ModelState) -> Iterator[Step]:
         """Yield every next state, with the name of the step."""
-        yield from self._time_steps(world)
+        yield from self._time_steps(state)
         for contender in range(self.bounds.contenders):
-            yield from self._request_steps(world, contender)
+            yield from self._request_steps(state, contender)
             if self.bounds.acts:
-                yield from self._act_steps(world, contender)
-        yield from self._delivery_steps(world)
-        yield from self._answer_steps(world)
+                yield from self._act_steps(state, contender)
+        yield from self._delivery_steps(state)
+        yield from self._answer_steps(state)
         for voter in range(self.bounds.voters):
-            if world.applied[voter].entries < len(world.log):
-                yield f"apply {voter}", self._apply(world, voter)
+            if state.applied[voter].entries < len(state.log):
+                yield f"apply {voter}", self._apply(state, voter)
 
-    def _time_steps(self, world: World) -> Iterator[Step]:
-        later = world._replace(real=world.real + 1)
+    def _time_steps(self, state: ModelState) -> Iterator[Step]:
+        later = state._replace(real=state.real + 1)
         yield "tick", later
-        if sum(map(bool, world.clocks)) >= self.bounds.jumps:
+        if sum(map(bool, state.clocks)) >= self.bounds.jumps:
             return
         drift = self.bounds.drift
-        for party, gain in enumerate(world.clocks):
+        for party, gain in enumerate(state.clocks):
             if gain == 0:
-                yield f"tick, {party} fast", later._replace(clocks=_replaced(world.clocks, party, drift))
-                yield f"tick, {party} slow", later._replace(clocks=_replaced(world.clocks, party, -drift))
+                yield f"tick, {party} fast", later._replace(clocks=_replaced(state.clocks, party, drift))
+                yield f"tick, {party} slow", later._replace(clocks=_replaced(state.clocks, party, -drift))
 
-    def _request_steps(self, world: World, contender: int) -> Iterator[Step]:
-        before = world.claims[contender]
-        now = self._contender_time(world, contender)
-        new_id = world.request_count + 1
+    def _request_steps(self, state: ModelState, contender: int) -> Iterator[Step]:
+        before = state.claims[contender]
+        now = self._contender_time(state, contender)
+        new_id = state.request_count + 1
         claim, request = state_machine.tick(before, self.terms, Contender(TASK, f"c{contender}"), now, new_id)
         is_new = claim.request_id == new_id
         if claim == before and not request:
             return
-        if is_new and world.request_count >= self.bounds.requests:
+        if is_new and state.request_count >= self.bounds.requests:
             return
-        requests = world.requests | {request} if request else world.requests
-        after = world._replace(
-            claims=_replaced(world.claims, contender, claim),
-            request_count=world.request_count + is_new,
+        requests = state.requests | {request} if request else state.requests
+        after = state._replace(
+            claims=_replaced(state.claims, contender, claim),
+            request_count=state.request_count + is_new,
             requests=requests,
         )
         yield f"ask {contender}", after
 
-    def _act_steps(self, world: World, contender: int) -> Iterator[Step]:
-        checked = world.checked[contender]
-        claim = world.claims[contender]
+    def _act_steps(self, state: ModelState, contender: int) -> Iterator[Step]:
+        checked = state.checked[contender]
+        claim = state.claims[contender]
         if checked:
-            yield f"act {contender}", self._act(world, contender)
-        elif self.rules.may_act(claim, self.terms, self._contender_time(world, contender)):
+            yield f"act {contender}", self._act(state, contender)
+        elif self.rules.may_act(claim, self.terms, self._contender_time(state, contender)):
             yield (
                 f"check {contender}",
-                world._replace(checked=_replaced(world.checked, contender, claim.token)),
+                state._replace(checked=_replaced(state.checked, contender, claim.token)),
             )
 
-    def _act(self, world: World, contender: int) -> World:
+    def _act(self, state: ModelState, contender: int) -> ModelState:
         """Have an act reach the resource, which refuses a token older than one that it has accepted."""
-        token = world.checked[contender]
-        accepted = token >= world.newest_token or not self.rules.fenced
-        return world._replace(
-            checked=_replaced(world.checked, contender, 0),
-            newest_token=token if accepted else world.newest_token,
+        token = state.checked[contender]
+        accepted = token >= state.newest_token or not self.rules.fenced
+        return state._replace(
+            checked=_replaced(state.checked, contender, 0),
+            newest_token=token if accepted else state.newest_token,
         )
 
-    def _delivery_steps(self, world: World) -> Iterator[Step]:
-        if len(world.log) >= self.bounds.log:
+    def _delivery_steps(self, state: ModelState) -> Iterator[Step]:
+        if len(state.log) >= self.bounds.log:
             return
-        for request in world.requests:
+        for request in state.requests:
             for voter in range(self.bounds.voters):
-                delivered = self._deliver(world, voter, request)
+                delivered = self._deliver(state, voter, request)
                 yield f"deliver to {voter}", delivered
-                proposed = len(delivered.log) > len(world.log)
-                if proposed and world.applied[voter].entries == len(world.log):
+                proposed = len(delivered.log) > len(state.log)
+                if proposed and state.applied[voter].entries == len(state.log):
                     yield f"deliver to {voter}, apply", self._apply(delivered, voter)
 
-    def _deliver(self, world: World, voter: int, request: Request) -> World:
+    def _deliver(self, state: ModelState, voter: int, request: Request) -> ModelState:
         """Have a voter decide on a request."""
-        count, at = world.applied[voter]
-        now = self._voter_time(world, voter)
-        record = self._record(world.log[:count])
+        count, at = state.applied[voter]
+        now = self._voter_time(state, voter)
+        record = self._record(state.log[:count])
         decision = self.rules.evaluate_request(record, at, request, self.terms, now)
         if isinstance(decision, Answer):
             answer = _addressed(request, decision._replace(retry_after_us=0))
-            return world._replace(answers=world.answers | {answer})
-        pending = PendingProposal(voter, len(world.log), request)
-        return world._replace(log=(*world.log, decision), pending=world.pending | {pending})
-
-    def _answer_steps(self, world: World) -> Iterator[Step]:
-        for contender, answer in world.answers:
-            before = world.claims[contender]
-            now = self._contender_time(world, contender)
+            return state._replace(answers=state.answers | {answer})
+        pending = PendingProposal(voter, len(state.log), request)
+        return state._replace(log=(*state.log, decision), pending=state.pending | {pending})
+
+    def _answer_steps(self, state: ModelState) -> Iterator[Step]:
+        for contender, answer in state.answers:
+            before = state.claims[contender]
+            now = self._contender_time(state, contender)
             claim = state_machine.apply_answer(before, answer, self.terms, now)
             if claim != before:
                 yield (
                     f"answer {contender}",
-                    world._replace(claims=_replaced(world.claims, contender, claim)),
+                    state._replace(claims=_replaced(state.claims, contender, claim)),
                 )
 
-    def _apply(self, world: World, voter: int) -> World:
+    def _apply(self, state: ModelState, voter: int) -> ModelState:
         """Have a voter apply the next entry of the log, and answer the request that led to it."""
-        count = world.applied[voter].entries
-        before = self._record(world.log[:count])
-        record, outcome = self.rules.apply_command(before, world.log[count])
+        count = state.applied[voter].entries
+        before = self._record(state.log[:count])
+        record, outcome = self.rules.apply_command(before, state.log[count])
         token = record.token if outcome == OK else 0
-        done = {item for item in world.pending if item.voter == voter and item.log_index == count}
+        done = {item for item in state.pending if item.voter == voter and item.log_index == count}
         answers = {
             _addressed(item.request, Answer(TASK, item.request.request_id, outcome, token)) for item in done
         }
-        applied = AppliedLog(count + 1, self._voter_time(world, voter))
-        return world._replace(
-            applied=_replaced(world.applied, voter, applied),
-            answers=world.answers | answers,
-            pending=world.pending - done,
+        applied = AppliedLog(count + 1, self._voter_time(state, voter))
+        return state._replace(
+            applied=_replaced(state.applied, voter, applied),
+            answers=state.answers | answers,
+            pending=state.pending - done,
         )
 
 
--- a/pinspread/leases/model_checker.py
+++ b/pinspread/leases/model_checker.py
@@ -7,7 +7,7 @@
 import time
 from typing import NamedTuple
 
-from pinspread.leases.lease_model import TERMS, Bounds, Model, Rules, World
+from pinspread.leases.lease_model import TERMS, Bounds, Model, ModelState, Rules
 from pinspread.leases.state_machine import LeaseTerms
 
 
@@ -45,14 +45,14 @@
         self.model = model
         self.started_s = time.monotonic()
         self.depth = 0
-        self.frontier: list[World] = []
-        self._came_from: dict[World, tuple[World | None, str]] = {}
-        for name, world in model.starts():
-            self._visit(model.canonical(world), None, name)
+        self.frontier: list[ModelState] = []
+        self._came_from: dict[ModelState, tuple[ModelState | None, str]] = {}
+        for name, state in model.starts():
+            self._visit(model.canonical(state), None, name)
 
-    def _visit(self, world: World, origin: World | None, step: str) -> None:
-        self._came_from[world] = (origin, step)
-        self.frontier.append(world)
+    def _visit(self, state: ModelState, origin: ModelState | None, step: str) -> None:
+        self._came_from[state] = (origin, step)
+        self.frontier.append(state)
 
     def run(self) -> Result:
         """Visit the states layer by layer, each a step further from the starts."""
@@ -60,33 +60,33 @@
         while self.frontier and self.depth < bounds.depth:
             self.depth += 1
             layer, self.frontier = self.frontier, []
-            for world in layer:
-                violation = self._expand(world)
+            for state in layer:
+                violation = self._expand(state)
                 if violation:
                     return self._result(violation)
                 if len(self._came_from) > bounds.states or self._elapsed_s() > bounds.seconds:
                     return self._result(complete=False)
         return self._result()
 
-    def _expand(self, world: World) -> _Violation | None:
+    def _expand(self, state: ModelState) -> _Violation | None:
         """Visit the next states of one; return the first violation, if any."""
-        for name, raw in self.model.steps(world):
-            broken = self.model.step_violation(world, raw)
+        for name, successor in self.model.steps(state):
+            broken = self.model.step_violation(state, successor)
             if broken:
-                return _Violation(broken, [*self._steps_to(world), name])
-            state = self.model.canonical(raw)
-            if state in self._came_from:
+                return _Violation(broken, [*self._steps_to(state), name])
+            canonical = self.model.canonical(successor)
+            if canonical in self._came_from:
                 continue
-            self._visit(state, world, name)
-            broken = self.model.violation(state)
+            self._visit(canonical, state, name)
+            broken = self.model.violation(canonical)
             if broken:
-                return _Violation(broken, self._steps_to(state))
+                return _Violation(broken, self._steps_to(canonical))
         return None
 
-    def _steps_to(self, world: World | None) -> list[str]:
+    def _steps_to(self, state: ModelState | None) -> list[str]:
         steps = []
-        while world is not None:
-            world, name = self._came_from[world]
+        while state is not None:
+            state, name = self._came_from[state]
             steps.append(name)
         return steps[::-1]
 
