--- a/pinspread/leases/lease_model.py
+++ b/pinspread/leases/lease_model.py
@@ -96,10 +96,10 @@
         contenders: How many contenders there are.
         voters: How many voters there are.
         depth: The most steps from a start.
-        log: The most entries in the log.
+        log_entries: The most entries in the log.
         requests: The most requests with an id of their own.
         acts: Whether contenders check and act, too.
-        jumps: The most clocks that drift in one run.
+        drifting_clocks: The most clocks that drift in one run.
         drift: What a clock may gain or lose, in ticks; the terms have the same.
         states: The most states.
         seconds: The longest run.
@@ -108,10 +108,10 @@
     contenders: int = 2
     voters: int = 3
     depth: int = 9
-    log: int = 3
+    log_entries: int = 3
     requests: int = 3
     acts: bool = False
-    jumps: int = 2
+    drifting_clocks: int = 2
     drift: int = 1
     states: int = 5_000_000
     seconds: float = 600.0
@@ -231,7 +231,7 @@
     def _time_steps(self, state: ModelState) -> Iterator[Step]:
         later = state._replace(real=state.real + 1)
         yield "tick", later
-        if sum(map(bool, state.clocks)) >= self.bounds.jumps:
+        if sum(map(bool, state.clocks)) >= self.bounds.drifting_clocks:
             return
         drift = self.bounds.drift
         for party, gain in enumerate(state.clocks):
@@ -278,7 +278,7 @@
         )
 
     def _delivery_steps(self, state: ModelState) -> Iterator[Step]:
-        if len(state.log) >= self.bounds.log:
+        if len(state.log) >= self.bounds.log_entries:
             return
         for request in state.requests:
             for voter in range(self.bounds.voters):
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -133,7 +133,7 @@
 
 
 def test_acts_of_a_holder_that_paused_are_refused_by_the_fence_alone():
-    bounds = Bounds(depth=9, voters=1, jumps=0, drift=0, requests=2, log=2, acts=True)
+    bounds = Bounds(depth=9, voters=1, drifting_clocks=0, drift=0, requests=2, log_entries=2, acts=True)
     terms = lease_model.TERMS._replace(lease_us=2, drift_us=0)
     found = explore(bounds, terms=terms)
     assert found.complete and not found.violation, found
