--- a/pinspread/core/acceptance.py
+++ b/pinspread/core/acceptance.py
@@ -7,12 +7,11 @@
 from pinspread.core.log import log
 from pinspread.core.messages import FinalResult, FinalState, Message
 from pinspread.core.notifications import Notifications
+from pinspread.core.time_units import NS_PER_US, US_PER_MS
 from pinspread.errors import JournalFullError, RejectedError
 from pinspread.policy.events import ClientCancelled, MessageAccepted
 
-REJECTED_RETRY_MS = (
-    1000  # when to come back if there is no room: about the wait that clients choose themselves
-)
+REJECTED_RETRY_MS = 1000  # Retry-After if there is no room: about the wait that clients choose themselves
 SHOWN_NAME_LENGTH = 32  # characters of an unknown name that the client is shown
 
 
@@ -74,7 +73,7 @@
             key=message.key,
             size_bytes=len(message.body),
             time_left_ms=(message.deadline_unix_us - self._context.clock.unix(self._context.clock.now()))
-            // 1000,
+            // US_PER_MS,
         )
 
     def _check_replication(self) -> None:
@@ -193,11 +192,13 @@
                 request=message.number,
                 class_index=0,
                 destination=message.destination,
-                deadline_ns=clock.monotonic(message.deadline_unix_us) * 1000,
+                deadline_ns=clock.monotonic(message.deadline_unix_us) * NS_PER_US,
                 key=message.key,
                 tenant=self._context.settings.tenants.get(message.tenant, 0),
                 attempts=message.attempts,
-                may_have_run_ns=clock.monotonic(may_have_run_unix_us) * 1000 if may_have_run_unix_us else 0,
+                may_have_run_ns=clock.monotonic(may_have_run_unix_us) * NS_PER_US
+                if may_have_run_unix_us
+                else 0,
                 may_have_run_zone=message.zone,
                 traffic_class=rules.traffic_class,
                 max_attempts=rules.max_attempts,
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -9,7 +9,7 @@
 from pinspread.core.acceptance import Acceptance
 from pinspread.core.attempts import AttemptId, AttemptRunner
 from pinspread.core.clock import Clock
-from pinspread.core.context import SECOND_US, EngineContext
+from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_blocklist import EndpointBlocklist
 from pinspread.core.endpoint_registry import EndpointRegistry, RetryAfterScope
 from pinspread.core.event_queue import EventQueue
@@ -26,16 +26,14 @@
     Successor,
     Transport,
 )
+from pinspread.core.time_units import NS_PER_MS, NS_PER_US, US_PER_S
 from pinspread.policy.actions import Action, CheckHealth, Disconnect, Fail, Reject, Send, SetTimer, Subscribe
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, Event, SettingsChanged, UpdateScope
 
-DRAIN_US = (
-    3_000_000  # after SIGTERM: the process is killed 3.7 s after it, and connections are closed after this
-)
+DRAIN_US = 3_000_000  # after SIGTERM, before connections are closed; the process is killed 3.7 s after it
 LINGER_US = 500_000  # new clients keep arriving for a while and must be told that they are rejected
 ACKNOWLEDGEMENT_POLL_S = 0.005
-NS_PER_MS = 1_000_000
 
 
 def _ignore_subscription() -> None:
@@ -275,7 +273,7 @@
 
     def resume_from_handover(self, state: EngineState) -> None:
         """Take over from the process before; the journal has been read."""
-        self.policy = state["sender"]
+        self.policy = state["policy"]
         self.ownership.resume(state)
 
     def predecessor_attempt_ended(self, number: int, attempt_number: int, result: AttemptResult) -> None:
@@ -317,12 +315,12 @@
             self._drained.set()
 
     def _decide(self, events: list[Event], now_us: int) -> None:
-        for action in self.policy.handle(now_us * 1000, events):
+        for action in self.policy.handle(now_us * NS_PER_US, events):
             self._performers[type(action)](action, now_us)
         self.attempt_runner.launch()
 
     def _set_timer(self, action: SetTimer, now_us: int) -> None:
-        self.events.set_timer(now_us + max(1, action.delay_ns // 1000), action.tag)
+        self.events.set_timer(now_us + max(1, action.delay_ns // NS_PER_US), action.tag)
 
     def _send(self, action: Send, now_us: int) -> None:
         if not self.stopping:  # what is not sent now stays in the journal for the next start
@@ -353,8 +351,8 @@
         log("stopping", in_flight=len(self.attempts), open=len(self.open_messages))
         self.stopping = True
         self.events.wake()
-        with anyio.move_on_after(DRAIN_US / SECOND_US):
-            await anyio.sleep(LINGER_US / SECOND_US)
+        with anyio.move_on_after(DRAIN_US / US_PER_S):
+            await anyio.sleep(LINGER_US / US_PER_S)
             await self._drained.wait()
             while self.pending_notifications:
                 await anyio.sleep(ACKNOWLEDGEMENT_POLL_S)
--- a/pinspread/policy/outlier_detection.py
+++ b/pinspread/policy/outlier_detection.py
@@ -9,9 +9,9 @@
 EJECTED_FROM = 0.5  # failure rate above which an endpoint is ejected
 SUSPECT_FROM = 0.25  # failure rate above which no unsafe message goes while others can find out
 FAILURE_WEIGHT = 0.3  # weight of the newest outcome in the failure rate: two failures in a row eject
-RECENT_SUCCESS_NS = 2 * SECOND  # since which an endpoint with overdue calls may be checked again
+RECENT_SUCCESS_NS = 2 * SECOND  # success within which an endpoint with overdue calls may be tried again
 FEW_HARD_FAILURES = 3  # from which a short outage was one
-SHORT_OUTAGE = 0.33  # share of the slow start's time under which a silence was no outage
+SHORT_OUTAGE = 0.33  # fraction of the slow start's time under which a silence was no outage
 LATENCY_GAIN = 0.125  # weight of the newest latency in the mean and in the deviation
 TIMEOUT_DEVIATIONS = 4  # a time-out is twice (mean + this many deviations)
 LEAST_TIMEOUT_NS = SECOND  # a jam must not turn into lost calls
@@ -19,26 +19,24 @@
 MOST_TIMEOUT_FACTOR = 2.0  # growth of time-outs while they strike: hung calls must not hold the slots
 UNSAFE_FACTOR = 2.5  # for messages that are not idempotent, which a time-out loses
 UNSAFE_CROWDED_FACTOR = 1.5  # the same where half the slots are taken
-LOST_SHARE = 0.15  # slot time of lost calls, as a share of answers', that ends LEAST_TIMEOUT_NS
-LOST_GAIN = 0.05  # weight of the newest call in the share of lost calls
+LOST_SHARE = 0.15  # slot time of lost calls, as a fraction of answers', that ends LEAST_TIMEOUT_NS
+LOST_GAIN = 0.05  # weight of the newest call in the fraction of lost calls
 SILENCE_NS = 300 * MS  # least silence, with calls in flight, that makes an endpoint suspect
 NOT_SENT_STEP = 2  # backoff step after a health check or call that could not be sent: 160 ms median
 
 
 class OutlierDetector:
-    """Judges endpoints by their outcomes; owns the share of calls lost while later ones are answered."""
+    """Judges endpoints by their outcomes; owns the fraction of calls lost while later ones are answered."""
 
     def __init__(self, balancer: LoadBalancer) -> None:
         self.context, self.limits, self.balancer = balancer.context, balancer.limits, balancer
-        self.lost_share = 0.0
+        self.lost_call_rate = 0.0
 
     def opens_ns(self, endpoint: TrackedEndpoint, overdue: bool = False) -> int:
         """From when an endpoint may be called; `overdue` messages wait for no backoff or rate."""
         if not endpoint.usable:
             return NEVER  # rule 3
-        limiter, at_ns = endpoint.limiter, endpoint.limiter.retry_after_until_ns  # rule 5
-        if not overdue:
-            at_ns = max(at_ns, limiter.backoff_until_ns, limiter.next_call_ns)
+        at_ns = endpoint.limiter.retry_after_until_ns if overdue else endpoint.limiter.opens_ns()  # rule 5
         if endpoint.ejected:
             checked_ns = max((self._check_ends_ns(e) for e in endpoint.siblings() if e.ejected), default=0)
             return max(at_ns, endpoint.next_health_check_ns, checked_ns)
@@ -54,7 +52,7 @@
         """From when any endpoint of a destination may be called."""
         return min((self.opens_ns(e, overdue) for e in destination.endpoints.values()), default=NEVER)
 
-    def _check_ends_ns(self, endpoint: TrackedEndpoint) -> int:  # a lost check must not keep it shut
+    def _check_ends_ns(self, endpoint: TrackedEndpoint) -> int:  # a lost one must not close the endpoint
         if not (endpoint.calls or endpoint.health_check_out):
             return 0
         if endpoint.health_check_out or self.context.now_ns - endpoint.last_success_ns > RECENT_SUCCESS_NS:
@@ -65,7 +63,7 @@
         if sent_ns < endpoint.limiter.last_refusal_ns:
             return  # sent before the last refusal was known: the same one
         if endpoint.ejected:
-            self._eject(endpoint)
+            self._plan_health_check(endpoint)
         self.limits.record_refusal(endpoint, retry_after_ns)
 
     def record_attempt(self, call: Call, event: AttemptCompleted) -> None:
@@ -75,14 +73,14 @@
             limiter.limit, limiter.remaining = event.limit_per_s, event.limit_remaining
         if retry_after_ns:  # the messages of a bundle may be told different waits
             self.limits.apply_retry_after(endpoint, retry_after_ns)
-        if not call.fresh:
+        if not call.outcome_pending:
             return
-        call.fresh = False
+        call.outcome_pending = False
         endpoint.last_outcome_ns = self.context.now_ns
         self.balancer.reports_opened |= event.opened
         if event.outcome is Outcome.OVERLOADED:
             if event.opened and not retry_after_ns and not limiter.refusals:  # perhaps of a full table
-                self.balancer.record_connection(endpoint.kind, True, 1 - self.context.small_fleet_share)
+                self.balancer.record_connection(endpoint.kind, True, 1 - self.context.fleet_factor)
             self._record_refusal(endpoint, retry_after_ns, call.sent_ns)
         elif event.outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
             self._record_outcome(call, event.outcome, event.elapsed_ns)
@@ -92,14 +90,14 @@
         reported = self.balancer.reports_opened  # else an outage may pass for a full connection table
         unanswered = outcome is not Outcome.ERROR and endpoint.failure_rate < SUSPECT_FROM and not reported
         if unanswered or not failed:
-            weight = self.context.small_fleet_share if reported else 1.0
+            weight = self.context.fleet_factor if reported else 1.0
             self.balancer.record_connection(endpoint.kind, failed, weight)
         if not failed:
             endpoint.answered_ns = max(endpoint.answered_ns, sent_ns)
         if not failed or outcome is Outcome.TIMEOUT:  # a lost one shows by those answered around it
             missed = endpoint.failed and not endpoint.hard_failures
             lost = endpoint.answered_ns > sent_ns if failed else missed
-            self.lost_share += LOST_GAIN * (lost - self.lost_share)
+            self.lost_call_rate += LOST_GAIN * (lost - self.lost_call_rate)
         single = outcome in (Outcome.TIMEOUT, Outcome.RESET)  # a call or a connection, at first
         if single and endpoint.last_success_ns > sent_ns and not endpoint.ejected:
             return  # a single lost call while the rest is answered is no outage and no slowness
@@ -116,7 +114,8 @@
             if sibling is not endpoint and sibling.last_success_ns < sent_ns:
                 sibling.failure_rate += FAILURE_WEIGHT * (1 - sibling.failure_rate)
                 if sibling.failure_rate > EJECTED_FROM and not sibling.ejected:
-                    self._eject(sibling)
+                    sibling.ejected = True  # only spaced single calls from now on (rule 4)
+                    self._plan_health_check(sibling)
         if outcome is Outcome.TIMEOUT:
             endpoint.timeout_factor = min(endpoint.timeout_factor * 2, MOST_TIMEOUT_FACTOR)
         endpoint.ejected |= endpoint.failure_rate > EJECTED_FROM
@@ -124,7 +123,7 @@
 
     def _record_success(self, endpoint: TrackedEndpoint, elapsed_ns: int) -> None:
         now_ns, slow_start_ns = self.context.now_ns, self.context.settings.slow_start_ns
-        shut = self.limits.record_success(endpoint)
+        unavailable = self.limits.record_success(endpoint)
         short = now_ns - endpoint.last_success_ns < SHORT_OUTAGE * slow_start_ns  # lost calls are no outage
         lossy = endpoint.hard_failures < FEW_HARD_FAILURES and short
         endpoint.hard_failures, endpoint.last_success_ns = 0, now_ns
@@ -135,28 +134,24 @@
             endpoint.latency_mean_ns += LATENCY_GAIN * error
             endpoint.latency_deviation_ns += LATENCY_GAIN * (abs(error) - endpoint.latency_deviation_ns)
         endpoint.timeout_factor = max(1.0, endpoint.timeout_factor / 2)
-        if endpoint.ejected or shut:  # judged at the second success, a long outage would look short
-            endpoint.warming_since_ns = endpoint.warming_since_ns if lossy else now_ns
-        if endpoint.failure_rate > EJECTED_FROM and (endpoint.ejected or shut):
+        if (endpoint.ejected or unavailable) and not lossy:  # judged now: at a second success it looks short
+            endpoint.warming_since_ns = now_ns
+        if endpoint.failure_rate > EJECTED_FROM and (endpoint.ejected or unavailable):
             endpoint.next_health_check_ns = now_ns  # one success among failures: check at once
-            self._share_ramp(endpoint)
+            self._ramp_siblings(endpoint)
         else:
             endpoint.ejected, endpoint.health_checks = False, 0
         if endpoint.warming_since_ns and now_ns - endpoint.warming_since_ns > slow_start_ns:
             endpoint.warming_since_ns = 0
         self.limits.record_delivery(endpoint)
 
-    def _share_ramp(self, endpoint: TrackedEndpoint) -> None:
-        many = self.context.small_fleet_share < 1  # their checks would overload what warms up (rule 4)
+    def _ramp_siblings(self, endpoint: TrackedEndpoint) -> None:
+        many = self.context.fleet_factor < 1  # their checks would overload what warms up (rule 4)
         for sibling in endpoint.siblings() if many and endpoint.warming_since_ns else ():
             if sibling.ejected:
                 sibling.warming_since_ns = endpoint.warming_since_ns
-                next_ns = self.limits.ramp_next_ns(sibling, self.context.random.uniform(*JITTER))
-                sibling.next_health_check_ns = max(sibling.next_health_check_ns, next_ns)
-
-    def _eject(self, endpoint: TrackedEndpoint) -> None:  # only spaced single calls from now on (rule 4)
-        endpoint.ejected = True
-        self._plan_health_check(endpoint)
+                jitter = self.context.random.uniform(*JITTER)
+                sibling.delay_health_check(self.limits.ramp_next_ns(sibling, jitter))
 
     def _plan_health_check(self, endpoint: TrackedEndpoint) -> None:
         endpoint.health_check_passed = False
@@ -164,7 +159,7 @@
         endpoint.next_health_check_ns = self.context.now_ns + wait_ns
         endpoint.health_checks += 1
         for sibling in endpoint.siblings() if endpoint.ejected else ():
-            sibling.next_health_check_ns = max(sibling.next_health_check_ns, endpoint.next_health_check_ns)
+            sibling.delay_health_check(endpoint.next_health_check_ns)
 
     def on_health_check(self, endpoint: TrackedEndpoint, event: HealthCheckCompleted) -> None:
         """Account for a health check; a good one lets one message try."""
@@ -178,24 +173,24 @@
                 self.limits.apply_retry_after(endpoint, event.retry_after_ns)
             self._record_refusal(endpoint, event.retry_after_ns, now_ns)
         elif event.outcome is Outcome.NOT_SENT:  # asked for again at once, it would be barred at once
-            next_ns = now_ns + backoff_ns(self.context.random, NOT_SENT_STEP)
-            endpoint.next_health_check_ns = max(endpoint.next_health_check_ns, next_ns)
+            endpoint.delay_health_check(now_ns + backoff_ns(self.context.random, NOT_SENT_STEP))
         else:
             endpoint.failure_rate += FAILURE_WEIGHT * (1 - endpoint.failure_rate)
-            self._eject(endpoint)
+            endpoint.ejected = True
+            self._plan_health_check(endpoint)
 
     def _usual_answer_ns(self, endpoint: TrackedEndpoint) -> float:
         return max(SILENCE_NS, endpoint.latency_mean_ns + TIMEOUT_DEVIATIONS * endpoint.latency_deviation_ns)
 
     def timeout_ns(self, message: QueuedMessage, endpoint: TrackedEndpoint, calls_in_flight: int) -> int:
         """How long an attempt may wait for its answer."""
-        crowded = 2 * calls_in_flight >= self.context.settings.max_concurrent_calls
+        slots_scarce = 2 * calls_in_flight >= self.context.settings.max_concurrent_calls
         unsafe, mean_ns = message.traffic_class.effect is Idempotency.NOT_IDEMPOTENT, endpoint.latency_mean_ns
-        factor = (UNSAFE_CROWDED_FACTOR if crowded else UNSAFE_FACTOR) if unsafe else 1.0
+        factor = (UNSAFE_CROWDED_FACTOR if slots_scarce else UNSAFE_FACTOR) if unsafe else 1.0
         slow_ns = mean_ns + TIMEOUT_DEVIATIONS * endpoint.latency_deviation_ns
         learned_ns = 2 * slow_ns or message.traffic_class.latency_objective_ns
         # Where single calls get lost, those that wait for their time-outs would hold all slots.
-        lossy = crowded and self.lost_share * LEAST_TIMEOUT_NS > LOST_SHARE * mean_ns
+        lossy = slots_scarce and self.lost_call_rate * LEAST_TIMEOUT_NS > LOST_SHARE * mean_ns
         least_ns = SILENCE_NS if lossy else LEAST_TIMEOUT_NS
         wait_ns = int(max(least_ns, learned_ns) * factor * endpoint.timeout_factor)
         left_ns = message.deadline_ns - self.context.now_ns
--- a/pinspread/replication/snapshots.py
+++ b/pinspread/replication/snapshots.py
@@ -74,11 +74,41 @@
         required_acks: How many it waits for.
     """
     return bool(chosen) and all(
-        len(set(answered) & set(replicas)) >= max(1, min(replica_count, len(replicas)) - required_acks + 1)
+        len(set(answered) & set(replicas)) >= _covering_count(len(replicas), replica_count, required_acks)
         for replicas in chosen
     )
 
 
+def covers_takeovers(found: Snapshots, own_generation: int, replica_count: int, required_acks: int) -> bool:
+    """Return whether a takeover of the owner's work must be known to one of the nodes that answered it.
+
+    A successor has asked as many replicas as `covers_promises` wants, and each of them remembers it. So one
+    of them is among the others and one more. Where the owner has rewritten its journal since, those that
+    store the older generation may be replicas no longer, and all that they name have to answer.
+
+    Args:
+        found: The answers that the owner has got.
+        own_generation: The owner's own.
+        replica_count: How many replicas the owner wants.
+        required_acks: How many it waits for.
+    """
+    newest = newest_of(found.values())
+    if newest is None:
+        return False
+    is_current = newest.generation >= own_generation
+    for replicas in replica_sets(found):
+        covering = _covering_count(len(replicas), replica_count, required_acks)
+        needed = len(replicas) - covering + 1 if is_current else len(replicas)
+        if len(found.keys() & set(replicas)) < needed:
+            return False
+    return True
+
+
+def _covering_count(chosen_count: int, replica_count: int, required_acks: int) -> int:
+    """Return how many of the chosen replicas have one that holds any one promise among them."""
+    return max(1, min(replica_count, chosen_count) - required_acks + 1)
+
+
 def without_torn_tails(snapshots: Snapshots) -> dict[str, ReplicaSnapshot]:
     """Return the snapshots, the data of each up to its last complete record."""
     return {
