--- a/pinspread/replication/peers.py
+++ b/pinspread/replication/peers.py
@@ -108,8 +108,8 @@
             return None
         return cast("AnswerT", answer)  # the server answers each request with an answer of its type
 
-    async def call_all(self, request: Request[AnswerT], but: Collection[str] = ()) -> dict[str, AnswerT]:
-        """Ask this node and all live ones at once, except `but`; return the answers that came."""
+    async def call_all(self, request: Request[AnswerT], exclude: Collection[str] = ()) -> dict[str, AnswerT]:
+        """Ask this node and all live ones at once, except `exclude`; return the answers that came."""
         answers: dict[str, AnswerT] = {}
 
         async def call_one(peer: str) -> None:
@@ -119,6 +119,6 @@
 
         async with anyio.create_task_group() as tasks:
             for peer in [self._node.id, *self._node.fleet.live_ids()]:
-                if peer not in but:
+                if peer not in exclude:
                     tasks.start_soon(call_one, peer)
         return answers
--- a/pinspread/replication/recovery.py
+++ b/pinspread/replication/recovery.py
@@ -93,7 +93,7 @@
         while True:
             token = await self._acquire_lease()
             found = await self._survey.fetch(self._node.id, token)
-            if self._may_go_by(found, token):
+            if self._is_conclusive(found, token):
                 released = await self._released_work(found)
                 if released.complete:
                     break
@@ -113,7 +113,7 @@
             await anyio.sleep(LEASE_POLL_S)
         return token
 
-    def _may_go_by(self, found: "Snapshots", token: int) -> bool:
+    def _is_conclusive(self, found: "Snapshots", token: int) -> bool:
         """Return whether nothing that was promised is missing, and it is known what others have taken over.
 
         Without its own journal, what this node promised may be on a replica that does not answer yet. Only a
@@ -122,8 +122,8 @@
         if is_first_token(token):
             return True
         if self._read_local_journal().is_intact:
-            own_generation = GenerationFile(self._engine.journal.path).read()
-            return self._survey.knows_takeovers(token, found, own_generation)
+            local_generation = GenerationFile(self._engine.journal.path).read()
+            return self._survey.knows_takeovers(token, found, local_generation)
         return self._survey.is_complete(self._node.id, found)
 
     def _read_local_journal(self) -> LocalJournal:
@@ -191,7 +191,7 @@
         self._node.events("copies_gave_up", count=count, adopted=released.taken_over)
 
     async def _released_work(self, found: "Snapshots") -> ReleasedWork:
-        ids, complete = await self._survey.ids_in_candidates_journals(found, but=self._node.id)
+        ids, complete = await self._survey.ids_in_candidates_journals(found, exclude=self._node.id)
         newest = snapshots.newest_of(found.values())
         taken_over = snapshots.is_taken_over(found)
         if newest and taken_over:
--- a/pinspread/replication/snapshots.py
+++ b/pinspread/replication/snapshots.py
@@ -79,7 +79,7 @@
     )
 
 
-def covers_takeovers(found: Snapshots, own_generation: int, replica_count: int, required_acks: int) -> bool:
+def covers_takeovers(found: Snapshots, owner_generation: int, replica_count: int, required_acks: int) -> bool:
     """Return whether a takeover of the owner's work must be known to one of the nodes that answered it.
 
     A successor has asked as many replicas as `covers_promises` wants, and each of them remembers it. So one
@@ -88,14 +88,14 @@
 
     Args:
         found: The answers that the owner has got.
-        own_generation: The owner's own.
+        owner_generation: Of the owner's journal.
         replica_count: How many replicas the owner wants.
         required_acks: How many it waits for.
     """
     newest = newest_of(found.values())
     if newest is None:
         return False
-    is_current = newest.generation >= own_generation
+    is_current = newest.generation >= owner_generation
     for replicas in replica_sets(found):
         covering = _covering_count(len(replicas), replica_count, required_acks)
         needed = len(replicas) - covering + 1 if is_current else len(replicas)
--- a/pinspread/replication/survey.py
+++ b/pinspread/replication/survey.py
@@ -46,7 +46,7 @@
 
     async def fetch(self, owner: str, token: int) -> Snapshots:
         """Return every live node's replica of an owner's journal, fenced against all older tokens."""
-        answers = await self._peers.call_all(FetchSnapshot(owner, token), but=(owner,))
+        answers = await self._peers.call_all(FetchSnapshot(owner, token), exclude=(owner,))
         return _checked(answers)
 
     def is_complete(
@@ -62,18 +62,18 @@
             return True
         return self._has_waited_enough(WaitKey(purpose, owner), found)
 
-    def knows_takeovers(self, token: int, found: Snapshots, own_generation: int) -> bool:
+    def knows_takeovers(self, token: int, found: Snapshots, local_generation: int) -> bool:
         """Return whether a takeover of this node's work is known by these answers, or was waited for long.
 
         Args:
             token: The fencing token of its work's lease, under which the replicas were asked for. A node that
                 is cut off while it waits must not count that time.
             found: The answers. There may be none: who was cut off may take all others for dead.
-            own_generation: Of this node's journal.
+            local_generation: Of this node's journal.
         """
         key = WaitKey(SurveyPurpose.OWN_TAKEOVERS, self._node.id, token)
         config = self._node.config
-        if snapshots.covers_takeovers(found, own_generation, config.replica_count, config.required_acks):
+        if snapshots.covers_takeovers(found, local_generation, config.replica_count, config.required_acks):
             self._incomplete_since_us.pop(key, None)
             return True
         return self._has_waited_enough(key, found)
@@ -98,19 +98,19 @@
         """Forget a wait for replicas of an owner whose work is not due for another any more."""
         self._incomplete_since_us.pop(WaitKey(SurveyPurpose.OWNERS_JOURNAL, owner), None)
 
-    async def ids_in_candidates_journals(self, found: Snapshots, but: str) -> tuple[set[str], bool]:
+    async def ids_in_candidates_journals(self, found: Snapshots, exclude: str) -> tuple[set[str], bool]:
         """Return the ids in the journals of others that have begun to take this work over.
 
         Args:
             found: The replicas of this work.
-            but: A node that is left out: this one.
+            exclude: A node that is left out: this one.
 
         Returns:
             The ids, and whether these replicas must hold all of them, or were waited for long enough.
         """
         ids: set[str] = set()
         complete = True
-        for candidate in snapshots.takeover_candidates(found) - {but}:
+        for candidate in snapshots.takeover_candidates(found) - {exclude}:
             journals = _checked(await self._peers.call_all(ReadSnapshot(candidate)))
             # What it took over and has begun to send would be sent from here as well.
             complete = self.is_complete(candidate, journals, SurveyPurpose.CANDIDATES_JOURNAL) and complete
--- a/pinspread/replication/takeover.py
+++ b/pinspread/replication/takeover.py
@@ -60,7 +60,7 @@
             return TakeoverResult.DEFERRED
         if snapshots.is_taken_over(found):
             return TakeoverResult.ALREADY_DONE
-        ids_elsewhere, complete = await self._survey.ids_in_candidates_journals(found, but=self._node.id)
+        ids_elsewhere, complete = await self._survey.ids_in_candidates_journals(found, exclude=self._node.id)
         if not complete:
             return TakeoverResult.DEFERRED
         messages = replay(newest.data).open_messages
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -162,7 +162,7 @@
 def answering(service, own, journal_of_candidate):
     """The node "a" holds a replica of this node's journal, and has begun to take it over."""
 
-    async def call_all(request, but=()):
+    async def call_all(request, exclude=()):
         if request == FetchSnapshot("k", TOKEN):
             return {"a": own}
         assert request == ReadSnapshot("a")
@@ -222,7 +222,7 @@
     service.primary.log.generation = 7
     service.node.ownership.confirmed_fencing_token = TOKEN - 1
 
-    async def call_all(request, but=()):
+    async def call_all(request, exclude=()):
         blocked.append(service.blocked_reason())
         if request == FetchSnapshot("k", TOKEN):
             return answers.pop(0) if answers else {"a": own}
@@ -264,7 +264,7 @@
     own = ReplicaSnapshot(7, engine.journal.path.read_bytes(), ["a"], ["a"], 6)
     answers = [{}, {"a": own}]
 
-    async def call_all(request, but=()):
+    async def call_all(request, exclude=()):
         if request == FetchSnapshot("k", TOKEN):
             return answers.pop(0)
         return {"a": ReplicaSnapshot(4, journal_of(tmp_path / "a"), ["a"], [], 0)}
