--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -13,7 +13,7 @@
 
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
-from pinspread.simulation.compare import interval, judge
+from pinspread.simulation.compare import compare_points, interval
 from pinspread.simulation.model import FleetModel
 from pinspread.simulation.random_streams import whole
 
@@ -52,7 +52,7 @@
         _, low, high = interval(differences[mine], seed=n)
         held += low <= 0 <= high
         a, b = ({"runs": list(side)} for side in zip(*found[mine], strict=True))
-        told += judge(a, b)[0] != "cannot tell"
+        told += compare_points(a, b)[0] != "cannot tell"
     print(
         f"{held} of {chosen.comparisons} intervals hold 0 ({held / chosen.comparisons:.1%}); {told} verdicts"
         f" ({told / chosen.comparisons:.1%}) are better or worse; {chosen.pairs} pairs each, standard deviation"
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -15,7 +15,7 @@
 
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import trace
-from pinspread.simulation.fit import IN_A_ROW
+from pinspread.simulation.fit import MIN_FAILURES
 from pinspread.simulation.simulate import STATE_OF
 
 KEY = b"a key that hides nothing"
@@ -35,7 +35,7 @@
     specs = {spec.number: spec for spec in drawn.destinations}
     for fit in recorded["fits"]:
         spec = specs[fit["dest"]]
-        if spec.span_ns and fit["refused"] >= IN_A_ROW:
+        if spec.span_ns and fit["refused"] >= MIN_FAILURES:
             true = spec.limit / (spec.span_ns / 1e9)
             if fit["limit_per_s"]:
                 seen["limit"].append(fit["limit_per_s"] / true - 1)
@@ -59,7 +59,7 @@
                 seen[f"{kind}: found"].append(near[0][0] == kind)
                 seen["edges"] += [abs(near[0][1] - low), abs(near[0][2] - high)]
             else:
-                seen[f"{kind}: missed" + (" (under three messages)" if calls < IN_A_ROW else "")].append(
+                seen[f"{kind}: missed" + (" (under three messages)" if calls < MIN_FAILURES else "")].append(
                     calls
                 )
         seen["outages made up"] += found
@@ -80,7 +80,7 @@
         days += 1
         drawn = scenarios.draw_scenario(world((name, tables, seed)), seed + chosen.shift)
         logs = [(file.name, file.read_bytes().splitlines()) for file in files]
-        compare(drawn, trace.record(logs, KEY), seen, chosen.near)
+        compare(drawn, trace.record_trace(logs, KEY), seen, chosen.near)
     print(f"{days} days")
     for name in sorted(seen):
         values = seen[name]
--- a/benchmarks/untried.py
+++ b/benchmarks/untried.py
@@ -8,7 +8,7 @@
 import sys
 from collections import Counter, defaultdict
 
-from pinspread.simulation.losses import events
+from pinspread.simulation.losses import read_events
 
 
 def account(folder):
@@ -45,7 +45,7 @@
 def by_courier(folder):
     """courier -> its events, in order of time."""
     rows = defaultdict(list)
-    for courier, event in events(folder):
+    for courier, event in read_events(folder):
         rows[courier].append(event)
     return rows
 
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -27,7 +27,7 @@
     from pinspread.simulation import experiment
 
     try:
-        found = experiment.load(str(file))
+        found = experiment.load_experiment(str(file))
     except experiment.ExperimentError as error:
         fail(error)
     print(f"{file}: no problems; {len(found.points)} points, {len(found.seeds)} seeds")
@@ -43,7 +43,7 @@
 
     if not any(folder.glob("*.log")):
         fail(f"{folder}: no *.log there")
-    print(counter.text(counter.Losses(folder), partner or ()))
+    print(counter.format_report(counter.LossReport(folder), partner or ()))
 
 
 @app.command()
@@ -59,11 +59,11 @@
     from pinspread.simulation import report as writer
 
     try:
-        found = runs.run(experiment.load(str(file)), str(out), processes, quiet)
+        found = runs.run_experiment(experiment.load_experiment(str(file)), str(out), processes, quiet)
     except (experiment.ExperimentError, trace.TraceError) as error:
         fail(error)
     if report:
-        print(writer.write(found, str(out)))
+        print(writer.write_report(found, str(out)))
     for point in found.get("points", []):
         services = [r["service"] for r in point["runs"]]
         broken = sum(bool(r["broken"]) for r in point["runs"])
@@ -87,7 +87,7 @@
     from pinspread.testbed import platform as stage
 
     try:
-        points = experiment.load(str(file)).points
+        points = experiment.load_experiment(str(file)).points
     except experiment.ExperimentError as error:
         fail(error)
     point = next((p for p in points if variant in ("", p["variant"])), None)
@@ -116,8 +116,8 @@
     left, right = point_of(a), point_of(b)
     if left["seeds"] != right["seeds"]:
         fail(f"{a} and {b}: the days differ: other seeds")
-    found = judge.compare(left, right)
-    print(orjson.dumps(found).decode() if as_json else judge.table(found))
+    found = judge.compare_variants(left, right)
+    print(orjson.dumps(found).decode() if as_json else judge.format_comparison(found))
 
 
 def point_of(text):
@@ -140,7 +140,7 @@
     from pinspread.simulation import report as writer
 
     try:
-        print(writer.write(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
+        print(writer.write_report(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
     except (OSError, orjson.JSONDecodeError) as error:
         fail(f"{folder}/result.json: {error}")
 
@@ -159,8 +159,10 @@
     from pinspread.simulation import trace
 
     try:
-        found = trace.record([(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip())
-        trace.write(found, str(out))
+        found = trace.record_trace(
+            [(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip()
+        )
+        trace.write_trace(found, str(out))
     except OSError as error:
         fail(error)
     except trace.TraceError as error:
@@ -174,7 +176,7 @@
     from pinspread.simulation import trace
 
     try:
-        show(trace.read(str(file)), file)
+        show(trace.read_trace(str(file)), file)
     except trace.TraceError as error:
         fail(error)
 
--- a/pinspread/simulation/compare.py
+++ b/pinspread/simulation/compare.py
@@ -85,12 +85,12 @@
     return "cannot tell", f"{why}; about {more} more pairs of runs would tell a difference of {aim:.4f}"
 
 
-def kept(a_runs, b_runs):
+def unbroken_pairs(a_runs, b_runs):
     """The pairs of days on which neither broke a rule."""
     return [(a, b) for a, b in zip(a_runs, b_runs, strict=True) if not a["broken"] and not b["broken"]]
 
 
-def judge(a, b):
+def compare_points(a, b):
     """The verdict on two points and why: rules first, then service on the days on which both kept them.
 
     A run that broke a rule counts as 0, and one such day among twenty moves a mean further than any bootstrap
@@ -107,7 +107,7 @@
             "better" if won > lost else "worse",
             f"{days}; chance alone would differ so with p = {chance:.2g}",
         )
-    both = kept(a["runs"], b["runs"])
+    both = unbroken_pairs(a["runs"], b["runs"])
     if not both:
         return "cannot tell", f"{days}: none is left on which both kept them"
     word, why = verdict(figures(*zip(*both, strict=True))[0])
@@ -117,10 +117,10 @@
     )
 
 
-def compare(a, b):
+def compare_variants(a, b):
     """Two points of results with the same seeds: verdict, reason and the figures."""
     found = figures(a["runs"], b["runs"])
-    word, why = judge(a, b)
+    word, why = compare_points(a, b)
     broken = {}
     for side, point in (("a", a), ("b", b)):
         broken[side] = [
@@ -142,7 +142,7 @@
     }
 
 
-def table(found) -> str:
+def format_comparison(found) -> str:
     """A comparison as a Markdown table."""
     lines = [
         f"**{found['b']} against {found['a']}: {found['verdict']}.** {found['why']}.",
--- a/pinspread/simulation/experiment.py
+++ b/pinspread/simulation/experiment.py
@@ -38,7 +38,7 @@
     values: Annotated[list[Any], Field(min_length=1)]
 
 
-class Paper(StrictModel):
+class RetryPaper(StrictModel):
     """The figures of the paper on retries."""
 
     requests: Annotated[int, Field(ge=1)] = 100
@@ -51,25 +51,25 @@
     calls: Annotated[int, Field(ge=1, le=6)] = 3
 
 
-class File(StrictModel):
+class ExperimentFile(StrictModel):
     experiment: Head
     world: dict[str, Any] = {}
     trace: str = ""  # a recorded trace in place of drawn arrivals
     variants: Annotated[list[Variant], Field(alias="variant")] = []
     sweep: Sweep | None = None
-    paper: Paper = Paper()
+    paper: RetryPaper = RetryPaper()
 
 
-def merged(base: dict, more: dict) -> dict:
+def merge_tables(base: dict, more: dict) -> dict:
     """Tables merged key by key; all else replaced."""
     found = dict(base)
     for name, value in more.items():
         old = found.get(name)
-        found[name] = merged(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
+        found[name] = merge_tables(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
     return found
 
 
-def at_path(path: str, value) -> dict:
+def nested_tables(path: str, value) -> dict:
     """A value as tables: `world.couriers.count` and 5 give {"couriers": {"count": 5}}, below the first name."""
     for name in reversed(path.split(".")[1:]):
         value = {name: value}
@@ -79,7 +79,7 @@
 class Experiment:
     """A checked file: `points` are what is run for each seed."""
 
-    def __init__(self, file: File, folder: Path):
+    def __init__(self, file: ExperimentFile, folder: Path):
         self.file = file
         head = file.experiment
         self.name, self.kind = head.name, head.kind
@@ -100,7 +100,7 @@
                 continue
             try:
                 if source not in texts_of:
-                    texts_of[source] = variants.texts(*source)
+                    texts_of[source] = variants.read_sources(*source)
             except variants.VariantError as error:
                 problems.append(f"{place}.{'module' if variant.module else 'revision'}: {error}")
                 continue
@@ -118,15 +118,15 @@
     def _point(self, place, variant, text, foreign, value, k):
         """One variant at one value of the sweep; gives its problems."""
         problems, sweep = [], self.file.sweep
-        parts = {"world": merged(self.file.world, variant.world), "settings": variant.settings,
+        parts = {"world": merge_tables(self.file.world, variant.world), "settings": variant.settings,
                  "constants": variant.constants}  # fmt: skip
         if sweep:
             root = sweep.path.split(".")[0]
-            parts[root] = merged(parts[root], at_path(sweep.path, value))
+            parts[root] = merge_tables(parts[root], nested_tables(sweep.path, value))
             place = f"{place}, sweep.values[{k}]"
         for what, there in (
-            ("constants", variants.constants_of(text)),
-            ("settings", variants.settings_of(text)),
+            ("constants", variants.constant_names(text)),
+            ("settings", variants.setting_names(text)),
         ):
             for name, one in parts[what].items():
                 if name not in there:
@@ -138,7 +138,7 @@
         except ValidationError as error:
             for one in error.errors():
                 problems.append(
-                    f"{place}: {place_of(('world', *one['loc']))}: {one['msg'].removeprefix('Value error, ')}"
+                    f"{place}: {field_path(('world', *one['loc']))}: {one['msg'].removeprefix('Value error, ')}"
                 )
             return problems
         self.points.append(
@@ -148,7 +148,7 @@
                 "world": world.model_dump(mode="json", by_alias=True, warnings=False),
                 "settings": parts["settings"],
                 "constants": parts["constants"],
-                "module": variants.digest(text),
+                "module": variants.source_digest(text),
                 "texts": text if foreign else None,
                 "module_seed": variant.module_seed,
                 "trace": self.trace,
@@ -158,7 +158,7 @@
         return problems
 
 
-def place_of(parts) -> str:
+def field_path(parts) -> str:
     """A place in a file: world.trouble[2].at_s."""
     text = ""
     for part in parts:
@@ -166,17 +166,17 @@
     return text
 
 
-def load(path: str) -> Experiment:
+def load_experiment(path: str) -> Experiment:
     """An experiment file that is well; `ExperimentError` with all problems otherwise."""
     try:
         raw = tomllib.loads(Path(path).read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ExperimentError(f"{path}: {error}") from None
     try:
-        file = File.model_validate(raw)
+        file = ExperimentFile.model_validate(raw)
     except ValidationError as error:
         lines = [
-            f"{path}: {place_of(e['loc']) or 'file'}: {e['msg'].removeprefix('Value error, ')}"
+            f"{path}: {field_path(e['loc']) or 'file'}: {e['msg'].removeprefix('Value error, ')}"
             for e in error.errors()
         ]
         raise ExperimentError("\n".join(lines)) from None
--- a/pinspread/simulation/fit.py
+++ b/pinspread/simulation/fit.py
@@ -5,13 +5,13 @@
 
 LEAST = 20  # outcomes under which no distribution is fitted
 FAILURES = ("CONNECT_FAILED", "TIMEOUT", "ERROR", "RESET")
-IN_A_ROW = 3  # failures that make an outage
+MIN_FAILURES = 3  # failures that make an outage
 SPAN_US = 1_000_000
 LONG_TOLD_US = 2_500_000  # a told wait longer than any limit's span: it is shut
 JOIN_US = 5_000_000  # spans of errors closer than this are one outage
 
 
-def fits(arrivals, outcomes) -> list:
+def fit_destinations(arrivals, outcomes) -> list:
     """A fit for each partner, in order of their numbers. Outcomes are in order of their ends."""
     by_dest = {dest: [] for dest in sorted(set(arrivals["dest"]))}
     for one in outcomes:
@@ -28,7 +28,7 @@
         "calls": len(found),
         "hops": len({o[3] for o in found}),
         "most_out": _most_out(found),
-        "latency": latency(ok[:, 1] / 1000),
+        "latency": fit_latency(ok[:, 1] / 1000),
         "limit_per_s": limit,
         "limit_holds": well,
         "tells": float(np.mean([o[6] > 0 for o in full])) if full else 0.0,
@@ -37,7 +37,7 @@
     }
 
 
-def latency(ms) -> dict:
+def fit_latency(ms) -> dict:
     """A log-normal by its logarithms, and a Kolmogorov-Smirnov distance that says how well it holds.
 
     `holds` compares the distance with the 1% bound for fitted parameters (Lilliefors); large samples of real
@@ -74,7 +74,7 @@
 def _limit(ok, full):
     """Calls a second that went through where others were refused; 0 where no limit shows."""
     told = [o for o in full if 0 < o[6] <= LONG_TOLD_US]
-    if len(told) < IN_A_ROW:
+    if len(told) < MIN_FAILURES:
         return 0.0, "no limit shows"
     counts = []
     for one in told:
@@ -103,11 +103,11 @@
         if _failed(one):
             row.append(one)
         elif one[4] == "OK":
-            if len(row) >= IN_A_ROW:
+            if len(row) >= MIN_FAILURES:
                 rows.append((row, ok[-1] if ok else None, one[1] - one[5]))
             row = []
             ok.append(one[1])
-    if len(row) >= IN_A_ROW:
+    if len(row) >= MIN_FAILURES:
         rows.append((row, ok[-1] if ok else None, None))
     return _joined([_outage(*one) for one in rows])
 
--- a/pinspread/simulation/losses.py
+++ b/pinspread/simulation/losses.py
@@ -13,7 +13,7 @@
 from pinspread.simulation.recorded_events import recorded
 
 
-class Life:
+class MessageRecord:
     """One message at one courier: when it was taken, what its branches met, how it ended."""
 
     __slots__ = ("at_us", "cls", "courier", "dest", "end_us", "for_ms", "state", "verdicts", "after_ms")
@@ -38,7 +38,7 @@
         return f"{self.state} {'never called' if not self.verdicts else 'after ' + self.verdicts[-1]}"
 
 
-def events(folder):
+def read_events(folder):
     """(courier, event) of all logs of a folder, in order of time; ValueError names a line that is none."""
     found = []
     for path in sorted(Path(folder).glob("*.log")):
@@ -56,7 +56,7 @@
     return [(courier, event) for _, courier, event in found]
 
 
-class Losses:
+class LossReport:
     """The account of a day."""
 
     def __init__(self, folder):
@@ -65,7 +65,7 @@
         self.others = Counter()
         self.probes = []  # (at_us, hop, verdict)
         self.from_us = 0
-        self.read(events(folder))
+        self.read(read_events(folder))
 
     def read(self, rows):
         """Take the events in order of time."""
@@ -75,7 +75,7 @@
             if not self.from_us and "at_us" in event:
                 self.from_us = event["at_us"]
             if kind == "taken":
-                life = open_[courier, event["id"]] = Life(courier, event)
+                life = open_[courier, event["id"]] = MessageRecord(courier, event)
                 self.lives.append(life)
             elif kind == "branch":
                 life = open_.get((courier, event["id"]))
@@ -155,7 +155,7 @@
     return lines
 
 
-def text(losses, dests=()) -> str:
+def format_report(losses, dests=()) -> str:
     """The account as plain text; second by second for the partners named."""
     lines = ["fates: " + ", ".join(f"{name} {n}" for name, n in losses.fates().most_common())]
     lines.append("notes: " + ", ".join(f"{name} ({n})" for name, n in losses.notes().most_common(8)))
--- a/pinspread/simulation/paper.py
+++ b/pinspread/simulation/paper.py
@@ -41,7 +41,7 @@
     return seen
 
 
-def run(paper, seeds):
+def recompute_figures(paper, seeds):
     """The paper's numbers beside ours: most concurrent requests at the last retry, and the chain."""
     found = {"randomness": {}, "chain": chain(paper.chain, paper.calls), "paper_chain": 81}
     for randomness in paper.randomness:
--- a/pinspread/simulation/report.py
+++ b/pinspread/simulation/report.py
@@ -6,7 +6,7 @@
 from pinspread.simulation.compare import interval
 
 
-def write(result: dict, folder: str) -> Path:
+def write_report(result: dict, folder: str) -> Path:
     """Write report.md and its plots into a folder."""
     folder = Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
@@ -58,10 +58,10 @@
         else:
             base = first
         seeds = {"seeds": result["seeds"]}
-        found = compare.compare(
+        found = compare.compare_variants(
             base | seeds | {"variant": plots.label(base)}, other | seeds | {"variant": plots.label(other)}
         )
-        lines += [f"## {plots.label(other)}", "", compare.table(found), ""]
+        lines += [f"## {plots.label(other)}", "", compare.format_comparison(found), ""]
     lines += ["## Plots", ""]
     swept = any(p["value"] is not None for p in points)
     shown = points if len(points) <= 4 else [points[0], points[-1]]
--- a/pinspread/simulation/runs.py
+++ b/pinspread/simulation/runs.py
@@ -20,7 +20,7 @@
 LIBRARIES = ("numpy", "scipy", "hdrhistogram", "orjson", "pydantic")
 
 
-def one(point: dict, seed: int) -> dict:
+def run_point(point: dict, seed: int) -> dict:
     """One run, in this process: the accounts of a point and a seed."""
     from pinspread.simulation import scenario as scenarios
     from pinspread.simulation import simulate, trace
@@ -30,10 +30,12 @@
 
     model = FleetModel.model_validate(point["world"])
     scenario = (
-        trace.replay(point["trace"], model, seed) if point["trace"] else scenarios.draw_scenario(model, seed)
+        trace.replay_trace(point["trace"], model, seed)
+        if point["trace"]
+        else scenarios.draw_scenario(model, seed)
     )
     module_seed = whole(seed, "variant", point["module_seed"]) if point["module_seed"] else seed
-    with variants.Constants(point["constants"]):
+    with variants.ConstantOverrides(point["constants"]):
         try:
             return simulate.Simulation(model, scenario, module_seed, point["settings"]).run()
         except SimulationStalledError as error:
@@ -42,10 +44,10 @@
 
 
 def _worker(texts):
-    variants.install(texts)
+    variants.install_sources(texts)
 
 
-def key_of(point: dict, seed: int) -> str:
+def run_key(point: dict, seed: int) -> str:
     """What a finished run is found by: a hash of all that it depends on."""
     plain = {
         name: value for name, value in point.items() if name not in ("texts", "variant", "value", "trace")
@@ -56,20 +58,20 @@
     return hashlib.sha256(canonical([FORMAT, plain, seed, model.hexdigest()])).hexdigest()[:24]
 
 
-def run(experiment: Experiment, out: str, processes: int = 0, quiet: bool = False) -> dict:
+def run_experiment(experiment: Experiment, out: str, processes: int = 0, quiet: bool = False) -> dict:
     """Run what has not been run yet and write result.json and manifest.json; gives the result."""
     folder = Path(out)
     (folder / "runs").mkdir(parents=True, exist_ok=True)
     began = time.time()
     if experiment.kind == "paper":
         result = {"format": FORMAT, "experiment": experiment.name, "kind": "paper",
-                  "paper": paper.run(experiment.file.paper, experiment.seeds)}  # fmt: skip
+                  "paper": paper.recompute_figures(experiment.file.paper, experiment.seeds)}  # fmt: skip
         done = 0
     else:
         wanted, files = [], {}
         for n, point in enumerate(experiment.points):
             for seed in experiment.seeds:
-                file = files[n, seed] = folder / "runs" / f"{key_of(point, seed)}.json"
+                file = files[n, seed] = folder / "runs" / f"{run_key(point, seed)}.json"
                 if _finished(file) is None:
                     wanted.append((n, seed))
         done = len(wanted)
@@ -125,14 +127,14 @@
             texts = experiment.points[jobs[0][0]]["texts"]
             if processes == 1 and texts is None:
                 for n, seed in jobs:
-                    _write(files[n, seed], canonical(one(experiment.points[n], seed)))
+                    _write(files[n, seed], canonical(run_point(experiment.points[n], seed)))
                     bar.update()
                 continue
             spawn = multiprocessing.get_context("spawn")  # nothing of this process is loaded there yet
             count = min(processes, len(jobs))
             with ProcessPoolExecutor(count, mp_context=spawn, initializer=_worker, initargs=(texts,)) as pool:
                 out = {
-                    pool.submit(one, experiment.points[n] | {"texts": None}, seed): files[n, seed]
+                    pool.submit(run_point, experiment.points[n] | {"texts": None}, seed): files[n, seed]
                     for n, seed in jobs
                 }
                 try:
--- a/pinspread/simulation/trace.py
+++ b/pinspread/simulation/trace.py
@@ -13,7 +13,7 @@
 from cryptography.hazmat.primitives import hashes, hmac
 
 from pinspread.simulation.engine import MS, SECOND
-from pinspread.simulation.fit import fits
+from pinspread.simulation.fit import fit_destinations
 from pinspread.simulation.random_streams import stream
 from pinspread.simulation.recorded_events import recorded
 from pinspread.simulation.scenario import (
@@ -50,7 +50,7 @@
         return code.finalize()[:8].hex()
 
 
-def record(logs, key: bytes) -> dict:
+def record_trace(logs, key: bytes) -> dict:
     """A trace from couriers' logs: (name, lines) of each. Lines that are no events are counted and skipped."""
     hasher = Hasher(key)
     classes, teams, rows, outcomes, lists, place = {}, {}, [], [], [], {}
@@ -110,18 +110,18 @@
     outcomes.sort(key=lambda o: o[1])
     return {
         "classes": list(classes), "teams": len(teams), "couriers": len(logs), "arrivals": columns,
-        "outcomes": outcomes, "lists": lists, "skipped_lines": skipped, "fits": fits(columns, outcomes),
+        "outcomes": outcomes, "lists": lists, "skipped_lines": skipped, "fits": fit_destinations(columns, outcomes),
     }  # fmt: skip
 
 
-def write(trace: dict, path: str):
+def write_trace(trace: dict, path: str):
     """Write a trace."""
     payload = zlib.compress(orjson.dumps(trace, option=orjson.OPT_SORT_KEYS), 9)
     with open(path, "wb") as file:
         file.write(HEAD.pack(MAGIC, VERSION, len(payload), hashlib.sha256(payload).digest()) + payload)
 
 
-def read(path: str) -> dict:
+def read_trace(path: str) -> dict:
     """A trace that is whole; `TraceError` says what is wrong with any other."""
     try:
         with open(path, "rb") as file:
@@ -154,9 +154,9 @@
         raise TraceError(f"{path}: its content cannot be read: {error!r}") from None
 
 
-def replay(path: str, model, seed: int) -> Scenario:
+def replay_trace(path: str, model, seed: int) -> Scenario:
     """A day with a trace's arrivals, and partners as they were fitted; the seed draws what was not recorded."""
-    found = read(path)
+    found = read_trace(path)
     a = found["arrivals"]
     names = [c.name for c in model.classes]
     unknown = [name for name in found["classes"] if name not in names]
--- a/pinspread/simulation/variants.py
+++ b/pinspread/simulation/variants.py
@@ -79,7 +79,7 @@
     """A version of the policy that cannot be had; the text says why."""
 
 
-def texts(path="", revision="") -> dict:
+def read_sources(path="", revision="") -> dict:
     """The policy's texts by module name: from a folder, a git revision, or (both empty) this checkout."""
     if revision:
         return _texts_of_revision(revision)
@@ -107,7 +107,7 @@
     return done.stdout
 
 
-def digest(found: dict) -> str:
+def source_digest(found: dict) -> str:
     """A short hash of a version's texts."""
     whole = hashlib.sha256()
     for name in sorted(found):
@@ -136,7 +136,7 @@
         return self.found.get("__init__" if self.is_package(fullname) else fullname.rpartition(".")[2], "")
 
 
-def install(found: dict | None):
+def install_sources(found: dict | None):
     """Have this process use a version's texts; only before the model has been loaded."""
     if found is None:
         return
@@ -152,7 +152,7 @@
     sys.meta_path.insert(0, _TextFinder(found))
 
 
-def constants_of(found: dict) -> set:
+def constant_names(found: dict) -> set:
     """The constants that a version's modules set, by their own words and those of experiments' files."""
     trees = [ast.parse(text) for text in found.values()]
     targets = [t for tree in trees for node in tree.body if type(node) is ast.Assign for t in node.targets]
@@ -160,7 +160,7 @@
     return names | {key for key, name in CONSTANT_KEYS.items() if name in names}
 
 
-def settings_of(found: dict) -> set:
+def setting_names(found: dict) -> set:
     """The fields of a version's Settings."""
     tree = ast.parse(found.get("settings") or found["interface"])
     classes = [n for n in tree.body if type(n) is ast.ClassDef and n.name == "Settings"]
@@ -168,7 +168,7 @@
     return fields | {key for key, field in SETTINGS_KEYS.items() if field in fields}
 
 
-class Constants:
+class ConstantOverrides:
     """For the length of a `with`, the policy's constants have a variant's values."""
 
     def __init__(self, values: dict):
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -103,16 +103,16 @@
 
 def recorded_trace(logs, path):
     """A trace of these logs, written to a file."""
-    found = trace.record(logs, TRACE_KEY)
-    trace.write(found, str(path))
+    found = trace.record_trace(logs, TRACE_KEY)
+    trace.write_trace(found, str(path))
     return found
 
 
-read_trace = trace.read
+read_trace = trace.read_trace
 
 
 def losses_text(folder):
-    return losses.text(losses.Losses(folder), (1, 2))
+    return losses.format_report(losses.LossReport(folder), (1, 2))
 
 
 PACKETS = {
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -107,7 +107,9 @@
     lines = ["[experiment]", 'name = "x"']
     file = tmp_path / "x.toml"
     file.write_text("\n".join(lines) + "\n")
-    one = experiment.File.model_validate({"experiment": {"name": "x"}, "world": {"length_s": 15} | tables})
+    one = experiment.ExperimentFile.model_validate(
+        {"experiment": {"name": "x"}, "world": {"length_s": 15} | tables}
+    )
     with pytest.raises(experiment.ExperimentError) as caught:
         experiment.Experiment(one, tmp_path)
     assert place in str(caught.value)
@@ -395,9 +397,11 @@
 )
 def test_verdicts_are_plain(shift, word, why):
     base = [0.80 + n / 100 for n in range(len(shift))]
-    found = compare.compare(result("a", base), result("b", [b + s for b, s in zip(base, shift, strict=True)]))
+    found = compare.compare_variants(
+        result("a", base), result("b", [b + s for b, s in zip(base, shift, strict=True)])
+    )
     assert found["verdict"] == word and why in found["why"]
-    assert found["why"] in compare.table(found)
+    assert found["why"] in compare.format_comparison(found)
 
 
 @pytest.mark.parametrize(
@@ -417,9 +421,9 @@
         for n in broke:
             side["runs"][n] = side["runs"][n] | {"service": 0.0, "broken": {"cold": 1}}
         sides.append(side)
-    found = compare.compare(*sides)
+    found = compare.compare_variants(*sides)
     assert found["verdict"] == word and why in found["why"]
-    assert compare.table(found).count("service counts as 0") == len(a_broke) + len(b_broke)
+    assert compare.format_comparison(found).count("service counts as 0") == len(a_broke) + len(b_broke)
 
 
 # --- experiments ----------------------------------------------------------------------------------
@@ -443,9 +447,9 @@
 
 def test_the_same_file_gives_the_same_bytes_in_one_process_and_in_eight(tmp_path):
     (tmp_path / "x.toml").write_text(SMALL)
-    one = experiment.load(str(tmp_path / "x.toml"))
+    one = experiment.load_experiment(str(tmp_path / "x.toml"))
     for name, processes in (("one", 1), ("eight", 8)):
-        runs.run(one, str(tmp_path / name), processes, quiet=True)
+        runs.run_experiment(one, str(tmp_path / name), processes, quiet=True)
     assert (tmp_path / "one/result.json").read_bytes() == (tmp_path / "eight/result.json").read_bytes()
     manifest = orjson.loads((tmp_path / "one/manifest.json").read_bytes())
     assert manifest["runs_done_now"] == 4 and manifest["versions"]["numpy"] and manifest["seeds"] == [1, 2]
@@ -453,26 +457,26 @@
 
 def test_a_stopped_experiment_goes_on_where_it_was_and_a_cut_run_is_run_again(tmp_path):
     (tmp_path / "x.toml").write_text(SMALL)
-    one, out = experiment.load(str(tmp_path / "x.toml")), tmp_path / "out"
-    runs.run(one, str(out), 1, quiet=True)
+    one, out = experiment.load_experiment(str(tmp_path / "x.toml")), tmp_path / "out"
+    runs.run_experiment(one, str(out), 1, quiet=True)
     whole = (out / "result.json").read_bytes()
     files = sorted((out / "runs").iterdir())
     files[0].unlink()
     files[1].write_bytes(files[1].read_bytes()[:100])
-    runs.run(one, str(out), 1, quiet=True)
+    runs.run_experiment(one, str(out), 1, quiet=True)
     assert orjson.loads((out / "manifest.json").read_bytes())["runs_done_now"] == 2
     assert (out / "result.json").read_bytes() == whole
 
 
 def test_another_version_runs_in_a_process_of_its_own(tmp_path):
-    for name, text in variants.texts().items():
+    for name, text in variants.read_sources().items():
         (tmp_path / f"{name}.py").write_text(text.replace("BUCKET_CAP = 10.0", "BUCKET_CAP = 0.0"))
     more = f'\n[[variant]]\nname = "other"\nmodule = "{tmp_path}"\n'
     file = tmp_path / "x.toml"
     file.write_text(
         SMALL.replace("length_s = 4", 'length_s = 4\n[[world.trouble]]\nkind = "errors"\nat_s = 1') + more
     )
-    found = runs.run(experiment.load(str(file)), str(tmp_path / "out"), 2, quiet=True)
+    found = runs.run_experiment(experiment.load_experiment(str(file)), str(tmp_path / "out"), 2, quiet=True)
     retries = {p["variant"]: sum(r["retries"] for r in p["runs"]) for p in found["points"]}
     assert retries["other"] == 0 < retries["as is"]
     assert retry_budget.BUCKET_CAP == 10
@@ -485,7 +489,7 @@
     file = tmp_path / "x.toml"
     trouble = 'length_s = 8\n[[world.trouble]]\nkind = "crash"\nat_s = 1\nlength_s = 2\nshare = 1.0'
     file.write_text(SMALL.replace("length_s = 4", trouble) + more)
-    found = runs.run(experiment.load(str(file)), str(tmp_path / "out"), 2, quiet=True)
+    found = runs.run_experiment(experiment.load_experiment(str(file)), str(tmp_path / "out"), 2, quiet=True)
     by_name = {p["variant"]: p["runs"] for p in found["points"]}
     assert by_name["as is"] == by_name["old"] != by_name["few slots"]
 
@@ -509,7 +513,7 @@
     file = tmp_path / "x.toml"
     file.write_text(SMALL.replace(old, new, 1))
     with pytest.raises(experiment.ExperimentError) as caught:
-        experiment.load(str(file))
+        experiment.load_experiment(str(file))
     assert place in str(caught.value) and "x.toml" in str(caught.value)
 
 
@@ -518,7 +522,7 @@
     text = file.read_text()
     if "revision" in text and subprocess.run(["git", "-C", ROOT, "cat-file", "-e", "360bbd6"]).returncode:
         pytest.skip("a checkout without its history")
-    experiment.load(str(file))
+    experiment.load_experiment(str(file))
 
 
 def test_the_smoke_experiment_leaves_a_report_with_its_plots(tmp_path):
@@ -560,7 +564,7 @@
 
 
 def test_the_papers_figures():
-    found = paper.run(experiment.Paper(), range(200))
+    found = paper.recompute_figures(experiment.RetryPaper(), range(200))
     for randomness, theirs in (("0.01", 35), ("0.5", 5)):
         low, high = found["randomness"][randomness]["last_retry_5_95"]
         assert low <= theirs <= high
@@ -582,15 +586,15 @@
 
 
 def test_a_log_becomes_a_trace_that_can_be_played_and_holds_no_names(tmp_path):
-    found = trace.record([("a", [*log_lines(), b"not json", b"{}"])], KEY)
-    trace.write(found, str(tmp_path / "t"))
-    back = trace.read(str(tmp_path / "t"))
+    found = trace.record_trace([("a", [*log_lines(), b"not json", b"{}"])], KEY)
+    trace.write_trace(found, str(tmp_path / "t"))
+    back = trace.read_trace(str(tmp_path / "t"))
     assert back == orjson.loads(orjson.dumps(found)) and back["skipped_lines"] == 2
     text = orjson.dumps(back)
     assert b"north-circuit" not in text and b"id7" not in text and b"s-1" not in text
-    other = trace.record([("a", log_lines())], KEY + b"!")
+    other = trace.record_trace([("a", log_lines())], KEY + b"!")
     assert other["arrivals"]["id"] != found["arrivals"]["id"]
-    played = simulate.Simulation(world(), trace.replay(str(tmp_path / "t"), world(), 1)).run()
+    played = simulate.Simulation(world(), trace.replay_trace(str(tmp_path / "t"), world(), 1)).run()
     assert played["messages"] == 60 and played["delivered"] == 60
     assert played["latency_all"]["ms"]["50"] == pytest.approx(125, rel=0.5)
 
@@ -626,16 +630,16 @@
 def test_a_run_is_not_found_again_by_its_traces_name_when_what_is_in_it_has_changed(tmp_path):
     keys = []
     for count in (20, 30):
-        trace.write(trace.record([("a", log_lines(count))], KEY), str(tmp_path / "t"))
+        trace.write_trace(trace.record_trace([("a", log_lines(count))], KEY), str(tmp_path / "t"))
         (tmp_path / "x.toml").write_text('trace = "t"\n' + SMALL)
-        keys.append(runs.key_of(experiment.load(str(tmp_path / "x.toml")).points[0], 1))
+        keys.append(runs.run_key(experiment.load_experiment(str(tmp_path / "x.toml")).points[0], 1))
     assert keys[0] != keys[1]
 
 
 @pytest.fixture(scope="module")
 def written(tmp_path_factory):
     path = tmp_path_factory.mktemp("trace") / "t"
-    trace.write(trace.record([("a", log_lines())], KEY), str(path))
+    trace.write_trace(trace.record_trace([("a", log_lines())], KEY), str(path))
     return path
 
 
@@ -651,7 +655,7 @@
     file = written.with_name("spoilt")
     file.write_bytes(spoilt)
     with pytest.raises(trace.TraceError) as caught:
-        trace.read(str(file))
+        trace.read_trace(str(file))
     assert "spoilt" in str(caught.value)
 
 
@@ -662,22 +666,22 @@
 def test_a_foreign_file_is_no_trace(data, why, tmp_path):
     (tmp_path / "x").write_bytes(data)
     with pytest.raises(trace.TraceError, match=why):
-        trace.read(str(tmp_path / "x"))
+        trace.read_trace(str(tmp_path / "x"))
 
 
 def test_a_short_key_and_an_empty_log_are_refused():
     with pytest.raises(trace.TraceError, match="16"):
-        trace.record([("a", log_lines())], b"short")
+        trace.record_trace([("a", log_lines())], b"short")
     with pytest.raises(trace.TraceError, match="no message"):
-        trace.record([("a", [])], KEY)
+        trace.record_trace([("a", [])], KEY)
 
 
 def test_fits_say_how_well_they_hold():
     rng = np.random.default_rng(1)
-    good = fit.latency(rng.lognormal(5, 0.4, 400))
+    good = fit.fit_latency(rng.lognormal(5, 0.4, 400))
     assert good["holds"] == "well" and good["sigma"] == pytest.approx(0.4, rel=0.1)
-    bad = fit.latency(np.concatenate([np.full(200, 10.0), np.full(200, 900.0)]))
-    assert bad["holds"] == "badly" and fit.latency([1.0] * 3)["holds"] == "too few to tell"
+    bad = fit.fit_latency(np.concatenate([np.full(200, 10.0), np.full(200, 900.0)]))
+    assert bad["holds"] == "badly" and fit.fit_latency([1.0] * 3)["holds"] == "too few to tell"
 
 
 def test_fits_find_an_outage_and_a_limit():
@@ -686,7 +690,7 @@
     outcomes += [[0, 2_000_000 + n * 300_000, 1, "h", "TIMEOUT", 250_000, 0, 0] for n in range(5)]
     outcomes += [[0, 4_000_000 + n * 100_000, 1, "h", "OK", 50_000, 0, 0] for n in range(20)]
     outcomes += [[0, 5_000_000 + n * 100_000, 1, "h", "FULL", 5_000, 400_000, 0] for n in range(4)]
-    (found,) = fit.fits(columns, sorted(outcomes, key=lambda o: o[1]))
+    (found,) = fit.fit_destinations(columns, sorted(outcomes, key=lambda o: o[1]))
     (outage,) = found["outages"]
     assert outage["kind"] == "silent" and outage["failures"] == 5
     assert found["limit_per_s"] == pytest.approx(9, abs=2) and found["tells"] == 1
@@ -707,7 +711,7 @@
     rows = [[0, n * 100_000, 1, "h", "OK", 10_000, 0, 0] for n in range(11)]
     rows += [[0, at * 1000, 1, "h", verdict, 10_000, wait * 1000, 0] for at, verdict, wait in failures]
     rows += [[0, 9_010_000, 1, "h", "OK", 10_000, 0, 0]]
-    (found,) = fit.fits({"dest": [1]}, rows)
+    (found,) = fit.fit_destinations({"dest": [1]}, rows)
     told = [(o["kind"], round(o["from_us"] / 1000), round(o["until_us"] / 1000)) for o in found["outages"]]
     assert told == ([expected] if expected else [])
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -30,10 +30,10 @@
     assert found["delivered"] == found["messages"] == said["messages"]
     assert found["service_unbroken"] == pytest.approx(said["service_unbroken"], abs=0.05)
     logs = [(p.name, p.read_bytes().splitlines()) for p in sorted(tmp_path.glob("play-*/*.log"))]
-    recorded = trace.record(logs, b"sixteen bytes or more")
+    recorded = trace.record_trace(logs, b"sixteen bytes or more")
     assert len(recorded["arrivals"]["at_us"]) == found["messages"] and recorded["couriers"] == 2
-    trace.write(recorded, str(tmp_path / "t"))
-    again = simulate.Simulation(world, trace.replay(str(tmp_path / "t"), world, 1)).run()
+    trace.write_trace(recorded, str(tmp_path / "t"))
+    again = simulate.Simulation(world, trace.replay_trace(str(tmp_path / "t"), world, 1)).run()
     assert again["messages"] == found["messages"]
     ours, theirs = again["latency_all"]["ms"]["50"], found["latency_all"]["ms"]["50"]
     assert ours == pytest.approx(theirs, rel=0.4)
