--- a/pinspread/policy/delivery_policy.py
+++ b/pinspread/policy/delivery_policy.py
@@ -1,4 +1,4 @@
-"""The decisions of a sender, put together of parts; pinspread/policy/settings.py has the settings."""
+"""The delivery policy, composed of its parts; pinspread/policy/settings.py has its settings."""
 
 from random import Random
 
@@ -14,7 +14,7 @@
 
 
 class DeliveryPolicy:
-    """One sender: `handle` takes what happened and gives what to do. No I/O, no clock, no shared state."""
+    """One sender: `handle` maps events to actions. No I/O, no clock, no state shared with other senders."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.context = PolicyContext(settings, Random(seed))
@@ -30,7 +30,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Decide by these settings from now on; messages keep the rules that they came under."""
         self.context.settings = settings
-        self.context.small_fleet_share = min(1.0, FEW / settings.senders)
+        self.context.fleet_factor = min(1.0, FEW / settings.senders)
 
     def handle(self, now_ns: int, batch: list[events.Event]) -> list[Action]:
         """Take the events of one turn and give the actions, in order; TypeError for an unknown event."""
--- a/pinspread/replication/protocol.py
+++ b/pinspread/replication/protocol.py
@@ -13,7 +13,7 @@
 from pinspread.replication.snapshots import ReplicaSnapshot
 
 MAGIC = b"PSC"
-MAX_FRAME_BYTES = 64 << 20  # a whole journal; [journal] disk_mb bounds it in fact
+MAX_FRAME_BYTES = 64 << 20  # a complete journal; [journal] disk_mb bounds it in fact
 MAX_SHOWN_KIND = 64  # characters of an unknown kind in a log line
 
 WireMessage = dict[str, Any]
@@ -82,9 +82,9 @@
     """The owner sends bytes of its journal.
 
     Attributes:
-        fencing_token: Of the owner's lease of its own work.
+        fencing_token: Of the lease under which the owner does its work.
         generation: Of the journal.
-        base: How many bytes make the generation whole.
+        base: How many bytes make the generation complete (see `log`).
         offset: Where the data begins, in bytes.
         data: The bytes; what the replica holds behind them is cut off.
     """
@@ -200,7 +200,7 @@
         DatagramError: The kind is unknown, or a field is missing or of another type.
     """
     kind = message.get("t")
-    if kind not in _LAYOUTS:
+    if not isinstance(kind, str) or kind not in _LAYOUTS:
         raise DatagramError(f"kind {str(kind)[:MAX_SHOWN_KIND]!r}")
     layout = _LAYOUTS[kind]
     require_fields(message, _ADDRESS_TYPES | {key: type_ for key, (_, type_) in layout.fields.items()})
@@ -249,16 +249,22 @@
 
 
 def _decode_content(message: WireMessage) -> ReplicaContent:
-    require_fields(message, {"generation": int, "size": int, "sums": list})
+    _require_answer(message, {"generation": int, "size": int, "sums": list})
+    _require_items(message, "sums", int)
     return ReplicaContent(message["generation"], message["size"], message["sums"])
 
 
 def _decode_acknowledgement(message: WireMessage) -> Acknowledgement:
-    require_fields(message, {"generation": int, "size": int})
+    _require_answer(message, {"generation": int, "size": int})
     return Acknowledgement(message["generation"], message["size"])
 
 
 def _decode_snapshot(message: WireMessage) -> ReplicaSnapshot:
+    _require_answer(
+        message, {"generation": int, "bytes": bytes, "keepers": list, "tried": list, "adopted": int}
+    )
+    _require_items(message, "keepers", str)
+    _require_items(message, "tried", str)
     return ReplicaSnapshot(
         message["generation"],
         message["bytes"],
@@ -268,6 +274,20 @@
     )
 
 
+def _require_answer(message: WireMessage, fields: Mapping[str, type]) -> None:
+    """Check that an answer has each field with a value of its type, and no number below 0."""
+    require_fields(message, fields)
+    for name, type_ in fields.items():
+        if type_ is int and message[name] < 0:
+            raise DatagramError(f"{message.get('t')}: field {name!r} is below 0")
+
+
+def _require_items(message: WireMessage, name: str, type_: type) -> None:
+    """Check that all items of a list are of a type."""
+    if not all(is_of_type(item, type_) for item in message[name]):
+        raise DatagramError(f"{message.get('t')}: an item of {name!r}")
+
+
 def _decode_consent(message: WireMessage) -> Consent | Refusal:
     return Consent() if message.get("t") == "ack" else Refusal(f"answered {message.get('t')}")
 
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -10,11 +10,14 @@
 from test_replication import message
 
 from pinspread.core.journal import Journal
+from pinspread.membership.framing import ConnectionClosedError
 from pinspread.membership.members import MemberState
 from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
 from pinspread.replication.config import ReplicationConfig
+from pinspread.replication.peers import open_frames
+from pinspread.replication.protocol import FetchSnapshot
 from pinspread.replication.service import ReplicationService
 
 pytestmark = pytest.mark.anyio
@@ -22,11 +25,6 @@
 TOKEN = 5
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 @pytest.fixture
 def port():
     with socket.socket() as found:
@@ -114,3 +112,47 @@
                 assert await a.wait_replicated()
                 assert b.stores["a"].data() == a.journal.path.read_bytes()
                 assert a.primary.sent_bytes - before == lacking > 0
+
+
+def refusals(capfd):
+    return [line for line in capfd.readouterr().out.splitlines() if '"copies_refused"' in line]
+
+
+async def test_a_frame_whose_kind_is_a_list_ends_its_stream_alone(tmp_path, port, capfd):
+    with anyio.fail_after(10):
+        async with running(node("b", port, tmp_path)) as b, running(node("a", port, tmp_path)) as a:
+            async with await anyio.connect_tcp(HOSTS["b"], port, local_host=HOSTS["a"]) as stream:
+                await open_frames(stream, b.node.fleet.key).send({"t": [], "from": "a", "to": "b"})
+                with pytest.raises(anyio.EndOfStream):
+                    await stream.receive()
+            a.journal.message_accepted(message(1))
+            assert await a.wait_replicated()
+            assert b.stores["a"].data() == a.journal.path.read_bytes()
+    (line,) = refusals(capfd)
+    assert "kind" in line
+
+
+async def test_an_answer_without_its_keys_counts_as_none_and_ends_its_stream_alone(tmp_path, port, capfd):
+    streams = []
+
+    async def answer_with_no_keys(stream):
+        async with stream:
+            streams.append(stream)
+            frames = open_frames(stream, b"fleet")
+            await frames.receive()
+            await frames.send({"t": "copy"})
+            with pytest.raises(ConnectionClosedError):
+                await frames.receive()
+            streams.remove(stream)
+
+    with anyio.fail_after(10):
+        listener = await anyio.create_tcp_listener(local_host=HOSTS["b"], local_port=port)
+        async with listener, anyio.create_task_group() as tasks:
+            tasks.start_soon(listener.serve, answer_with_no_keys)
+            a = node("a", port, tmp_path)
+            answers = await a.peers.call_all(FetchSnapshot("a", TOKEN))
+            assert list(answers) == ["a"]  # its own replica
+            await until(lambda: not streams)
+            tasks.cancel_scope.cancel()
+    (line,) = refusals(capfd)
+    assert "generation" in line and '"by":"b"' in line
