--- a/pinspread/simulation/experiment.py
+++ b/pinspread/simulation/experiment.py
@@ -1,191 +1,233 @@
-"""Experiment files: a world, variants, seeds and a sweep; checked, every problem with its place."""
+"""Experiments: a checked file as the points that are to be run, every problem named with its place."""
 
 import hashlib
-import tomllib
+from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated, Any, Literal
+from typing import Any
+
+from pydantic import ValidationError
+
+from pinspread.simulation.experiment_file import (
+    ExperimentError,
+    ExperimentFile,
+    RetryPaper,
+    Sweep,
+    Variant,
+    field_problems,
+    read_experiment_file,
+)
+from pinspread.simulation.model import FleetModel
+from pinspread.simulation.policy_sources import (
+    VariantError,
+    constant_names,
+    read_sources,
+    setting_names,
+    source_digest,
+)
+
+__all__ = [
+    "Experiment",
+    "ExperimentError",
+    "ExperimentFile",
+    "ExperimentPoint",
+    "RetryPaper",
+    "load_experiment",
+]
+
+
+@dataclass(frozen=True, slots=True)
+class ExperimentPoint:
+    """One variant at one value of the sweep; it is run once for each seed.
+
+    Attributes:
+        variant: The variant's name.
+        value: The value of the sweep; None without one.
+        model: The fleet and its surroundings.
+        settings: Settings of the policy that differ, by key of the file.
+        constants: Constants of the policy that differ, by key of the file.
+        policy_digest: A hash of the policy's source texts.
+        policy_sources: These texts by module name; None for the policy of this checkout.
+        policy_seed: Another seed for the policy's random numbers; 0 for none.
+        trace: Path of the trace that is replayed; empty for drawn arrivals.
+        trace_sha256: SHA-256 of that file, as hexadecimal digits.
+    """
+
+    variant: str
+    value: Any
+    model: FleetModel
+    settings: dict[str, Any]
+    constants: dict[str, Any]
+    policy_digest: str
+    policy_sources: dict[str, str] | None
+    policy_seed: int
+    trace: str
+    trace_sha256: str
+
+
+@dataclass(frozen=True, slots=True)
+class _PointTables:
+    """What a file gives for a point."""
+
+    place: str
+    world: dict[str, Any]
+    settings: dict[str, Any]
+    constants: dict[str, Any]
 
-import orjson
-from pydantic import Field, ValidationError
-
-from pinspread.simulation import variants
-from pinspread.simulation.model import FleetModel, StrictModel
-
-
-class ExperimentError(ValueError):
-    """The file cannot be run; one problem a line, each with its place."""
-
-
-class Head(StrictModel):
-    name: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")]
-    about: str = ""
-    kind: Literal["days", "paper"] = "days"
-    seeds: Annotated[int, Field(ge=1, le=100_000)] | list[int] = 10
-
-
-class Variant(StrictModel):
-    name: Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9 ._-]{0,62}$")]
-    constants: dict[str, Any] = {}  # of the policy
-    settings: dict[str, Any] = {}  # fields of interface.Settings
-    world: dict[str, Any] = {}  # tables that replace the world's, key by key
-    module: str = ""  # a folder with the modules of a policy package
-    revision: str = ""  # or a git revision
-    module_seed: int = 0  # another seed for the module's own chance, on the same days
-
-
-class Sweep(StrictModel):
-    path: Annotated[str, Field(pattern=r"^(world|settings|constants)\.[A-Za-z_.0-9]+$")]
-    values: Annotated[list[Any], Field(min_length=1)]
-
-
-class RetryPaper(StrictModel):
-    """The figures of the paper on retries."""
-
-    requests: Annotated[int, Field(ge=1)] = 100
-    retries: Annotated[int, Field(ge=1, le=12)] = 5
-    base_ms: Annotated[float, Field(gt=0)] = 10.0
-    factor: Annotated[float, Field(gt=1)] = 4.0
-    randomness: list[Annotated[float, Field(ge=0, le=1)]] = [0.01, 0.5]
-    step_ms: Annotated[float, Field(gt=0)] = 20.0
-    chain: Annotated[int, Field(ge=1, le=8)] = 4
-    calls: Annotated[int, Field(ge=1, le=6)] = 3
-
-
-class ExperimentFile(StrictModel):
-    experiment: Head
-    world: dict[str, Any] = {}
-    trace: str = ""  # a recorded trace in place of drawn arrivals
-    variants: Annotated[list[Variant], Field(alias="variant")] = []
-    sweep: Sweep | None = None
-    paper: RetryPaper = RetryPaper()
-
-
-def merge_tables(base: dict, more: dict) -> dict:
-    """Tables merged key by key; all else replaced."""
-    found = dict(base)
-    for name, value in more.items():
-        old = found.get(name)
-        found[name] = merge_tables(old, value) if isinstance(old, dict) and isinstance(value, dict) else value
-    return found
 
+class Experiment:
+    """A checked experiment.
 
-def nested_tables(path: str, value) -> dict:
-    """A value as tables: `world.couriers.count` and 5 give {"couriers": {"count": 5}}, below the first name."""
-    for name in reversed(path.split(".")[1:]):
-        value = {name: value}
-    return value
+    Args:
+        file: What the file holds.
+        folder: The folder of the file, from which its paths count.
 
+    Attributes:
+        points: What is run for each seed, in order.
+        seeds: The seeds; each draws the same day for all points.
 
-class Experiment:
-    """A checked file: `points` are what is run for each seed."""
+    Raises:
+        ExperimentError: With all problems, one a line.
+    """
 
     def __init__(self, file: ExperimentFile, folder: Path):
         self.file = file
-        head = file.experiment
-        self.name, self.kind = head.name, head.kind
-        self.seeds = list(range(1, head.seeds + 1)) if isinstance(head.seeds, int) else head.seeds
-        self.trace = str(folder / file.trace) if file.trace else ""
-        self.points, problems, self.trace_sha256 = [], [], ""
-        if self.trace:
-            try:
-                self.trace_sha256 = hashlib.sha256(Path(self.trace).read_bytes()).hexdigest()
-            except OSError as error:
-                problems.append(f"trace: {self.trace}: {error.strerror}")
-        texts_of = {}
-        for n, variant in enumerate(file.variants or [Variant(name="as is")]):
-            place = f"variant[{n}]"
-            source = (str(folder / variant.module) if variant.module else "", variant.revision)
-            if variant.module and variant.revision:
-                problems.append(f"{place}: give either module or revision")
-                continue
-            try:
-                if source not in texts_of:
-                    texts_of[source] = variants.read_sources(*source)
-            except variants.VariantError as error:
-                problems.append(f"{place}.{'module' if variant.module else 'revision'}: {error}")
-                continue
-            text = texts_of[source]
-            values = file.sweep.values if file.sweep else [None]
-            for k, value in enumerate(values):
-                problems += self._point(place, variant, text, source != ("", ""), value, k)
-        names = [v.name for v in file.variants]
-        problems += [
-            f"variant[{n}].name: {name!r} stands twice" for n, name in enumerate(names) if name in names[:n]
+        self.name = file.experiment.name
+        self.kind = file.experiment.kind
+        seeds = file.experiment.seeds
+        self.seeds = list(range(1, seeds + 1)) if isinstance(seeds, int) else seeds
+        self.points: list[ExperimentPoint] = []
+        self._folder = folder
+        self._problems: list[str] = []
+        self._sources: dict[tuple[str, str], dict[str, str]] = {}  # by folder and revision
+        self._trace = str(folder / file.trace) if file.trace else ""
+        self._trace_sha256 = self._digest_trace()
+        for number, variant in enumerate(file.variants or [Variant(name="as is")]):
+            self._add_variant(f"variant[{number}]", variant)
+        self._check_names()
+        if self._problems:
+            raise ExperimentError("\n".join(dict.fromkeys(self._problems)))
+
+    def _digest_trace(self) -> str:
+        if not self._trace:
+            return ""
+        try:
+            return hashlib.sha256(Path(self._trace).read_bytes()).hexdigest()
+        except OSError as error:
+            self._problems.append(f"trace: {self._trace}: {error.strerror}")
+            return ""
+
+    def _check_names(self) -> None:
+        names = [variant.name for variant in self.file.variants]
+        self._problems += [
+            f"variant[{number}].name: {name!r} stands twice"
+            for number, name in enumerate(names)
+            if name in names[:number]
         ]
-        if problems:
-            raise ExperimentError("\n".join(dict.fromkeys(problems)))
-
-    def _point(self, place, variant, text, foreign, value, k):
-        """One variant at one value of the sweep; gives its problems."""
-        problems, sweep = [], self.file.sweep
-        parts = {"world": merge_tables(self.file.world, variant.world), "settings": variant.settings,
-                 "constants": variant.constants}  # fmt: skip
-        if sweep:
-            root = sweep.path.split(".")[0]
-            parts[root] = merge_tables(parts[root], nested_tables(sweep.path, value))
-            place = f"{place}, sweep.values[{k}]"
-        for what, there in (
-            ("constants", variants.constant_names(text)),
-            ("settings", variants.setting_names(text)),
-        ):
-            for name, one in parts[what].items():
-                if name not in there:
-                    problems.append(f"{place}.{what}.{name}: the module has none of that name")
-                elif what == "settings" and not isinstance(one, int | float):
-                    problems.append(f"{place}.{what}.{name}: must be a number or true or false, not {one!r}")
+
+    def _add_variant(self, place: str, variant: Variant) -> None:
+        """Add a variant's points, one for each value of the sweep."""
+        if variant.module and variant.revision:
+            self._problems.append(f"{place}: give either module or revision")
+            return
         try:
-            world = FleetModel.model_validate(parts["world"])
+            sources = self._read_sources(variant)
+        except VariantError as error:
+            self._problems.append(f"{place}.{'module' if variant.module else 'revision'}: {error}")
+            return
+        for value, tables in self._tables_of(place, variant):
+            self._check_policy_keys(tables, sources)
+            self._add_point(variant, value, tables, sources)
+
+    def _read_sources(self, variant: Variant) -> dict[str, str]:
+        folder = str(self._folder / variant.module) if variant.module else ""
+        version = (folder, variant.revision)
+        if version not in self._sources:
+            self._sources[version] = read_sources(folder, variant.revision)
+        return self._sources[version]
+
+    def _tables_of(self, place: str, variant: Variant) -> Iterator[tuple[Any, _PointTables]]:
+        """Each value of the sweep with the tables that it gives."""
+        world = merge_tables(self.file.world, variant.world)
+        sweep = self.file.sweep
+        if sweep is None:
+            yield None, _PointTables(place, world, variant.settings, variant.constants)
+            return
+        for number, value in enumerate(sweep.values):
+            tables = {"world": world, "settings": variant.settings, "constants": variant.constants}
+            root, swept = _swept_tables(sweep, value)
+            tables[root] = merge_tables(tables[root], swept)
+            yield value, _PointTables(f"{place}, sweep.values[{number}]", **tables)
+
+    def _check_policy_keys(self, tables: _PointTables, sources: dict[str, str]) -> None:
+        """Note settings and constants that the policy does not have."""
+        known_constants = constant_names(sources)
+        for name in tables.constants:
+            if name not in known_constants:
+                self._problems.append(f"{tables.place}.constants.{name}: the module has none of that name")
+        known_settings = setting_names(sources)
+        for name, value in tables.settings.items():
+            place = f"{tables.place}.settings.{name}"
+            if name not in known_settings:
+                self._problems.append(f"{place}: the module has none of that name")
+            elif not isinstance(value, int | float):
+                self._problems.append(f"{place}: must be a number or true or false, not {value!r}")
+
+    def _add_point(self, variant: Variant, value: Any, tables: _PointTables, sources: dict[str, str]) -> None:
+        try:
+            model = FleetModel.model_validate(tables.world)
         except ValidationError as error:
-            for one in error.errors():
-                problems.append(
-                    f"{place}: {field_path(('world', *one['loc']))}: {one['msg'].removeprefix('Value error, ')}"
-                )
-            return problems
+            self._problems += [
+                f"{tables.place}: {place}: {message}" for place, message in field_problems(error, ("world",))
+            ]
+            return
         self.points.append(
-            {
-                "variant": variant.name,
-                "value": value,
-                "world": world.model_dump(mode="json", by_alias=True, warnings=False),
-                "settings": parts["settings"],
-                "constants": parts["constants"],
-                "module": variants.source_digest(text),
-                "texts": text if foreign else None,
-                "module_seed": variant.module_seed,
-                "trace": self.trace,
-                "trace_sha256": self.trace_sha256,
-            }
+            ExperimentPoint(
+                variant=variant.name,
+                value=value,
+                model=model,
+                settings=tables.settings,
+                constants=tables.constants,
+                policy_digest=source_digest(sources),
+                policy_sources=sources if variant.module or variant.revision else None,
+                policy_seed=variant.module_seed,
+                trace=self._trace,
+                trace_sha256=self._trace_sha256,
+            )
         )
-        return problems
 
 
-def field_path(parts) -> str:
-    """A place in a file: world.trouble[2].at_s."""
-    text = ""
-    for part in parts:
-        text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else str(part)
-    return text
+def merge_tables(base: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
+    """Tables merged key by key; all else replaced."""
+    merged = dict(base)
+    for name, value in changes.items():
+        old = merged.get(name)
+        if isinstance(old, dict) and isinstance(value, dict):
+            merged[name] = merge_tables(old, value)
+        else:
+            merged[name] = value
+    return merged
+
+
+def _swept_tables(sweep: Sweep, value: Any) -> tuple[str, dict[str, Any]]:
+    """The root of a sweep's path, and a value as the tables below it.
+
+    `world.couriers.count` and 5 give "world" and {"couriers": {"count": 5}}.
+    """
+    root, *names = sweep.path.split(".")
+    for name in reversed(names):
+        value = {name: value}
+    return root, value
 
 
 def load_experiment(path: str) -> Experiment:
-    """An experiment file that is well; `ExperimentError` with all problems otherwise."""
-    try:
-        raw = tomllib.loads(Path(path).read_text())
-    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise ExperimentError(f"{path}: {error}") from None
-    try:
-        file = ExperimentFile.model_validate(raw)
-    except ValidationError as error:
-        lines = [
-            f"{path}: {field_path(e['loc']) or 'file'}: {e['msg'].removeprefix('Value error, ')}"
-            for e in error.errors()
-        ]
-        raise ExperimentError("\n".join(lines)) from None
+    """Read and check an experiment file.
+
+    Raises:
+        ExperimentError: With all problems, one a line, each with its place.
+    """
+    file = read_experiment_file(path)
     try:
         return Experiment(file, Path(path).parent)
     except ExperimentError as error:
         raise ExperimentError("\n".join(f"{path}: {line}" for line in str(error).splitlines())) from None
-
-
-def canonical(value) -> bytes:
-    """The one text of a value: sorted names, no spaces, so that equal results are equal bytes."""
-    return orjson.dumps(value, option=orjson.OPT_SORT_KEYS | orjson.OPT_SERIALIZE_NUMPY)
--- a/pinspread/simulation/legacy_policy.py
+++ b/pinspread/simulation/legacy_policy.py
@@ -7,13 +7,13 @@
 
 import dataclasses
 import sys
+from collections.abc import Mapping
 from enum import Enum
 from types import ModuleType
 from typing import Any
 
 from pinspread.policy import actions, events, settings
-
-NAMES = ("interface", "state", "decide")  # the modules, in the order in which they need each other
+from pinspread.simulation.policy_sources import LEGACY_NAMES
 
 # Present classes, and their names in the old interface.
 CLASSES: dict[type, str] = {
@@ -76,6 +76,8 @@
     "recovered": "owed",
 }
 REJECT_FIELDS: dict[str, str] = {"retry_after_ns": "come_back_ns"}
+# Present actions by their old names.
+PRESENT_ACTIONS = {old_name: cls for cls, old_name in CLASSES.items() if cls.__module__ == actions.__name__}
 
 
 class LegacyPolicy:
@@ -106,33 +108,34 @@
         if isinstance(value, Enum):
             return old_class(value.value)
         known = {field.name for field in dataclasses.fields(old_class)}
-        found = {}
+        arguments = {}
         for field in dataclasses.fields(value):
             old_name = FIELDS.get(field.name, field.name)
             if old_name in known:
-                found[old_name] = self._to_old(getattr(value, field.name))
-        return old_class(**found)
+                arguments[old_name] = self._to_old(getattr(value, field.name))
+        return old_class(**arguments)
 
     def _to_present(self, action: Any) -> Any:
         """The present counterpart of an old action."""
-        present = PRESENT[type(action).__name__]
+        present = PRESENT_ACTIONS[type(action).__name__]
         names: dict[str, str] = REJECT_FIELDS if present is actions.Reject else {}
         fields = dataclasses.fields(present)
         return present(**{field.name: getattr(action, names.get(field.name, field.name)) for field in fields})
 
 
-PRESENT = {name: cls for cls, name in CLASSES.items() if cls.__module__ == actions.__name__}
-
+def install(sources: Mapping[str, str]) -> None:
+    """Execute an old version's modules, and put it in the place of `DeliveryPolicy`.
 
-def install(found: dict[str, str]) -> None:
-    """Execute an old version's modules, by their texts, and put it in the place of `DeliveryPolicy`."""
+    Args:
+        sources: Their texts by module name.
+    """
     import pinspread
     from pinspread.policy import delivery_policy
 
-    for name in NAMES:
+    for name in LEGACY_NAMES:  # in the order in which they need each other
         module = ModuleType(f"pinspread.{name}")
         module.__file__ = f"<variant>/{name}.py"
         sys.modules[module.__name__] = module
         setattr(pinspread, name, module)
-        exec(compile(found[name], module.__file__, "exec"), module.__dict__)
+        exec(compile(sources[name], module.__file__, "exec"), module.__dict__)
     delivery_policy.DeliveryPolicy = LegacyPolicy  # type: ignore[misc,assignment]  # the model takes it from there
--- /dev/null
+++ b/pinspread/simulation/policy_sources.py
@@ -0,0 +1,195 @@
+"""Versions of the delivery policy as source text: where they come from, and what they define.
+
+Nothing is imported or executed here; `variants` puts a version into force in a process.
+"""
+
+import ast
+import hashlib
+import subprocess
+from collections.abc import Iterable, Mapping
+from pathlib import Path
+
+from pinspread.errors import PinspreadError
+
+ROOT = Path(__file__).parents[2]
+PACKAGE = "pinspread/policy"
+LEGACY_NAMES = ("interface", "state", "decide")  # the policy's modules before it became a package
+INTERFACE_NAMES = ("events", "actions", "settings")  # modules of the package whose classes the model uses
+RUNNABLE_VERSIONS = (
+    f"versions that can be run have a folder {PACKAGE} with the present fields (since revision 5dd2b39),"
+    " or are from before that folder (revision 2404508)"
+)
+
+# Source texts of a version by module name.
+PolicySources = Mapping[str, str]
+
+# What an experiment's file calls settings of the policy, where the policy's own word differs.
+SETTINGS_KEYS = {
+    "calls_out": "max_concurrent_calls",
+    "most_held": "max_held_messages",
+    "over_share_worth": "over_quota_weight",
+    "halves": "value_halves",
+    "may_probe": "health_checks_allowed",
+    "may_cancel": "cancellation_allowed",
+    "may_tell_wait": "retry_after_allowed",
+    "max_come_back_ns": "max_retry_after_ns",
+    "cold_from": "slow_start_fraction",
+    "cold_ns": "slow_start_ns",
+    "tip_multiple": "overload_multiple",
+    "order_pause_ns": "ordering_pause_ns",
+    "list_on_request": "polled_discovery",
+    "must_ask_in_ns": "max_poll_interval_ns",
+    "crossing_price": "cross_zone_price",
+}
+
+# What an experiment's file calls constants of the policy, where the policy's own word differs.
+CONSTANT_KEYS = {
+    "ASK_AGAIN": "POLL_BACKOFF",
+    "ASK_SPREAD": "FIRST_POLL_SPREAD",
+    "BASE_SPAN_S": "USUAL_RATE_SPAN_S",
+    "CAUTION": "SUSPECT_FROM",
+    "CLUMP_SHARE": "BURST_POWER",
+    "CREEP": "LEAST_RAMP_RATE",
+    "CROWDED": "SATURATED_FROM",
+    "CROWDED_STRETCH": "UNSAFE_CROWDED_FACTOR",
+    "CROWD_GAIN": "REFUSAL_GAIN",
+    "CUT": "CUT_POWER",
+    "DOUBT": "EJECTED_FROM",
+    "DOUBT_WEIGHT": "FAILURE_WEIGHT",
+    "DRAINED": "EXHAUSTED",
+    "FEW_ERRORS": "FEW_HARD_FAILURES",
+    "GONE_KEPT_NS": "REMOVED_KEPT_NS",
+    "HOLD_SPARE": "SPARE_PLACES",
+    "LATELY_NS": "RECENT_SUCCESS_NS",
+    "LEAST_WORTH": "LEAST_PRIORITY",
+    "LONG_TOLD_NS": "LONG_RETRY_AFTER_NS",
+    "LOOKS": "HEALTH_CHECK_SHARE",
+    "LOST": "LOST_SHARE",
+    "MOOT_STEP": "NOT_SENT_STEP",
+    "MOST_STRETCH": "MOST_TIMEOUT_FACTOR",
+    "OWED_WAIT": "RECOVERED_WAIT",
+    "PACE_GAIN": "RATE_GAIN",
+    "RESTS_KEPT": "PAUSES_KEPT",
+    "ROOMY": "SATURATED_TO",
+    "TIMEOUT_SPREAD": "TIMEOUT_DEVIATIONS",
+    "UNSAFE_STRETCH": "UNSAFE_FACTOR",
+    "USED_UP_PACE": "EXHAUSTED_CUT",
+}
+
+
+class VariantError(PinspreadError, ValueError):
+    """A version of the policy that cannot be read or run; the text says why."""
+
+
+def read_sources(folder: str = "", revision: str = "") -> dict[str, str]:
+    """Return a version's source texts by module name.
+
+    Args:
+        folder: A folder with the modules of a policy.
+        revision: A git revision of this checkout; where it and `folder` are empty, the checkout as it stands.
+
+    Raises:
+        VariantError: The version is not there, or the model cannot run it.
+    """
+    if revision:
+        sources = _sources_of_revision(revision)
+        place = f"revision {revision!r}"
+    else:
+        path = Path(folder) if folder else ROOT / PACKAGE
+        sources = {file.stem: file.read_text() for file in sorted(path.glob("*.py"))}
+        place = str(path)
+    if "delivery_policy" not in sources and "decide" not in sources:
+        raise VariantError(f"{place}: holds no delivery_policy.py")
+    if folder or revision:
+        _check_interface(place, sources)
+    return sources
+
+
+def is_legacy(sources: PolicySources) -> bool:
+    """Whether a version is from before the policy was a package."""
+    return "decide" in sources
+
+
+def _sources_of_revision(revision: str) -> dict[str, str]:
+    listed = _git(revision, "ls-tree", "--name-only", revision, f"{PACKAGE}/").split()
+    names = listed or [f"pinspread/{name}.py" for name in LEGACY_NAMES]
+    return {
+        Path(name).stem: _git(revision, "show", f"{revision}:{name}")
+        for name in names
+        if name.endswith(".py")
+    }
+
+
+def _git(revision: str, *arguments: str) -> str:
+    """What git prints; the revision is for the message of a `VariantError`."""
+    done = subprocess.run(["git", "-C", str(ROOT), *arguments], capture_output=True, text=True, check=False)
+    if done.returncode:
+        raise VariantError(f"revision {revision!r}: {done.stderr.strip().splitlines()[-1]}")
+    return done.stdout
+
+
+def _check_interface(place: str, sources: PolicySources) -> None:
+    """Refuse a version whose events, actions and settings are not those that the model uses.
+
+    Raises:
+        VariantError: A module, a class or a field is missing, or a module has a syntax error.
+    """
+    required = LEGACY_NAMES if is_legacy(sources) else INTERFACE_NAMES
+    for name in required:
+        if name not in sources:
+            raise VariantError(f"{place}: holds no {name}.py; {RUNNABLE_VERSIONS}")
+    try:
+        trees = {name: ast.parse(text) for name, text in sources.items()}
+    except SyntaxError as error:
+        raise VariantError(f"{place}: {error}") from None
+    if is_legacy(sources):
+        return
+    for name in INTERFACE_NAMES:
+        present = _class_fields(ast.parse((ROOT / PACKAGE / f"{name}.py").read_text()))
+        found = _class_fields(trees[name])
+        for class_name, fields in present.items():
+            if class_name not in found:
+                raise VariantError(f"{place}: {name}.py has no class {class_name}; {RUNNABLE_VERSIONS}")
+            if missing := fields - found[class_name]:
+                raise VariantError(
+                    f"{place}: {class_name} in {name}.py has no {min(missing)}; {RUNNABLE_VERSIONS}"
+                )
+
+
+def _class_fields(tree: ast.Module) -> dict[str, set[str]]:
+    """The fields of dataclasses and the members of enums, by class."""
+    classes = [node for node in tree.body if isinstance(node, ast.ClassDef)]
+    return {node.name: set(_assigned_names(node.body)) | _annotated_names(node.body) for node in classes}
+
+
+def _annotated_names(body: Iterable[ast.stmt]) -> set[str]:
+    targets = [node.target for node in body if isinstance(node, ast.AnnAssign)]
+    return {target.id for target in targets if isinstance(target, ast.Name)}
+
+
+def _assigned_names(body: Iterable[ast.stmt]) -> list[str]:
+    targets = [target for node in body if isinstance(node, ast.Assign) for target in node.targets]
+    return [target.id for target in targets if isinstance(target, ast.Name)]
+
+
+def source_digest(sources: PolicySources) -> str:
+    """A short hash of a version's texts: 16 hexadecimal digits."""
+    digest = hashlib.sha256()
+    for name in sorted(sources):
+        digest.update(sources[name].encode())
+    return digest.hexdigest()[:16]
+
+
+def constant_names(sources: PolicySources) -> set[str]:
+    """The constants that a version's modules set, by their own words and those of experiments' files."""
+    assigned = [name for text in sources.values() for name in _assigned_names(ast.parse(text).body)]
+    names = {name for name in assigned if name.isupper() and not name.startswith("_")}
+    return names | {key for key, name in CONSTANT_KEYS.items() if name in names}
+
+
+def setting_names(sources: PolicySources) -> set[str]:
+    """The fields of a version's Settings, by their own words and those of experiments' files."""
+    tree = ast.parse(sources.get("settings") or sources["interface"])
+    bodies = [node.body for node in tree.body if isinstance(node, ast.ClassDef) and node.name == "Settings"]
+    fields = {name for body in bodies for name in _annotated_names(body)}
+    return fields | {key for key, field in SETTINGS_KEYS.items() if field in fields}
--- a/pinspread/simulation/runs.py
+++ b/pinspread/simulation/runs.py
@@ -1,161 +1,234 @@
-"""Running an experiment over all cores: resumable, and the same bytes whatever the number of processes."""
+"""Runs an experiment over all cores: resumable, and the same bytes whatever the number of processes."""
 
 import hashlib
 import multiprocessing
 import os
 import platform
 import time
+from collections.abc import Mapping
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from concurrent.futures.process import BrokenProcessPool
+from dataclasses import dataclass, replace
 from importlib.metadata import version
 from pathlib import Path
+from typing import Any
 
 import orjson
 from tqdm import tqdm
 
 from pinspread.simulation import paper, variants
-from pinspread.simulation.experiment import Experiment, canonical
+from pinspread.simulation.experiment import Experiment, ExperimentPoint
 
 FORMAT = 1
 LIBRARIES = ("numpy", "scipy", "hdrhistogram", "orjson", "pydantic")
 
 
-def run_point(point: dict, seed: int) -> dict:
-    """One run, in this process: the accounts of a point and a seed."""
+@dataclass(frozen=True, slots=True)
+class PlannedRun:
+    """A point and a seed, and the file that holds the measurements once they are there."""
+
+    point: ExperimentPoint
+    seed: int
+    file: Path
+
+    def measurements(self) -> dict[str, Any] | None:
+        """What was measured; None where the run has not finished, or its file was cut."""
+        try:
+            found: dict[str, Any] = orjson.loads(self.file.read_bytes())
+        except (OSError, orjson.JSONDecodeError):
+            return None
+        return found
+
+
+def run_point(point: ExperimentPoint, seed: int) -> dict[str, Any]:
+    """Run a point with one seed in this process, and return its measurements."""
+    # Loaded here, as another version of the policy has to be in force before the model is.
     from pinspread.simulation import scenario as scenarios
     from pinspread.simulation import simulate, trace
     from pinspread.simulation.engine import SimulationStalledError
-    from pinspread.simulation.model import FleetModel
     from pinspread.simulation.random_streams import random_seed
 
-    model = FleetModel.model_validate(point["world"])
-    scenario = (
-        trace.replay_trace(point["trace"], model, seed)
-        if point["trace"]
-        else scenarios.draw_scenario(model, seed)
-    )
-    module_seed = random_seed(seed, "variant", point["module_seed"]) if point["module_seed"] else seed
-    with variants.ConstantOverrides(point["constants"]):
+    if point.trace:
+        scenario = trace.replay_trace(point.trace, point.model, seed)
+    else:
+        scenario = scenarios.draw_scenario(point.model, seed)
+    policy_seed = random_seed(seed, "variant", point.policy_seed) if point.policy_seed else seed
+    with variants.ConstantOverrides(point.constants):
         try:
-            return simulate.Simulation(model, scenario, module_seed, point["settings"]).run()
+            return simulate.Simulation(point.model, scenario, policy_seed, point.settings).run()
         except SimulationStalledError as error:
-            # A module that spins serves nobody: the run counts, as a run that broke.
+            # A policy that never stops waking itself serves nobody: the run counts, as one that broke a rule.
             return {"service": 0.0, "service_unbroken": 0.0, "broken": {"stuck": 1}, "stuck": str(error)}
 
 
-def _worker(texts):
-    variants.install_sources(texts)
-
-
-def run_key(point: dict, seed: int) -> str:
-    """What a finished run is found by: a hash of all that it depends on."""
-    plain = {
-        name: value for name, value in point.items() if name not in ("texts", "variant", "value", "trace")
+def run_key(point: ExperimentPoint, seed: int) -> str:
+    """A hash of all that a run depends on, by which a finished one is found."""
+    depends_on = {
+        "world": _written_model(point),
+        "settings": point.settings,
+        "constants": point.constants,
+        "module": point.policy_digest,
+        "module_seed": point.policy_seed,
+        "trace_sha256": point.trace_sha256,
     }
-    model = hashlib.sha256()
+    code = hashlib.sha256()
     for file in sorted(Path(__file__).parent.glob("*.py")):
-        model.update(file.read_bytes())
-    return hashlib.sha256(canonical([FORMAT, plain, seed, model.hexdigest()])).hexdigest()[:24]
-
-
-def run_experiment(experiment: Experiment, out: str, processes: int = 0, quiet: bool = False) -> dict:
-    """Run what has not been run yet and write result.json and manifest.json; gives the result."""
-    folder = Path(out)
-    (folder / "runs").mkdir(parents=True, exist_ok=True)
+        code.update(file.read_bytes())
+    return hashlib.sha256(canonical_json([FORMAT, depends_on, seed, code.hexdigest()])).hexdigest()[:24]
+
+
+def run_experiment(
+    experiment: Experiment, folder: str, processes: int = 0, quiet: bool = False
+) -> dict[str, Any]:
+    """Run what has not been run yet, and write result.json and manifest.json.
+
+    Args:
+        experiment: What to run.
+        folder: Where results go; runs that are there are not run again.
+        processes: How many run at once; 0 for as many as there are cores.
+        quiet: Whether to show no progress bar.
+
+    Returns:
+        What result.json holds.
+    """
+    path = Path(folder)
+    (path / "runs").mkdir(parents=True, exist_ok=True)
     began = time.time()
     if experiment.kind == "paper":
-        result = {"format": FORMAT, "experiment": experiment.name, "kind": "paper",
-                  "paper": paper.recompute_figures(experiment.file.paper, experiment.seeds)}  # fmt: skip
-        done = 0
+        result = _paper_result(experiment)
+        runs_done = 0
     else:
-        wanted, files = [], {}
-        for n, point in enumerate(experiment.points):
-            for seed in experiment.seeds:
-                file = files[n, seed] = folder / "runs" / f"{run_key(point, seed)}.json"
-                if _finished(file) is None:
-                    wanted.append((n, seed))
-        done = len(wanted)
-        _run_all(experiment, wanted, files, processes or os.cpu_count(), quiet)
-        result = {
-            "format": FORMAT,
-            "experiment": experiment.name,
-            "kind": "days",
-            "about": experiment.file.experiment.about,
-            "seeds": experiment.seeds,
-            "points": [
-                {
-                    name: point[name]
-                    for name in (
-                        "variant",
-                        "value",
-                        "settings",
-                        "constants",
-                        "module",
-                        "world",
-                        "module_seed",
-                    )
-                }
-                | {"runs": [_finished(files[n, seed]) for seed in experiment.seeds]}
-                for n, point in enumerate(experiment.points)
-            ],
-        }
-    text = canonical(result)
-    _write(folder / "result.json", text)
-    manifest = {
+        planned = _plan(experiment, path / "runs")
+        missing = [run for run in planned if run.measurements() is None]
+        runs_done = len(missing)
+        _run_all(missing, processes or os.cpu_count() or 1, quiet)
+        result = _days_result(experiment, planned)
+    _write_atomically(path / "result.json", canonical_json(result))
+    manifest = _manifest(experiment, result) | {
+        "runs_done_now": runs_done,
+        "took_s": round(time.time() - began, 2),
+    }
+    _write_atomically(path / "manifest.json", orjson.dumps(manifest, option=orjson.OPT_INDENT_2))
+    return result
+
+
+# --- the written forms ----------------------------------------------------------------------------
+
+
+def _paper_result(experiment: Experiment) -> dict[str, Any]:
+    return {
+        "format": FORMAT,
+        "experiment": experiment.name,
+        "kind": "paper",
+        "paper": paper.recompute_figures(experiment.file.paper, experiment.seeds),
+    }
+
+
+def _days_result(experiment: Experiment, planned: list[PlannedRun]) -> dict[str, Any]:
+    points = []
+    for number, point in enumerate(experiment.points):
+        first = number * len(experiment.seeds)
+        runs = planned[first : first + len(experiment.seeds)]
+        points.append(_written_point(point) | {"runs": [run.measurements() for run in runs]})
+    return {
         "format": FORMAT,
         "experiment": experiment.name,
-        "result_sha256": hashlib.sha256(text).hexdigest(),
-        "settings_sha256": hashlib.sha256(
-            canonical(experiment.file.model_dump(mode="json", by_alias=True))
-        ).hexdigest(),
+        "kind": "days",
+        "about": experiment.file.experiment.about,
         "seeds": experiment.seeds,
-        "modules": sorted({p["module"] for p in experiment.points}),
-        "versions": {name: version(name) for name in LIBRARIES} | {"python": platform.python_version()},
-        "runs_done_now": done,
-        "took_s": round(time.time() - began, 2),
+        "points": points,
     }
-    _write(folder / "manifest.json", orjson.dumps(manifest, option=orjson.OPT_INDENT_2))
-    return result
 
 
-def _run_all(experiment, wanted, files, processes, quiet):
-    by_module = {}
-    for n, seed in wanted:
-        by_module.setdefault(experiment.points[n]["module"], []).append((n, seed))
-    with tqdm(total=len(wanted), disable=quiet or not wanted, unit="run") as bar:
-        for jobs in by_module.values():
-            texts = experiment.points[jobs[0][0]]["texts"]
-            if processes == 1 and texts is None:
-                for n, seed in jobs:
-                    _write(files[n, seed], canonical(run_point(experiment.points[n], seed)))
-                    bar.update()
-                continue
-            spawn = multiprocessing.get_context("spawn")  # nothing of this process is loaded there yet
-            count = min(processes, len(jobs))
-            with ProcessPoolExecutor(count, mp_context=spawn, initializer=_worker, initargs=(texts,)) as pool:
-                out = {
-                    pool.submit(run_point, experiment.points[n] | {"texts": None}, seed): files[n, seed]
-                    for n, seed in jobs
-                }
-                try:
-                    for future in as_completed(out):
-                        _write(out[future], canonical(future.result()))
-                        bar.update()
-                except (KeyboardInterrupt, BrokenProcessPool):
-                    pool.shutdown(wait=False, cancel_futures=True)
-                    raise
-
-
-def _finished(file):
-    """A run's accounts, or none where it has not finished (or its file was cut)."""
-    try:
-        return orjson.loads(file.read_bytes())
-    except (OSError, orjson.JSONDecodeError):
-        return None
-
-
-def _write(file, data):
-    """Whole or not at all."""
+def _written_point(point: ExperimentPoint) -> dict[str, Any]:
+    return {
+        "variant": point.variant,
+        "value": point.value,
+        "settings": point.settings,
+        "constants": point.constants,
+        "module": point.policy_digest,
+        "world": _written_model(point),
+        "module_seed": point.policy_seed,
+    }
+
+
+def _written_model(point: ExperimentPoint) -> dict[str, Any]:
+    return point.model.model_dump(mode="json", by_alias=True, warnings=False)
+
+
+def _manifest(experiment: Experiment, result: Mapping[str, Any]) -> dict[str, Any]:
+    settings = canonical_json(experiment.file.model_dump(mode="json", by_alias=True))
+    versions = {name: version(name) for name in LIBRARIES} | {"python": platform.python_version()}
+    return {
+        "format": FORMAT,
+        "experiment": experiment.name,
+        "result_sha256": hashlib.sha256(canonical_json(result)).hexdigest(),
+        "settings_sha256": hashlib.sha256(settings).hexdigest(),
+        "seeds": experiment.seeds,
+        "modules": sorted({point.policy_digest for point in experiment.points}),
+        "versions": versions,
+    }
+
+
+def canonical_json(value: Any) -> bytes:
+    """The one text of a value: sorted names, no spaces, so that equal results are equal bytes."""
+    return orjson.dumps(value, option=orjson.OPT_SORT_KEYS | orjson.OPT_SERIALIZE_NUMPY)
+
+
+def _write_atomically(file: Path, data: bytes) -> None:
+    """Write a file whole or not at all."""
     part = file.with_name(file.name + ".part")
     part.write_bytes(data)
     part.replace(file)
+
+
+# --- processes ------------------------------------------------------------------------------------
+
+
+def _plan(experiment: Experiment, folder: Path) -> list[PlannedRun]:
+    """All runs, by point and then by seed."""
+    return [
+        PlannedRun(point, seed, folder / f"{run_key(point, seed)}.json")
+        for point in experiment.points
+        for seed in experiment.seeds
+    ]
+
+
+def _run_all(missing: list[PlannedRun], processes: int, quiet: bool) -> None:
+    """Run what is missing; runs of one version of the policy share their processes."""
+    by_version: dict[str, list[PlannedRun]] = {}
+    for run in missing:
+        by_version.setdefault(run.point.policy_digest, []).append(run)
+    with tqdm(total=len(missing), disable=quiet or not missing, unit="run") as bar:
+        for runs in by_version.values():
+            if processes == 1 and runs[0].point.policy_sources is None:
+                _run_here(runs, bar)
+            else:
+                _run_in_pool(runs, min(processes, len(runs)), bar)
+
+
+def _run_here(runs: list[PlannedRun], bar: tqdm) -> None:
+    for run in runs:
+        _write_atomically(run.file, canonical_json(run_point(run.point, run.seed)))
+        bar.update()
+
+
+def _run_in_pool(runs: list[PlannedRun], processes: int, bar: tqdm) -> None:
+    """Run one version of the policy in processes of its own."""
+    spawn = multiprocessing.get_context("spawn")  # nothing of this process is loaded there yet
+    sources = runs[0].point.policy_sources
+    with ProcessPoolExecutor(
+        processes, mp_context=spawn, initializer=variants.install_sources, initargs=(sources,)
+    ) as pool:
+        # The sources are there already, and need not be sent with each run.
+        files = {}
+        for run in runs:
+            point = replace(run.point, policy_sources=None)
+            files[pool.submit(run_point, point, run.seed)] = run.file
+        try:
+            for future in as_completed(files):
+                _write_atomically(files[future], canonical_json(future.result()))
+                bar.update()
+        except (KeyboardInterrupt, BrokenProcessPool):
+            pool.shutdown(wait=False, cancel_futures=True)
+            raise
--- a/pinspread/simulation/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -11,10 +11,10 @@
 from pinspread.simulation.destination import Endpoint, build_destinations
 from pinspread.simulation.engine import SECOND, Engine
 from pinspread.simulation.instance import Instance
+from pinspread.simulation.policy_sources import SETTINGS_KEYS
 from pinspread.simulation.random_streams import random_seed, random_stream
 from pinspread.simulation.rules import RuleChecker
 from pinspread.simulation.scenario import START_DRAWS, Scenario, tenant_quotas
-from pinspread.simulation.variants import SETTINGS_KEYS
 
 AFTER_NS = 30 * SECOND  # a day runs on so long for what is owed, unless all is over before
 STATE_OF = {
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from pinspread.policy import retry_budget
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointsChanged, EndpointState, Outcome, UpdateScope
-from pinspread.simulation import compare, experiment, fit, paper, runs, simulate, trace, variants
+from pinspread.simulation import compare, experiment, fit, paper, policy_sources, runs, simulate, trace
 from pinspread.simulation import metrics as accounts
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation.destination import CRASHED, SHUT, UP, Destination
@@ -469,7 +469,7 @@
 
 
 def test_another_version_runs_in_a_process_of_its_own(tmp_path):
-    for name, text in variants.read_sources().items():
+    for name, text in policy_sources.read_sources().items():
         (tmp_path / f"{name}.py").write_text(text.replace("BUCKET_CAP = 10.0", "BUCKET_CAP = 0.0"))
     more = f'\n[[variant]]\nname = "other"\nmodule = "{tmp_path}"\n'
     file = tmp_path / "x.toml"
@@ -494,6 +494,25 @@
     assert by_name["as is"] == by_name["old"] != by_name["few slots"]
 
 
+def test_a_version_whose_fields_the_model_does_not_know_is_refused(tmp_path):
+    for name, text in policy_sources.read_sources().items():
+        (tmp_path / f"{name}.py").write_text(text.replace("class_index", "cls"))
+    with pytest.raises(policy_sources.VariantError, match="MessageAccepted in events.py has no class_index"):
+        policy_sources.read_sources(str(tmp_path))
+    (tmp_path / "events.py").unlink()
+    with pytest.raises(policy_sources.VariantError, match="holds no events.py; versions that can be run"):
+        policy_sources.read_sources(str(tmp_path))
+
+
+def test_a_revision_between_the_old_modules_and_the_present_fields_is_refused():
+    if subprocess.run(["git", "-C", str(ROOT), "cat-file", "-e", "2404508"], capture_output=True).returncode:
+        pytest.skip("a checkout without its history")
+    with pytest.raises(policy_sources.VariantError, match="since revision 5dd2b39"):
+        policy_sources.read_sources(revision="2404508")
+    for revision in ("7bae582", "5dd2b39", "a552226"):
+        assert policy_sources.read_sources(revision=revision)
+
+
 @pytest.mark.parametrize(
     ("old", "new", "place"),
     [
