--- a/benchmarks/replays.py
+++ b/benchmarks/replays.py
@@ -87,10 +87,10 @@
     SCENARIOS[:] = [(name, tables, seed + chosen.shift) for name, tables, seed in SCENARIOS]
     folder = Path(chosen.folder)
     if chosen.one:
-        from pinspread.testbed import platform as stage
+        from pinspread.testbed import platform
 
         scenario = next(s for s in SCENARIOS if s[0] == chosen.one)
-        found = stage.play(world(scenario), scenarios.draw_scenario(world(scenario), scenario[2]), folder)
+        found = platform.play(world(scenario), scenarios.draw_scenario(world(scenario), scenario[2]), folder)
         (folder / "accounts.json").write_bytes(orjson.dumps(found))
         return
     folder.mkdir(parents=True, exist_ok=True)
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -84,7 +84,7 @@
     from pinspread.simulation import experiment
     from pinspread.simulation import scenario as scenarios
     from pinspread.simulation.model import FleetModel
-    from pinspread.testbed import platform as stage
+    from pinspread.testbed import platform
 
     try:
         points = experiment.load(str(file)).points
@@ -95,7 +95,7 @@
         fail(f"{file}: has no variant {variant!r}")
     model = FleetModel.model_validate(point["world"])
     scenario = scenarios.draw_scenario(model, seed)
-    found = stage.play(model, scenario, out)
+    found = platform.play(model, scenario, out)
     (out / "accounts.json").write_bytes(orjson.dumps(found))
     for line in became(model, scenario, found):
         print(line)
@@ -212,7 +212,7 @@
 
     from pinspread.simulation import scenario as scenarios
     from pinspread.simulation.model import FleetModel
-    from pinspread.testbed import platform as stage
+    from pinspread.testbed import platform
 
     model = FleetModel.model_validate(
         {
@@ -231,7 +231,7 @@
         flush=True,
     )
     with tempfile.TemporaryDirectory() as folder:
-        found = stage.play(model, scenario, keep or folder)
+        found = platform.play(model, scenario, keep or folder)
     for line in became(model, scenario, found):
         print(line)
     raise typer.Exit(1 if found["broken"] else 0)
--- /dev/null
+++ b/pinspread/testbed/client_traffic.py
@@ -0,0 +1,130 @@
+"""Clients that submit a scenario's messages to real couriers, and come again as the model says."""
+
+from collections.abc import Sequence
+from typing import Any
+
+import anyio
+from anyio.abc import TaskGroup
+
+from pinspread.simulation.engine import MS, SECOND
+from pinspread.simulation.random_streams import whole
+from pinspread.testbed.clients import Client
+from pinspread.testbed.courier_process import CourierProcess
+from pinspread.testbed.platform_run import PlatformRun
+
+ANSWER_TIMEOUT_S = 0.4
+RETRY_INTERVAL_S = 0.2  # after a submission that no courier answered
+RETURNED = "returned"
+BODY = b"x" * 200
+CONNECTION_ERRORS = (
+    OSError,
+    TimeoutError,
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)
+
+
+class ClientTraffic:
+    """All clients of a run. Arrivals are open: a slow answer never delays a later message."""
+
+    def __init__(self, run: PlatformRun, couriers: Sequence[CourierProcess], tasks: TaskGroup) -> None:
+        self.run = run
+        self.couriers = couriers
+        self.tasks = tasks
+
+    async def submit_all(self) -> None:
+        """Submit each message at its time."""
+        for row, at_ns in enumerate(self.run.scenario.arrival_ns.tolist()):
+            wait_s = self.run.engine.seconds_until(at_ns)
+            if wait_s > 0:
+                await anyio.sleep(wait_s)
+            self.tasks.start_soon(self._submit, row)
+
+    def on_final(self, notification: dict[str, Any]) -> None:
+        """A courier notifies the clients of a final result."""
+        run = self.run
+        id_, state = notification["id"], notification["state"]
+        row = run.row(id_)
+        if run.finals.setdefault(id_, state) != state:
+            return
+        if run.delivered_ns[row] >= 0:
+            return
+        if state == RETURNED:
+            self.tasks.start_soon(self._submit_returned, row, notification.get("after_ms", 0))
+        else:
+            run.ended_ns[row] = run.engine.now
+
+    async def _submit(self, row: int) -> None:
+        """Submit a message until it is accepted, its time is up, or its client gives up."""
+        run = self.run
+        deadline_ns = run.clients.deadline_ns(row)
+        while True:
+            left_ns = deadline_ns - run.engine.now
+            if left_ns <= 0:
+                run.ended_ns[row] = run.engine.now
+                return
+            courier = self._courier(row)
+            answer = await self._enqueue(courier, row, left_ns // MS) if courier else ""
+            if answer.startswith("+"):
+                return
+            if not answer.startswith("-BUSY"):
+                run.unanswered += 1
+                await anyio.sleep(RETRY_INTERVAL_S)
+                continue
+            run.rejected += 1
+            words = answer.split()
+            if not await self._wait_to_come_again(row, int(words[1]) if len(words) > 1 else 0):
+                return
+
+    async def _submit_returned(self, row: int, retry_after_ms: int) -> None:
+        if await self._wait_to_come_again(row, retry_after_ms):
+            await self._submit(row)
+
+    async def _wait_to_come_again(self, row: int, retry_after_ms: int) -> bool:
+        """Wait as the message's client does; false where it does not come again."""
+        wait_ns = self.run.clients.again_ns(row, retry_after_ms * MS)
+        if wait_ns is None:
+            self.run.ended_ns[row] = self.run.engine.now
+            return False
+        await anyio.sleep(wait_ns / SECOND)
+        return True
+
+    def _courier(self, row: int) -> CourierProcess | None:
+        """The courier of a message's client, or the next one that is ready."""
+        chosen = self.run.clients.courier(row)
+        in_turn = [*self.couriers[chosen:], *self.couriers[:chosen]]
+        return next((courier for courier in in_turn if courier.ready), None)
+
+    def _message_id(self, row: int) -> str:
+        """An id for one submission of a message, which begins with its row."""
+        run = self.run
+        tries = int(run.clients.tries[row])
+        nonce = whole(run.scenario.seed, "id", row, run.unanswered) & 0xFFFFFF
+        return f"{row:08x}{tries:02x}{nonce:06x}"
+
+    def _options(self, row: int, left_ms: int) -> str:
+        model, scenario = self.run.model, self.run.scenario
+        class_name = model.classes[scenario.class_index[row]].name
+        tenant = model.teams[scenario.tenant_index[row]].name
+        return f"c={class_name},t={tenant},d={left_ms},k={row:016x},dest={int(scenario.destination[row])}"
+
+    async def _enqueue(self, courier: CourierProcess, row: int, left_ms: int) -> str:
+        """Submit a message once; the answer, empty if none came."""
+        run = self.run
+        id_ = self._message_id(row)
+        key = str(int(run.scenario.ordering_key[row]))
+        client = courier.idle_clients.pop() if courier.idle_clients else Client(courier.address, again=True)
+        run.accepted[id_] = row  # it may be accepted though the answer is lost
+        try:
+            with anyio.fail_after(ANSWER_TIMEOUT_S):
+                answer = await client.say("ENQUEUE", key, id_, self._options(row, left_ms), BODY)
+        except CONNECTION_ERRORS:
+            run.accepted.pop(id_, None)
+            if client.stream is not None:
+                await client.stream.aclose()
+            return ""
+        if not answer.startswith("+"):
+            run.accepted.pop(id_, None)
+        courier.idle_clients.append(client)
+        return answer
--- /dev/null
+++ b/pinspread/testbed/endpoint_stand_in.py
@@ -0,0 +1,230 @@
+"""Endpoints on real sockets: the simulation's decisions, with the network's delays as waits."""
+
+import asyncio
+import socket
+from collections.abc import Sequence
+from typing import NamedTuple
+
+import anyio
+
+from pinspread import sockets
+from pinspread.policy.events import Outcome
+from pinspread.simulation.destination import CRASHED, FALLEN, Endpoint
+from pinspread.simulation.engine import MS, SECOND
+from pinspread.testbed.loopback import until
+from pinspread.testbed.platform_run import PlatformRun
+from pinspread.testbed.stand_ins import Answer, HttpStandIn, ReceivedRequest, Response
+
+CALLER_CHECK_S = 0.05  # how soon it is seen that the caller of an unanswered call is gone
+DRAIN_GRACE_NS = 300 * MS  # 250 ms, and the 50 more that sockets get
+HEALTH_CHECK_WORK_NS = 5 * MS
+HEALTH_CHECK_CHANCES = (0.5, 0.5, 0.5, 0.5)
+FOREVER_S = 1e6
+LINGER_ZERO = b"\1\0\0\0\0\0\0\0"  # struct linger: on, 0 s; closing then resets the connection
+DOWN = (CRASHED, FALLEN)
+
+
+class IncomingCall:
+    """A call that has come to a stand-in: the simulation's `Call` on a socket.
+
+    Attributes:
+        row: The message's row in the scenario; None for a health check.
+        abandoned: Whether the caller is gone.
+        result: The outcome, with the Retry-After in nanoseconds.
+    """
+
+    def __init__(
+        self, run: PlatformRun, courier: int, row: int | None, work_ns: int, chance: Sequence[float]
+    ) -> None:
+        self.run = run
+        self.courier = courier
+        self.row = row
+        self.work_ns = work_ns
+        self.chance = chance
+        self.abandoned = False
+        self.result: asyncio.Future[tuple[Outcome, int]] = asyncio.get_running_loop().create_future()
+
+    def runs(self) -> None:
+        """The call takes effect."""
+        if self.row is not None:
+            self.run.effects[self.row] += 1
+            self.run.work_done_ns += self.work_ns
+
+    def answered(self, outcome: Outcome, retry_after_ns: int) -> None:
+        """The endpoint answers."""
+        if self.abandoned and outcome is Outcome.OK and self.row is not None:
+            self.run.unheard += 1
+        if not self.result.done():
+            self.result.set_result((outcome, retry_after_ns))
+
+    def broken(self) -> None:
+        """The connection is reset."""
+        if not self.result.done():
+            self.result.set_result((Outcome.RESET, 0))
+
+
+class _Work(NamedTuple):
+    """What a call asks of its endpoint.
+
+    Attributes:
+        row: The message's row in the scenario; None for a health check.
+        work_ns: How long the work takes at the usual pace.
+        chance: Uniform numbers: delays there and back, error, whether a Retry-After is given.
+    """
+
+    row: int | None
+    work_ns: int
+    chance: Sequence[float]
+
+
+class EndpointStandIn(HttpStandIn):
+    """One endpoint as one courier reaches it.
+
+    Attributes:
+        listening: The scope in which connections are accepted; None until then.
+        over_table: Open connections for which the endpoint's table had no room.
+    """
+
+    def __init__(self, run: PlatformRun, endpoint: Endpoint, courier: int) -> None:
+        super().__init__()
+        self.run_state = run
+        self.endpoint = endpoint
+        self.courier = courier
+        endpoint.pools.append(self)
+        self.address = run.addresses.endpoint(courier, endpoint.id)
+        self.listening: anyio.CancelScope | None = None
+        self.over_table: set[sockets.Connection] = set()
+
+    async def listen(self) -> None:
+        """Accept connections until cancelled; while the endpoint is down, its address refuses them."""
+        while True:
+            with anyio.CancelScope() as self.listening:
+                sock = sockets.listen(self.address)
+                try:
+                    await self.run(sock)
+                finally:
+                    sock.close()
+            await until(lambda: self.endpoint.state not in DOWN, FOREVER_S)
+
+    async def serve(self, connection: sockets.Connection) -> None:
+        """Serve a connection, unless the endpoint is down or its table is full."""
+        endpoint = self.endpoint
+        if endpoint.state in DOWN:
+            reset_connection(connection)
+            return
+        if endpoint.table and endpoint.connections >= endpoint.table:
+            self.over_table.add(connection)
+            try:
+                await super().serve(connection)
+            finally:
+                self.over_table.discard(connection)
+            return
+        endpoint.connections += 1
+        self.run_state.handshakes += 1
+        try:
+            await super().serve(connection)
+        finally:
+            endpoint.connections -= 1
+
+    def sweep(self) -> None:
+        """Close idle connections: nothing to do, as they end by themselves."""
+
+    def broken(self, reset: bool) -> None:
+        """The endpoint is gone: with a reset all its connections end."""
+        if not reset:
+            return
+        for connection in list(self.open):
+            reset_connection(connection)
+        if self.listening is not None:
+            self.listening.cancel()
+
+    def reply(self, request: ReceivedRequest, connection: sockets.Connection, first: bool) -> Answer:
+        """The simulation's answer, after the network's delays."""
+        return self._reply(request, connection, first)
+
+    async def _reply(self, request: ReceivedRequest, connection: sockets.Connection, first: bool) -> Response:
+        run, endpoint = self.run_state, self.endpoint
+        work = self._work(request)
+        delay_there_s, delay_back_s = self._delays_s(work)
+        await anyio.sleep(3 * delay_there_s if first else delay_there_s)  # the handshake goes there and back
+        if connection in self.over_table:
+            run.count_outcome(Outcome.OVERLOADED)
+            await anyio.sleep(delay_back_s)
+            return 503, [("Connection", "close")], b""
+        handshake_ns = int(run.model.network.handshake_ms * MS) if first else 0
+        call = IncomingCall(run, self.courier, work.row, work.work_ns, work.chance)
+        endpoint.destination.arrive(endpoint, call, work.work_ns + handshake_ns)
+        result = await self._result(call, connection)
+        if result is None:
+            return None
+        outcome, retry_after_ns = result
+        run.count_outcome(outcome)
+        if outcome is Outcome.RESET:
+            reset_connection(connection)
+            return None
+        await anyio.sleep(delay_back_s)
+        if outcome is Outcome.OK and work.row is not None:
+            if peer_closed(connection):
+                run.unheard += 1
+            else:
+                run.record_delivery(work.row, request.headers["request-id"])
+        return response_of(outcome, retry_after_ns)
+
+    def _work(self, request: ReceivedRequest) -> _Work:
+        if request.method != "POST":
+            return _Work(None, HEALTH_CHECK_WORK_NS, HEALTH_CHECK_CHANCES)
+        run, scenario = self.run_state, self.run_state.scenario
+        row = run.row(request.headers["request-id"])
+        drained_ns = run.draining_since.get((self.courier, self.endpoint.id))
+        if drained_ns is not None and run.engine.now > drained_ns + DRAIN_GRACE_NS:
+            run.calls_after_drain += 1
+        draw = int(run.attempts[row]) % scenario.chances.shape[1]
+        run.attempts[row] += 1
+        return _Work(row, int(scenario.work_ns[row, draw]), scenario.chances[row, draw])
+
+    def _delays_s(self, work: _Work) -> tuple[float, float]:
+        """The network's delays there and back, in seconds."""
+        run = self.run_state
+        delay_s = float(run.scenario.delay_ns[self.endpoint.destination.number - 1]) / SECOND
+        jitter = run.model.network.jitter
+        there, back = (delay_s * (1 + jitter * (2 * float(work.chance[n]) - 1)) for n in (0, 1))
+        return there, back
+
+    @staticmethod
+    async def _result(call: IncomingCall, connection: sockets.Connection) -> tuple[Outcome, int] | None:
+        """The result of a call; None once its caller is gone."""
+        # A silent endpoint never answers. Without the look at the connection, one whose caller has gone
+        # would stay in the endpoint's table for good.
+        while not (await asyncio.wait({call.result}, timeout=CALLER_CHECK_S))[0]:
+            if peer_closed(connection):
+                call.abandoned = True
+                return None
+        return call.result.result()
+
+
+def response_of(outcome: Outcome, retry_after_ns: int) -> Response:
+    """The response that tells a courier of an outcome."""
+    if outcome is Outcome.OK:
+        return 200, [], b""
+    if outcome is Outcome.ERROR:
+        return 500, [], b""
+    if retry_after_ns:
+        return 429, [("Retry-After", f"{retry_after_ns / SECOND:.3f}")], b""
+    return 503, [], b""
+
+
+def peer_closed(connection: sockets.Connection) -> bool:
+    """Whether the other side has closed the connection, or its process has ended."""
+    try:
+        return connection.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
+    except BlockingIOError:
+        return False
+    except OSError:
+        return True
+
+
+def reset_connection(connection: sockets.Connection) -> None:
+    """End a connection at once, with a reset."""
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
+    anyio.notify_closing(connection.sock)
+    connection.close()
--- /dev/null
+++ b/pinspread/testbed/platform_run.py
@@ -0,0 +1,127 @@
+"""What the parts of one run on the platform's stand-ins share, and what they count.
+
+`simulation.metrics` measures a run by these figures, so those that it reads have the names it reads them by.
+"""
+
+import os
+from itertools import count
+
+import numpy as np
+import numpy.typing as npt
+
+from pinspread.policy.events import Outcome
+from pinspread.simulation.clients import ClientBehavior
+from pinspread.simulation.destination import build_destinations
+from pinspread.simulation.model import FleetModel
+from pinspread.simulation.rules import RuleChecker
+from pinspread.simulation.scenario import Scenario
+from pinspread.simulation.simulate import policy_settings
+from pinspread.testbed.real_time import RealTimeEngine
+
+DELIVERED = "delivered"
+ROW_DIGITS = 8  # hexadecimal digits of a message id that are the message's row in the scenario
+COURIERS_PER_BLOCK = 16
+FIRST_PORT = 21_000
+FIRST_ENDPOINT_PORT = 21_010
+# Blocks of addresses, so that test beds side by side do not meet.
+_blocks = count(os.getpid() % 200 * 64)
+
+
+class LoopbackAddresses:
+    """The addresses of one test bed: each courier reaches every other party at a host of its own."""
+
+    def __init__(self) -> None:
+        self.block = next(_blocks)
+
+    def courier(self, courier: int) -> str:
+        """Where a courier listens."""
+        return f"{self._host(courier)}:{FIRST_PORT}"
+
+    def platform(self, courier: int) -> str:
+        """Where a courier reaches discovery and sends its notifications."""
+        return f"{self._host(courier)}:{FIRST_PORT + 1}"
+
+    def endpoint(self, courier: int, endpoint_id: int) -> str:
+        """Where a courier reaches an endpoint."""
+        return f"{self._host(courier)}:{FIRST_ENDPOINT_PORT + endpoint_id}"
+
+    def _host(self, courier: int) -> str:
+        place = self.block * COURIERS_PER_BLOCK + courier
+        return f"127.{10 + place // 62_500 % 200}.{place // 250 % 250}.{1 + place % 250}"
+
+
+class _OverloadsIgnored:
+    """Takes the place of the rule checker for destinations, whose overloads are judged after the run."""
+
+    @staticmethod
+    def fell(*what: object) -> None:
+        """Ignore a destination that was overloaded while it warmed up."""
+
+
+class PlatformRun:
+    """One run of a scenario: its parties, and what became of its messages.
+
+    Attributes:
+        delivered_ns: When each message was first delivered; -1 before.
+        ended_ns: When each message ended, delivered or not; -1 before.
+        effects: How often each message took effect.
+        attempts: How many attempts of each message reached an endpoint.
+        accepted: Ids that a courier may have accepted, with the message's row.
+        finals: How each id ended.
+        unheard: Calls that took effect, and whose courier was gone when they were answered.
+        calls_after_drain: Calls to an endpoint after the grace from its courier's notification.
+        draining_since: When a courier was notified that an endpoint drains or goes, by (courier, endpoint).
+        calls_at: When the couriers' attempts began; those of `retries_at` are not the first of their message.
+    """
+
+    def __init__(self, model: FleetModel, scenario: Scenario) -> None:
+        self.model = model
+        self.scenario = scenario
+        self.engine = RealTimeEngine()
+        self.addresses = LoopbackAddresses()
+        self.settings = policy_settings(model, scenario, {})
+        self.checker = RuleChecker(self.settings.classes, self.settings.max_attempts)
+        self.clients = ClientBehavior(model, scenario)
+        # Who knew of an outage is known from the couriers' logs alone, after the run: see `courier_logs`.
+        self.destinations, self.endpoints = build_destinations(
+            scenario, self.engine, model, _OverloadsIgnored
+        )
+        self.initial_endpoints = len(self.endpoints)
+        messages = len(scenario.arrival_ns)
+        self.delivered_ns: npt.NDArray[np.int64] = np.full(messages, -1, dtype=np.int64)
+        self.ended_ns: npt.NDArray[np.int64] = np.full(messages, -1, dtype=np.int64)
+        self.effects: npt.NDArray[np.int16] = np.zeros(messages, dtype=np.int16)
+        self.attempts: npt.NDArray[np.int16] = np.zeros(messages, dtype=np.int16)
+        self.rejected = self.unanswered = self.handshakes = self.probes = self.work_done_ns = 0
+        self.turns = 0
+        self.outcomes: dict[Outcome, int] = {}
+        self.calls_at: list[int] = []
+        self.retries_at: list[int] = []
+        self.accepted: dict[str, int] = {}
+        self.finals: dict[str, str] = {}
+        self.unheard = 0
+        self.calls_after_drain = 0
+        self.draining_since: dict[tuple[int, int], int] = {}
+
+    @property
+    def instances(self) -> list["PlatformRun"]:
+        """For `metrics`: one that holds what all couriers did."""
+        return [self]
+
+    def row(self, message_id: str) -> int:
+        """The row in the scenario of the message that was submitted under an id."""
+        return int(message_id[:ROW_DIGITS], 16)
+
+    def open_messages(self) -> set[str]:
+        """Ids that were accepted and have not ended."""
+        return self.accepted.keys() - self.finals.keys()
+
+    def count_outcome(self, outcome: Outcome) -> None:
+        """An endpoint answers a call."""
+        self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
+
+    def record_delivery(self, row: int, message_id: str) -> None:
+        """A message that was submitted under an id was delivered, and its courier is told so."""
+        if self.delivered_ns[row] < 0:
+            self.delivered_ns[row] = self.ended_ns[row] = self.engine.now
+        self.finals.setdefault(message_id, DELIVERED)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""The stage on loopback: real couriers, and the model's word beside what they do."""
+"""The platform's testbed on loopback: real couriers, and the model's figures beside theirs."""
 
 import os
 import subprocess
@@ -14,9 +14,14 @@
 from pinspread.simulation import simulate, trace
 from pinspread.simulation.destination import SILENT
 from pinspread.simulation.model import FleetModel
-from pinspread.testbed import platform as stage
+from pinspread.testbed import platform
 from pinspread.testbed.clients import Client
+from pinspread.testbed.courier_logs import ObservedFailure, check_overloads
+from pinspread.testbed.endpoint_stand_in import EndpointStandIn
 from pinspread.testbed.loopback import until
+from pinspread.testbed.platform_configuration import courier_configuration
+from pinspread.testbed.platform_run import PlatformRun
+from pinspread.testbed.platform_stand_in import PlatformStandIn
 
 ROOT = Path(__file__).parents[1]
 CALM = {"length_s": 5, "traffic": {"load": 0.5}, "network": {"silent_accepts": True}}
@@ -25,7 +30,7 @@
 def test_a_day_on_sockets_goes_as_the_model_says_and_its_logs_can_be_replayed(tmp_path):
     world = FleetModel.model_validate(CALM | {"couriers": {"count": 2}})
     drawn = scenarios.draw_scenario(world, 4)
-    found = stage.play(world, drawn, tmp_path)
+    found = platform.play(world, drawn, tmp_path)
     said = simulate.Simulation(world, drawn).run()
     assert not found["broken"] and found["lost"] == 0
     assert found["delivered"] == found["messages"] == said["messages"]
@@ -53,7 +58,7 @@
             ],
         }
     )
-    found = stage.play(world, scenarios.draw_scenario(world, 2), tmp_path)
+    found = platform.play(world, scenarios.draw_scenario(world, 2), tmp_path)
     assert not found["broken"] and found["lost"] == 0 and found["payments_twice"] == 0
     assert found["delivered"] > 0.8 * found["messages"]
 
@@ -69,11 +74,11 @@
 @pytest.mark.parametrize("weights", [0.0, 0.3])
 def test_couriers_on_sockets_are_told_what_the_models_are(weights, tmp_path):
     world = FleetModel.model_validate(CALM | {"partners": {"weights": weights}})
-    scene = stage.PlatformTestbed(world, scenarios.draw_scenario(world, 3), tmp_path)
-    scene.platforms.append(stage.PlatformStandIn(scene, 0))
-    told = orjson.loads(orjson.dumps(stage.configured(scene, 0, "127.0.0.1:1", str(tmp_path))))
-    assert settings.read(told, {}).policy_settings == scene.settings
-    assert scene.settings.weights_exact == (weights == 0)
+    run = PlatformRun(world, scenarios.draw_scenario(world, 3))
+    endpoints = PlatformStandIn(run, 0, lambda notification: None).endpoint_list()
+    told = orjson.loads(orjson.dumps(courier_configuration(run, 0, endpoints, str(tmp_path))))
+    assert settings.read(told, {}).policy_settings == run.settings
+    assert run.settings.weights_exact == (weights == 0)
 
 
 def test_a_client_dials_again_where_its_kept_connection_was_closed():
@@ -98,13 +103,13 @@
     anyio.run(scene)
 
 
-def test_a_silent_partner_does_not_keep_the_places_of_callers_that_are_gone(tmp_path):
+def test_a_silent_partner_does_not_keep_the_places_of_callers_that_are_gone():
     async def scene():
         world = FleetModel.model_validate(CALM)
-        play = stage.PlatformTestbed(world, scenarios.draw_scenario(world, 3), tmp_path)
-        endpoint = play.endpoints[1]
+        run = PlatformRun(world, scenarios.draw_scenario(world, 3))
+        endpoint = run.endpoints[1]
         endpoint.table = 2
-        hop = stage.EndpointStandIn(play, endpoint, 0)
+        hop = EndpointStandIn(run, endpoint, 0)
         host, port = hop.address.rsplit(":", 1)
         call = b"POST /x HTTP/1.1\r\nHost: p\r\nRequest-Id: 0000000000aaaaaa\r\nContent-Length: 0\r\n\r\n"
         async with anyio.create_task_group() as tasks:
@@ -125,10 +130,11 @@
 
 
 @pytest.mark.parametrize(("failed_at_s", "broken"), [(6.0, True), (1.0, False), (10.0, False)])
-def test_who_was_refused_a_connection_is_read_from_the_logs(failed_at_s, broken, tmp_path):
+def test_who_was_refused_a_connection_is_read_from_the_logs(failed_at_s, broken):
     world = FleetModel.model_validate(CALM)
-    play = stage.PlatformTestbed(world, scenarios.draw_scenario(world, 3), tmp_path)
+    run = PlatformRun(world, scenarios.draw_scenario(world, 3))
     # Down from 5 to 9 s, pushed over at 11 s; what failed after its return is no outage.
-    play.destinations[1].fallen.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
-    play._blame([(0, 1, int(failed_at_s * 1e9)), (1, 2, int(6e9))])
-    assert bool(play.checker.counts["cold"]) == broken
+    run.destinations[1].fallen.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
+    seen = [ObservedFailure(0, 1, int(failed_at_s * 1e9)), ObservedFailure(1, 2, int(6e9))]
+    check_overloads(run, seen)
+    assert bool(run.checker.counts["cold"]) == broken
--- a/tests/test_testbed_history.py
+++ b/tests/test_testbed_history.py
@@ -10,7 +10,10 @@
 from pinspread.__main__ import main
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation.model import FleetModel
-from pinspread.testbed import history_checker, lease_checker, picture, platform, processes
+from pinspread.testbed import history_checker, lease_checker, picture, processes
+from pinspread.testbed.platform_configuration import courier_configuration
+from pinspread.testbed.platform_run import PlatformRun
+from pinspread.testbed.platform_stand_in import PlatformStandIn
 
 ROOT = Path(__file__).parents[1]
 DATA = ROOT / "tests" / "data" / "testbed"
@@ -147,13 +150,12 @@
     assert found == recorded("members.json")
 
 
-def test_couriers_of_the_model_are_configured_as_recorded(tmp_path):
+def test_couriers_of_the_model_are_configured_as_recorded():
     model = FleetModel.model_validate({"length_s": 5, "traffic": {"load": 0.5}, "couriers": {"count": 2}})
-    testbed = platform.PlatformTestbed(model, scenarios.draw_scenario(model, 4), tmp_path)
-    testbed.platforms.extend(platform.PlatformStandIn(testbed, number) for number in range(2))
-    found = platform.configured(testbed, 1, testbed.address(1, 0), "STATE")
+    run = PlatformRun(model, scenarios.draw_scenario(model, 4))
+    endpoints = PlatformStandIn(run, 1, lambda notification: None).endpoint_list()
+    found = courier_configuration(run, 1, endpoints, "STATE")
     assert found.pop("seed")
-    first = testbed.address(0, 0).partition(":")[0]
-    own = testbed.address(1, 0).partition(":")[0]
+    first, own = (run.addresses.courier(number).partition(":")[0] for number in range(2))
     text = json.dumps(found).replace(own + ":", "OWN:").replace(first + ":", "FIRST:")
     assert json.loads(text) == recorded("courier.json")
