--- a/pinspread/config/summary.py
+++ b/pinspread/config/summary.py
@@ -4,10 +4,9 @@
 
 from pinspread.config.settings import EffectiveSettings
 from pinspread.core.messages import DeliveryRules
+from pinspread.core.time_units import NS_PER_MS
 from pinspread.policy.settings import Settings
 
-NS_PER_MS = 1_000_000
-
 
 def summary(effective: EffectiveSettings) -> Iterator[str]:
     """The lines, for whoever checks a deployment before it is served."""
--- a/pinspread/membership/message_codec.py
+++ b/pinspread/membership/message_codec.py
@@ -4,9 +4,19 @@
 from typing import Any
 
 from pinspread.membership import codec
-from pinspread.membership.codec import DatagramError, is_of_type
+from pinspread.membership.codec import DatagramError, is_address, is_of_type
 from pinspread.membership.members import MemberState
-from pinspread.membership.messages import Ack, Leave, Message, Nack, Ping, PingRequest, Sync, Update
+from pinspread.membership.messages import (
+    Ack,
+    Leave,
+    Message,
+    MessageHeader,
+    Nack,
+    Ping,
+    PingRequest,
+    Sync,
+    Update,
+)
 
 _PING = "ping"
 _ACK = "ack"
@@ -22,6 +32,7 @@
     _PING_REQUEST: {"seq": int, "to": str, "to_at": str},
     _SYNC: {"table": list, "reply": bool},
 }
+_ADDRESS_FIELDS = {"from_at", "to_at"}
 _STATES = frozenset(state.value for state in MemberState)
 _TABLE_COLUMNS = 4  # id, address, incarnation, state
 _UPDATE_COLUMNS = 5  # and who reported it
@@ -86,24 +97,24 @@
         DatagramError: It is not well-formed; the text says why.
     """
     _check(fields)
-    common = {
+    header: MessageHeader = {
         "sender": fields["from"],
         "sender_address": fields["from_at"],
         "incarnation": fields["inc"],
-        "updates": tuple(_update(row, row[4]) for row in fields["up"]),
+        "updates": tuple(_update(row, row[_TABLE_COLUMNS]) for row in fields["up"]),
     }
     kind = fields["t"]
     if kind == _PING:
-        return Ping(**common, sequence=fields["seq"], target=fields["to"])
+        return Ping(**header, sequence=fields["seq"], target=fields["to"])
     if kind == _ACK:
-        return Ack(**common, sequence=fields["seq"])
+        return Ack(**header, sequence=fields["seq"])
     if kind == _NACK:
-        return Nack(**common, sequence=fields["seq"])
+        return Nack(**header, sequence=fields["seq"])
     if kind == _PING_REQUEST:
         target, address = fields["to"], fields["to_at"]
-        return PingRequest(**common, sequence=fields["seq"], target=target, target_address=address)
+        return PingRequest(**header, sequence=fields["seq"], target=target, target_address=address)
     table = tuple(_update(row, fields["from"]) for row in fields["table"])
-    return Sync(**common, table=table, reply=fields["reply"])
+    return Sync(**header, table=table, reply=fields["reply"])
 
 
 def _update(row: Sequence[Any], reported_by: str) -> Update:
@@ -115,7 +126,11 @@
     kind = fields.get("t")
     if not isinstance(kind, str) or kind not in _FIELDS:
         raise DatagramError(f"kind {kind!r}")
-    codec.require_fields(fields, _COMMON_FIELDS | _FIELDS[kind])
+    required = _COMMON_FIELDS | _FIELDS[kind]
+    codec.require_fields(fields, required)
+    for name in _ADDRESS_FIELDS & required.keys():
+        if not is_address(fields[name]):
+            raise DatagramError(f"{kind}: field {name!r} is no address")
     if fields["inc"] < 0 or not all(_is_row(row, _UPDATE_COLUMNS) for row in fields["up"]):
         raise DatagramError(f"{kind}: an update is not well-formed")
     if kind == _SYNC and not all(_is_row(row, _TABLE_COLUMNS) for row in fields["table"]):
@@ -129,7 +144,8 @@
     id_, address, incarnation, state = row[:_TABLE_COLUMNS]
     return (
         is_of_type(id_, str)
-        and is_of_type(address, str)
+        and isinstance(address, str)
+        and is_address(address)
         and is_of_type(incarnation, int)
         and incarnation >= 0
         and isinstance(state, str)
--- a/pinspread/replication/recovery.py
+++ b/pinspread/replication/recovery.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class ReleasedWork:
-    """What of this node's work others owe by now.
+    """The part of this node's work that others have taken over.
 
     Attributes:
         ids: Of the messages.
@@ -82,7 +82,7 @@
     # --- at a start ---------------------------------------------------------------------------------
 
     async def recover(self) -> None:
-        """Hold the lease of the own work, and have its journal as the replicas have it if that is newer.
+        """Acquire the lease of this node's work, and replace its journal by a replica that is newer.
 
         Raises:
             OSError: The journal cannot be read or written.
@@ -114,20 +114,23 @@
         return token
 
     def _may_go_by(self, found: "Snapshots", token: int) -> bool:
-        """Return whether nothing that was promised is missing.
+        """Return whether nothing that was promised is missing, and it is known what others have taken over.
 
         Without its own journal, what this node promised may be on a replica that does not answer yet. Only a
         node that is granted its lease for the first time has promised nothing before.
         """
-        if self._read_local_journal().is_intact or is_first_token(token):
+        if is_first_token(token):
             return True
+        if self._read_local_journal().is_intact:
+            own_generation = GenerationFile(self._engine.journal.path).read()
+            return self._survey.knows_takeovers(token, found, own_generation)
         return self._survey.is_complete(self._node.id, found)
 
     def _read_local_journal(self) -> LocalJournal:
         return LocalJournal.read(self._engine.journal.path)
 
     def restore(self, found: "Snapshots", released: ReleasedWork) -> None:
-        """Replace the journal's file by a newer replica, and drop from it what others owe by now."""
+        """Replace the journal's file by a newer replica, and drop from it what others have taken over."""
         newest = snapshots.newest_of(found.values())
         local = self._read_local_journal()
         if newest and self._is_newer(newest, local):
@@ -162,7 +165,7 @@
     # --- after the lease was lost -------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Confirm each new token of the own work's lease, until cancelled."""
+        """Confirm each new token of this node's work lease, until cancelled."""
         while True:
             await anyio.sleep(CONFIRM_INTERVAL_S)
             token = self._node.ownership.local_token()
@@ -173,6 +176,9 @@
     async def _confirm(self, token: int) -> None:
         """Give up what others took over meanwhile, then let the engine promise again."""
         found = await self._survey.fetch(self._node.id, token)
+        # Who comes back from the minority side may still take all others for dead, and have asked nobody.
+        if not self._survey.knows_takeovers(token, found, self._primary.log.generation):
+            return
         released = await self._released_work(found)
         if not released.complete or self._node.ownership.local_token() != token:
             return
--- a/pinspread/replication/snapshots.py
+++ b/pinspread/replication/snapshots.py
@@ -15,8 +15,8 @@
 
     Attributes:
         generation: Of the data; 0 if the node holds nothing.
-        data: The newest whole generation.
-        replicas: The nodes that the owner replicates to, as it last told this one.
+        data: The newest complete generation.
+        replicas: The nodes that the owner replicates to, as it last announced to this one.
         takeover_candidates: Nodes that have begun to take the owner's work over.
         takeover_token: The token under which the work was taken over for good; 0 if it was not.
     """
@@ -52,7 +52,7 @@
 
 
 def replica_sets(snapshots: Snapshots) -> list[list[str]]:
-    """Return the owner's replicas as each holder of the newest generation was told."""
+    """Return the owner's replicas as announced to each node that holds the newest generation."""
     newest = newest_of(snapshots.values())
     if newest is None:
         return []
@@ -69,18 +69,48 @@
 
     Args:
         answered: The nodes that answered, those that hold nothing among them.
-        chosen: The owner's replicas as each holder was told, which differ while the owner changes them.
+        chosen: The owner's replicas as announced to each of them, which differ while the owner changes them.
         replica_count: How many replicas the owner wants.
         required_acks: How many it waits for.
     """
     return bool(chosen) and all(
-        len(set(answered) & set(replicas)) >= max(1, min(replica_count, len(replicas)) - required_acks + 1)
+        len(set(answered) & set(replicas)) >= _covering_count(len(replicas), replica_count, required_acks)
         for replicas in chosen
     )
 
 
+def covers_takeovers(found: Snapshots, own_generation: int, replica_count: int, required_acks: int) -> bool:
+    """Return whether a takeover of the owner's work must be known to one of the nodes that answered it.
+
+    A successor has asked as many replicas as `covers_promises` wants, and each of them remembers it. So one
+    of them is among the others and one more. Where the owner has rewritten its journal since, those that
+    store the older generation may be replicas no longer, and all that they name have to answer.
+
+    Args:
+        found: The answers that the owner has got.
+        own_generation: The owner's own.
+        replica_count: How many replicas the owner wants.
+        required_acks: How many it waits for.
+    """
+    newest = newest_of(found.values())
+    if newest is None:
+        return False
+    is_current = newest.generation >= own_generation
+    for replicas in replica_sets(found):
+        covering = _covering_count(len(replicas), replica_count, required_acks)
+        needed = len(replicas) - covering + 1 if is_current else len(replicas)
+        if len(found.keys() & set(replicas)) < needed:
+            return False
+    return True
+
+
+def _covering_count(chosen_count: int, replica_count: int, required_acks: int) -> int:
+    """Return how many of the chosen replicas have one that holds any one promise among them."""
+    return max(1, min(replica_count, chosen_count) - required_acks + 1)
+
+
 def without_torn_tails(snapshots: Snapshots) -> dict[str, ReplicaSnapshot]:
-    """Return the snapshots, the data of each up to its last whole record."""
+    """Return the snapshots, the data of each up to its last complete record."""
     return {
         node_id: replace(snapshot, data=snapshot.data[: complete_length(snapshot.data)])
         for node_id, snapshot in snapshots.items()
--- a/pinspread/testbed/client_traffic.py
+++ b/pinspread/testbed/client_traffic.py
@@ -7,7 +7,7 @@
 from anyio.abc import TaskGroup
 
 from pinspread.simulation.engine import MS, SECOND
-from pinspread.simulation.random_streams import whole
+from pinspread.simulation.random_streams import random_seed
 from pinspread.testbed.clients import Client
 from pinspread.testbed.courier_process import CourierProcess
 from pinspread.testbed.platform_run import PlatformRun
@@ -100,7 +100,7 @@
         """An id for one submission of a message, which begins with its row."""
         run = self.run
         tries = int(run.clients.tries[row])
-        nonce = whole(run.scenario.seed, "id", row, run.unanswered) & 0xFFFFFF
+        nonce = random_seed(run.scenario.seed, "id", row, run.unanswered) & 0xFFFFFF
         return f"{row:08x}{tries:02x}{nonce:06x}"
 
     def _options(self, row: int, left_ms: int) -> str:
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -1,8 +1,8 @@
 """Plays a scenario of the simulation on real sockets, with real couriers among stand-ins.
 
-What destinations decide (limits, queues, outages, warming up) is the simulation's `destination.Destination` on
-a real clock; the network's delays are waits. Couriers are real processes, started and killed as the scenario
-says, and each reaches every other party at addresses of its own.
+What destinations decide (limits, queues, outages, warming up) is the simulation's `destination.Destination`
+on a real clock; the network's delays are waits. Couriers are real processes, started and killed as the
+scenario says, and each reaches every other party at addresses of its own.
 """
 
 import tempfile
@@ -98,7 +98,7 @@
         lost = len(run.open_messages())
         violations = {"final": lost, "drain": run.calls_after_drain}
         read_logs(run, [(courier.number, courier.log_path) for courier in self.couriers])
-        measured: dict[str, Any] = metrics.of(run, {rule: n for rule, n in violations.items() if n})
+        measured: dict[str, Any] = metrics.measure(run, {rule: n for rule, n in violations.items() if n})
         return measured | {
             "lost": lost,
             "taken": len(run.accepted),
--- a/pinspread/testbed/platform_configuration.py
+++ b/pinspread/testbed/platform_configuration.py
@@ -6,7 +6,7 @@
 from pinspread.policy.settings import Settings
 from pinspread.simulation.engine import SECOND
 from pinspread.simulation.model import FleetModel, TrafficClassModel
-from pinspread.simulation.random_streams import whole
+from pinspread.simulation.random_streams import random_seed
 from pinspread.testbed.platform_run import PlatformRun
 
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3}
@@ -28,7 +28,7 @@
         "listen": run.addresses.courier(number),
         "discovery": run.addresses.platform(number),
         "state": state,
-        "seed": f"{whole(run.scenario.seed, 'module', number, time.time_ns()):x}",
+        "seed": f"{random_seed(run.scenario.seed, 'module', number, time.time_ns()):x}",
         "limits": dict(LIMITS),
         "known": endpoints,
         "settings": _settings(run.model, run.settings),
--- a/pinspread/testbed/platform_faults.py
+++ b/pinspread/testbed/platform_faults.py
@@ -7,7 +7,7 @@
 
 from pinspread.simulation.destination import CRASHED, Endpoint
 from pinspread.simulation.engine import SECOND
-from pinspread.simulation.random_streams import stream
+from pinspread.simulation.random_streams import random_stream
 from pinspread.simulation.scenario import ScheduledFault
 from pinspread.simulation.simulate import REPLACED_NS, STATE_OF
 from pinspread.testbed.courier_process import CourierProcess
@@ -36,7 +36,7 @@
         low, high = run.model.network.list_late_s
         count = run.model.couriers.count
         # How late each courier hears of a change of the endpoint list.
-        self.lag_s: list[float] = stream(run.scenario.seed, "lag").uniform(low, high, count).tolist()
+        self.lag_s: list[float] = random_stream(run.scenario.seed, "lag").uniform(low, high, count).tolist()
 
     def start(self) -> None:
         """Schedule all faults."""
