--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -16,14 +16,14 @@
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import trace
 from pinspread.simulation.fit import IN_A_ROW
-from pinspread.simulation.simulate import STATE_OF
+from pinspread.simulation.simulate import OUTAGE_STATES
 
 KEY = b"a key that hides nothing"
 
 
 def outages(drawn, number):
     """The true outages of a partner: (kind, from, until), in seconds."""
-    struck = [t for t in drawn.faults if t.kind in STATE_OF and number in t.targets]
+    struck = [t for t in drawn.faults if t.kind in OUTAGE_STATES and number in t.targets]
     return [(t.kind, t.at_ns / 1e9, t.until_ns / 1e9) for t in struck]
 
 
--- a/pinspread/simulation/instance.py
+++ b/pinspread/simulation/instance.py
@@ -55,17 +55,17 @@
         self.endpoint = endpoint
         self.idle = []
         self.out = {}  # calls on connections
-        endpoint.pools.append(self)
+        endpoint.connection_owners.append(self)
 
     def take(self):
         """A kept connection, or false."""
-        self.sweep()
+        self.close_expired()
         if self.idle:
             self.idle.pop()
             return True
         return False
 
-    def sweep(self):
+    def close_expired(self):
         """Close those idle for too long."""
         least = self.courier.engine.now - self.courier.keepalive_ns
         while self.idle and self.idle[0] <= least:
@@ -76,24 +76,24 @@
         self.endpoint.connections -= len(self.idle)
         self.idle.clear()
 
-    def broken(self, reset):
+    def connection_lost(self, reset):
         """The other side is gone: with a reset all are closed at once, else they stay, silent."""
         if not reset:
             return
         self.close_idle()
         for call in list(self.out):
-            call.broken()
+            call.reset()
 
 
 class Call:
     """One branch, or a probe."""
 
-    __slots__ = ("attempt", "chance", "courier", "endpoint", "held", "home", "life", "over", "sent_ns",
+    __slots__ = ("attempt", "draws", "instance", "endpoint", "held", "home", "life", "over", "sent_ns",
                  "started_ns", "timeout_ns", "turned_away", "fresh", "work_ns")  # fmt: skip
 
     def __init__(self, home, held, endpoint, timeout_ns):
         self.home = home
-        self.courier = home.number
+        self.instance = home.number
         self.held = held
         self.endpoint = endpoint
         self.started_ns = home.engine.now
@@ -105,24 +105,24 @@
         self.turned_away = False  # on one that is closed after a 503, since the endpoint has too many
         self.attempt = 0
 
-    def runs(self):
+    def work_started(self):
         """The endpoint begins to work on it: from here on it takes effect."""
         if self.held is not None:
             self.home.fleet.effect(self)
 
-    def answered(self, verdict, wait_ns):
+    def respond(self, verdict, wait_ns):
         """The endpoint answers; the answer takes its way back."""
         home = self.home
-        chance = self.chance
+        chance = self.draws
         delay = home.delay(self.endpoint, chance[1])
         if self.held is not None and home.lost_share and chance[2] < home.lost_share:
             return
         home.engine.after(delay, home.ended, self, verdict, wait_ns)
 
-    def broken(self):
+    def reset(self):
         """The connection is reset."""
         self.home.engine.after(
-            self.home.delay(self.endpoint, self.chance[1]), self.home.ended, self, Outcome.RESET, 0
+            self.home.delay(self.endpoint, self.draws[1]), self.home.ended, self, Outcome.RESET, 0
         )
 
 
@@ -199,7 +199,7 @@
                 self.fleet.checker.cut(self.number, call.held.number, call.sent_ns)
         for pool in self.pools.values():
             pool.endpoint.connections -= len(pool.idle) + len(pool.out)
-            pool.endpoint.pools.remove(pool)
+            pool.endpoint.connection_owners.remove(pool)
         self.pools.clear()
         self.calls.clear()
         self.inbox.clear()
@@ -313,7 +313,7 @@
         call = Call(self, held, endpoint, action.timeout_ns)
         call.attempt = held.attempts
         draw = int(self.fleet.written[held.row]) % ATTEMPT_DRAWS
-        call.chance = self.fleet.scenario.chances[held.row, draw]
+        call.draws = self.fleet.scenario.chances[held.row, draw]
         call.work_ns = int(self.fleet.scenario.work_ns[held.row, draw])
         held.attempts += 1
         self.calls[held.number, call.attempt] = call
@@ -338,7 +338,7 @@
 
     def _dial(self, call, pool):
         found = call.endpoint.destination.dial(call.endpoint)
-        there_and_back = 2 * self.delay(call.endpoint, call.chance[0])
+        there_and_back = 2 * self.delay(call.endpoint, call.draws[0])
         if found == "up":
             self.handshakes += 1
             call.fresh = True
@@ -377,17 +377,17 @@
         if held is not None:
             held.live = call
             self.fleet.written[held.row] += 1
-        if self.reset_share and not call.fresh and call.chance[2] > 1 - self.reset_share:
-            call.broken()
+        if self.reset_share and not call.fresh and call.draws[2] > 1 - self.reset_share:
+            call.reset()
             return
         work = call.work_ns + self.handshake_ns if call.fresh else call.work_ns
-        self.engine.after(self.delay(call.endpoint, call.chance[0]), self._arrive, call, work)
+        self.engine.after(self.delay(call.endpoint, call.draws[0]), self._arrive, call, work)
 
     def _arrive(self, call, work_ns):
         if call.over and not call.sent_ns:
             return
         if call.turned_away:
-            call.answered(Outcome.OVERLOADED, 0)
+            call.respond(Outcome.OVERLOADED, 0)
         else:
             call.endpoint.destination.arrive(call.endpoint, call, work_ns)
 
@@ -446,7 +446,7 @@
         self.probes += 1
         self.fleet.checker.probed(self.number, now, id_, endpoint.destination.number)
         call = Call(self, None, endpoint, PROBE_NS)
-        call.chance = PROBE_CHANCE
+        call.draws = PROBE_CHANCE
         call.work_ns = PROBE_WORK_NS
         self.engine.after(PROBE_NS, self._timed_out, call)
         pool = self._pool(endpoint)
--- a/pinspread/simulation/metrics.py
+++ b/pinspread/simulation/metrics.py
@@ -93,7 +93,7 @@
     wasted = max(0.0, fleet.work_done_ns - useful)
     handshakes = sum(c.handshakes for c in fleet.instances)
     probes = sum(c.probes for c in fleet.instances)
-    refused = sum(p.refused_limit for p in fleet.destinations.values())
+    refused = sum(p.rejected_over_limit for p in fleet.destinations.values())
     deductions = {
         "late_failures": LATE * float(late.sum()) / n,
         "waste": WASTE * min(wasted / asked_work, 2.0),
@@ -139,7 +139,7 @@
         "unanswered": fleet.unanswered,
         "handshakes": handshakes,
         "probes": probes,
-        "refused": sum(p.refused for p in fleet.destinations.values()),
+        "refused": sum(p.rejected for p in fleet.destinations.values()),
         "refused_limit": refused,
         "falls": sum(p.falls for p in fleet.destinations.values()),
         "verdicts": {Outcome(v).name.lower(): c for v, c in sorted(fleet.outcomes.items())},
--- a/pinspread/simulation/rules.py
+++ b/pinspread/simulation/rules.py
@@ -164,7 +164,7 @@
             entry.ended = True
             self._in_time(courier, now, request, entry)
 
-    def fell(self, dest, now, informed, all_):
+    def destination_collapsed(self, dest, now, informed, all_):
         """A cold partner was pushed over."""
         if informed >= BLAMED * all_:
             self.broke(
--- a/pinspread/simulation/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -5,10 +5,9 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointEntry, EndpointState, UpdateScope
 from pinspread.policy.settings import DestinationKind, Idempotency, Settings, Tenant, TrafficClass
-from pinspread.simulation import destination as partner
 from pinspread.simulation import metrics as accounts
 from pinspread.simulation.clients import ClientBehavior
-from pinspread.simulation.destination import Endpoint, build_destinations
+from pinspread.simulation.destination import Endpoint, ServingState, build_destinations
 from pinspread.simulation.engine import SECOND, Engine
 from pinspread.simulation.instance import Instance
 from pinspread.simulation.random_streams import random_seed, random_stream
@@ -17,11 +16,11 @@
 from pinspread.simulation.variants import SETTINGS_KEYS
 
 AFTER_NS = 30 * SECOND  # a day runs on so long for what is owed, unless all is over before
-STATE_OF = {
-    "crash": partner.CRASHED,
-    "silent": partner.SILENT,
-    "errors": partner.ERRORS,
-    "shut": partner.SHUT,
+OUTAGE_STATES = {
+    "crash": ServingState.CRASHED,
+    "silent": ServingState.SILENT,
+    "errors": ServingState.FAILING,
+    "shut": ServingState.REJECTING,
 }
 REPLACED_NS = 3 * SECOND  # a replaced endpoint goes so long after its successor came
 NEW_ID = 1_000_000
@@ -162,11 +161,11 @@
 
     def _plan(self, t):
         engine = self.engine
-        if t.kind in STATE_OF:
+        if t.kind in OUTAGE_STATES:
             for number in t.targets:
                 one = self.destinations[number]
-                engine.at(t.at_ns, one.start_outage, STATE_OF[t.kind], t.until_ns, t.size, t.leaves_cold)
-                engine.at(t.until_ns, one.restore)
+                engine.at(t.at_ns, one.start_outage, OUTAGE_STATES[t.kind], t.until_ns, t.size, t.leaves_cold)
+                engine.at(t.until_ns, one.end_outage)
         elif t.kind in ("restart", "kill"):
             for number, at in t.restarts(len(self.instances)):
                 engine.at(at, self._restart, self.instances[number], t.kind, t.down_ns)
@@ -207,7 +206,7 @@
             self.engine.at(until_ns, self._list, endpoint, EndpointState.READY)
             return
         owner = endpoint.destination
-        new = Endpoint(NEW_ID + id_, owner, endpoint.cores, endpoint.queue_room, endpoint.table)
+        new = Endpoint(NEW_ID + id_, owner, endpoint.cores, endpoint.queue_limit, endpoint.connection_limit)
         new.state = endpoint.state
         owner.endpoints.append(new)
         self.endpoints[new.id] = new
@@ -218,8 +217,8 @@
     def _go(self, endpoint):
         self._list(endpoint, EndpointState.REMOVED)
         endpoint.destination.endpoints.remove(endpoint)
-        endpoint.state = partner.CRASHED
-        endpoint.destination.lose(endpoint, reset=True)
+        endpoint.state = ServingState.CRASHED
+        endpoint.destination.discard_work(endpoint, reset=True)
 
     def _list(self, endpoint, state):
         entry = self.entries[endpoint.id] = self._entry(endpoint, state)
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -25,12 +25,12 @@
 from pinspread.policy.events import Outcome
 from pinspread.simulation import metrics as accounts
 from pinspread.simulation.clients import ClientBehavior
-from pinspread.simulation.destination import CRASHED, FALLEN, Endpoint, build_destinations
+from pinspread.simulation.destination import Endpoint, ServingState, build_destinations
 from pinspread.simulation.engine import SECOND
 from pinspread.simulation.random_streams import random_seed, random_stream
 from pinspread.simulation.recorded_events import recorded
 from pinspread.simulation.rules import RuleChecker
-from pinspread.simulation.simulate import REPLACED_NS, STATE_OF, policy_settings
+from pinspread.simulation.simulate import OUTAGE_STATES, REPLACED_NS, policy_settings
 from pinspread.testbed.stand_ins import Client, HttpStandIn, until
 
 CLIENT_WAITS_S = 0.4
@@ -64,25 +64,25 @@
     """A call that has come to a stand-in: the model's `Call` on a socket."""
 
     def __init__(self, stage, courier, row, work_ns, chance):
-        self.stage, self.courier, self.row = stage, courier, row
-        self.work_ns, self.chance = work_ns, chance
+        self.stage, self.instance, self.row = stage, courier, row
+        self.work_ns, self.draws = work_ns, chance
         self.alone = False  # the caller is gone
         self.reply = asyncio.get_running_loop().create_future()
 
-    def runs(self):
+    def work_started(self):
         """It takes effect."""
         if self.row is not None:
             self.stage.effects[self.row] += 1
             self.stage.work_done_ns += self.work_ns
 
-    def answered(self, verdict, wait_ns):
+    def respond(self, verdict, wait_ns):
         """The partner answers."""
         if self.alone and verdict is Outcome.OK and self.row is not None:
             self.stage.unheard += 1
         if not self.reply.done():
             self.reply.set_result((verdict, wait_ns))
 
-    def broken(self):
+    def reset(self):
         """The connection is reset."""
         if not self.reply.done():
             self.reply.set_result((Outcome.RESET, 0))
@@ -92,7 +92,7 @@
     """Takes a partner's falls and says nothing of them."""
 
     @staticmethod
-    def fell(*what):
+    def destination_collapsed(*what):
         """Judged later."""
 
 
@@ -102,7 +102,7 @@
     def __init__(self, stage, endpoint, courier):
         super().__init__()
         self.stage, self.endpoint, self.courier = stage, endpoint, courier
-        endpoint.pools.append(self)
+        endpoint.connection_owners.append(self)
         self.address = stage.address(courier, 10 + endpoint.id)
         self.listening = None
         self.turned_away = set()  # connections too many for the endpoint's table
@@ -116,15 +116,17 @@
                     await self.run(sock)
                 finally:
                     sock.close()
-            await until(lambda: self.endpoint.state not in (CRASHED, FALLEN), 1e6)
+            await until(
+                lambda: self.endpoint.state not in (ServingState.CRASHED, ServingState.COLLAPSED), 1e6
+            )
 
     async def serve(self, connection):
         """A connection, unless the endpoint is down or its table is full."""
         endpoint = self.endpoint
-        if endpoint.state in (CRASHED, FALLEN):
+        if endpoint.state in (ServingState.CRASHED, ServingState.COLLAPSED):
             reset(connection)
             return
-        if endpoint.table and endpoint.connections >= endpoint.table:
+        if endpoint.connection_limit and endpoint.connections >= endpoint.connection_limit:
             self.turned_away.add(connection)
             try:
                 await super().serve(connection)
@@ -138,10 +140,10 @@
         finally:
             endpoint.connections -= 1
 
-    def sweep(self):
+    def close_expired(self):
         """Nothing to do: idle connections end by themselves."""
 
-    def broken(self, reset_all):
+    def connection_lost(self, reset_all):
         """The endpoint is gone: with a reset all connections end."""
         if reset_all:
             for connection in list(self.open):
@@ -453,9 +455,11 @@
     def _blame(self, failed):
         """Rule `cold` from the logs: who was refused a connection is known to nobody else."""
         for one in self.destinations.values():
-            for now, from_ns, until_ns, pushed in one.fallen:
+            for now, from_ns, until_ns, pushed in one.collapses:
                 knew = {c for c, number, at in failed if number == one.number and from_ns <= at < until_ns}
-                self.checker.fell(one.number, now, sum(c in knew for c in pushed), len(pushed))
+                self.checker.destination_collapsed(
+                    one.number, now, sum(c in knew for c in pushed), len(pushed)
+                )
 
     def _listen(self, closing, stand_in, address):
         sock = sockets.listen(address)
@@ -464,13 +468,13 @@
 
     def _plan(self):
         for t in self.scenario.faults:
-            if t.kind in STATE_OF:
+            if t.kind in OUTAGE_STATES:
                 for number in t.targets:
                     one = self.destinations[number]
                     self.engine.at(
-                        t.at_ns, one.start_outage, STATE_OF[t.kind], t.until_ns, t.size, t.leaves_cold
+                        t.at_ns, one.start_outage, OUTAGE_STATES[t.kind], t.until_ns, t.size, t.leaves_cold
                     )
-                    self.engine.at(t.until_ns, one.restore)
+                    self.engine.at(t.until_ns, one.end_outage)
             elif t.kind in ("restart", "kill"):
                 for number, at in t.restarts(len(self.processes)):
                     self.tasks.start_soon(self._restart, self.processes[number], at, t.kind, t.down_ns)
@@ -487,8 +491,8 @@
                 len(self.endpoints) + 1,
                 endpoint.destination,
                 endpoint.cores,
-                endpoint.queue_room,
-                endpoint.table,
+                endpoint.queue_limit,
+                endpoint.connection_limit,
             )
             new.state = endpoint.state
             endpoint.destination.endpoints.append(new)
@@ -504,9 +508,9 @@
         await anyio.sleep(REPLACED_NS / SECOND)
         self._tell(endpoint, "gone")
         endpoint.destination.endpoints.remove(endpoint)
-        endpoint.state = CRASHED
-        for hop in endpoint.pools:
-            hop.broken(True)
+        endpoint.state = ServingState.CRASHED
+        for hop in endpoint.connection_owners:
+            hop.connection_lost(True)
 
     def _tell(self, endpoint, health):
         for platform, lag in zip(self.platforms, self.lag_s, strict=True):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,7 @@
 from pinspread.simulation import compare, experiment, fit, paper, runs, simulate, trace, variants
 from pinspread.simulation import metrics as accounts
 from pinspread.simulation import scenario as scenarios
-from pinspread.simulation.destination import CRASHED, SHUT, UP, Destination
+from pinspread.simulation.destination import Destination, ServingState
 from pinspread.simulation.engine import MS, SECOND, Engine, SimulationStalledError
 from pinspread.simulation.model import FleetModel
 from pinspread.simulation.rules import RULES, RuleChecker
@@ -118,15 +118,15 @@
 
 class Caller:
     def __init__(self, courier=0, chance=(0.5, 0.5, 0.5, 0.5)):
-        self.courier, self.chance, self.got, self.ran = courier, chance, [], False
+        self.instance, self.draws, self.got, self.ran = courier, chance, [], False
 
-    def runs(self):
+    def work_started(self):
         self.ran = True
 
-    def answered(self, verdict, wait_ns):
+    def respond(self, verdict, wait_ns):
         self.got.append((verdict, wait_ns))
 
-    def broken(self):
+    def reset(self):
         self.got.append((Outcome.RESET, 0))
 
 
@@ -162,7 +162,7 @@
     for call in calls:
         one.arrive(endpoint, call, MS)
     assert [c.got for c in calls[2:]] == [[(Outcome.OVERLOADED, 800 * MS)]] * 2
-    assert one.span_count == (4 if counts else 2)
+    assert one.window_calls == (4 if counts else 2)
     engine.run(SECOND)
     late = Caller()
     one.arrive(endpoint, late, MS)
@@ -172,49 +172,49 @@
 
 def test_a_partner_comes_back_at_a_fifth_is_warm_in_9_s_and_falls_when_pushed():
     engine, one, endpoint = partner(per_s=4.0)
-    one.start_outage(1, 0)
+    one.start_outage(ServingState.CRASHED, 0)
     one.record_failure(7)
-    one.restore()
-    assert one.ability() == pytest.approx(0.2)
+    one.end_outage()
+    assert one.capacity_fraction() == pytest.approx(0.2)
     engine.run(4500 * MS)
-    assert one.ability() == pytest.approx(0.6)
-    one.start_outage(1, engine.now)
+    assert one.capacity_fraction() == pytest.approx(0.6)
+    one.start_outage(ServingState.CRASHED, engine.now)
     one.record_failure(7)
-    one.restore()  # cold anew
+    one.end_outage()  # cold anew
     for _ in range(12):
         one.arrive(endpoint, Caller(courier=7), MS)
-    assert one.falls == 1 and one.watch.counts["cold"] == 1
-    assert endpoint.state != UP
+    assert one.falls == 1 and one.observer.counts["cold"] == 1
+    assert endpoint.state is not ServingState.UP
 
 
 def test_an_outage_that_ends_inside_another_does_not_bring_the_partner_back():
     engine, one, endpoint = partner()
-    one.start_outage(CRASHED, 4 * SECOND)
+    one.start_outage(ServingState.CRASHED, 4 * SECOND)
     one.record_failure(7)
     engine.run(2 * SECOND)
-    one.start_outage(SHUT, 9 * SECOND)
+    one.start_outage(ServingState.REJECTING, 9 * SECOND)
     engine.run(4 * SECOND)
-    one.restore()
-    assert endpoint.state == SHUT and one.informed == {7}
+    one.end_outage()
+    assert endpoint.state is ServingState.REJECTING and one.informed_instances == {7}
     engine.run(9 * SECOND)
-    one.restore()
-    assert endpoint.state == UP and one.ability() == pytest.approx(0.2)
+    one.end_outage()
+    assert endpoint.state is ServingState.UP and one.capacity_fraction() == pytest.approx(0.2)
 
 
 def test_who_did_not_know_is_not_blamed_for_a_fall():
     engine, one, endpoint = partner(per_s=4.0)
-    one.start_outage(1, 0)
-    one.restore()
+    one.start_outage(ServingState.CRASHED, 0)
+    one.end_outage()
     for _ in range(12):
         one.arrive(endpoint, Caller(courier=7), MS)
-    assert one.falls == 1 and one.watch.counts["cold"] == 0
+    assert one.falls == 1 and one.observer.counts["cold"] == 0
 
 
 def test_what_was_in_work_is_lost_with_the_process_and_never_answered_as_done():
     engine, one, endpoint = partner()
     call = Caller()
     one.arrive(endpoint, call, 100 * MS)
-    one.start_outage(1, 0)
+    one.start_outage(ServingState.CRASHED, 0)
     engine.run(SECOND)
     assert call.got == []
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -12,7 +12,7 @@
 from pinspread.config import settings
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate, trace
-from pinspread.simulation.destination import SILENT
+from pinspread.simulation.destination import ServingState
 from pinspread.simulation.model import FleetModel
 from pinspread.testbed import platform as stage
 from pinspread.testbed.stand_ins import Client, until
@@ -102,14 +102,14 @@
         world = FleetModel.model_validate(CALM)
         play = stage.PlatformTestbed(world, scenarios.draw_scenario(world, 3), tmp_path)
         endpoint = play.endpoints[1]
-        endpoint.table = 2
+        endpoint.connection_limit = 2
         hop = stage.EndpointStandIn(play, endpoint, 0)
         host, port = hop.address.rsplit(":", 1)
         call = b"POST /x HTTP/1.1\r\nHost: p\r\nRequest-Id: 0000000000aaaaaa\r\nContent-Length: 0\r\n\r\n"
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(hop.listen)
             await until(lambda: hop.listening is not None)
-            endpoint.state = SILENT
+            endpoint.state = ServingState.SILENT
             callers = [await anyio.connect_tcp(host, int(port)) for _ in range(3)]
             for caller in callers:
                 await caller.send(call)
@@ -128,6 +128,6 @@
     world = FleetModel.model_validate(CALM)
     play = stage.PlatformTestbed(world, scenarios.draw_scenario(world, 3), tmp_path)
     # Down from 5 to 9 s, pushed over at 11 s; what failed after its return is no outage.
-    play.destinations[1].fallen.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
+    play.destinations[1].collapses.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
     play._blame([(0, 1, int(failed_at_s * 1e9)), (1, 2, int(6e9))])
     assert bool(play.checker.counts["cold"]) == broken
