--- a/pinspread/testbed/platform_faults.py
+++ b/pinspread/testbed/platform_faults.py
@@ -5,11 +5,11 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from pinspread.simulation.destination import CRASHED, Endpoint
+from pinspread.simulation.destination import Endpoint, ServingState
 from pinspread.simulation.engine import SECOND
 from pinspread.simulation.random_streams import random_stream
 from pinspread.simulation.scenario import ScheduledFault
-from pinspread.simulation.simulate import REPLACED_NS, STATE_OF
+from pinspread.simulation.simulate import OUTAGE_STATES, REPLACED_NS
 from pinspread.testbed.courier_process import CourierProcess
 from pinspread.testbed.endpoint_stand_in import EndpointStandIn
 from pinspread.testbed.platform_run import PlatformRun
@@ -41,7 +41,7 @@
     def start(self) -> None:
         """Schedule all faults."""
         for fault in self.run.scenario.faults:
-            if fault.kind in STATE_OF:
+            if fault.kind in OUTAGE_STATES:
                 self._schedule_outages(fault)
             elif fault.kind in RESTARTS:
                 for number, at_ns in fault.restarts(len(self.couriers)):
@@ -53,10 +53,10 @@
     def _schedule_outages(self, fault: ScheduledFault) -> None:
         for number in fault.targets:
             destination = self.run.destinations[number]
-            state = STATE_OF[fault.kind]
+            state = OUTAGE_STATES[fault.kind]
             outage = (state, fault.until_ns, fault.size, fault.leaves_cold)
             self.run.engine.at(fault.at_ns, destination.start_outage, *outage)
-            self.run.engine.at(fault.until_ns, destination.restore)
+            self.run.engine.at(fault.until_ns, destination.end_outage)
 
     async def _restart(self, courier: CourierProcess, at_ns: int, fault: ScheduledFault) -> None:
         await anyio.sleep(self.run.engine.seconds_until(at_ns))
@@ -75,15 +75,15 @@
         await anyio.sleep(REPLACED_NS / SECOND)
         self._notify(endpoint, GONE)
         endpoint.destination.endpoints.remove(endpoint)
-        endpoint.state = CRASHED
-        for stand_in in endpoint.pools:
-            stand_in.broken(True)
+        endpoint.state = ServingState.CRASHED
+        for stand_in in endpoint.connection_owners:
+            stand_in.connection_lost(True)
 
     def _add_successor(self, endpoint: Endpoint) -> Endpoint:
         """Add an endpoint like another one, in the state that one is in."""
         new_id = len(self.run.endpoints) + 1
         successor = Endpoint(
-            new_id, endpoint.destination, endpoint.cores, endpoint.queue_room, endpoint.table
+            new_id, endpoint.destination, endpoint.cores, endpoint.queue_limit, endpoint.connection_limit
         )
         successor.state = endpoint.state
         endpoint.destination.endpoints.append(successor)
