--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -529,26 +529,41 @@
 
     async def _hand_in(self, row):
         deadline = self.habits.deadline_ns(row)
+        process = None  # the courier that was asked and has not answered
         while True:
             left = deadline - self.engine.now
             if left <= 0:
                 self.ended_ns[row] = self.engine.now
                 return
-            chosen = self.habits.courier(row)
-            ready = [self.processes[(chosen + s) % len(self.processes)] for s in range(len(self.processes))]
-            process = next((p for p in ready if p.ready), None)
-            said = await self._say(process, row, left // 1_000_000) if process else ""
+            # Danger: it may have been taken on though the answer is lost. Under another id, or at another
+            # courier, it would be another message, and a payment would run twice by its client's fault.
+            process = process or self._ready_process(row)
+            id_ = self._id(row)
+            if id_ in self.finals:
+                return  # it was taken on, and its end came before the answer
+            said = await self._say(process, row, id_, left // 1_000_000) if process and process.ready else ""
             if said.startswith("+"):
                 return
             if not said.startswith("-BUSY"):
                 self.unanswered += 1
                 await anyio.sleep(0.2)
                 continue
+            process = None
             self.busy += 1
             words = said.split()
             if not await self._again(row, int(words[1]) if len(words) > 1 else 0):
                 return
 
+    def _ready_process(self, row):
+        """The first courier that is ready, from the client's own on; none if none is."""
+        chosen = self.habits.courier(row)
+        ready = [self.processes[(chosen + s) % len(self.processes)] for s in range(len(self.processes))]
+        return next((p for p in ready if p.ready), None)
+
+    def _id(self, row):
+        """The message's id; it has another each time that it comes again after a busy answer or a return."""
+        return f"{row:08x}{int(self.habits.tries[row]):02x}{whole(self.day.seed, 'id', row) & 0xFFFFFF:06x}"
+
     async def _again(self, row, told_ms):
         """Wait as this client's habits say; false where it does not come again."""
         wait = self.habits.again_ns(row, told_ms * 1_000_000)
@@ -558,9 +573,8 @@
         await anyio.sleep(wait / SECOND)
         return True
 
-    async def _say(self, process, row, left_ms):
+    async def _say(self, process, row, id_, left_ms):
         day, world = self.day, self.world
-        id_ = f"{row:08x}{int(self.habits.tries[row]):02x}{whole(day.seed, 'id', row, self.unanswered) & 0xFFFFFF:06x}"
         cls, team = world.classes[day.cls[row]].name, world.teams[day.team[row]].name
         options = f"c={cls},t={team},d={left_ms},k={row:016x},dest={int(day.dest[row])}"
         client = process.clients.pop() if process.clients else Client(process.address, again=True)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -4,6 +4,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from types import SimpleNamespace
 
 import anyio
 import orjson
@@ -97,6 +98,42 @@
     anyio.run(scene)
 
 
+@pytest.mark.parametrize("ends_unheard", [False, True])
+def test_a_client_without_an_answer_hands_in_under_the_same_id_at_the_same_courier(ends_unheard, tmp_path):
+    heard = []  # (courier, id)
+
+    async def scene():
+        world = World.model_validate(CALM)
+        play = stage.Stage(world, day.draw(world, 3), tmp_path)
+
+        def courier(number):
+            async def answer(stream):
+                async with stream:
+                    heard.append((number, (await stream.receive()).split(b"\r\n")[6].decode()))
+                    if len(heard) > 1:
+                        await stream.send(b"+OK\r\n")
+                    elif ends_unheard:
+                        play.notice({"id": heard[0][1], "state": "failed"})
+                    await anyio.sleep(1)
+
+            return answer
+
+        async with anyio.create_task_group() as tasks:
+            for number in range(2):
+                listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
+                tasks.start_soon(listener.serve, courier(number))
+                port = listener.extra(anyio.abc.SocketAttribute.local_port)
+                there = SimpleNamespace(address=f"127.0.0.1:{port}", ready=True, clients=[])
+                play.processes.append(there)
+            play.habits.courier = lambda row: len(heard) % 2  # another one each time, were it asked again
+            await play._hand_in(0)
+            tasks.cancel_scope.cancel()
+        assert play.unanswered == 1
+
+    anyio.run(scene)
+    assert heard == heard[:1] * (1 if ends_unheard else 2)
+
+
 def test_a_silent_partner_does_not_keep_the_places_of_callers_that_are_gone(tmp_path):
     async def scene():
         world = World.model_validate(CALM)
