--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -4,6 +4,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from types import SimpleNamespace
 
 import anyio
 import orjson
@@ -15,6 +16,7 @@
 from pinspread.simulation.destination import ServingState
 from pinspread.simulation.model import FleetModel
 from pinspread.testbed import platform
+from pinspread.testbed.client_traffic import ClientTraffic
 from pinspread.testbed.clients import Client
 from pinspread.testbed.courier_logs import ObservedFailure, check_overloads
 from pinspread.testbed.endpoint_stand_in import EndpointStandIn
@@ -103,6 +105,43 @@
     anyio.run(scene)
 
 
+@pytest.mark.parametrize("ends_unheard", [False, True])
+def test_a_client_without_an_answer_submits_under_the_same_id_at_the_same_courier(ends_unheard):
+    heard = []  # (courier, id)
+
+    async def scene():
+        world = FleetModel.model_validate(CALM)
+        run = PlatformRun(world, scenarios.draw_scenario(world, 3))
+
+        def courier(number):
+            async def answer(stream):
+                async with stream:
+                    heard.append((number, (await stream.receive()).split(b"\r\n")[6].decode()))
+                    if len(heard) > 1:
+                        await stream.send(b"+OK\r\n")
+                    elif ends_unheard:
+                        clients.on_final({"id": heard[0][1], "state": "failed"})
+                    await anyio.sleep(1)
+
+            return answer
+
+        async with anyio.create_task_group() as tasks:
+            couriers = []
+            clients = ClientTraffic(run, couriers, tasks)
+            for number in range(2):
+                listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
+                tasks.start_soon(listener.serve, courier(number))
+                port = listener.extra(anyio.abc.SocketAttribute.local_port)
+                couriers.append(SimpleNamespace(address=f"127.0.0.1:{port}", ready=True, idle_clients=[]))
+            run.clients.courier = lambda row: len(heard) % 2  # another one each time, were it asked again
+            await clients._submit(0)
+            tasks.cancel_scope.cancel()
+        assert run.unanswered == 1
+
+    anyio.run(scene)
+    assert heard == heard[:1] * (1 if ends_unheard else 2)
+
+
 def test_a_silent_partner_does_not_keep_the_places_of_callers_that_are_gone():
     async def scene():
         world = FleetModel.model_validate(CALM)
