--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -13,9 +13,9 @@
 import numpy as np
 from replays import SCENARIOS, place_of, world
 
-from pinspread.simulation import scenario as day
+from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import trace
-from pinspread.simulation.fit import IN_A_ROW
+from pinspread.simulation.fit import MIN_FAILURES
 from pinspread.simulation.simulate import STATE_OF
 
 KEY = b"a key that hides nothing"
@@ -23,17 +23,19 @@
 
 def outages(drawn, number):
     """The true outages of a partner: (kind, from, until), in seconds."""
-    struck = [t for t in drawn.troubles if t.kind in STATE_OF and number in t.targets]
+    struck = [t for t in drawn.faults if t.kind in STATE_OF and number in t.targets]
     return [(t.kind, t.at_ns / 1e9, t.until_ns / 1e9) for t in struck]
 
 
 def compare(drawn, recorded, seen, near_s):
     """Add one day's differences to `seen`; an outage is found if both its edges are within `near_s`."""
-    shift = float(np.median(np.array(recorded["arrivals"]["at_us"]) / 1e6) - np.median(drawn.at_ns / 1e9))
-    specs = {spec.number: spec for spec in drawn.partners}
+    shift = float(
+        np.median(np.array(recorded["arrivals"]["at_us"]) / 1e6) - np.median(drawn.arrival_ns / 1e9)
+    )
+    specs = {spec.number: spec for spec in drawn.destinations}
     for fit in recorded["fits"]:
         spec = specs[fit["dest"]]
-        if spec.span_ns and fit["refused"] >= IN_A_ROW:
+        if spec.span_ns and fit["refused"] >= MIN_FAILURES:
             true = spec.limit / (spec.span_ns / 1e9)
             if fit["limit_per_s"]:
                 seen["limit"].append(fit["limit_per_s"] / true - 1)
@@ -41,7 +43,7 @@
                 seen["limit missed"].append(true)
         elif not spec.span_ns and fit["limit_per_s"]:
             seen["limit made up"].append(fit["limit_per_s"])
-        rows = np.flatnonzero(drawn.dest == spec.number)
+        rows = np.flatnonzero(drawn.destination == spec.number)
         if fit["latency"]["distance"] is not None:
             alone = (
                 drawn.work_ns[rows, 0].mean() * spec.pace / 1e6 + 2 * drawn.delay_ns[spec.number - 1] / 1e6
@@ -51,13 +53,13 @@
         found = [(o["kind"], o["from_us"] / 1e6 - shift, o["until_us"] / 1e6 - shift) for o in fit["outages"]]
         for kind, low, high in outages(drawn, spec.number):
             near = [f for f in found if abs(f[1] - low) < near_s and abs(f[2] - high) < near_s]
-            calls = ((drawn.at_ns[rows] / 1e9 > low) & (drawn.at_ns[rows] / 1e9 < high)).sum()
+            calls = ((drawn.arrival_ns[rows] / 1e9 > low) & (drawn.arrival_ns[rows] / 1e9 < high)).sum()
             if near:
                 found.remove(near[0])
                 seen[f"{kind}: found"].append(near[0][0] == kind)
                 seen["edges"] += [abs(near[0][1] - low), abs(near[0][2] - high)]
             else:
-                seen[f"{kind}: missed" + (" (under three messages)" if calls < IN_A_ROW else "")].append(
+                seen[f"{kind}: missed" + (" (under three messages)" if calls < MIN_FAILURES else "")].append(
                     calls
                 )
         seen["outages made up"] += found
@@ -76,9 +78,9 @@
         if not files:
             continue
         days += 1
-        drawn = day.draw(world((name, tables, seed)), seed + chosen.shift)
+        drawn = scenarios.draw_scenario(world((name, tables, seed)), seed + chosen.shift)
         logs = [(file.name, file.read_bytes().splitlines()) for file in files]
-        compare(drawn, trace.record(logs, KEY), seen, chosen.near)
+        compare(drawn, trace.record_trace(logs, KEY), seen, chosen.near)
     print(f"{days} days")
     for name in sorted(seen):
         values = seen[name]
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 
 from pinspread.admin import status_client as show
-from pinspread.leases import model_checker as modelcheck
+from pinspread.leases.lease_model import Bounds
+from pinspread.leases.model_checker import explore
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed import lease_checker as judge_leases
 from pinspread.testbed import processes as cast
@@ -58,7 +59,7 @@
 async def contend(folder, seconds, seed=1):
     """Play for so long; the history's lines."""
     rng = random.Random(seed)
-    stage = cast.Stage(SCENE, folder)
+    stage = cast.ClusterTestbed(SCENE, folder)
     for n, rate in enumerate((1.0, 1.04, 0.96, 1.03, 0.97, 1.0, 1.04)):  # 0.12 s in a lease of 3 s at most
         stage.cast[n].clock_rate = rate
     try:
@@ -108,7 +109,7 @@
 
 async def cost(folder):
     """Messages of a calm fleet of three voters in 20 s, by kind, and the changes of leases that they carried."""
-    stage = cast.Stage(SCENE | {"members": 3}, folder)
+    stage = cast.ClusterTestbed(SCENE | {"members": 3}, folder)
     told = []
     try:
         await stage.begin()
@@ -128,7 +129,7 @@
 
 
 def check(depth):
-    found = modelcheck.explore(modelcheck.Bounds(depth=depth, states=20_000_000, seconds=600))
+    found = explore(Bounds(depth=depth, states=20_000_000, seconds=600))
     print(f"exhaustive, depth {depth}:", {k: v for k, v in found._asdict().items() if k != "steps"})
     return not found.violation
 
--- a/pinspread/resp/commands.py
+++ b/pinspread/resp/commands.py
@@ -6,6 +6,7 @@
 from pinspread.core.log import log
 from pinspread.core.message_fields import InvalidFieldError
 from pinspread.core.messages import Message
+from pinspread.core.time_units import US_PER_MS
 from pinspread.errors import RejectedError
 from pinspread.resp import replies
 from pinspread.resp.parser import CommandError, EnqueueRequest, ProtocolError, parse, parse_enqueue
@@ -112,7 +113,7 @@
                 destination=options.destination,
                 key=request.key,
                 idempotency_key=options.idempotency_key,
-                deadline_unix_us=engine.clock.unix(engine.clock.now()) + options.deadline_ms * 1000,
+                deadline_unix_us=engine.clock.unix(engine.clock.now()) + options.deadline_ms * US_PER_MS,
                 body=bytes(request.body),
                 front=NAME,
             )
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -27,7 +27,7 @@
     from pinspread.simulation import experiment
 
     try:
-        found = experiment.load(str(file))
+        found = experiment.load_experiment(str(file))
     except experiment.ExperimentError as error:
         fail(error)
     print(f"{file}: no problems; {len(found.points)} points, {len(found.seeds)} seeds")
@@ -43,7 +43,7 @@
 
     if not any(folder.glob("*.log")):
         fail(f"{folder}: no *.log there")
-    print(counter.text(counter.Losses(folder), partner or ()))
+    print(counter.format_report(counter.LossReport(folder), partner or ()))
 
 
 @app.command()
@@ -59,11 +59,11 @@
     from pinspread.simulation import report as writer
 
     try:
-        found = runs.run(experiment.load(str(file)), str(out), processes, quiet)
+        found = runs.run_experiment(experiment.load_experiment(str(file)), str(out), processes, quiet)
     except (experiment.ExperimentError, trace.TraceError) as error:
         fail(error)
     if report:
-        print(writer.write(found, str(out)))
+        print(writer.write_report(found, str(out)))
     for point in found.get("points", []):
         services = [r["service"] for r in point["runs"]]
         broken = sum(bool(r["broken"]) for r in point["runs"])
@@ -82,22 +82,22 @@
 ):
     """Play one day of an experiment on real sockets, with real couriers among stand-ins."""
     from pinspread.simulation import experiment
-    from pinspread.simulation import scenario as day
-    from pinspread.simulation.model import World
-    from pinspread.testbed import platform as stage
+    from pinspread.simulation import scenario as scenarios
+    from pinspread.simulation.model import FleetModel
+    from pinspread.testbed import platform
 
     try:
-        points = experiment.load(str(file)).points
+        points = experiment.load_experiment(str(file)).points
     except experiment.ExperimentError as error:
         fail(error)
     point = next((p for p in points if variant in ("", p["variant"])), None)
     if point is None:
         fail(f"{file}: has no variant {variant!r}")
-    world = World.model_validate(point["world"])
-    drawn = day.draw(world, seed)
-    found = stage.play(world, drawn, out)
+    model = FleetModel.model_validate(point["world"])
+    scenario = scenarios.draw_scenario(model, seed)
+    found = platform.play(model, scenario, out)
     (out / "accounts.json").write_bytes(orjson.dumps(found))
-    for line in became(world, drawn, found):
+    for line in became(model, scenario, found):
         print(line)
     raise typer.Exit(1 if found["broken"] else 0)
 
@@ -116,8 +116,8 @@
     left, right = point_of(a), point_of(b)
     if left["seeds"] != right["seeds"]:
         fail(f"{a} and {b}: the days differ: other seeds")
-    found = judge.compare(left, right)
-    print(orjson.dumps(found).decode() if as_json else judge.table(found))
+    found = judge.compare_variants(left, right)
+    print(orjson.dumps(found).decode() if as_json else judge.format_comparison(found))
 
 
 def point_of(text):
@@ -140,7 +140,7 @@
     from pinspread.simulation import report as writer
 
     try:
-        print(writer.write(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
+        print(writer.write_report(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
     except (OSError, orjson.JSONDecodeError) as error:
         fail(f"{folder}/result.json: {error}")
 
@@ -159,8 +159,10 @@
     from pinspread.simulation import trace
 
     try:
-        found = trace.record([(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip())
-        trace.write(found, str(out))
+        found = trace.record_trace(
+            [(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip()
+        )
+        trace.write_trace(found, str(out))
     except OSError as error:
         fail(error)
     except trace.TraceError as error:
@@ -174,7 +176,7 @@
     from pinspread.simulation import trace
 
     try:
-        show(trace.read(str(file)), file)
+        show(trace.read_trace(str(file)), file)
     except trace.TraceError as error:
         fail(error)
 
@@ -210,11 +212,11 @@
     """A real courier, three stand-in partners of which one goes down, and traffic; prints what became of it."""
     import tempfile
 
-    from pinspread.simulation import scenario as day
-    from pinspread.simulation.model import World
-    from pinspread.testbed import platform as stage
+    from pinspread.simulation import scenario as scenarios
+    from pinspread.simulation.model import FleetModel
+    from pinspread.testbed import platform
 
-    world = World.model_validate(
+    model = FleetModel.model_validate(
         {
             "length_s": seconds,
             "traffic": {"rate_per_s": 12.0, "load": 0.4},
@@ -223,28 +225,28 @@
             "trouble": [{"kind": "crash", "at_s": seconds * 0.3, "length_s": seconds * 0.25, "share": 0.4}],
         }
     )
-    drawn = day.draw(world, 7)
-    down = drawn.troubles[0]
+    scenario = scenarios.draw_scenario(model, 7)
+    down = scenario.faults[0]
     print(
-        f"one courier, three partners, {len(drawn.at_ns)} messages in {seconds:g} s; partner {down.targets[0]}"
+        f"one courier, three partners, {len(scenario.arrival_ns)} messages in {seconds:g} s; partner {down.targets[0]}"
         f" refuses connections from {down.at_ns / 1e9:.1f} to {down.until_ns / 1e9:.1f} s",
         flush=True,
     )
     with tempfile.TemporaryDirectory() as folder:
-        found = stage.play(world, drawn, keep or folder)
-    for line in became(world, drawn, found):
+        found = platform.play(model, scenario, keep or folder)
+    for line in became(model, scenario, found):
         print(line)
     raise typer.Exit(1 if found["broken"] else 0)
 
 
-def became(world, drawn, found):
+def became(model, scenario, found):
     """What became of a play, in a few lines."""
     yield f"{'class':16} {'messages':>8} {'delivered':>9} {'p50 ms':>7} {'p99 ms':>7}"
-    for n, one in enumerate(world.classes):
+    for n, one in enumerate(model.classes):
         spread = found["latency"][one.name]
         ms = spread["ms"]
         yield (
-            f"{one.name:16} {int((drawn.cls == n).sum()):8} {spread['count']:9}"
+            f"{one.name:16} {int((scenario.class_index == n).sum()):8} {spread['count']:9}"
             f" {ms.get('50', 0):7.0f} {ms.get('99', 0):7.0f}"
         )
     yield (
@@ -268,7 +270,7 @@
         scene = cast.load(str(file))
         print(f"playing {file}: {scene['members']} members for {scene['seconds']} s ...", flush=True)
         found = cast.play(scene, out)
-    except (cast.SceneError, ValueError) as error:
+    except (cast.ScenarioError, ValueError) as error:
         fail(error)
     for verdict in found:
         shown = {k: v for k, v in verdict.items() if k not in ("ok", "kind", "faults", "each_s")}
@@ -292,6 +294,6 @@
 
     try:
         scene = cast.load(str(file))
-    except cast.SceneError as error:
+    except cast.ScenarioError as error:
         fail(error)
     print(f"{file}: no problems; {scene['members']} members, {len(scene.get('at', []))} faults")
--- a/tests/test_replication_stage.py
+++ b/tests/test_replication_stage.py
@@ -7,7 +7,7 @@
 
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed import processes as cast
-from pinspread.testbed.stand_ins import until
+from pinspread.testbed.loopback import until
 
 pytestmark = pytest.mark.stage
 # The last message's time is up before a scene ends: what is then neither delivered nor told is lost.
@@ -154,7 +154,7 @@
     scene = {"members": 4, "late": late, "seconds": 0, "tuning": FAST, "leases": LEASES, "copies": {}}
 
     async def until_sigterm():
-        stage = cast.Stage(scene, tmp_path)
+        stage = cast.ClusterTestbed(scene, tmp_path)
 
         def has_logged(event):
             return any(li["who"] == "m3" and li.get("event") == event for li in stage.history.lines)
