--- a/pinspread/admin/status_client.py
+++ b/pinspread/admin/status_client.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from pinspread.core.clock import US_PER_S
+from pinspread.core.time_units import US_PER_S
 from pinspread.sockets import split_address
 
 REQUEST_TIMEOUT_S = 5.0
--- a/pinspread/amqp/broker_connection.py
+++ b/pinspread/amqp/broker_connection.py
@@ -10,9 +10,10 @@
 from pinspread.amqp.frame_stream import FrameStream
 from pinspread.amqp.frames import FRAME_MAX, PROTOCOL_HEADER, Payload, marshal_content
 from pinspread.amqp.pending_confirm import PendingConfirm
-from pinspread.core.clock import US_PER_MS, Clock
+from pinspread.core.clock import Clock
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
+from pinspread.core.time_units import US_PER_MS
 from pinspread.policy.events import Outcome
 from pinspread.sockets import Connection
 
--- a/pinspread/amqp/frame_stream.py
+++ b/pinspread/amqp/frame_stream.py
@@ -5,7 +5,8 @@
 
 from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.amqp.frames import FRAME_MAX, PROTOCOL_HEADER, ParsedFrame, Payload, parse_frame
-from pinspread.core.clock import US_PER_S, Clock
+from pinspread.core.clock import Clock
+from pinspread.core.time_units import US_PER_S
 from pinspread.sockets import Connection, ReadBuffer
 
 MISSED_HEARTBEATS = 2  # intervals of silence after which the other side counts as gone
--- a/pinspread/amqp/publishing.py
+++ b/pinspread/amqp/publishing.py
@@ -11,7 +11,6 @@
 from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.amqp.frame_writer import FrameWriter
 from pinspread.core import message_fields
-from pinspread.core.clock import NS_PER_MS, US_PER_MS
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
 from pinspread.core.message_fields import (
@@ -23,6 +22,7 @@
     parse_number,
 )
 from pinspread.core.messages import Message
+from pinspread.core.time_units import NS_PER_MS, US_PER_MS
 from pinspread.errors import RejectedError
 
 FRONT_NAME = "amqp"  # in the journal and the log
--- a/pinspread/amqp/transport.py
+++ b/pinspread/amqp/transport.py
@@ -13,8 +13,9 @@
 from pinspread.amqp.broker_connection import BrokerConnection, blocked_result
 from pinspread.amqp.errors import AmqpError
 from pinspread.amqp.pending_confirm import PendingConfirm
-from pinspread.core.clock import US_PER_S, Clock
+from pinspread.core.clock import Clock
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
+from pinspread.core.time_units import US_PER_S
 from pinspread.policy.events import Outcome
 from pinspread.sockets import dial
 
--- a/pinspread/config/settings.py
+++ b/pinspread/config/settings.py
@@ -12,8 +12,8 @@
 import orjson
 
 from pinspread.config.policy_settings import flatten, read_settings
-from pinspread.core.clock import NS_PER_MS, NS_PER_US
 from pinspread.core.messages import DeliveryRules
+from pinspread.core.time_units import NS_PER_MS, NS_PER_US
 from pinspread.errors import PinspreadError
 from pinspread.policy.settings import Settings
 
--- a/pinspread/config/summary.py
+++ b/pinspread/config/summary.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator
 
 from pinspread.config.settings import EffectiveSettings
-from pinspread.core.clock import NS_PER_MS
 from pinspread.core.messages import DeliveryRules
+from pinspread.core.time_units import NS_PER_MS
 from pinspread.policy.settings import Settings
 
 
--- a/pinspread/core/acceptance.py
+++ b/pinspread/core/acceptance.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Collection, Iterable
 
-from pinspread.core.clock import NS_PER_US, US_PER_MS
 from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
 from pinspread.core.log import log
 from pinspread.core.messages import FinalResult, FinalState, Message
 from pinspread.core.notifications import Notifications
+from pinspread.core.time_units import NS_PER_US, US_PER_MS
 from pinspread.errors import JournalFullError, RejectedError
 from pinspread.policy.events import ClientCancelled, MessageAccepted
 
--- a/pinspread/core/attempts.py
+++ b/pinspread/core/attempts.py
@@ -5,12 +5,12 @@
 import anyio
 
 from pinspread.core.bundling import group_into_calls
-from pinspread.core.clock import NS_PER_US
 from pinspread.core.context import POLL_S, EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
 from pinspread.core.log import log
 from pinspread.core.messages import NEVER_RAN, Attempt, AttemptResult, Endpoint, FinalResult, FinalState
 from pinspread.core.notifications import Notifications
+from pinspread.core.time_units import NS_PER_US
 from pinspread.core.write_check import WriteCheck
 from pinspread.errors import JournalFullError
 from pinspread.policy.actions import Send
--- a/pinspread/core/clock.py
+++ b/pinspread/core/clock.py
@@ -3,11 +3,7 @@
 import asyncio
 import time
 
-US_PER_MS = 1_000
-US_PER_S = 1_000_000
-NS_PER_US = 1_000
-NS_PER_MS = 1_000_000
-NS_PER_S = 1_000_000_000
+from pinspread.core.time_units import NS_PER_US
 
 
 class Clock:
--- a/pinspread/core/context.py
+++ b/pinspread/core/context.py
@@ -6,12 +6,13 @@
 
 from anyio.abc import TaskGroup
 
-from pinspread.core.clock import US_PER_S, Clock
+from pinspread.core.clock import Clock
 from pinspread.core.event_queue import EventQueue
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
 from pinspread.core.message_table import MessageTable
 from pinspread.core.ports import EngineSettings, Front, ReplicationService, Successor, Transport
+from pinspread.core.time_units import US_PER_S
 from pinspread.errors import JournalFullError
 
 POLL_S = 0.02  # between two questions whether replication still blocks what waits for it
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -8,7 +8,7 @@
 
 from pinspread.core.acceptance import Acceptance
 from pinspread.core.attempts import AttemptId, AttemptRunner
-from pinspread.core.clock import NS_PER_MS, NS_PER_US, US_PER_S, Clock
+from pinspread.core.clock import Clock
 from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_blocklist import EndpointBlocklist
 from pinspread.core.endpoint_registry import EndpointRegistry, RetryAfterScope
@@ -26,6 +26,7 @@
     Successor,
     Transport,
 )
+from pinspread.core.time_units import NS_PER_MS, NS_PER_US, US_PER_S
 from pinspread.policy.actions import Action, CheckHealth, Disconnect, Fail, Reject, Send, SetTimer, Subscribe
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, Event, SettingsChanged, UpdateScope
--- a/pinspread/core/health_checks.py
+++ b/pinspread/core/health_checks.py
@@ -2,11 +2,11 @@
 
 import anyio
 
-from pinspread.core.clock import NS_PER_US, US_PER_S
 from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
 from pinspread.core.log import log
 from pinspread.core.messages import AttemptResult, Endpoint
+from pinspread.core.time_units import NS_PER_US, US_PER_S
 from pinspread.policy.events import HealthCheckCompleted, Outcome
 
 TIMEOUT_US = 1_500_000
--- a/pinspread/core/write_check.py
+++ b/pinspread/core/write_check.py
@@ -1,10 +1,10 @@
 """The last check of an attempt, right before its first byte is written."""
 
-from pinspread.core.clock import NS_PER_US
 from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
 from pinspread.core.messages import Attempt, Endpoint, Message
 from pinspread.core.notifications import Notifications
+from pinspread.core.time_units import NS_PER_US
 from pinspread.errors import JournalFullError
 from pinspread.policy.settings import DeduplicationScope, Idempotency
 
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -7,10 +7,10 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from pinspread.core.clock import US_PER_S
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
 from pinspread.core.messages import Endpoint
+from pinspread.core.time_units import US_PER_S
 from pinspread.discovery.backoff import SMALL_FLEET, reopen_delay_s
 from pinspread.discovery.departures import DepartedEndpoints
 from pinspread.discovery.endpoint_list import (
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -12,13 +12,14 @@
 import anyio
 import orjson
 
-from pinspread.core.clock import US_PER_S, Clock
+from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.handover import HandoverStep, HandoverTarget, TargetState
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult
+from pinspread.core.time_units import US_PER_S
 from pinspread.errors import JournalFormatError
 from pinspread.hot_restart import packet_codec
 from pinspread.hot_restart.link import (
--- a/pinspread/http/call.py
+++ b/pinspread/http/call.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from pinspread.core.clock import US_PER_MS
 from pinspread.core.log import log
 from pinspread.core.messages import AttemptResult
+from pinspread.core.time_units import US_PER_MS
 from pinspread.http.exchange import Exchange, Response
 from pinspread.http.retry_after import parse_retry_after_us
 from pinspread.policy.events import Outcome
--- a/pinspread/http/exchange.py
+++ b/pinspread/http/exchange.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from pinspread.core.clock import NS_PER_US
+from pinspread.core.time_units import NS_PER_US
 from pinspread.sockets import Connection
 
 MAX_HEAD_BYTES = 16 * 1024
--- a/pinspread/http/transport.py
+++ b/pinspread/http/transport.py
@@ -9,9 +9,10 @@
 
 import anyio
 
-from pinspread.core.clock import US_PER_S, Clock
+from pinspread.core.clock import Clock
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint
+from pinspread.core.time_units import US_PER_S
 from pinspread.http import bundle
 from pinspread.http.call import MAX_NOTE, RETRY_AFTER, CallState, result_of
 from pinspread.http.exchange import Exchange, MalformedResponseError, Response
--- a/pinspread/resp/commands.py
+++ b/pinspread/resp/commands.py
@@ -2,11 +2,11 @@
 
 from typing import NamedTuple
 
-from pinspread.core.clock import US_PER_MS
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
 from pinspread.core.message_fields import InvalidFieldError
 from pinspread.core.messages import Message
+from pinspread.core.time_units import US_PER_MS
 from pinspread.errors import RejectedError
 from pinspread.resp import replies
 from pinspread.resp.parser import CommandError, EnqueueRequest, ProtocolError, parse, parse_enqueue
--- a/pinspread/sockets/limiter.py
+++ b/pinspread/sockets/limiter.py
@@ -4,8 +4,9 @@
 
 import anyio
 
-from pinspread.core.clock import US_PER_S, Clock
+from pinspread.core.clock import Clock
 from pinspread.core.log import log
+from pinspread.core.time_units import US_PER_S
 from pinspread.sockets.connection import Connection
 
 COMMAND_TIMEOUT_US = (
--- a/pinspread/standalone.py
+++ b/pinspread/standalone.py
@@ -13,9 +13,9 @@
 from pinspread.config.dnssd import DnsSdDiscovery, Records
 from pinspread.config.models import Brokers, Copies, File, Leases, Members
 from pinspread.config.settings import EffectiveSettings, SettingsError
-from pinspread.core.clock import US_PER_MS, US_PER_S
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.ports import BackgroundService
+from pinspread.core.time_units import US_PER_MS, US_PER_S
 from pinspread.service import ReloadedSettings, ServiceOptions
 
 if TYPE_CHECKING:
--- a/tests/test_amqp_bytes.py
+++ b/tests/test_amqp_bytes.py
@@ -30,11 +30,6 @@
 pytestmark = pytest.mark.anyio
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 class Dialogue:
     """A session that is recorded, or compared with its recording at each step."""
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -19,11 +19,6 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 
 
-@pytest.fixture
-def anyio_backend():
-    return "asyncio"
-
-
 @pytest.fixture
 def policy(tmp_path):
     told = settings.read(configuration(tmp_path), {})
