--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -131,7 +131,7 @@
 
 
 def _note_sighup() -> list[bool]:
-    """Take note of SIGHUP until it can be heeded, for it may come after the file has been read."""
+    """Record SIGHUP until it can be handled, for it may come after the file has been read."""
     received: list[bool] = []
     signal.signal(signal.SIGHUP, lambda *_: received.append(True))
     return received
@@ -146,7 +146,7 @@
 
 
 def reload_platform(last: EffectiveSettings) -> "ReloadedSettings":
-    """The platform's file as it is by now."""
+    """The platform's file as it is now."""
     from pinspread.service import ReloadedSettings
 
     effective = settings.from_environment(os.environ, last)
--- a/pinspread/admin/server.py
+++ b/pinspread/admin/server.py
@@ -64,7 +64,7 @@
             await connection.write(response.encode())
             await connection.linger()
         except OSError:
-            pass  # the client has gone
+            pass  # the client has closed the connection
         except Exception as error:
             # One request's trouble must not end the process and all that it serves.
             log("internal_error", where="admin request", error=repr(error))
--- a/pinspread/amqp/channel_methods.py
+++ b/pinspread/amqp/channel_methods.py
@@ -133,7 +133,7 @@
 
 
 def _settle(deliveries: list[Delivery]) -> None:
-    """Owe these results no longer, and use the room that their consumers have for others."""
+    """Count these results as acknowledged, and deliver others to the consumers that have capacity."""
     for delivery in deliveries:
         delivery.pending.acknowledged.set()
         delivery.consumer.queue.dispatch()
--- a/pinspread/amqp/errors.py
+++ b/pinspread/amqp/errors.py
@@ -31,13 +31,13 @@
     """A breach of the protocol, or a request that cannot be met.
 
     Attributes:
-        code: The reply code that the other side is told.
+        code: The reply code that is sent to the other side.
         text: What went wrong, short enough for the wire.
         class_id: Class of the method that caused it; 0 if none did.
         method_id: The method within its class; 0 if none did.
 
     Args:
-        code: The reply code that the other side is told.
+        code: The reply code that is sent to the other side.
         text: What went wrong.
         cause: The payload of the frame that caused it; only a method has a class and an id.
     """
--- a/pinspread/amqp/frame_stream.py
+++ b/pinspread/amqp/frame_stream.py
@@ -9,7 +9,7 @@
 from pinspread.core.time_units import US_PER_S
 from pinspread.sockets import Connection, ReadBuffer
 
-MISSED_HEARTBEATS = 2  # intervals of silence after which the other side counts as gone
+MISSED_HEARTBEATS = 2  # intervals of silence after which the connection counts as lost
 
 
 class FrameStream:
--- a/pinspread/amqp/pending_confirm.py
+++ b/pinspread/amqp/pending_confirm.py
@@ -42,7 +42,7 @@
         return self.result
 
     def proven_result(self) -> AttemptResult | None:
-        """What is proven by now, though the time for the confirm is over; None if nothing is."""
+        """What is proven when the time for the confirm is over; None if nothing is."""
         if self.result is None and self.returned:
             return AttemptResult(Outcome.OVERLOADED, note=UNROUTABLE)
         return self.result
--- a/pinspread/amqp/server.py
+++ b/pinspread/amqp/server.py
@@ -20,7 +20,7 @@
 __all__ = ["FRONT_NAME", "AmqpFront"]
 
 HEARTBEAT_S = 30
-SHUTDOWN_S = 0.05  # for what the clients are told at the end to be written
+SHUTDOWN_S = 0.05  # for the last frames to the clients to be written
 
 
 class AmqpFront:
--- a/pinspread/amqp/session.py
+++ b/pinspread/amqp/session.py
@@ -84,7 +84,7 @@
         try:
             if not await self._open():
                 return
-            self._client.has_heartbeat = True  # heartbeats show when the client has gone
+            self._client.has_heartbeat = True  # heartbeats show when the client is lost
             async with anyio.create_task_group() as tasks:
                 scope = tasks.cancel_scope
                 tasks.start_soon(self._run_until_end, self._writer.run, scope)
@@ -122,7 +122,7 @@
         except AmqpError as error:
             await self._close(error)
         except (OSError, TimeoutError):
-            pass  # the client has gone, or says nothing
+            pass  # the client has closed the connection, or sends nothing
         return opened
 
     async def _shake_hands(self) -> bool:
--- a/pinspread/amqp/transport.py
+++ b/pinspread/amqp/transport.py
@@ -102,7 +102,7 @@
             broker.close("not needed any more")
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Keep nothing of a broker that is gone; its connection ends with the last pending publish."""
+        """Forget a broker that has been removed; its connection ends with the last pending publish."""
         broker = self.connections.pop(endpoint.id, None)
         self.connect_locks.pop(endpoint.id, None)
         if broker is not None:
--- a/pinspread/config/__init__.py
+++ b/pinspread/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a courier is told: its settings, and one application's configuration file."""
+"""The configuration of a courier: the platform's settings, or one application's file."""
--- a/pinspread/config/application.py
+++ b/pinspread/config/application.py
@@ -14,7 +14,8 @@
 from pinspread.core.time_units import NS_PER_S
 
 # What a file does not say. A destination that was out has a fifth of its capacity at first, all of it 9 s
-# later, and falls over at twice what it has; an endpoint takes nothing new 250 ms after its drain was told.
+# later, and is overloaded at twice what it has; an endpoint takes nothing new 250 ms after its drain was
+# notified.
 _RULES = {
     "drainGraceNs": NS_PER_S // 4,
     "coldFrom": 0.2,
--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -33,7 +33,7 @@
 
 
 class Records:
-    """Answers to questions about names: from a zone file, read anew each time, or from a server."""
+    """Answers to questions about names: from a zone file, read again each time, or from a server."""
 
     def __init__(self, domain: str, zone_file: str = "", server: str = "") -> None:
         self.domain = dns.name.from_text(domain)
@@ -154,7 +154,7 @@
         """Nothing is known before the first answer."""
 
     def snapshot(self) -> dict[str, Any]:
-        """What another process needs beside the list: nothing, it reads the records itself."""
+        """What another process needs apart from the list: nothing, it reads the records itself."""
         return {}
 
     def resume(self, found: dict[str, Any]) -> None:
--- a/pinspread/config/models.py
+++ b/pinspread/config/models.py
@@ -95,7 +95,7 @@
     advertise: Address = ""  # where the others reach this one; the listen address if empty
     seeds: list[Address] = []
     service: Annotated[str, Field(pattern=r"^(_[a-z0-9-]{1,15}\._udp)?$")] = ""  # seeds by DNS-SD as well
-    fleet: Name  # nodes of another fleet are not heard
+    fleet: Name  # datagrams of nodes of another fleet are ignored
     period_s: Annotated[float, Field(ge=0.05, le=60)] = 1.0
     timeout_s: Annotated[float, Field(ge=0.01, le=30)] = 0.4
     indirect: Annotated[int, Field(ge=0, le=16)] = 3
--- a/pinspread/config/settings.py
+++ b/pinspread/config/settings.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start, read from the file that `RELAY_CONFIG` names.
+"""The platform's configuration, read from the file that `RELAY_CONFIG` names.
 
 The file's keys and the names in the environment are the platform's; this module maps them to the fields of
 `EffectiveSettings`, and by way of `policy_settings.py` to the policy's settings.
@@ -79,7 +79,7 @@
 
     @property
     def max_retry_after_ms(self) -> int:
-        """The longest Retry-After that clients are told, in milliseconds."""
+        """The longest Retry-After that clients are given, in milliseconds."""
         return self.policy_settings.max_retry_after_ns // NS_PER_MS
 
 
--- a/pinspread/core/acceptance.py
+++ b/pinspread/core/acceptance.py
@@ -1,4 +1,4 @@
-"""Acceptance: which messages the engine owes, from clients, from the journal and from other nodes."""
+"""Acceptance: which messages the engine is to deliver, from clients, the journal and other nodes."""
 
 from collections.abc import Collection, Iterable
 
@@ -16,7 +16,7 @@
 
 
 class Acceptance:
-    """Admits messages, records them before anything is promised, and tells the policy of them."""
+    """Admits messages, records them before they are acknowledged, and passes them to the policy."""
 
     def __init__(
         self,
@@ -97,7 +97,7 @@
             raise RejectedError(REJECTED_RETRY_MS, "holds all it may")
 
     def withdraw(self, message: Message) -> None:
-        """Owe nothing for a message that nobody wants any more."""
+        """Drop a message that its client has withdrawn."""
         if self._messages.open.pop(message.number, None) is not None:
             self._context.events.post(ClientCancelled(message.number))
             self._notifications.end(message)
@@ -105,7 +105,7 @@
     # --- from other nodes -------------------------------------------------------------------------
 
     def take_over(self, messages: Iterable[Message]) -> int:
-        """Owe what another node accepted, from where it stands; return how many messages were new here.
+        """Take over what another node accepted, in its state there; return how many messages were new here.
 
         Raises:
             JournalFullError: One can't be recorded; those before it are taken over.
@@ -127,7 +127,7 @@
         return new
 
     def release(self, ids: Collection[str]) -> int:
-        """Owe these no longer, for another node has taken them over; return how many were owed here.
+        """Drop these, for another node has taken them over; return how many were pending here.
 
         Raises:
             JournalFullError: The journal can't be rewritten without them.
@@ -151,12 +151,12 @@
         in_flight: Collection[int] = (),
         known_to_policy: Collection[int] = (),
     ) -> None:
-        """Owe what the journal says is owed.
+        """Take up the messages that the journal has as pending.
 
         Args:
             messages: The open messages of the journal.
             in_flight: Numbers of those with an attempt in flight in another process.
-            known_to_policy: Numbers of those that the policy has heard of.
+            known_to_policy: Numbers of those that the policy has accepted before.
         """
         self._registry.load_blocklist(self._context.journal.blocked_endpoints)
         self._messages.continue_numbers_after(messages)
--- a/pinspread/core/attempts.py
+++ b/pinspread/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: from the policy's decision to send, over the call, to the outcome that the policy is told."""
+"""Attempts: from the policy's decision to send, over the call, to the outcome that the policy gets."""
 
 from collections.abc import Callable
 
--- a/pinspread/core/context.py
+++ b/pinspread/core/context.py
@@ -28,7 +28,7 @@
         settings: The settings in effect.
         clock: The clock of the process.
         journal: Where all that is owed is recorded.
-        events: What the policy is to be told.
+        events: The events for the policy's next turn.
         messages: What has been accepted and not ended.
         fronts: The fronts, by the name that messages bear.
         transports: The transports, by the scheme that endpoints name.
@@ -59,7 +59,7 @@
     def record(self, write: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
         """Write to the journal what has happened whether it can be recorded or not."""
         if self.successor:
-            return  # two processes would write to one file; the successor records what it is told
+            return  # two processes would write to one file; the successor records what is reported to it
         try:
             write(*args, **kwargs)
         except JournalFullError as error:
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -32,7 +32,7 @@
 from pinspread.policy.events import EndpointState, Event, SettingsChanged, UpdateScope
 
 DRAIN_US = 3_000_000  # after SIGTERM, before connections are closed; the process is killed 3.7 s after it
-LINGER_US = 500_000  # new clients keep arriving for a while and must be told that they are rejected
+LINGER_US = 500_000  # new clients keep arriving for a while and must get a rejection
 ACKNOWLEDGEMENT_POLL_S = 0.005
 
 
@@ -94,7 +94,7 @@
 
     @property
     def events(self) -> EventQueue:
-        """What the policy is to be told in the next turn."""
+        """The events for the policy's next turn."""
         return self.context.events
 
     @property
@@ -189,7 +189,7 @@
     # --- what fronts and replication call ---------------------------------------------------------
 
     def recover(self) -> None:
-        """Owe again all that the journal says is owed.
+        """Take up again all messages that the journal has as pending.
 
         Raises:
             JournalFormatError: A newer version wrote the journal.
@@ -217,7 +217,7 @@
         return self.replication is None or await self.replication.wait_replicated()
 
     def take_over(self, messages: Iterable[Message]) -> int:
-        """Owe what another node accepted; return how many messages were new here.
+        """Take responsibility for what another node accepted; return how many messages were new here.
 
         Raises:
             JournalFullError: One can't be recorded; those before it are taken over.
@@ -225,7 +225,7 @@
         return self.acceptance.take_over(messages)
 
     def release(self, ids: Collection[str]) -> int:
-        """Owe these no longer, for another node has taken them over; return how many were owed here.
+        """Drop these, for another node has taken them over; return how many were pending here.
 
         Raises:
             JournalFullError: The journal can't be rewritten without them.
@@ -233,7 +233,7 @@
         return self.acceptance.release(ids)
 
     def withdraw(self, message: Message) -> None:
-        """Owe nothing for a message that nobody wants any more."""
+        """Drop a message that its client has withdrawn."""
         self.acceptance.withdraw(message)
 
     # --- what discovery, settings and operators change --------------------------------------------
@@ -264,7 +264,7 @@
     # --- hot restart ------------------------------------------------------------------------------
 
     def pause_for_handover(self, successor: Successor) -> EngineState:
-        """Act no more, and return what the successor needs beside the journal, which is closed."""
+        """Stop acting, and return what the successor needs apart from the journal, which is closed."""
         return self.ownership.pause(self.policy, successor)
 
     def cancel_handover(self) -> None:
@@ -281,7 +281,7 @@
         self.ownership.predecessor_attempt_ended(number, attempt_number, result)
 
     def predecessor_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
-        """Heed that an endpoint told the process before to wait."""
+        """Apply a Retry-After that an endpoint gave the process before."""
         self.ownership.predecessor_retry_after(endpoint_id, retry_after_us)
 
     def predecessor_health_check_ended(self, endpoint_id: str, result: AttemptResult) -> None:
--- a/pinspread/core/event_queue.py
+++ b/pinspread/core/event_queue.py
@@ -1,4 +1,4 @@
-"""What the delivery policy is to be told in the next turn, and the timers that it has set."""
+"""Events for the delivery policy's next turn, and the timers that it has set."""
 
 from heapq import heappop, heappush
 
@@ -22,7 +22,7 @@
         self._wake = anyio.Event()
 
     def post(self, event: Event) -> None:
-        """Have the policy told of an event in the next turn."""
+        """Have the policy take an event in the next turn."""
         self.inbox.append(event)
         self._wake.set()
 
@@ -31,7 +31,7 @@
         self._wake.set()
 
     def set_timer(self, due_us: int, tag: int) -> None:
-        """Have the policy told of this tag in the first turn from that time on."""
+        """Have the policy's timer of this tag fire in the first turn from that time on."""
         heappush(self.timers, (due_us, tag))
 
     def next_due_us(self) -> int | None:
--- a/pinspread/core/handover.py
+++ b/pinspread/core/handover.py
@@ -1,6 +1,6 @@
 """Ownership during a hand-over between two processes: who owns the messages at each moment. No I/O, no clock.
 
-`docs/daily.md` has the steps. Each state machine is told what happened and answers with what to do next.
+`docs/daily.md` has the steps. Each state machine takes what happened and returns what to do next.
 """
 
 from enum import Enum
@@ -43,7 +43,7 @@
 
 
 class HandoverSource:
-    """The old process: owner until it hears that the new one took over, and paused during the transfer.
+    """The old process: owner until the new one reports that it took over, and paused during the transfer.
 
     Attributes:
         shape: A fingerprint of the state that this process would send; only an equal one can be read.
@@ -139,7 +139,7 @@
         return HandoverStep.SERVE if journal_readable else HandoverStep.GIVE_UP
 
     def exchange_failed(self) -> HandoverStep:
-        """The exchange ended before everything had come: the old process is gone, or goes on serving."""
+        """The exchange ended before everything had come: the old process has ended, or goes on serving."""
         if self.state not in (TargetState.WAITING_FOR_LOCK, TargetState.GIVEN_UP):
             self.state = TargetState.REQUESTING  # its confirmation was not received
         return HandoverStep.WAIT
--- a/pinspread/core/journal.py
+++ b/pinspread/core/journal.py
@@ -56,7 +56,7 @@
         path: The file.
         limit_bytes: How large the file may grow before it is rewritten.
         size_bytes: How large it is.
-        observer: Is told of every byte that is written, if there is one.
+        observer: Is given every byte that is written, if there is one.
         open_messages: The messages that are owed, by number, in the order in which they were accepted.
         finished_ids: Ids of messages that have ended, oldest first, with the sizes of their records.
         blocked_endpoints: Ids of endpoints that operators have taken out of use; the values mean nothing.
@@ -137,7 +137,7 @@
     # --- records: all raise JournalFullError where nothing was written ----------------------------
 
     def message_accepted(self, message: Message) -> None:
-        """Record a message before its client is told that it was accepted."""
+        """Record a message before its client is answered that it was accepted."""
         record = self._accepted_record(message)
         reserved_bytes = self._reservation(record)
         self._append(record)
@@ -154,7 +154,7 @@
             self.final_result(message, message.final)
 
     def release(self, messages: Iterable[Message]) -> None:
-        """Owe these no longer, for another node does. Their ids are finished; the next rewrite has it so."""
+        """Drop these: another node took them over. Their ids are finished; the next rewrite has it so."""
         for message in messages:
             del self.open_messages[message.number]
             self._free(message)
@@ -187,7 +187,7 @@
         self._append(encode_message_ended(message))
 
     def endpoint_blocked(self, endpoint_id: str, blocked: bool) -> None:
-        """Record that an endpoint is taken out of use, or back, before the operator is told so."""
+        """Record that an endpoint is taken out of use, or back, before the operator is answered."""
         self._append(encode_endpoint_blocked(endpoint_id, blocked))
         self._set_blocked(endpoint_id, blocked)
 
--- a/pinspread/core/messages.py
+++ b/pinspread/core/messages.py
@@ -1,4 +1,4 @@
-"""Messages and the attempts at delivering them: what a client handed in, and what came of each call."""
+"""Messages and the attempts at delivering them: what a client submitted, and how each call ended."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class FinalResult:
-    """What the client is told at the end of a message.
+    """What the client is notified of at the end of a message.
 
     Attributes:
         state: How it ended.
@@ -124,7 +124,7 @@
     """How an attempt or a health check ended.
 
     Attributes:
-        outcome: What the policy is told.
+        outcome: What the policy goes by.
         retry_after_us: For how long the endpoint said to wait; 0: it did not say.
         no_longer_wanted: The endpoint says that nothing is owed for the message any more.
         note: Details for the log.
--- a/pinspread/core/notifications.py
+++ b/pinspread/core/notifications.py
@@ -8,7 +8,7 @@
 
 
 class Notifications:
-    """Decides final results, and owes each message until its client has acknowledged the notification.
+    """Decides final results, and keeps each message until its client has acknowledged the notification.
 
     Attributes:
         pending: How many notifications of each key are not acknowledged, on fronts that order by that.
@@ -33,7 +33,7 @@
         self._start(message, final)
 
     def end(self, message: Message) -> None:
-        """Owe nothing for a message any more."""
+        """Drop a message: no notification of it is pending any more."""
         self._context.record(self._context.journal.message_ended, message)
         del self._messages.by_id[message.id]
 
--- a/pinspread/core/ownership.py
+++ b/pinspread/core/ownership.py
@@ -20,7 +20,7 @@
 
 
 class EngineState(TypedDict):
-    """What the next process needs beside the journal, under the names by which it is sent.
+    """What the next process needs apart from the journal, under the names by which it is sent.
 
     Attributes:
         policy: The policy.
@@ -48,7 +48,7 @@
 
 
 class Ownership:
-    """Moves the ownership of all that is owed between two processes; `handover` decides when."""
+    """Moves the ownership of all pending messages between two processes; `handover` decides when."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
     # --- the old process --------------------------------------------------------------------------
 
     def pause(self, policy: DeliveryPolicy, successor: Successor) -> EngineState:
-        """Act no more, and return what the successor needs beside the journal, which is closed."""
+        """Stop acting, and return what the successor needs apart from the journal, which is closed."""
         self._context.successor = successor
         self._context.journal.close()
         return EngineState(
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -30,7 +30,7 @@
 
     @property
     def max_retry_after_ms(self) -> int:
-        """The longest time after which a client is told to come back, in milliseconds."""
+        """The longest Retry-After that a client is given, in milliseconds."""
 
 
 class Transport(Protocol):
@@ -78,7 +78,7 @@
         """Report what is known without asking anybody."""
 
     def snapshot(self) -> dict[str, Any]:
-        """Return what another process needs to follow on from here, beside the list itself."""
+        """Return what another process needs to continue from here, apart from the list itself."""
 
     def resume(self, found: dict[str, Any]) -> None:
         """Follow on from another process's snapshot, in place of `start`."""
@@ -113,7 +113,7 @@
 
 
 class JournalObserver(Protocol):
-    """Is told of every byte of the journal, right after it was written."""
+    """Is given every byte of the journal, right after it was written."""
 
     def appended(self, record: bytes) -> None:
         """These records were added at the end of the file."""
@@ -173,7 +173,7 @@
 
 
 class BackgroundService(Protocol):
-    """A part beside the engine that a file turns on, as membership is.
+    """A part that runs next to the engine where a file turns it on, as membership is.
 
     Attributes:
         name: The name under which the operators' server shows its `view()`.
--- a/pinspread/discovery/backoff.py
+++ b/pinspread/discovery/backoff.py
@@ -11,7 +11,7 @@
     A discovery service that is overloaded, or was away, would otherwise be asked by the whole fleet in one
     instant, and then five times a second by each. It would reject all, and nobody would learn of anything.
     Here a fleet asks as often in a second as a few instances do, and less while it is rejected. That has
-    a price, for an instance that alone lost its watch may hear nothing for seconds.
+    a price, for an instance that alone lost its watch may get no changes for seconds.
 
     Args:
         failures: How many watches in a row did not come up.
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -34,7 +34,7 @@
 SHARED_RESPONSE_TIMEOUT_S = 5.0  # and where all ask one service, which works through requests in turn
 SHARED_SPREAD_S = 1.5  # over which watches of many that all fell silent are opened again there
 OPEN_INTERVAL_S = 0.3  # between watches that are opened while an agent is silent
-MAX_OPENING = 4  # that wait for their responses beside each other
+MAX_OPENING = 4  # that wait for their responses at the same time
 MAX_LOGGED_FAILURES = 3  # in a row
 
 
@@ -105,7 +105,7 @@
         """Hand over the configuration's list, and what was reported as draining or removed since.
 
         That list may be old, and an agent that is away reports no newer one: without the file, drains that an
-        earlier process heard of would be forgotten, and its messages would go there.
+        earlier process was notified of would be forgotten, and its messages would go there.
 
         Raises:
             ValueError: The configuration has no list.
@@ -183,10 +183,10 @@
         return self._next_open_us - now_us
 
     def _open(self, tasks: TaskGroup) -> None:
-        """Open another watch beside those that are there.
+        """Open another watch in addition to those that are there.
 
         An agent that was silent may answer what waits for it once it is back, or only what is asked from then
-        on. Both are had where watches are opened beside each other; the old one is followed until then.
+        on. Both are met where watches are opened side by side; the old one is followed until then.
         """
         if self._current and not self._full_wanted and not self._opening and not self._failures:
             log("watch_broke", address=self._current.address, error="silent")
--- a/pinspread/discovery/endpoint_list.py
+++ b/pinspread/discovery/endpoint_list.py
@@ -32,7 +32,7 @@
         self._depth = 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """Yield what is complete by now, in order: the value of each object, and None for an empty line.
+        """Yield what is complete, in order: the value of each object, and None for an empty line.
 
         Raises:
             ValueError: What came is not JSON, or does not end.
--- a/pinspread/hot_restart/link.py
+++ b/pinspread/hot_restart/link.py
@@ -79,7 +79,7 @@
         sock.setblocking(False)
 
     async def send(self, kind: int, data: bytes = b"", descriptor: int | None = None) -> None:
-        """Send one packet, with a descriptor if there is one; OSError if the other side is gone."""
+        """Send one packet, with a descriptor if there is one; OSError if the other side has ended."""
         view = memoryview(data)
         start = 0
         another_follows = True
--- a/pinspread/hot_restart/source.py
+++ b/pinspread/hot_restart/source.py
@@ -202,7 +202,7 @@
         await successor.run()
 
     async def _agree(self, link: Link) -> bool:
-        """Hear what the other process wants; whether it is to be given everything."""
+        """Read what the other process asks for; whether everything is to be transferred."""
         try:
             with anyio.fail_after(STEP_S):
                 packet = await link.receive()
@@ -228,7 +228,7 @@
         return step
 
     async def _transfer(self, link: Link, payload: HandoverPayload) -> HandoverStep:
-        """Send everything and hear what became of it."""
+        """Send everything and wait for the answer."""
         try:
             with anyio.fail_after(2 * STEP_S):
                 await self._send(link, payload)
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -1,4 +1,4 @@
-"""The new process's side: it takes everything over from the owner of the folder, and hears its reports.
+"""The new process's side: it takes everything over from the owner of the folder, and follows its reports.
 
 `core/handover.py` (`HandoverTarget`) decides what an exchange leads to; this carries it out.
 """
@@ -221,8 +221,8 @@
 
     def _broken(self, error: Exception) -> None:
         log("handover_broke", error=str(error) or type(error).__name__, state=self.target.state.value)
-        # A process that has not heard that everything was taken serves on, or is gone and the lock free: with
-        # the lock held here as well, there would be two owners.
+        # A process that got no answer that everything was taken over serves on, or has ended and the lock is
+        # free: with the lock held here as well, there would be two owners.
         self.lock.release()
         if isinstance(error, ValueError):
             self.target.received(False)  # it cannot be read: it would be no better the next time
@@ -230,7 +230,7 @@
 
 
 async def _request_departure(folder: str) -> None:
-    """Have the old process end; it hears that on a connection of its own, once the exchange is over."""
+    """Ask the old process to end, on a connection of its own, once the exchange is over."""
     try:
         link = connect(folder)
         with anyio.fail_after(STEP_S):
--- a/pinspread/policy/outlier_detection.py
+++ b/pinspread/policy/outlier_detection.py
@@ -71,7 +71,7 @@
         endpoint, limiter, retry_after_ns = call.endpoint, call.endpoint.limiter, event.retry_after_ns
         if event.limit_per_s > 0:
             limiter.limit, limiter.remaining = event.limit_per_s, event.limit_remaining
-        if retry_after_ns:  # the messages of a bundle may be told different waits
+        if retry_after_ns:  # the messages of a bundle may have different ones
             self.limits.apply_retry_after(endpoint, retry_after_ns)
         if not call.outcome_pending:
             return
@@ -172,7 +172,7 @@
             if event.retry_after_ns:
                 self.limits.apply_retry_after(endpoint, event.retry_after_ns)
             self._record_refusal(endpoint, event.retry_after_ns, now_ns)
-        elif event.outcome is Outcome.NOT_SENT:  # asked for again at once, it would be barred at once
+        elif event.outcome is Outcome.NOT_SENT:  # sent again at once, it would be blocked at once
             endpoint.delay_health_check(now_ns + backoff_ns(self.context.random, NOT_SENT_STEP))
         else:
             endpoint.failure_rate += FAILURE_WEIGHT * (1 - endpoint.failure_rate)
--- a/pinspread/resp/front.py
+++ b/pinspread/resp/front.py
@@ -85,7 +85,7 @@
         if self._sock is None or self.scope is None or self.scope.cancel_called:
             return
         with anyio.move_on_after(CLOSE_TIMEOUT_S):
-            await anyio.sleep(0)  # new connections that wait are accepted, and heard
+            await anyio.sleep(0)  # new connections that wait are accepted and read
             self._accepting.cancel()
             self._sock.close()  # a client that comes now is refused, and none waits in the queue
             await self._end_streams()
@@ -132,7 +132,7 @@
             connection.try_write(replies.busy(replies.OUT_OF_MEMORY_RETRY_MS))
             await connection.linger()
         except OSError:
-            pass  # the client has gone
+            pass  # the client has closed the connection
         except anyio.get_cancelled_exc_class():
             if session.following and self._detached is not None:
                 self._detached.append(session.detach())
--- a/pinspread/resp/notifications.py
+++ b/pinspread/resp/notifications.py
@@ -27,7 +27,7 @@
     """Posts notifications, those of one moment together, until each is acknowledged.
 
     Args:
-        address: Where the platform hears them, host:port.
+        address: Where the platform takes them, host:port.
     """
 
     def __init__(self, address: str) -> None:
--- a/pinspread/resp/session.py
+++ b/pinspread/resp/session.py
@@ -63,14 +63,14 @@
         return self.buffer.end - self.buffer.start
 
     async def _answer_batch(self) -> bool:
-        """Answer some commands; false if the client must hear nothing more."""
+        """Answer some commands; false if the client must get nothing more."""
         output = self._output = bytearray()
         batch = self.handler.execute_batch(self.client, self.buffer, output)
         self.following, self._min_bytes = batch.following, batch.min_bytes
         if output:
             if replies.OK in output and not await self._wait_committed():
                 # BUSY would say that nothing was accepted, OK that it is safe; neither is known. A client
-                # that hears nothing submits the same id again.
+                # that gets no reply submits the same id again.
                 return False
             await self.connection.write(output)
         self._errors += batch.errors
--- a/pinspread/service/handover.py
+++ b/pinspread/service/handover.py
@@ -70,7 +70,7 @@
         self._max_connections = max_connections
 
     def start(self, transferred: target.TransferredState | None, folder: str) -> None:
-        """Hear the process before, if it handed over, and wait for the next one."""
+        """Follow the reports of the process before, if it handed over, and wait for the next one."""
         if transferred and transferred.link:
             clock = self._components.clock
             self._tasks.start_soon(target.follow_predecessor, transferred.link, self.engine, clock)
--- a/pinspread/service/options.py
+++ b/pinspread/service/options.py
@@ -32,7 +32,7 @@
         reload: Reads the configuration again, given the settings in force; SettingsError if it is unusable.
         make_discovery: Makes another discovery than the platform's.
         amqp_login: The PLAIN response for brokers.
-        background_services: What runs beside serving.
+        background_services: What runs next to the engine.
         early_sighup: Not empty if SIGHUP came since before the configuration was read.
         clock: The clock of the process.
         open_signal_receiver: Receives signals in place of their default actions.
--- a/pinspread/service/process.py
+++ b/pinspread/service/process.py
@@ -74,7 +74,7 @@
         admin_sockets = [sockets.listen(self.settings.admin)] if self.settings.admin else []
         # A signal without a receiver would end the process and all that it serves.
         with self._options.open_signal_receiver(*_SIGNALS) as self.signals:
-            # SIGHUP between the reading of the file and this line would otherwise never be heeded.
+            # SIGHUP between the reading of the file and this line would otherwise be lost.
             self.reloader.pending = bool(self._options.early_sighup)
             async with anyio.create_task_group() as self.tasks:
                 for sock in admin_sockets:
@@ -122,8 +122,8 @@
         last_good.save(settings)
         serving.follow_discovery()
         if not transferred:
-            # What the list says by now counts as told. What was recovered would go out by the last list from
-            # before the end, to endpoints that drain or are gone, until the first answer has come.
+            # Changes of the list count as notified. What was recovered would go out by the last list from
+            # before the end, to endpoints that drain or are removed, until the first answer has come.
             with anyio.move_on_after(FIRST_LIST_S):
                 await components.discovery.first_answer.wait()
         for run in (self.engine.run, components.pool.run, components.limiter.run):
@@ -159,7 +159,7 @@
 
     async def _shut_down(self) -> None:
         """Announce the departure, finish what is in flight, and close what depends on that."""
-        async with anyio.create_task_group() as tasks:  # beside each other: both count in the 3.7 s
+        async with anyio.create_task_group() as tasks:  # concurrently: both count in the 3.7 s
             for background in self.components.background_services:
                 tasks.start_soon(background.announce_departure)
             if self.engine.serving:
--- a/pinspread/sockets/limiter.py
+++ b/pinspread/sockets/limiter.py
@@ -29,7 +29,7 @@
         answered: A command of it has been answered without an error.
         submitted: It has submitted a message.
         mid_command: A command has begun and is not complete.
-        has_heartbeat: Its protocol notices when the client has gone: it is never closed for being idle.
+        has_heartbeat: Its protocol detects a lost client: it is never closed for being idle.
         reserved_bytes: Memory reserved for it beyond what each connection has.
         timeout_reply: The last reply to a client that does not send a complete command in time.
     """
