--- a/pinspread/policy/discovery.py
+++ b/pinspread/policy/discovery.py
@@ -68,16 +68,19 @@
             if not other.usable:
                 endpoint.usual_rate = max(endpoint.usual_rate, other.usual_rate)
         siblings = endpoint.siblings()
-        if siblings and not any(e.usable and not e.ejected for e in siblings):
-            for other in siblings:
-                recent = self.context.now_ns - other.last_outcome_ns < self.context.settings.slow_start_ns
-                if other.ejected and (other.usable or recent):
-                    endpoint.ejected, endpoint.failure_rate = True, other.failure_rate
-                    endpoint.health_checks = max(endpoint.health_checks, other.health_checks)
-                    endpoint.delay_health_check(other.next_health_check_ns)
+        if not any(e.usable and not e.ejected for e in siblings):
+            self._seed_ejection(endpoint, siblings)
         if warming_since_ns := max((e.warming_since_ns for e in siblings), default=0):
             self.limits.start_ramp(endpoint, warming_since_ns)
 
+    def _seed_ejection(self, endpoint: TrackedEndpoint, siblings: list[TrackedEndpoint]) -> None:
+        for other in siblings:
+            recent = self.context.now_ns - other.last_outcome_ns < self.context.settings.slow_start_ns
+            if other.ejected and (other.usable or recent):
+                endpoint.ejected, endpoint.failure_rate = True, other.failure_rate
+                endpoint.health_checks = max(endpoint.health_checks, other.health_checks)
+                endpoint.delay_health_check(other.next_health_check_ns)
+
     def _plan_poll(self, scope: UpdateScope) -> None:
         random = self.context.random  # discovery serves few calls: not all senders may poll at one instant
         interval = self.context.settings.max_poll_interval_ns or SECOND / POLL_BACKOFF
--- a/pinspread/policy/rate_limit.py
+++ b/pinspread/policy/rate_limit.py
@@ -56,17 +56,15 @@
     def delivered_rate(self, endpoint: TrackedEndpoint) -> float:
         """Calls a second delivered at an endpoint, up to its last success."""
         unseen = exp((endpoint.first_seen_ns - endpoint.delivered_ns) / (RATE_SPAN_S * SECOND))
-        rate = endpoint.delivered / (RATE_SPAN_S * (1.02 - unseen))  # 1.02: no division by 0 at first
-        endpoint.usual_rate = max(endpoint.usual_rate, rate)  # from a rate after refusals no ramp would end
-        return rate
+        return endpoint.delivered / (RATE_SPAN_S * (1.02 - unseen))  # 1.02: no division by 0 at first
 
     def record_delivery(self, endpoint: TrackedEndpoint) -> None:
         """Count a delivery, with the older ones fading."""
         aged = (endpoint.delivered_ns - self.context.now_ns) / SECOND
         endpoint.delivered = endpoint.delivered * exp(aged / RATE_SPAN_S) + 1
-        endpoint.usual_rate *= exp(aged / USUAL_RATE_SPAN_S)
         endpoint.delivered_ns = self.context.now_ns
-        self.delivered_rate(endpoint)
+        faded = endpoint.usual_rate * exp(aged / USUAL_RATE_SPAN_S)  # kept: no ramp ends from a cut rate
+        endpoint.usual_rate = max(faded, self.delivered_rate(endpoint))
 
     def _siblings_rate(self, endpoint: TrackedEndpoint) -> float:
         return sum(self.delivered_rate(e) for e in endpoint.siblings())
