--- a/pinspread/replication/store.py
+++ b/pinspread/replication/store.py
@@ -7,6 +7,7 @@
 import os
 from collections.abc import Iterator
 from pathlib import Path
+from typing import NamedTuple
 
 import anyio
 import orjson
@@ -14,13 +15,21 @@
 from pinspread.core.log import log
 from pinspread.replication.replica import Replica, WriteTarget
 
-# The keys of the `meta` file, and the fields of `Replica` that they hold.
+
+class StoredField(NamedTuple):
+    """A field of `Replica` that the `meta` file holds, and its type there; lists are of node ids."""
+
+    name: str
+    type: type
+
+
+# The keys of the `meta` file, in the order that they are written.
 STORED_FIELDS = {
-    "owner": "owner",
-    "token": "fencing_token",
-    "keepers": "replicas",
-    "tried": "takeover_candidates",
-    "adopted": "takeover_token",
+    "owner": StoredField("owner", str),
+    "token": StoredField("fencing_token", int),
+    "keepers": StoredField("replicas", list),
+    "tried": StoredField("takeover_candidates", list),
+    "adopted": StoredField("takeover_token", int),
 }
 META_FILE = "meta"
 INCOMING_FILE = "coming"
@@ -45,13 +54,24 @@
 
     def _read_meta(self) -> None:
         try:
-            for key, value in orjson.loads((self.folder / META_FILE).read_bytes()).items():
-                if key in STORED_FIELDS:
-                    setattr(self.replica, STORED_FIELDS[key], value)
+            stored = orjson.loads((self.folder / META_FILE).read_bytes())
         except FileNotFoundError:
-            pass
-        except (orjson.JSONDecodeError, AttributeError) as error:
-            log("copies_meta_damaged", owner=self.replica.owner, error=str(error))
+            return
+        except orjson.JSONDecodeError as error:
+            self._log_damaged_meta(str(error))
+            return
+        if not isinstance(stored, dict):
+            self._log_damaged_meta("not a JSON object")
+            return
+        known = {key: field for key, field in STORED_FIELDS.items() if key in stored}
+        damaged = [key for key, field in known.items() if not _is_stored_value(stored[key], field.type)]
+        if damaged:
+            self._log_damaged_meta(f"fields {damaged}")
+        for key in known.keys() - damaged:  # a fencing token that can be read still holds
+            setattr(self.replica, STORED_FIELDS[key].name, stored[key])
+
+    def _log_damaged_meta(self, error: str) -> None:
+        log("copies_meta_damaged", owner=self.replica.owner, error=error)
 
     def _find_newest_generation(self) -> None:
         for path in self.folder.glob("journal.*"):
@@ -63,7 +83,7 @@
     def save(self) -> None:
         """Write what is known beside the data; called before an answer speaks of it."""
         new_path = self.folder / f"{META_FILE}.new"
-        stored = {key: getattr(self.replica, name) for key, name in STORED_FIELDS.items()}
+        stored = {key: getattr(self.replica, field.name) for key, field in STORED_FIELDS.items()}
         new_path.write_bytes(orjson.dumps(stored))
         os.replace(new_path, self.folder / META_FILE)
 
@@ -162,6 +182,15 @@
         self.path.write_text(str(generation))
 
 
+def _is_stored_value(value: object, type_: type) -> bool:
+    """Return whether a value is of its type: numbers are not below 0, lists hold node ids."""
+    if isinstance(value, list):
+        return type_ is list and all(isinstance(item, str) for item in value)
+    if type_ is int:
+        return isinstance(value, int) and not isinstance(value, bool) and value >= 0
+    return isinstance(value, type_)
+
+
 def _write_at(path: Path, offset: int, data: bytes, sync: bool) -> None:
     fd = os.open(path, os.O_CREAT | os.O_WRONLY, 0o600)
     try:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -288,6 +288,27 @@
     assert ReplicaStore(tmp_path, "a").replica.takeover_token == 6
 
 
+@pytest.mark.parametrize(
+    ("meta", "read"),
+    [
+        (b"{", {}),
+        (b"[1]", {}),
+        (b'{"token": "6", "tried": ["b"]}', {"takeover_candidates": ["b"]}),
+        (b'{"token": -1}', {}),
+        (b'{"token": 4, "keepers": 5}', {"fencing_token": 4}),
+        (b'{"token": 4, "tried": [1]}', {"fencing_token": 4}),
+        (b'{"token": 4, "adopted": true}', {"fencing_token": 4}),
+    ],
+)
+def test_of_a_damaged_meta_file_what_can_be_read_counts(service, tmp_path, capfd, meta, read):
+    (tmp_path / "a").mkdir()
+    (tmp_path / "a" / "meta").write_bytes(meta)
+    service.stores.open()
+    assert service.stores["a"].replica == Replica("a", **read)
+    assert capfd.readouterr().out.count('"event":"copies_meta_damaged"') == 1
+    assert answer(service, SEND)["t"] == "have"
+
+
 def test_a_replica_removes_its_data_but_not_the_token_when_the_owner_says_so(service, tmp_path):
     answer(service, SEND)
     answer(service, DATA | {"bytes": b"base"})
