--- a/pinspread/simulation/losses.py
+++ b/pinspread/simulation/losses.py
@@ -1,170 +1,257 @@
 """Where a day's messages went, counted from the logs of all its couriers: `pinspread fleet losses LOGS`.
 
 A log line is an event's JSON object, with or without the seconds at which a runner saw it in front. Times are
-microseconds of Unix time. What is counted is the couriers' own word: an answer that was lost on its way counts
-as the courier saw it.
+microseconds of Unix time. What is counted is what the couriers logged: an answer that was lost on its way
+counts as the courier saw it. The words of the report are those of recorded logs.
 """
 
 from collections import Counter
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
 from pathlib import Path
+from typing import Any, NamedTuple
 
 import orjson
 
 from pinspread.simulation.recorded_events import recorded
 
+US_PER_S = 1e6
+US_PER_MS = 1000
+UNKNOWN_DESTINATION = -1  # of an attempt whose message was not logged
+MOST_NOTES = 8  # that the report shows
+DELIVERED = "DELIVERED"
 
+
+class LogEvent(NamedTuple):
+    """An event in recorded words, and the courier whose log has it."""
+
+    courier: str
+    event: dict[str, Any]
+
+
+@dataclass(slots=True)
 class MessageRecord:
-    """One message at one courier: when it was taken, what its branches met, how it ended."""
+    """One message at one courier: when it was accepted, how its attempts ended, how it ended.
 
-    __slots__ = ("at_us", "cls", "courier", "dest", "end_us", "for_ms", "state", "verdicts", "after_ms")
+    `state` is empty, and `end_us` 0, until there is a final result.
+    """
 
-    def __init__(self, courier, event):
-        self.courier = courier
-        self.at_us = event["at_us"]
-        self.cls = event["cls"]
-        self.dest = event["dest"]
-        self.for_ms = event["for_ms"]
-        self.verdicts = []
-        self.state = ""
-        self.end_us = 0
-        self.after_ms = 0
+    courier: str
+    accepted_us: int
+    class_name: str
+    destination: int
+    time_left_ms: int
+    outcomes: list[str] = field(default_factory=list)
+    state: str = ""
+    end_us: int = 0
+    retry_after_ms: int = 0
 
     def fate(self) -> str:
-        """How it ended, and what it had met by then."""
+        """How it ended, and how its last attempt had ended by then."""
         if not self.state:
             return "open at the end"
-        if self.state == "DELIVERED":
-            return "DELIVERED"
-        return f"{self.state} {'never called' if not self.verdicts else 'after ' + self.verdicts[-1]}"
+        if self.state == DELIVERED:
+            return DELIVERED
+        return f"{self.state} {f'after {self.outcomes[-1]}' if self.outcomes else 'never called'}"
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptRecord:
+    """One attempt; `idle_us`, how long its connection had been idle, is negative for a new one."""
+
+    end_us: int
+    courier: str
+    endpoint: str
+    destination: int
+    outcome: str
+    note: str
+    elapsed_us: int
+    idle_us: int
+    retry_after_us: int
+
+    @property
+    def opened_connection(self) -> bool:
+        """Whether it opened a connection."""
+        return self.idle_us < 0 and self.outcome != "CONNECT_FAILED"
+
 
+@dataclass(frozen=True, slots=True)
+class HealthCheckRecord:
+    """One health check."""
 
-def read_events(folder):
-    """(courier, event) of all logs of a folder, in order of time; ValueError names a line that is none."""
-    found = []
+    end_us: int
+    endpoint: str
+    outcome: str
+
+
+def read_events(folder: str | Path) -> list[LogEvent]:
+    """The events of all logs (*.log) of a folder, in order of time; a line that is none counts as `unread`.
+
+    Raises:
+        OSError: A log cannot be read.
+    """
+    found: list[tuple[int, LogEvent]] = []
     for path in sorted(Path(folder).glob("*.log")):
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
-            start = line.find(b"{")
             if not line.strip():
                 continue
+            start = max(0, line.find(b"{"))
             try:
-                event = recorded(orjson.loads(line[max(0, start) :]))
-                found.append((event["at_us"], path.stem, event))
+                event = recorded(orjson.loads(line[start:]))
+                found.append((event["at_us"], LogEvent(path.stem, event)))
             except (orjson.JSONDecodeError, KeyError, TypeError):
                 # The last line of a courier that was killed may be cut; what a runtime prints is no event.
-                found.append((0, path.stem, {"event": "unread", "line": number}))
+                found.append((0, LogEvent(path.stem, {"event": "unread", "line": number})))
     found.sort(key=lambda row: row[0])
-    return [(courier, event) for _, courier, event in found]
+    return [event for _, event in found]
 
 
 class LossReport:
-    """The account of a day."""
+    """The account of a day.
+
+    Args:
+        folder: Holds the logs of all couriers.
 
-    def __init__(self, folder):
-        self.lives = []
-        self.branches = []  # (at_us, courier, hop, dest, verdict, note, took_us, idle_us, wait_us)
-        self.others = Counter()
-        self.probes = []  # (at_us, hop, verdict)
+    Attributes:
+        messages: All messages, in order of their acceptance.
+        attempts: All attempts, in order of their ends.
+        health_checks: All health checks, in order of their ends.
+        others: How many events of other kinds there were.
+        from_us: The time of the first event; 0 without one.
+    """
+
+    def __init__(self, folder: str | Path):
+        self.messages: list[MessageRecord] = []
+        self.attempts: list[AttemptRecord] = []
+        self.health_checks: list[HealthCheckRecord] = []
+        self.others: Counter[str] = Counter()
         self.from_us = 0
-        self.read(read_events(folder))
-
-    def read(self, rows):
-        """Take the events in order of time."""
-        open_ = {}
-        for courier, event in rows:
-            kind = event["event"]
-            if not self.from_us and "at_us" in event:
-                self.from_us = event["at_us"]
-            if kind == "taken":
-                life = open_[courier, event["id"]] = MessageRecord(courier, event)
-                self.lives.append(life)
-            elif kind == "branch":
-                life = open_.get((courier, event["id"]))
-                dest = life.dest if life else -1
-                if life:
-                    life.verdicts.append(event["verdict"])
-                row = [event[k] for k in ("verdict", "note", "took_us", "idle_us", "wait_us")]
-                self.branches.append((event["at_us"], courier, event["hop"], dest, *row))
-            elif kind == "final":
-                life = open_.get((courier, event["id"]))
-                if life:
-                    life.state, life.end_us = event["state"], event["at_us"]
-                    life.after_ms = event["after_ms"]
-            elif kind == "probe":
-                self.probes.append((event["at_us"], event["hop"], event["verdict"]))
-            else:
-                self.others[kind] += 1
-
-    def fates(self) -> Counter:
+        self._by_id: dict[tuple[str, str], MessageRecord] = {}  # the latest of a courier and an id
+        for courier, event in read_events(folder):
+            self._add(courier, event)
+
+    def _add(self, courier: str, event: dict[str, Any]) -> None:
+        """Take the next event in order of time."""
+        kind = event["event"]
+        if not self.from_us and "at_us" in event:
+            self.from_us = event["at_us"]
+        if kind == "taken":
+            self._add_message(courier, event)
+        elif kind == "branch":
+            self._add_attempt(courier, event)
+        elif kind == "final":
+            self._add_final_result(courier, event)
+        elif kind == "probe":
+            check = HealthCheckRecord(event["at_us"], event["hop"], event["verdict"])
+            self.health_checks.append(check)
+        else:
+            self.others[kind] += 1
+
+    def _add_message(self, courier: str, event: dict[str, Any]) -> None:
+        message = MessageRecord(courier, event["at_us"], event["cls"], event["dest"], event["for_ms"])
+        self._by_id[courier, event["id"]] = message
+        self.messages.append(message)
+
+    def _add_attempt(self, courier: str, event: dict[str, Any]) -> None:
+        message = self._by_id.get((courier, event["id"]))
+        if message:
+            message.outcomes.append(event["verdict"])
+        attempt = AttemptRecord(
+            end_us=event["at_us"],
+            courier=courier,
+            endpoint=event["hop"],
+            destination=message.destination if message else UNKNOWN_DESTINATION,
+            outcome=event["verdict"],
+            note=event["note"],
+            elapsed_us=event["took_us"],
+            idle_us=event["idle_us"],
+            retry_after_us=event["wait_us"],
+        )
+        self.attempts.append(attempt)
+
+    def _add_final_result(self, courier: str, event: dict[str, Any]) -> None:
+        message = self._by_id.get((courier, event["id"]))
+        if message:
+            message.state = event["state"]
+            message.end_us = event["at_us"]
+            message.retry_after_ms = event["after_ms"]
+
+    def _interval(self, at_us: int, length_s: float) -> int:
+        """The number of the interval of some length in which a time lies."""
+        return int((at_us - self.from_us) / US_PER_S // length_s)
+
+    def fates(self) -> Counter[str]:
         """How messages ended."""
-        return Counter(life.fate() for life in self.lives)
-
-    def spans(self, span_s=5.0):
-        """For each span of the day: fates, verdicts of branches, connections opened, probes."""
-        rows = {}
-
-        def row(at_us):
-            return rows.setdefault(int((at_us - self.from_us) / 1e6 // span_s), Counter())
-
-        for life in self.lives:
-            row(life.at_us)["taken"] += 1
-            row(life.at_us)[life.fate()] += 1
-        for at_us, _, _, _, verdict, _, _, idle_us, _ in self.branches:
-            row(at_us)["branch " + verdict] += 1
-            row(at_us)["opened"] += idle_us < 0 and verdict != "CONNECT_FAILED"
-        for at_us, _, verdict in self.probes:
-            row(at_us)["probe " + verdict] += 1
-        return {n * span_s: rows[n] for n in sorted(rows)}
-
-    def partners(self):
-        """For each partner: fates, verdicts, notes, how long those that were returned had been held."""
-        rows = {}
-        for life in self.lives:
-            row = rows.setdefault(life.dest, Counter())
-            row["taken"] += 1
-            row[life.fate()] += 1
-            if life.state not in ("", "DELIVERED"):
-                row["held_ms"] += (life.end_us - life.at_us) // 1000
-        for _, _, _, dest, verdict, _, _, idle_us, wait_us in self.branches:
-            row = rows.setdefault(dest, Counter())
-            row["branch " + verdict] += 1
-            row["told"] += wait_us > 0
-            row["opened"] += idle_us < 0 and verdict != "CONNECT_FAILED"
+        return Counter(message.fate() for message in self.messages)
+
+    def by_interval(self, length_s: float = 5.0) -> dict[float, Counter[str]]:
+        """Fates, outcomes of attempts and health checks, and opened connections, by start in seconds."""
+        rows: dict[int, Counter[str]] = {}
+
+        def row(at_us: int) -> Counter[str]:
+            return rows.setdefault(self._interval(at_us, length_s), Counter())
+
+        for message in self.messages:
+            row(message.accepted_us).update(("taken", message.fate()))
+        for attempt in self.attempts:
+            counts = row(attempt.end_us)
+            counts["branch " + attempt.outcome] += 1
+            counts["opened"] += attempt.opened_connection
+        for check in self.health_checks:
+            row(check.end_us)["probe " + check.outcome] += 1
+        return {number * length_s: rows[number] for number in sorted(rows)}
+
+    def by_destination(self) -> dict[int, Counter[str]]:
+        """Fates, outcomes, rejections with a Retry-After, and how long what was not delivered was held."""
+        rows: dict[int, Counter[str]] = {}
+        for message in self.messages:
+            counts = rows.setdefault(message.destination, Counter())
+            counts.update(("taken", message.fate()))
+            if message.state not in ("", DELIVERED):
+                counts["held_ms"] += (message.end_us - message.accepted_us) // US_PER_MS
+        for attempt in self.attempts:
+            counts = rows.setdefault(attempt.destination, Counter())
+            counts["branch " + attempt.outcome] += 1
+            counts["told"] += attempt.retry_after_us > 0
+            counts["opened"] += attempt.opened_connection
         return dict(sorted(rows.items()))
 
-    def sums(self, dest, span_s=1.0):
-        """Calls that the whole fleet had answered or refused at a partner, span by span: (from s, verdicts)."""
-        rows = {}
-        for at_us, _, _, to, verdict, *_ in self.branches:
-            if to == dest:
-                rows.setdefault(int((at_us - self.from_us) / 1e6 // span_s), Counter())[verdict] += 1
-        return [(n * span_s, rows[n]) for n in sorted(rows)]
-
-    def notes(self) -> Counter:
-        """What branches without an answer said."""
-        return Counter(f"{verdict}: {note}" for _, _, _, _, verdict, note, *_ in self.branches if note)
-
-
-def _table(title, rows):
-    """A text table of counters by name; a column for each key that any row has."""
-    names = sorted({name for row in rows.values() for name in row}, key=lambda n: (n != "taken", n))
-    heads = [chr(97 + n) if n < 26 else str(n) for n in range(len(names))]
-    lines = [title, *(f"  {head} = {name}" for head, name in zip(heads, names, strict=True))]
-    lines.append(" " * 8 + "".join(f"{head:>8}" for head in heads))
-    for key, row in rows.items():
-        lines.append(f"{key:>8}" + "".join(f"{row.get(name, 0):>8}" for name in names))
-    return lines
+    def outcomes_at(self, destination: int, length_s: float = 1.0) -> list[tuple[float, Counter[str]]]:
+        """Outcomes of all couriers' attempts at a destination: (start in seconds, outcomes) by interval."""
+        rows: dict[int, Counter[str]] = {}
+        for attempt in self.attempts:
+            if attempt.destination == destination:
+                number = self._interval(attempt.end_us, length_s)
+                rows.setdefault(number, Counter())[attempt.outcome] += 1
+        return [(number * length_s, rows[number]) for number in sorted(rows)]
 
+    def notes(self) -> Counter[str]:
+        """What attempts without an answer noted, after their outcomes."""
+        return Counter(f"{attempt.outcome}: {attempt.note}" for attempt in self.attempts if attempt.note)
 
-def format_report(losses, dests=()) -> str:
-    """The account as plain text; second by second for the partners named."""
-    lines = ["fates: " + ", ".join(f"{name} {n}" for name, n in losses.fates().most_common())]
-    lines.append("notes: " + ", ".join(f"{name} ({n})" for name, n in losses.notes().most_common(8)))
-    lines.append("events: " + ", ".join(f"{name} {n}" for name, n in losses.others.most_common()))
-    lines += _table("by span, s", losses.spans())
-    lines += _table("by partner", losses.partners())
-    for dest in dests:
-        lines.append(f"partner {dest}, second by second")
-        lines += [
-            f"{at:>8.0f}  " + " ".join(f"{v} {n}" for v, n in row.items()) for at, row in losses.sums(dest)
-        ]
+
+def format_report(report: LossReport, destinations: Iterable[int] = ()) -> str:
+    """The account as plain text; second by second for the destinations named."""
+    fates = ", ".join(f"{name} {count}" for name, count in report.fates().most_common())
+    notes = ", ".join(f"{name} ({count})" for name, count in report.notes().most_common(MOST_NOTES))
+    others = ", ".join(f"{name} {count}" for name, count in report.others.most_common())
+    lines = [f"fates: {fates}", f"notes: {notes}", f"events: {others}"]
+    lines += _format_table("by span, s", report.by_interval())
+    lines += _format_table("by partner", report.by_destination())
+    for destination in destinations:
+        lines.append(f"partner {destination}, second by second")
+        for start_s, outcomes in report.outcomes_at(destination):
+            counts = " ".join(f"{outcome} {count}" for outcome, count in outcomes.items())
+            lines.append(f"{start_s:>8.0f}  {counts}")
     return "\n".join(lines)
+
+
+def _format_table(title: str, rows: Mapping[Any, Counter[str]]) -> list[str]:
+    """A table of counters by name; a column with a letter for each key that any row has."""
+    names = sorted({name for row in rows.values() for name in row}, key=lambda name: (name != "taken", name))
+    letters = [chr(ord("a") + number) if number < 26 else str(number) for number in range(len(names))]
+    lines = [title, *(f"  {letter} = {name}" for letter, name in zip(letters, names, strict=True))]
+    lines.append(" " * 8 + "".join(f"{letter:>8}" for letter in letters))
+    for key, row in rows.items():
+        lines.append(f"{key:>8}" + "".join(f"{row.get(name, 0):>8}" for name in names))
+    return lines
--- a/pinspread/simulation/recorded_events.py
+++ b/pinspread/simulation/recorded_events.py
@@ -1,7 +1,7 @@
 """Log events in the words of recorded logs and traces, whichever version of the program wrote them.
 
-Recordings outlive names in the code: what reads them uses the recorded words, and a log of the present version is
-brought to these words here, and nowhere else.
+Recordings outlive names in the code: what reads them uses the recorded words, and a log of the present
+version is brought to these words here, and nowhere else.
 """
 
 from collections.abc import Mapping
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -31,7 +31,7 @@
     (tmp_path / "n1.log").write_text(OTHER)  # the same id at another courier, which was killed as it wrote
     found = losses.LossReport(tmp_path)
     assert found.fates() == {"DELIVERED": 1, "RETURNED never called": 1} and found.others["unread"] == 2
-    row = found.partners()[1]
+    row = found.by_destination()[1]
     assert (row["taken"], row["branch FULL"], row["told"], row["opened"], row["held_ms"]) == (
         2,
         1,
