--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -17,9 +17,9 @@
 from hdrh.histogram import HdrHistogram
 
 from pinspread.admin import status_client as show
+from pinspread.testbed import cluster
 from pinspread.testbed import history_checker as judge
-from pinspread.testbed import processes as cast
-from pinspread.testbed import traffic
+from pinspread.testbed.ledger import ledger
 
 LEASES = {"lease_s": 2.0, "renew_s": 0.6, "retry_s": 0.2, "drift_s": 0.1, "margin_s": 0.1, "election_s": 0.3}
 SCENE = {
@@ -44,23 +44,23 @@
 async def trials(folder, count, seed=1):
     rng = random.Random(seed)
     load = {"rate": 8.0, "slow_s": 0.8, "for_s": 11.0 * count + 4, "deadline_s": 20.0, "amqp_share": 0.2}
-    stage = cast.ClusterTestbed(SCENE | {"copies": {"count": 2, "need": 1}, "traffic": load}, folder)
+    testbed = cluster.ClusterTestbed(SCENE | {"copies": {"count": 2, "need": 1}, "traffic": load}, folder)
     try:
-        await stage.begin()
+        await testbed.begin()
         ends = time.monotonic() + load["for_s"] + load["deadline_s"] + 2  # when the last message's time is up
         await asyncio.sleep(3)
         for n in range(count):
-            victim = rng.choice(stage.cast)
+            victim = rng.choice(testbed.members)
             await asyncio.sleep(rng.uniform(0, 1))
-            await stage.act({"s": 0, "do": "wipe", "who": [victim.id]})
+            await testbed.act({"s": 0, "do": "wipe", "who": [victim.id]})
             await asyncio.sleep(5)
-            await stage.act({"s": 0, "do": "start", "who": [victim.id]})
+            await testbed.act({"s": 0, "do": "start", "who": [victim.id]})
             await asyncio.sleep(5)
             print(f"  trial {n + 1}: {victim.id}", flush=True)
         await asyncio.sleep(max(0, ends - time.monotonic()))
     finally:
-        await stage.hush()
-        await asyncio.to_thread(stage.finish)
+        await testbed.stop_traffic()
+        await asyncio.to_thread(testbed.finish)
     return judge.read_scene(Path(folder) / "history.jsonl")
 
 
@@ -102,16 +102,18 @@
     """Latency and throughput at the couriers' doors, with `count` copies kept (0: none) and `need` waited for."""
     load = {"rate": 60.0, "slow_s": 0.02, "for_s": 8.0, "deadline_s": 10.0}
     copies = {"copies": {"count": count, "need": need, "sync": sync}} if count else {}
-    stage = cast.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
+    testbed = cluster.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
     try:
-        await stage.begin()
+        await testbed.begin()
         await asyncio.sleep(12)
         views = [
-            await asyncio.to_thread(show.fetch, f"{c.real[0]}:9600", "copies") for c in stage.cast if count
+            await asyncio.to_thread(show.fetch, f"{c.real[0]}:9600", "copies")
+            for c in testbed.members
+            if count
         ]
     finally:
-        await stage.hush()
-        await asyncio.to_thread(stage.finish)
+        await testbed.stop_traffic()
+        await asyncio.to_thread(testbed.finish)
     lines = judge.read_scene(Path(folder) / "history.jsonl")
     took = [li["took_us"] for li in lines if li.get("event") == "acked"]
     sent = sum(v["sent_bytes"] for v in views)
@@ -124,13 +126,13 @@
     load = {"loops": 32, "at": ["m0"], "slow_s": 0.0, "busy_share": 0.0, "limit": 5000}
     load |= {"for_s": 8.0, "deadline_s": 10.0}
     copies = {"copies": {"count": count, "need": need, "sync": sync}} if count else {}
-    stage = cast.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
+    testbed = cluster.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
     try:
-        await stage.begin()
+        await testbed.begin()
         await asyncio.sleep(9)
     finally:
-        await stage.hush()
-        await asyncio.to_thread(stage.finish)
+        await testbed.stop_traffic()
+        await asyncio.to_thread(testbed.finish)
     lines = judge.read_scene(Path(folder) / "history.jsonl")
     took = [li["took_us"] for li in lines if li.get("event") == "acked"]
     busy = sum(li.get("event") == "turned_away" for li in lines)
@@ -151,14 +153,14 @@
 def played(out, count, seed):
     """The trials and what became of all; 1 if anything was lost or done twice."""
     lines = asyncio.run(trials(out / "trials", count, seed))
-    found = traffic.ledger(lines)
-    print("ledger:", {k: v if isinstance(v, int) else len(v) for k, v in found.items()})
+    found = ledger(lines)
+    print("ledger:", {k: v if isinstance(v, int) else len(v) for k, v in found.to_dict().items()})
     flows, others = flowing(lines)
     print(f"seconds from the kill until work flows again: {spread(flows, 1e6)}; nothing taken over: {others}")
     waits = [li for li in lines if li.get("event") in ("copies_awaited", "copies_unsure")]
     print("takeovers that waited for a copy:", len(waits))
     print("taken over:", sum(li.get("event") == "copies_taken_over" for li in lines))
-    return 1 if any(found[k] for k in ("lost", "two_finals", "payments_twice", "disordered")) else 0
+    return 0 if found.clean else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/copies_chaos.py
+++ b/benchmarks/copies_chaos.py
@@ -15,8 +15,8 @@
 from collections import Counter
 from pathlib import Path
 
+from pinspread.testbed import cluster
 from pinspread.testbed import history_checker as judge
-from pinspread.testbed import processes as cast
 
 LEASES = {"lease_s": 2.0, "renew_s": 0.6, "retry_s": 0.2, "drift_s": 0.1, "margin_s": 0.1, "election_s": 0.3}
 LIFE_S = 25.0
@@ -68,22 +68,22 @@
     """Play for so long; the history's lines, and how often each trouble came."""
     rng, counts = random.Random(seed), Counter()
     load = {"rate": 6.0, "slow_s": 0.6, "for_s": seconds, "deadline_s": LIFE_S, "amqp_share": 0.25}
-    stage = cast.ClusterTestbed(SCENE | {"traffic": load, "seed": seed}, folder)
+    testbed = cluster.ClusterTestbed(SCENE | {"traffic": load, "seed": seed}, folder)
     try:
-        await stage.begin()
+        await testbed.begin()
         began = time.monotonic()
         await asyncio.sleep(3)
         while time.monotonic() - began < seconds - 20:
-            name, steps = faults(rng, [c.id for c in stage.cast])
+            name, steps = faults(rng, [c.id for c in testbed.members])
             counts[name] += 1
             for wait_s, event in steps:
                 await asyncio.sleep(wait_s)
-                await stage.act({"s": 0, **event})
+                await testbed.act({"s": 0, **event})
             await asyncio.sleep(rng.uniform(4, 9))
         await asyncio.sleep(max(0, began + seconds + LIFE_S + 2 - time.monotonic()))
     finally:
-        await stage.hush()
-        await asyncio.to_thread(stage.finish)
+        await testbed.stop_traffic()
+        await asyncio.to_thread(testbed.finish)
     return judge.read_scene(Path(folder) / "history.jsonl"), counts
 
 
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -18,9 +18,10 @@
 from pinspread.admin import status_client as show
 from pinspread.leases.lease_model import Bounds
 from pinspread.leases.model_checker import explore
+from pinspread.testbed import cluster
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed import lease_checker as judge_leases
-from pinspread.testbed import processes as cast
+from pinspread.testbed.member_configuration import ClockError
 
 LEASES = {
     "voters": 3,
@@ -59,23 +60,23 @@
 async def contend(folder, seconds, seed=1):
     """Play for so long; the history's lines."""
     rng = random.Random(seed)
-    stage = cast.ClusterTestbed(SCENE, folder)
+    testbed = cluster.ClusterTestbed(SCENE, folder)
     for n, rate in enumerate((1.0, 1.04, 0.96, 1.03, 0.97, 1.0, 1.04)):  # 0.12 s in a lease of 3 s at most
-        stage.cast[n].clock_rate = rate
+        testbed.members[n].clock = ClockError(rate=rate)
     try:
-        await stage.begin()
+        await testbed.begin()
         began = time.monotonic()
         await asyncio.sleep(6)
         while time.monotonic() - began < seconds:
             do, lasts, undo = faults(rng)
             for event in do:
-                await stage.act({"s": 0, **event})
+                await testbed.act({"s": 0, **event})
             await asyncio.sleep(lasts)
             for event in undo:
-                await stage.act({"s": 0, **event})
+                await testbed.act({"s": 0, **event})
             await asyncio.sleep(rng.uniform(2, 6))
     finally:
-        await asyncio.to_thread(stage.finish)
+        await asyncio.to_thread(testbed.finish)
     return judge.read_scene(Path(folder) / "history.jsonl")
 
 
@@ -109,19 +110,21 @@
 
 async def cost(folder):
     """Messages of a calm fleet of three voters in 20 s, by kind, and the changes of leases that they carried."""
-    stage = cast.ClusterTestbed(SCENE | {"members": 3}, folder)
+    testbed = cluster.ClusterTestbed(SCENE | {"members": 3}, folder)
     told = []
     try:
-        await stage.begin()
+        await testbed.begin()
         await asyncio.sleep(6)
         for pause in (20, 0):
-            views = [await asyncio.to_thread(show.fetch, f"{c.real[0]}:9600", "leases") for c in stage.cast]
+            views = [
+                await asyncio.to_thread(show.fetch, f"{c.real[0]}:9600", "leases") for c in testbed.members
+            ]
             told.append(sum((Counter(v["sent"]) + Counter(v["counts"]) for v in views), Counter()))
             versions = max(sum(t["version"] for t in v["tasks"]) for v in views)
             told[-1]["changes"] = versions
             await asyncio.sleep(pause)
     finally:
-        await asyncio.to_thread(stage.finish)
+        await asyncio.to_thread(testbed.finish)
     spent = told[1] - told[0]
     changes = spent.pop("changes")
     print(f"calm fleet of 3 voters, 20 s: {changes} grants and renewals; messages:", dict(spent))
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -12,17 +12,17 @@
 import time
 from pathlib import Path
 
+from pinspread.testbed import cluster
 from pinspread.testbed import history_checker as judge
-from pinspread.testbed import processes as cast
 
 N = 16
 TUNING = {"period_s": 0.5, "timeout_s": 0.2}
 SPAN_S = 120  # of each run of false deaths
 
 
-def one_table(stage):
+def one_table(testbed):
     def test(views):
-        return len(views) == N and judge.agreed(set(views), views, [c.id for c in stage.cast])
+        return len(views) == N and judge.agreed(set(views), views, [c.id for c in testbed.members])
 
     return test
 
@@ -37,45 +37,45 @@
 
 async def kills(folder, count=20, seed=1):
     rng = random.Random(seed)
-    stage = cast.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
+    testbed = cluster.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
     times, rejoins = [], []
     try:
-        await stage.begin()
-        await stage.until(one_table(stage), 30)
+        await testbed.begin()
+        await testbed.until(one_table(testbed), 30)
         for n in range(count):
-            victim = rng.choice(stage.cast[2:])  # the seeds stay
-            await stage.act({"s": 0, "do": "kill", "who": [victim.id]})
-            took = await stage.until(dead_to_all(victim.id), 90)
+            victim = rng.choice(testbed.members[2:])  # the seeds stay
+            await testbed.act({"s": 0, "do": "kill", "who": [victim.id]})
+            took = await testbed.until(dead_to_all(victim.id), 90)
             times.append(took)
-            await stage.act({"s": 0, "do": "start", "who": [victim.id]})
-            rejoins.append(await stage.until(one_table(stage), 60))
+            await testbed.act({"s": 0, "do": "start", "who": [victim.id]})
+            rejoins.append(await testbed.until(one_table(testbed), 60))
             print(f"  kill {n + 1}: dead to all in {took} s, one table again in {rejoins[-1]} s", flush=True)
     finally:
-        await asyncio.to_thread(stage.finish)
+        await asyncio.to_thread(testbed.finish)
     return times, rejoins
 
 
 async def false_deaths(folder, loss=0.0, pauses=False, seed=2):
     rng = random.Random(seed)
-    stage = cast.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
+    testbed = cluster.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
     paused = 0
     try:
-        await stage.begin()
-        await stage.until(one_table(stage), 30)
-        await stage.act({"s": 0, "do": "loss", "share": loss})
+        await testbed.begin()
+        await testbed.until(one_table(testbed), 30)
+        await testbed.act({"s": 0, "do": "loss", "share": loss})
         began = time.monotonic()
         while time.monotonic() - began < SPAN_S:
             if pauses:
-                who = rng.choice(stage.cast).id
-                await stage.act({"s": 0, "do": "pause", "who": [who]})
+                who = rng.choice(testbed.members).id
+                await testbed.act({"s": 0, "do": "pause", "who": [who]})
                 await asyncio.sleep(rng.uniform(0.5, 3.0))
-                await stage.act({"s": 0, "do": "resume", "who": [who]})
+                await testbed.act({"s": 0, "do": "resume", "who": [who]})
                 paused += 1
                 await asyncio.sleep(rng.uniform(1.0, 4.0))
             else:
                 await asyncio.sleep(1)
     finally:
-        await asyncio.to_thread(stage.finish)
+        await asyncio.to_thread(testbed.finish)
     lines = judge.read(Path(folder) / "history.jsonl")
     deaths = [li for li in lines if li.get("event") == "member" and li["state"] == "dead"]
     false, hours = judge.false_deaths(lines)
@@ -83,20 +83,20 @@
 
 
 async def heals(folder, count=3):
-    stage = cast.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
-    halves = [[c.id for c in stage.cast[: N // 2]], [c.id for c in stage.cast[N // 2 :]]]
+    testbed = cluster.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
+    halves = [[c.id for c in testbed.members[: N // 2]], [c.id for c in testbed.members[N // 2 :]]]
     found = []
     try:
-        await stage.begin()
-        await stage.until(one_table(stage), 30)
+        await testbed.begin()
+        await testbed.until(one_table(testbed), 30)
         for _ in range(count):
-            await stage.act({"s": 0, "do": "split", "groups": halves})
+            await testbed.act({"s": 0, "do": "split", "groups": halves})
             await asyncio.sleep(15)
-            await stage.act({"s": 0, "do": "heal"})
-            found.append(await stage.until(one_table(stage), 90))
+            await testbed.act({"s": 0, "do": "heal"})
+            found.append(await testbed.until(one_table(testbed), 90))
             print(f"  heal: one table in {found[-1]} s", flush=True)
     finally:
-        await asyncio.to_thread(stage.finish)
+        await asyncio.to_thread(testbed.finish)
     return found
 
 
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -262,13 +262,14 @@
 @stage.command("run")
 def stage_run(file: File, out: Out = Path("found/stage")):
     """Play a scene; its history and verdicts go to OUT; exit code 1 if an expectation failed."""
-    from pinspread.testbed import processes as cast
+    from pinspread.testbed import cluster
+    from pinspread.testbed.cluster_scenario import ScenarioError, load
 
     try:
-        scene = cast.load(str(file))
-        print(f"playing {file}: {scene['members']} members for {scene['seconds']} s ...", flush=True)
-        found = cast.play(scene, out)
-    except (cast.ScenarioError, ValueError) as error:
+        scenario = load(str(file))
+        print(f"playing {file}: {scenario['members']} members for {scenario['seconds']} s ...", flush=True)
+        found = cluster.play(scenario, out)
+    except (ScenarioError, ValueError) as error:
         fail(error)
     for verdict in found:
         shown = {k: v for k, v in verdict.items() if k not in ("ok", "kind", "faults", "each_s")}
@@ -278,7 +279,7 @@
     from pinspread.testbed import picture
 
     lines = judge.read_scene(out / "history.jsonl")
-    marks = [(e["s"], e["do"] + " " + ",".join(e.get("who", []))) for e in scene.get("at", [])]
+    marks = [(e["s"], e["do"] + " " + ",".join(e.get("who", []))) for e in scenario.get("at", [])]
     picture.draw(lines, out / "members.png", marks)
     print(f"history: {out / 'history.jsonl'}; picture: {out / 'members.png'}")
     if not all(v["ok"] for v in found):
@@ -288,10 +289,10 @@
 @stage.command("check")
 def stage_check(file: File):
     """Name a scene's problem, or say that it can be played."""
-    from pinspread.testbed import processes as cast
+    from pinspread.testbed.cluster_scenario import ScenarioError, load
 
     try:
-        scene = cast.load(str(file))
-    except cast.ScenarioError as error:
+        scenario = load(str(file))
+    except ScenarioError as error:
         fail(error)
-    print(f"{file}: no problems; {scene['members']} members, {len(scene.get('at', []))} faults")
+    print(f"{file}: no problems; {scenario['members']} members, {len(scenario.get('at', []))} faults")
--- a/pinspread/testbed/history_checker.py
+++ b/pinspread/testbed/history_checker.py
@@ -16,7 +16,7 @@
 import orjson
 
 from pinspread.testbed import lease_checker as judge_leases
-from pinspread.testbed import traffic
+from pinspread.testbed import ledger
 
 SECOND_US = 1_000_000
 DOWN = {"kill", "term", "wipe"}
@@ -145,8 +145,13 @@
     return bool(said), {"refutations": len(said)}
 
 
+def _ledger(replay, lines, e):
+    found = ledger.ledger(lines)
+    return found.clean and found.acked >= e.get("least", 1), found.to_dict(ledger.MAX_LISTED)
+
+
 KINDS = {"dead": _dead, "never_dead": _never_dead, "one_table": _one_table, "refuted": _refuted}
-KINDS |= judge_leases.KINDS | {"ledger": traffic.judged}
+KINDS |= judge_leases.KINDS | {"ledger": _ledger}
 
 
 def judge(lines, expectations):
--- a/pinspread/testbed/resource.py
+++ b/pinspread/testbed/resource.py
@@ -1,36 +1,66 @@
-"""The stage's stand-in for what a fleet-wide task acts on: it takes acts by HTTP and fences old tokens.
+"""A stand-in for what a fleet-wide task acts on, which refuses outdated fencing tokens.
 
-Every act goes to the history as `act` with the machine's monotonic time, the task, the holder, the token
-and whether it was taken: a token older than the newest seen of that task is refused with 409 (Kleppmann's
+Every action, which comes by HTTP, goes to the history as `act`, with the task, the holder, the token and
+whether it was taken: one with a token older than the newest of its task is refused with 409 (Kleppmann's
 fencing).
 """
 
 import asyncio
+from typing import NamedTuple, Protocol
 
-MOST_HEAD = 4096
-CALL_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
+HEAD_END = b"\r\n\r\n"
+
+
+class EventRecorder(Protocol):
+    """Where events go."""
+
+    def add(self, who: str, event: str, **fields: object) -> None:
+        """Add an event that happens now."""
+
+
+class Action(NamedTuple):
+    """A request to act on a task, as `holder` with a fencing token."""
+
+    task: str
+    holder: str
+    token: int
 
 
 class Resource:
-    """Listens at `address` (host, port); `seen` is the newest token of each task."""
+    """The stand-in.
+
+    Attributes:
+        address: Host and port where it listens.
+        fenced: Whether it refuses outdated tokens.
+        newest: The newest token of each task.
+        server: The listening server; None while closed.
+    """
+
+    def __init__(self, history: EventRecorder, address: tuple[str, int], fenced: bool = True) -> None:
+        self.history = history
+        self.address = address
+        self.fenced = fenced
+        self.newest: dict[str, int] = {}
+        self.server: asyncio.Server | None = None
 
-    def __init__(self, history, address, fenced=True):
-        self.history, self.address, self.fenced = history, address, fenced
-        self.seen = {}
-        self.server = None
+    async def open(self) -> None:
+        """Listen.
 
-    async def open(self):
-        """Listen; OSError if the address is taken."""
+        Raises:
+            OSError: The address is taken.
+        """
         self.server = await asyncio.start_server(self._serve, *self.address)
 
-    def close(self):
+    def close(self) -> None:
+        """Stop listening."""
         if self.server:
             self.server.close()
 
-    async def _serve(self, reader, writer):
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), CALL_S)
-            status = self._act(head.decode("latin-1"))
+            head = await asyncio.wait_for(reader.readuntil(HEAD_END), REQUEST_TIMEOUT_S)
+            status = self._respond(head.decode("latin-1"))
             writer.write(f"HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n".encode())
             await writer.drain()
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, TimeoutError, OSError):
@@ -38,17 +68,25 @@
         finally:
             writer.close()
 
-    def _act(self, head):
-        first, *lines = head.split("\r\n")
-        fields = dict(line.lower().split(": ", 1) for line in lines if ": " in line)
-        words = first.split(" ")
-        token = fields.get("fencing-token", "")
-        if len(words) != 3 or words[0] != "POST" or not token.isdigit():
+    def _respond(self, head: str) -> str:
+        """Take a request; the status line's end."""
+        action = parse_action(head)
+        if action is None:
             return "400 Bad Request"
-        task, token = words[1].removeprefix("/"), int(token)
-        taken = token >= self.seen.get(task, 0) or not self.fenced
+        taken = action.token >= self.newest.get(action.task, 0) or not self.fenced
         if taken:
-            self.seen[task] = token
-        holder = fields.get("holder", "")
+            self.newest[action.task] = action.token
+        task, holder, token = action
         self.history.add("resource", "act", task=task, token=token, holder=holder, taken=taken)
         return "200 OK" if taken else "409 Conflict"
+
+
+def parse_action(head: str) -> Action | None:
+    """The action of a request's head; None if it is none."""
+    first, *lines = head.split("\r\n")
+    fields = dict(line.lower().split(": ", 1) for line in lines if ": " in line)
+    words = first.split(" ")
+    token = fields.get("fencing-token", "")
+    if len(words) != 3 or words[0] != "POST" or not token.isdigit():
+        return None
+    return Action(words[1].removeprefix("/"), fields.get("holder", ""), int(token))
--- a/pinspread/testbed/traffic.py
+++ b/pinspread/testbed/traffic.py
@@ -1,239 +1,205 @@
-"""Traffic on the fault stage: callers of every courier, one partner, the platform that hears notices; and a ledger.
+"""Traffic of a cluster's test: clients of every courier, one destination, and the notified platform.
 
-A share of the messages comes by AMQP: published with confirms, their ends consumed at every courier.
-Events in the history: `acked` (a courier said +OK), `delivered` (the partner did it), `final` (a notice came).
-A caller that hears nothing hands the same message in again at the same courier until its time is up.
+A share of the messages comes by AMQP: published with confirms, their final results consumed at every courier.
+A client that gets no answer submits the same message again at the same courier until its time is up.
+What happens goes to the history in the events that `ledger` reads.
 """
 
+import asyncio
 import random
+from collections.abc import Awaitable, Callable, Sequence
+from dataclasses import dataclass
+from itertools import count
 
 import anyio
 import orjson
+from anyio.abc import TaskGroup
 from pamqp import commands
 
 from pinspread import sockets
 from pinspread.testbed.clients import AmqpClient, Client
-from pinspread.testbed.stand_ins import HttpStandIn
-
-PARTNER, PLATFORM = ("201", 8080), ("202", 8500)
-CLASSES = {"payment": 0.4, "booking-change": 0.4, "status-update": 0.2}
+from pinspread.testbed.cluster_scenario import TrafficScenario
+from pinspread.testbed.history import History
+from pinspread.testbed.member_configuration import AMQP_PORT, RESP_PORT, Address, ClusterAddresses
+from pinspread.testbed.member_process import MemberProcess
+from pinspread.testbed.stand_ins import HttpStandIn, ReceivedRequest, Response
+
+CLASS_SHARES = {"payment": 0.4, "booking-change": 0.4, "status-update": 0.2}
+ORDERED_CLASS = "booking-change"
+LOOPED_CLASS = "status-update"
 KEYS = 8
-ENDS = "ends"
-LATE_US = 1_000_000  # what a notice may take after a message's time is up
+ANSWER_TIMEOUT_S = 1.0
+RESUBMIT_INTERVAL_S = 0.3
+RECONNECT_INTERVAL_S = 0.2
+MAX_ANSWER = 200  # characters of a refusal that are noted
+ACCEPTED = "+OK"
+BUSY = "-BUSY"
+
+
+@dataclass(frozen=True)
+class Submission:
+    """A message as a client submits it; `key` is 0 for one without an order."""
+
+    id: str
+    class_name: str
+    key: int = 0
+
+
+Submit = Callable[[str, Submission, int], Awaitable[str]]
 
 
 class Traffic:
-    """`rate` messages a second at each courier, for `for_s` seconds, each with `deadline_s` to its end."""
+    """The clients of all couriers, with the destination and the platform as stand-ins.
+
+    Attributes:
+        scope: The scope that all of it runs in; None until it runs.
+    """
 
     def __init__(
         self,
-        stage,
-        rate=10.0,
-        for_s=10.0,
-        deadline_s=15.0,
-        slow_s=0.02,
-        busy_share=0.05,
-        amqp_share=0.0,
-        seed=1,
-        loops=0,
-        at=(),
-        limit=500,
-    ):
-        """With `loops`, so many callers at a courier hand in one message after the other, whatever `rate` is;
-        with `at`, only at these couriers."""
-        self.amqp_share, self.loops, self.at, self.limit = amqp_share, loops, at, limit
-        self.stage, self.rate, self.for_s, self.deadline_s = stage, rate, for_s, deadline_s
-        self.slow_s, self.busy_share, self.rng = slow_s, busy_share, random.Random(seed)
-        self.add = stage.history.add
-        self.scope = None
-
-    def zone(self):
-        """The partner's records."""
-        yield "_http._tcp PTR p1._http._tcp"
-        yield f"p1._http._tcp SRV 0 0 {PARTNER[1]} p1"
-        yield f'p1._http._tcp TXT "dest=1" "rate={self.limit}"'
-        yield f"p1 A {self.stage.prefix}.{PARTNER[0]}"
-
-    def platform(self):
-        """Where notices go."""
-        return f"{self.stage.prefix}.{PLATFORM[0]}:{PLATFORM[1]}"
-
-    async def run(self, started):
-        """Serve the stand-ins; callers begin when `started` is set. Until cancelled."""
+        scenario: TrafficScenario,
+        addresses: ClusterAddresses,
+        history: History,
+        couriers: Sequence[MemberProcess],
+    ) -> None:
+        self.scenario = scenario
+        self.addresses = addresses
+        self.history = history
+        self.couriers = couriers
+        self.rng = random.Random(scenario.seed)
+        self.scope: anyio.CancelScope | None = None
+
+    async def run(self, serving: asyncio.Event) -> None:
+        """Run the stand-ins, and the clients from when `serving` is set, until cancelled."""
         with anyio.CancelScope() as self.scope:
             async with anyio.create_task_group() as tasks:
-                for (host, port), answer in ((PARTNER, self._partner), (PLATFORM, self._heard)):
-                    sock = sockets.listen(f"{self.stage.prefix}.{host}:{port}")
-                    tasks.start_soon(HttpStandIn(answer).run, sock)
-                await started.wait()
-                for c in self.stage.cast:
-                    if self.at and c.id not in self.at:
-                        continue
-                    for n in range(self.loops):
-                        tasks.start_soon(self._loop, c, n)
-                    if not self.loops:
-                        tasks.start_soon(self._callers, tasks, c)
-                    if self.amqp_share:
-                        tasks.start_soon(self._consume, c)
-
-    async def _partner(self, request):
-        _, method, _, _, body = request
-        if method != "POST":
+                self._listen(tasks, self.addresses.destination, HttpStandIn(self._deliver))
+                self._listen(tasks, self.addresses.platform, HttpStandIn(self._take_notifications))
+                await serving.wait()
+                for courier in self.couriers:
+                    if not self.scenario.at or courier.id in self.scenario.at:
+                        self._start_clients(tasks, courier)
+
+    @staticmethod
+    def _listen(tasks: TaskGroup, address: Address, stand_in: HttpStandIn) -> None:
+        sock = sockets.listen(f"{address[0]}:{address[1]}")
+        tasks.start_soon(stand_in.run, sock)
+
+    def _start_clients(self, tasks: TaskGroup, courier: MemberProcess) -> None:
+        for number in range(self.scenario.loops):
+            tasks.start_soon(self._submit_in_turn, courier, number)
+        if not self.scenario.loops:
+            tasks.start_soon(self._submit_at_rate, tasks, courier)
+        if self.scenario.amqp_share:
+            tasks.start_soon(self._consume_finals, courier)
+
+    async def _deliver(self, request: ReceivedRequest) -> Response:
+        """The destination's answer."""
+        if request.method != "POST":
             return 200, [], b""
-        if self.rng.random() < self.busy_share:
+        if self.rng.random() < self.scenario.busy_share:
             return 503, [], b""
-        self.add("partner", "delivered", id=body.decode())
-        await anyio.sleep(self.slow_s * self.rng.random())
+        self.history.add("partner", "delivered", id=request.body.decode())
+        await anyio.sleep(self.scenario.slow_s * self.rng.random())
         return 200, [], b""
 
-    def _heard(self, request):
-        for line in request[4].splitlines():
-            told = orjson.loads(line)
-            self.add("platform", "final", id=told["id"], state=told["state"])
+    def _take_notifications(self, request: ReceivedRequest) -> Response:
+        """The platform's answer."""
+        for line in request.body.splitlines():
+            final = orjson.loads(line)
+            self.history.add("platform", "final", id=final["id"], state=final["state"])
         return 204, [], b""
 
-    async def _callers(self, tasks, courier):
-        end = anyio.current_time() + self.for_s
-        serial = 0
-        while anyio.current_time() < end:
-            cls = self.rng.choices(list(CLASSES), CLASSES.values())[0]
-            serial += 1
-            by_amqp = self.rng.random() < self.amqp_share
-            key = self.rng.randrange(1, KEYS) if cls == "booking-change" else 0
-            hand_in = _publish if by_amqp else _enqueue
-            tasks.start_soon(self._call, hand_in, courier, f"{courier.id}-{serial}", cls, key)
-            await anyio.sleep(self.rng.expovariate(self.rate))
-
-    async def _loop(self, courier, n):
-        """One caller that hands in the next message as soon as it has heard of the last."""
-        end = anyio.current_time() + self.for_s
-        serial = 0
-        while anyio.current_time() < end:
-            serial += 1
-            await self._call(_enqueue, courier, f"{courier.id}-{n}-{serial}", "status-update", 0)
-
-    async def _call(self, hand_in, courier, id_, cls, key):
-        until = anyio.current_time() + self.deadline_s
-        while (left := until - anyio.current_time()) > 1:
-            said = ""
-            try:
-                with anyio.move_on_after(1.0):
-                    began = anyio.current_time()
-                    said = await hand_in(courier.real[0], id_, cls, key, int(left * 1000))
-            except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError):
-                pass
-            if said.startswith("+OK"):
-                took = int((anyio.current_time() - began) * 1e6)
-                self.add(courier.id, "acked", id=id_, cls=cls, key=key, took_us=took)
-                break
-            if said.startswith("-BUSY"):
-                self.add(courier.id, "turned_away", id=id_)
-            elif said:
-                self.add(courier.id, "refused", id=id_, said=said[:200])
-                break
-            await anyio.sleep(0.3)
-
-    async def _consume(self, courier):
-        """Hear the ends of what was published at a courier, over its restarts."""
+    async def _submit_at_rate(self, tasks: TaskGroup, courier: MemberProcess) -> None:
+        """Submit messages as a Poisson process, each by a client of its own."""
+        end_s = anyio.current_time() + self.scenario.for_s
+        for serial in count(1):
+            if anyio.current_time() >= end_s:
+                return
+            class_name = self.rng.choices(list(CLASS_SHARES), list(CLASS_SHARES.values()))[0]
+            submit = submit_by_amqp if self.rng.random() < self.scenario.amqp_share else submit_by_resp
+            key = self.rng.randrange(1, KEYS) if class_name == ORDERED_CLASS else 0
+            submission = Submission(f"{courier.id}-{serial}", class_name, key)
+            tasks.start_soon(self._submit, submit, courier, submission)
+            await anyio.sleep(self.rng.expovariate(self.scenario.rate))
+
+    async def _submit_in_turn(self, courier: MemberProcess, number: int) -> None:
+        """One client that submits the next message as soon as it has the answer to the last."""
+        end_s = anyio.current_time() + self.scenario.for_s
+        for serial in count(1):
+            if anyio.current_time() >= end_s:
+                return
+            submission = Submission(f"{courier.id}-{number}-{serial}", LOOPED_CLASS)
+            await self._submit(submit_by_resp, courier, submission)
+
+    async def _submit(self, submit: Submit, courier: MemberProcess, submission: Submission) -> None:
+        """Submit a message until it is acknowledged or refused, or its time is up."""
+        deadline_s = anyio.current_time() + self.scenario.deadline_s
+        while (left_s := deadline_s - anyio.current_time()) > ANSWER_TIMEOUT_S:
+            began_s = anyio.current_time()
+            answer = await self._answer(submit(courier.real[0], submission, int(left_s * 1000)))
+            if answer.startswith(ACCEPTED):
+                took_us = int((anyio.current_time() - began_s) * 1e6)
+                fields = {"id": submission.id, "cls": submission.class_name, "key": submission.key}
+                self.history.add(courier.id, "acked", **fields, took_us=took_us)
+                return
+            if answer.startswith(BUSY):
+                self.history.add(courier.id, "turned_away", id=submission.id)
+            elif answer:
+                self.history.add(courier.id, "refused", id=submission.id, said=answer[:MAX_ANSWER])
+                return
+            await anyio.sleep(RESUBMIT_INTERVAL_S)
+
+    @staticmethod
+    async def _answer(submission: Awaitable[str]) -> str:
+        """The answer to a submission; empty if none comes in time."""
+        try:
+            with anyio.move_on_after(ANSWER_TIMEOUT_S):
+                return await submission
+        except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError):
+            pass
+        return ""
+
+    async def _consume_finals(self, courier: MemberProcess) -> None:
+        """Consume the final results of what was published at a courier, over its restarts."""
         while True:
             client = None
             try:
-                client = await AmqpClient.open(f"{courier.real[0]}:5672", confirms=False)
-                await client.consume(ENDS)
+                client = await AmqpClient.open(f"{courier.real[0]}:{AMQP_PORT}", confirms=False)
+                await client.consume()
                 while True:
-                    told, _ = await client.end()
-                    self.add("platform", "final", id=told["id"], state=told["state"])
+                    final, _ = await client.end()
+                    self.history.add("platform", "final", id=final["id"], state=final["state"])
             except (OSError, TimeoutError):
-                await anyio.sleep(0.2)
+                await anyio.sleep(RECONNECT_INTERVAL_S)
             finally:
                 if client:
                     client.close()
 
 
-async def _enqueue(host, id_, cls, key, for_ms):
-    """Hand a message in by RESP2: its answer."""
-    client = Client(f"{host}:6379")
+async def submit_by_resp(host: str, submission: Submission, time_left_ms: int) -> str:
+    """Submit a message by RESP2; the answer."""
+    client = Client(f"{host}:{RESP_PORT}")
+    id_ = submission.id
+    options = f"c={submission.class_name},t=all,d={time_left_ms},k={id_},dest=1"
     try:
-        options = f"c={cls},t=all,d={for_ms},k={id_},dest=1"
-        return await client.say("ENQUEUE", str(key), id_, options, id_.encode())
+        return await client.say("ENQUEUE", str(submission.key), id_, options, id_.encode())
     finally:
         if client.stream is not None:
             with anyio.CancelScope(shield=True):
                 await client.stream.aclose()
 
 
-async def _publish(host, id_, cls, key, for_ms):
-    """Publish a message and wait for its confirm, in the words of RESP2; empty if there is none."""
-    client = await AmqpClient.open(f"{host}:5672")
+async def submit_by_amqp(host: str, submission: Submission, time_left_ms: int) -> str:
+    """Publish a message and wait for its confirm; the answer in words of RESP2, empty if none comes."""
+    client = await AmqpClient.open(f"{host}:{AMQP_PORT}")
+    id_ = submission.id
+    headers = {"key": f"{submission.key:x}", "idempotency-key": id_}
     try:
-        told = {"key": f"{key:x}", "idempotency-key": id_}
-        await client.publish(id_, cls, id_.encode(), for_ms, tenant="all", **told)
+        await client.publish(id_, submission.class_name, id_.encode(), time_left_ms, tenant="all", **headers)
         method, _, _ = await client.next()
         if isinstance(method, commands.Basic.Ack):
-            return "+OK"
-        return "-BUSY" if isinstance(method, commands.Basic.Return | commands.Basic.Nack) else ""
+            return ACCEPTED
+        return BUSY if isinstance(method, commands.Basic.Return | commands.Basic.Nack) else ""
     finally:
         client.close()
-
-
-def ledger(lines):
-    """What became of all that was acknowledged: counts, and the ids of what must not be."""
-    acked, delivered, finals, taken = {}, {}, {}, {}
-    told_us, first_done, last_done = {}, {}, {}
-    for line in lines:
-        event, id_ = line.get("event"), line.get("id")
-        if event == "taken":
-            until_us = line["mono_us"] + line["for_ms"] * 1000
-            taken.setdefault(id_, (line["who"], line["key"], line["mono_us"], until_us))
-        elif event == "acked":
-            acked.setdefault(id_, line)
-        elif event == "delivered" and line["who"] == "partner":
-            delivered[id_] = delivered.get(id_, 0) + 1
-            first_done.setdefault(id_, line["mono_us"])
-            last_done[id_] = line["mono_us"]
-        elif event == "final" and line["who"] == "platform":
-            finals.setdefault(id_, []).append(line["state"])
-            told_us.setdefault(id_, line["mono_us"])
-
-    def after(id_, state):
-        """Whether it was promised, then told such an end, and then delivered.
-
-        What was returned before any promise may be handed in again under its id.
-        """
-        wait_committed = id_ in acked and acked[id_]["mono_us"] < told_us.get(id_, 0)
-        return wait_committed and state in finals[id_] and last_done.get(id_, 0) > told_us[id_]
-
-    twice = [i for i, n in delivered.items() if n > 1 and acked.get(i, {}).get("cls") == "payment"]
-    disordered, last = [], {}
-    for id_, (who, key, *_) in sorted(taken.items(), key=lambda item: item[1]):
-        if key and id_ in first_done and id_ in acked:
-            if first_done[id_] < last.get((who, key), 0):  # also one that was delivered again behind its next
-                disordered.append(id_)
-            last[who, key] = max(last_done[id_], last.get((who, key), 0))
-    # What is open when the scene ends is lost only if its time was up by then.
-    end_us = next((li["mono_us"] for li in lines if li.get("event") == "ending"), 0)
-    silent = [i for i in acked if i not in delivered and i not in finals]
-    still_open = [i for i in silent if i in taken and taken[i][3] > end_us]
-    ends = {i: min(told_us.get(i, first_done.get(i, 0)), first_done.get(i, told_us.get(i, 0))) for i in acked}
-    return {
-        "acked": len(acked),
-        "delivered": sum(i in delivered for i in acked),
-        "failed": sum("failed" in finals.get(i, ()) for i in acked),
-        "returned": sum("returned" in finals.get(i, ()) for i in acked),
-        "lost": [i for i in silent if i not in still_open],
-        "open": len(still_open),
-        "two_finals": [i for i, said in finals.items() if len(set(said)) > 1 or after(i, "returned")],
-        "payments_twice": twice,
-        "disordered": disordered,
-        "delivered_and_failed": [i for i, said in finals.items() if i in delivered and "failed" in said],
-        "late": [i for i, us in ends.items() if i in taken and us > taken[i][3] + LATE_US],
-        "turned_away": sum(li.get("event") == "turned_away" for li in lines),
-    }
-
-
-def judged(replay, lines, e):
-    """The judge's expectation `ledger`: nothing lost, none ended twice, no payment twice, order per key."""
-    found = ledger(lines)
-    ok = not any(found[k] for k in ("lost", "two_finals", "payments_twice", "disordered"))
-    ok = ok and found["acked"] >= e.get("least", 1)
-    return ok, {k: v if isinstance(v, int) else v[:10] for k, v in found.items()}
--- a/tests/test_leases_stage.py
+++ b/tests/test_leases_stage.py
@@ -4,9 +4,10 @@
 
 from pinspread.leases import codec, raft_messages
 from pinspread.membership import codec as wire
+from pinspread.testbed import cluster
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed import lease_checker as judge_leases
-from pinspread.testbed import processes as cast
+from pinspread.testbed.member_configuration import LEASES_PORT
 
 pytestmark = pytest.mark.stage
 FAST = {"period_s": 0.2, "timeout_s": 0.08}
@@ -25,8 +26,8 @@
 
 
 def play(tmp_path, at, expect=(), seconds=12, **more):
-    scene = {"members": 5, "seconds": seconds, "tuning": FAST, "leases": LEASES, "at": at} | more
-    found = cast.play(scene | {"expect": [*ALWAYS, *expect]}, tmp_path)
+    scenario = {"members": 5, "seconds": seconds, "tuning": FAST, "leases": LEASES, "at": at} | more
+    found = cluster.play(scenario | {"expect": [*ALWAYS, *expect]}, tmp_path)
     assert all(v["ok"] for v in found), found
     return judge.read_scene(tmp_path / "history.jsonl")
 
@@ -38,8 +39,8 @@
             {"s": 1, "do": "loss", "share": 0.2},
             {"s": 1, "do": "duplicate", "share": 0.2},
             {"s": 1, "do": "delay", "delay_s": 0.0, "jitter_s": 0.02},
-            {"s": 2, "do": "garbage", "port": cast.LEASES_PORT, "count": 30},
-            {"s": 2, "do": "stranger", "port": cast.LEASES_PORT, "count": 10},
+            {"s": 2, "do": "garbage", "port": LEASES_PORT, "count": 30},
+            {"s": 2, "do": "stranger", "port": LEASES_PORT, "count": 10},
             {"s": 4, "do": "kill", "who": ["@leader"]},
             {"s": 8, "do": "start"},
             {"s": 9, "do": "kill", "who": ["@holder:sweep"]},
--- a/tests/test_replication_stage.py
+++ b/tests/test_replication_stage.py
@@ -5,20 +5,24 @@
 import pytest
 from test_leases_stage import FAST, LEASES
 
+from pinspread.testbed import cluster
 from pinspread.testbed import history_checker as judge
-from pinspread.testbed import processes as cast
-from pinspread.testbed.stand_ins import until
+from pinspread.testbed.loopback import until
 
 pytestmark = pytest.mark.stage
-# The last message's time is up before a scene ends: what is then neither delivered nor told is lost.
+# The last message's time is up before a scenario ends: what is then neither delivered nor told is lost.
 TRAFFIC = {"rate": 10.0, "for_s": 9.0, "deadline_s": 16.0, "slow_s": 1.5}
 ALWAYS = [{"kind": "ledger", "least": 100}, {"kind": "one_holder"}]
 
 
 def play(tmp_path, at, seconds=20, copies=None, **more):
-    scene = {"members": 4, "seconds": seconds, "tuning": FAST, "leases": LEASES, "traffic": TRAFFIC, "at": at}
-    scene |= {"copies": {"count": 2, "need": 1} | (copies or {}), "expect": ALWAYS} | more
-    found = cast.play(scene, tmp_path)
+    scenario = {"members": 4, "seconds": seconds, "tuning": FAST, "leases": LEASES, "at": at}
+    scenario |= {
+        "traffic": TRAFFIC,
+        "copies": {"count": 2, "need": 1} | (copies or {}),
+        "expect": ALWAYS,
+    } | more
+    found = cluster.play(scenario, tmp_path)
     assert all(v["ok"] for v in found), found
     lines = judge.read_scene(tmp_path / "history.jsonl")
     began = next(li["mono_us"] for li in lines if li.get("event") == "stage_began")
@@ -151,24 +155,24 @@
 
 def test_a_start_that_waits_for_its_lease_ends_at_sigterm(tmp_path):
     late = ["m0", "m1", "m2", "m3"]
-    scene = {"members": 4, "late": late, "seconds": 0, "tuning": FAST, "leases": LEASES, "copies": {}}
+    scenario = {"members": 4, "late": late, "seconds": 0, "tuning": FAST, "leases": LEASES, "copies": {}}
 
     async def until_sigterm():
-        stage = cast.ClusterTestbed(scene, tmp_path)
+        testbed = cluster.ClusterTestbed(scenario, tmp_path)
 
         def has_logged(event):
-            return any(li["who"] == "m3" and li.get("event") == event for li in stage.history.lines)
+            return any(li["who"] == "m3" and li.get("event") == event for li in testbed.history.lines())
 
         try:
-            await stage.begin(set(late))
-            await stage.act({"do": "start", "who": ["m3"]})
+            await testbed.begin(set(late))
+            await testbed.act({"do": "start", "who": ["m3"]})
             # From here on it waits, however long the interpreter's start has taken.
-            await until(lambda: has_logged("copies_up"), cast.READY_S)
+            await until(lambda: has_logged("copies_up"), cluster.READY_TIMEOUT_S)
             await asyncio.sleep(2)
-            await stage.act({"do": "term", "who": ["m3"]})
-            await until(lambda: has_logged("exited"), cast.READY_S)
+            await testbed.act({"do": "term", "who": ["m3"]})
+            await until(lambda: has_logged("exited"), cluster.READY_TIMEOUT_S)
         finally:
-            await asyncio.to_thread(stage.finish)
+            await asyncio.to_thread(testbed.finish)
 
     asyncio.run(until_sigterm())
     lines = judge.read_scene(tmp_path / "history.jsonl")
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -1,18 +1,18 @@
-"""The fault stage with real couriers: membership under pauses, kills, one-way cuts and strange datagrams."""
+"""Real couriers of a cluster: membership under pauses, kills, one-way cuts and strange datagrams."""
 
 import pytest
 
+from pinspread.testbed import cluster
 from pinspread.testbed import history_checker as judge
-from pinspread.testbed import processes as cast
-from pinspread.testbed.faults import Rules
+from pinspread.testbed.proxy import LinkRules
 
 pytestmark = pytest.mark.stage
 FAST = {"period_s": 0.2, "timeout_s": 0.08}
 
 
 def verdicts(tmp_path, at, expect, members=5, seconds=12):
-    scene = {"members": members, "seconds": seconds, "tuning": FAST, "at": at, "expect": expect}
-    found = cast.play(scene, tmp_path)
+    scenario = {"members": members, "seconds": seconds, "tuning": FAST, "at": at, "expect": expect}
+    found = cluster.play(scenario, tmp_path)
     return {v["kind"] + str(v.get("of", "")): v for v in found}
 
 
@@ -48,12 +48,12 @@
 
 
 def test_rules_cut_one_way_and_split_into_groups():
-    rules = Rules(["a", "b", "c"])
+    rules = LinkRules(["a", "b", "c"])
     rules.change(["a"], ["b"], cut=True)
-    assert rules.of("a", "b").cut and not rules.of("b", "a").cut
+    assert rules.between("a", "b").cut and not rules.between("b", "a").cut
     rules.heal()
     rules.split([["a"]])
-    assert rules.of("a", "b").cut and rules.of("c", "a").cut and not rules.of("b", "c").cut
+    assert rules.between("a", "b").cut and rules.between("c", "a").cut and not rules.between("b", "c").cut
 
 
 def test_the_judge_fails_a_history_with_a_false_death():
@@ -114,7 +114,7 @@
 
 def test_a_killed_member_without_its_folder_and_five_joins_at_once(tmp_path):
     scene_late = ["m5", "m6", "m7", "m8", "m9"]
-    scene = {
+    scenario = {
         "members": 10,
         "late": scene_late,
         "seconds": 16,
@@ -130,32 +130,32 @@
             {"kind": "one_table", "after_s": 10, "within_s": 5},
         ],
     }
-    found = cast.play(scene, tmp_path)
+    found = cluster.play(scenario, tmp_path)
     assert all(v["ok"] for v in found), found
 
 
 def test_members_find_their_seeds_by_dns_sd(tmp_path):
-    scene = {
+    scenario = {
         "members": 3,
         "seconds": 4,
         "tuning": FAST,
         "service": "_pinspread-swim._udp",
         "expect": [{"kind": "one_table", "within_s": 3}],
     }
-    found = cast.play(scene, tmp_path)
+    found = cluster.play(scenario, tmp_path)
     assert all(v["ok"] for v in found), found
 
 
 def accusations(tmp_path, most_health):
     """Suspicions raised by a member whose every datagram comes 0.25 s late, beyond the period of 0.2 s."""
-    scene = {
+    scenario = {
         "members": 4,
         "seconds": 8,
         "tuning": FAST | {"most_health": most_health},
         "at": [{"s": 0, "do": "delay", "to": ["m2"], "delay_s": 0.25}],
         "expect": [{"kind": "never_dead", "of": ["m0", "m1", "m3"]}],
     }
-    found = cast.play(scene, tmp_path)
+    found = cluster.play(scenario, tmp_path)
     lines = judge.read(tmp_path / "history.jsonl")
     raised = [
         li for li in lines if li.get("event") == "member" and li["who"] == "m2" and li["state"] == "suspect"
@@ -195,14 +195,14 @@
     from pinspread.__main__ import main
 
     async def look():
-        stage = cast.ClusterTestbed({"members": 2, "seconds": 0, "tuning": FAST}, tmp_path)
+        testbed = cluster.ClusterTestbed({"members": 2, "seconds": 0, "tuning": FAST}, tmp_path)
         try:
-            await stage.begin()
-            assert await stage.until(lambda views: all(len(v) == 1 for v in views.values()), 10) is not None
-            door = f"{stage.cast[1].real[0]}:9600"
+            await testbed.begin()
+            assert await testbed.until(lambda views: all(len(v) == 1 for v in views.values()), 10) is not None
+            door = f"{testbed.members[1].real[0]}:9600"
             return await asyncio.to_thread(main, ["members", door])
         finally:
-            await asyncio.to_thread(stage.finish)
+            await asyncio.to_thread(testbed.finish)
 
     assert asyncio.run(look()) == 0
     shown = capsys.readouterr().out.splitlines()
@@ -231,7 +231,7 @@
     import asyncio
     import time
 
-    from pinspread.testbed.faults import Proxy
+    from pinspread.testbed.proxy import Proxy
 
     prefix = "127.31.77"
     real = {"a": (f"{prefix}.10", 7947), "b": (f"{prefix}.11", 7947)}
@@ -255,7 +255,7 @@
 
     async def play():
         server = await asyncio.start_server(echo, *real["b"])
-        rules = Rules(["a", "b"])
+        rules = LinkRules(["a", "b"])
         proxy = Proxy(rules, real, front)
         await proxy.open_streams([7947])
         try:
--- a/tests/test_testbed_history.py
+++ b/tests/test_testbed_history.py
@@ -10,7 +10,8 @@
 from pinspread.__main__ import main
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation.model import FleetModel
-from pinspread.testbed import history_checker, lease_checker, picture, processes
+from pinspread.testbed import cluster, history_checker, lease_checker, picture
+from pinspread.testbed.cluster_scenario import load
 from pinspread.testbed.platform_configuration import courier_configuration
 from pinspread.testbed.platform_run import PlatformRun
 from pinspread.testbed.platform_stand_in import PlatformStandIn
@@ -34,7 +35,7 @@
 
 
 def verdicts(lines):
-    scenario = processes.load(str(DATA / "short.toml"))
+    scenario = load(str(DATA / "short.toml"))
     return json.loads(json.dumps(history_checker.judge(lines, scenario["expect"])))
 
 
@@ -99,7 +100,7 @@
         shutil.copy(history, folder)
         return history_checker.judge(history_checker.read_scene(history), scenario["expect"])
 
-    monkeypatch.setattr(processes, "play", play)
+    monkeypatch.setattr(cluster, "play", play)
     out = tmp_path / "out"
     assert main(["testbed", "run", str(DATA / "short.toml"), "--out", str(out)]) == 1
     shown = capsys.readouterr().out.replace(str(out), "OUT").replace(str(DATA), "DATA").splitlines()
@@ -133,19 +134,19 @@
 
 
 def test_members_are_configured_as_recorded(tmp_path):
-    scenario = processes.load(str(DATA / "short.toml"))
+    scenario = load(str(DATA / "short.toml"))
     found = {}
     for name, change in {"list": {}, "service": {"service": "_pinspread-swim._udp"}}.items():
-        testbed = processes.ClusterTestbed(scenario | change, tmp_path / name)
+        testbed = cluster.ClusterTestbed(scenario | change, tmp_path / name)
         try:
-            for member in testbed.cast:
+            for member in testbed.members:
                 member.folder.mkdir(parents=True, exist_ok=True)
-                found[f"{name} {member.id}"] = member.config()
+                found[f"{name} {member.id}"] = member.configuration()
             found[f"{name} zone"] = (tmp_path / name / "partners.zone").read_text()
         finally:
             testbed.history.close()
         for key, text in found.items():
-            text = text.replace(testbed.prefix, "PREFIX").replace(str(testbed.folder), "FOLDER")
+            text = text.replace(testbed.addresses.prefix, "PREFIX").replace(str(testbed.folder), "FOLDER")
             found[key] = text
     assert found == recorded("members.json")
 
