--- a/tests/standins.py
+++ b/tests/standins.py
@@ -23,7 +23,7 @@
 from pinspread.core.journal import Journal
 from pinspread.core.messages import Endpoint
 from pinspread.discovery.client import DiscoveryClient
-from pinspread.http import transport as http
+from pinspread.http import transport as http_transport
 from pinspread.http.pool import ConnectionPool
 from pinspread.http.transport import HttpTransport
 from pinspread.policy.delivery_policy import DeliveryPolicy
@@ -182,14 +182,14 @@
     """Holds every dial to next hops until it is opened."""
 
     def __init__(self, monkeypatch):
-        self.open, self.waiting, dial = anyio.Event(), 0, http.dial
+        self.open, self.waiting, dial = anyio.Event(), 0, http_transport.dial
 
         async def held(address):
             self.waiting += 1
             await self.open.wait()
             return await dial(address)
 
-        monkeypatch.setattr(http, "dial", held)
+        monkeypatch.setattr(http_transport, "dial", held)
 
 
 def malformed(payload):
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -14,12 +14,9 @@
 import msgpack
 
 from pinspread.leases import codec as lease_codec
-from pinspread.leases import raft, raft_transport
-from pinspread.leases import raft_log as raftlog
-from pinspread.leases import service as leases
-from pinspread.leases import state_machine as lease
-from pinspread.membership import codec as wire
-from pinspread.membership import message_codec, swim
+from pinspread.leases import raft, raft_log, raft_transport, state_machine
+from pinspread.leases import service as lease_service
+from pinspread.membership import codec, message_codec, swim
 from pinspread.membership import service as member_service
 from pinspread.membership.members import MemberRecord, MemberState
 from pinspread.replication import clock, protocol
@@ -36,12 +33,12 @@
 # --- adapter ----------------------------------------------------------------------------------------
 
 MEMBERS_MAGIC, LEASES_MAGIC, COPIES_MAGIC, VOTERS_MAGIC = (
-    wire.MAGIC,
+    codec.MAGIC,
     lease_codec.MAGIC,
     protocol.MAGIC,
     raft_transport.MAGIC,
 )
-pack, unpack, DatagramError = wire.encode, wire.decode, wire.DatagramError
+pack, unpack, DatagramError = codec.encode, codec.decode, codec.DatagramError
 
 
 def unpack_member(data, key):
@@ -88,10 +85,16 @@
 
 def lease_holder(id_, now):
     """A member's leases, with one task of the fleet."""
-    told = leases.LeaseConfig(
-        "", ADDRESSES[id_], {"b": ADDRESSES["b"]}, (leases.LeaseTask("nightly"),), lease.LeaseTerms(), 1.0, ""
+    told = lease_service.LeaseConfig(
+        "",
+        ADDRESSES[id_],
+        {"b": ADDRESSES["b"]},
+        (lease_service.LeaseTask("nightly"),),
+        state_machine.LeaseTerms(),
+        1.0,
+        "",
     )
-    return leases.LeaseService(told, membership(id_, now), seed=1)
+    return lease_service.LeaseService(told, membership(id_, now), seed=1)
 
 
 class Agreed:
@@ -110,7 +113,7 @@
         return "b"
 
     def propose(self, task, command, done):
-        row, why = lease.apply_command(self.records.get(task, lease.LeaseRecord()), command)
+        row, why = state_machine.apply_command(self.records.get(task, state_machine.LeaseRecord()), command)
         self.records[task] = row
         self.on_change(task, row)
         done(row, why)
@@ -118,7 +121,7 @@
 
 def row(*words):
     """A lease's row from holder, token, version, number; and the reverse."""
-    return lease.LeaseRecord(*words)
+    return state_machine.LeaseRecord(*words)
 
 
 def told_row(found):
@@ -131,14 +134,14 @@
 
 
 COMMANDS = {
-    "grant": lease.CommandKind.GRANT,
-    "renew": lease.CommandKind.RENEW,
-    "release": lease.CommandKind.RELEASE,
+    "grant": state_machine.CommandKind.GRANT,
+    "renew": state_machine.CommandKind.RENEW,
+    "release": state_machine.CommandKind.RELEASE,
 }
 
 
 def command(kind, holder, arg, number=0):
-    return lease.Command(COMMANDS[kind], holder, arg, number)
+    return state_machine.Command(COMMANDS[kind], holder, arg, number)
 
 
 def copier(id_, folder, holds):
@@ -256,12 +259,12 @@
 
 
 def voter_log(path):
-    return raftlog.RaftLog(path)
+    return raft_log.RaftLog(path)
 
 
 def told_log(path):
     """What a voter's log is read to."""
-    log = raftlog.RaftLog(path)
+    log = raft_log.RaftLog(path)
     found = {
         "entries": [[c.hex(), i, t] for c, i, t in log.entries],
         "term": log.term,
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -20,7 +20,7 @@
 from standins import Client, HttpStandIn, configuration, host, own_address, standing, until
 
 from pinspread import sockets
-from pinspread.admin import server as admin
+from pinspread.admin import server as admin_server
 from pinspread.config import last_good, settings
 from pinspread.config.summary import summary as settings_summary
 from pinspread.core.messages import AttemptResult
@@ -84,7 +84,7 @@
         "copies": ReplicationService.name,
     }
     views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
-    return admin.AdminServer(EndpointAdmin(), background_services=views)
+    return admin_server.AdminServer(EndpointAdmin(), background_services=views)
 
 
 def members_view():
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,7 +10,7 @@
 from standins import Client, HttpStandIn, engine, listener, standing, until
 
 from pinspread import sockets
-from pinspread.admin import server as admin
+from pinspread.admin import server as admin_server
 from pinspread.core.endpoint_blocklist import EndpointBlocklist
 from pinspread.errors import JournalFullError
 from pinspread.policy.actions import Send
@@ -34,7 +34,7 @@
     """A courier with its door; gives it and the door's address."""
     async with engine(state, endpoints=endpoints, **more) as rig:
         sock, address = listener()
-        door = admin.AdminServer(rig.engine)
+        door = admin_server.AdminServer(rig.engine)
         rig.tasks.start_soon(door.run, sock)
         rig.engine.serving = True
         rig.door = door
@@ -98,7 +98,7 @@
 
 
 async def test_callers_that_stay_silent_cost_only_themselves(tmp_path, monkeypatch):
-    monkeypatch.setattr(admin, "REQUEST_TIMEOUT_S", 0.6)
+    monkeypatch.setattr(admin_server, "REQUEST_TIMEOUT_S", 0.6)
     async with served(tmp_path) as (rig, address):
         silent = [await sockets.dial(address) for _ in range(200)]
         for connection in silent[::2]:
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -2,8 +2,7 @@
 
 import pytest
 
-from pinspread.membership import codec as wire
-from pinspread.membership import message_codec
+from pinspread.membership import codec, message_codec
 from pinspread.membership.framing import ConnectionClosedError, FrameStream
 
 KEY = b"fleet-a"
@@ -11,7 +10,7 @@
 
 
 def damaged(change):
-    data = bytearray(wire.encode(PING, KEY))
+    data = bytearray(codec.encode(PING, KEY))
     change(data)
     return bytes(data)
 
@@ -20,50 +19,50 @@
     ("data", "key", "why"),
     [
         (b"", KEY, "shorter"),
-        (b"PSX" + wire.encode(PING, KEY)[3:], KEY, "not a datagram"),
+        (b"PSX" + codec.encode(PING, KEY)[3:], KEY, "not a datagram"),
         (damaged(lambda d: d.__setitem__(3, 9)), KEY, "version 9"),
-        (wire.encode(PING, KEY)[:-1], KEY, "length"),
+        (codec.encode(PING, KEY)[:-1], KEY, "length"),
         (damaged(lambda d: d.__setitem__(-1, d[-1] ^ 1)), KEY, "checksum"),
-        (wire.encode(PING, KEY), b"fleet-b", "checksum"),
-        (wire.encode([1, 2], KEY), KEY, "not a map"),
-        (wire.encode(PING | {"t": "boom"}, KEY), KEY, "kind"),
-        (wire.encode(PING | {"seq": "1"}, KEY), KEY, "'seq'"),
-        (wire.encode(PING | {"inc": True}, KEY), KEY, "'inc'"),
-        (wire.encode(PING | {"inc": -1}, KEY), KEY, "update"),
-        (wire.encode(PING | {"up": [["b", "x", 0, "zombie", "a"]]}, KEY), KEY, "update"),
-        (wire.encode(PING | {"t": "sync", "reply": True, "table": [["b"]]}, KEY), KEY, "row of the table"),
-        (wire.encode(PING | {"t": "ask"}, KEY), KEY, "'to_at'"),
+        (codec.encode(PING, KEY), b"fleet-b", "checksum"),
+        (codec.encode([1, 2], KEY), KEY, "not a map"),
+        (codec.encode(PING | {"t": "boom"}, KEY), KEY, "kind"),
+        (codec.encode(PING | {"seq": "1"}, KEY), KEY, "'seq'"),
+        (codec.encode(PING | {"inc": True}, KEY), KEY, "'inc'"),
+        (codec.encode(PING | {"inc": -1}, KEY), KEY, "update"),
+        (codec.encode(PING | {"up": [["b", "x", 0, "zombie", "a"]]}, KEY), KEY, "update"),
+        (codec.encode(PING | {"t": "sync", "reply": True, "table": [["b"]]}, KEY), KEY, "row of the table"),
+        (codec.encode(PING | {"t": "ask"}, KEY), KEY, "'to_at'"),
     ],
 )
 def test_a_datagram_that_is_not_taken_says_why(data, key, why):
-    with pytest.raises(wire.DatagramError, match=why):
+    with pytest.raises(codec.DatagramError, match=why):
         message_codec.decode_message(data, key)
 
 
 def test_a_whole_datagram_comes_back_as_it_went():
-    assert message_codec.to_map(message_codec.decode_message(wire.encode(PING, KEY), KEY)) == PING
+    assert message_codec.to_map(message_codec.decode_message(codec.encode(PING, KEY), KEY)) == PING
 
 
 def test_garbage_of_every_length_is_dropped_and_nothing_else_is_raised():
     import random
 
     rng = random.Random(5)
-    good = wire.encode(PING, KEY)
+    good = codec.encode(PING, KEY)
     for n in range(2000):
         data = bytearray(good[: rng.randrange(len(good))]) if n % 2 else bytearray(rng.randbytes(n % 90))
-        with pytest.raises(wire.DatagramError):
+        with pytest.raises(codec.DatagramError):
             message_codec.decode_message(bytes(data), KEY)
 
 
 def test_a_leave_while_the_turns_go_on_breaks_no_socket():
     import anyio
 
-    from pinspread.membership import service as member
     from pinspread.membership import swim
+    from pinspread.membership.service import MembershipConfig, MembershipService
 
     async def play():
-        plan = member.MembershipConfig("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, swim.SwimConfig())
-        one = member.MembershipService(plan)
+        plan = MembershipConfig("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, swim.SwimConfig())
+        one = MembershipService(plan)
         await one.open()
         out = [("127.0.0.1:9", message_codec.from_map(PING))] * 20
         async with one._socket, anyio.create_task_group() as tasks:
@@ -77,9 +76,9 @@
     ("sent", "error"),
     [
         (b"", ConnectionClosedError),
-        (wire.encode({"n": 2}, KEY)[:-1], ConnectionClosedError),  # ends within a frame
-        (wire.encode({"n": "x" * 90}, KEY), wire.DatagramError),  # longer than is accepted
-        (wire.encode({"n": 2}, b"fleet-b"), wire.DatagramError),
+        (codec.encode({"n": 2}, KEY)[:-1], ConnectionClosedError),  # ends within a frame
+        (codec.encode({"n": "x" * 90}, KEY), codec.DatagramError),  # longer than is accepted
+        (codec.encode({"n": 2}, b"fleet-b"), codec.DatagramError),
     ],
 )
 def test_a_stream_of_frames_tells_its_end_from_a_frame_that_is_not_accepted(sent, error):
@@ -88,14 +87,14 @@
     async def play():
         async def serve(stream):
             async with stream:
-                await stream.send(wire.encode({"n": 1}, KEY) + sent)
+                await stream.send(codec.encode({"n": 1}, KEY) + sent)
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         async with listener, anyio.create_task_group() as tasks:
             tasks.start_soon(listener.serve, serve)
             async with await anyio.connect_tcp("127.0.0.1", port) as stream:
-                frames = FrameStream(stream, KEY, wire.MAGIC, 80)
+                frames = FrameStream(stream, KEY, codec.MAGIC, 80)
                 with anyio.fail_after(5):
                     assert await frames.receive() == {"n": 1}
                     with pytest.raises(error):
@@ -109,5 +108,5 @@
 
 @pytest.mark.parametrize("change", [{"t": []}, {"up": [["b", "x", 0, [], "a"]]}])
 def test_a_list_where_a_word_belongs_is_dropped_too(change):
-    with pytest.raises(wire.DatagramError):
-        message_codec.decode_message(wire.encode(PING | change, KEY), KEY)
+    with pytest.raises(codec.DatagramError):
+        message_codec.decode_message(codec.encode(PING | change, KEY), KEY)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,8 +12,8 @@
 from pinspread import sockets
 from pinspread.core.messages import DeliveryRules, Endpoint
 from pinspread.discovery import backoff
-from pinspread.discovery import client as discovery
-from pinspread.http import transport as http
+from pinspread.discovery import client as discovery_client
+from pinspread.http import transport as http_transport
 from pinspread.policy import outlier_detection
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.policy.settings import DeduplicationScope
@@ -61,7 +61,7 @@
 async def test_what_an_answer_has_proven_stands_though_the_time_ends_behind_it(
     tmp_path, monkeypatch, answer, behind, ends
 ):
-    monkeypatch.setattr(http, behind, 60)  # so the message's time ends first
+    monkeypatch.setattr(http_transport, behind, 60)  # so the message's time ends first
     endpoint, told = HttpStandIn(lambda request: answer), HttpStandIn(lambda request: (204, [], b""))
     async with standing(told) as heard, standing(endpoint) as address:
         async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:
@@ -144,12 +144,12 @@
 async def watched(tmp_path, monkeypatch, faster=4):
     """A courier and its agent, with the watch's times cut to a quarter."""
     for name in ("LINE_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S", "RESPONSE_TIMEOUT_S", "OPEN_INTERVAL_S"):
-        monkeypatch.setattr(discovery, name, getattr(discovery, name) / faster)
+        monkeypatch.setattr(discovery_client, name, getattr(discovery_client, name) / faster)
     monkeypatch.setattr(backoff, "REOPEN_DELAY_S", backoff.REOPEN_DELAY_S / faster)
     agent = Agent()
     async with engine(tmp_path, agent.address) as rig:
         rig.tasks.start_soon(agent.run)
-        watch = discovery.DiscoveryClient(agent.address, rig.engine, rig.engine.settings)
+        watch = discovery_client.DiscoveryClient(agent.address, rig.engine, rig.engine.settings)
         rig.tasks.start_soon(watch.run)
         await until(lambda: agent.watches)
         yield rig, agent, watch
@@ -248,7 +248,7 @@
 @pytest.mark.parametrize("bad", BAD_PARTS)
 async def test_a_list_with_parts_of_other_types_is_logged_and_ends_nothing(tmp_path, monkeypatch, bad):
     logged = []
-    monkeypatch.setattr(discovery, "log", lambda event, **_: logged.append(event))
+    monkeypatch.setattr(discovery_client, "log", lambda event, **_: logged.append(event))
     async with watched(tmp_path, monkeypatch) as (rig, agent, _):
         entry = host("s-2", "127.0.0.1:9") | bad
         agent.say(0, told(5, S1) + b"\n" + told(6, entry, whole=False) + b"\n", head=True)
@@ -334,7 +334,7 @@
             rig.tasks.start_soon(agent.run)
             old = {"seq": 5, "whole": True, "hosts": [ready]}  # as the configuration has it
             settings_ = dataclasses.replace(rig.engine.settings, cached_endpoints=old)
-            watch = discovery.DiscoveryClient(agent.address, rig.engine, settings_)
+            watch = discovery_client.DiscoveryClient(agent.address, rig.engine, settings_)
             watch.start()
             rig.tasks.start_soon(watch.run)
             await until(lambda: agent.watches and not rig.engine.messages_by_id)  # its time is over
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -2,12 +2,11 @@
 
 import pytest
 
-from pinspread.leases import model_checker as modelcheck
-from pinspread.leases import state_machine as lease
-from pinspread.leases.state_machine import Answer, Claim, Command, LeaseRecord, Request
+from pinspread.leases import model_checker, state_machine
+from pinspread.leases.state_machine import Answer, Claim, Command, CommandKind, LeaseRecord, Request
 
-TERMS = lease.LeaseTerms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
-A = lease.Contender("t", "a")
+TERMS = state_machine.LeaseTerms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
+A = state_machine.Contender("t", "a")
 
 
 @pytest.mark.parametrize(
@@ -41,7 +40,7 @@
     ],
 )
 def test_a_row_after_each_command(row, command, after, why):
-    assert lease.apply_command(row, command) == (after, why)
+    assert state_machine.apply_command(row, command) == (after, why)
 
 
 @pytest.mark.parametrize(
@@ -58,50 +57,52 @@
     ],
 )
 def test_what_a_voter_makes_of_a_request(request_, now_us, said):
-    assert lease.evaluate_request(LeaseRecord("a", 1, 2, 7), 0, request_, TERMS, now_us) == said
+    assert state_machine.evaluate_request(LeaseRecord("a", 1, 2, 7), 0, request_, TERMS, now_us) == said
 
 
 def test_a_claim_counts_from_before_it_asked_and_ends_when_a_renewal_is_refused():
-    claim, request = lease.tick(Claim(), TERMS, A, 100, 7)
+    claim, request = state_machine.tick(Claim(), TERMS, A, 100, 7)
     assert request == Request("ask", "t", "a", 0, 7)
-    assert lease.tick(claim, TERMS, A, 150, 8) == (claim, None)
-    claim, again = lease.tick(claim, TERMS, A, 200, 8)
+    assert state_machine.tick(claim, TERMS, A, 150, 8) == (claim, None)
+    claim, again = state_machine.tick(claim, TERMS, A, 200, 8)
     assert again == request  # the same number, so that it is granted once
-    claim = lease.apply_answer(claim, Answer("t", 7, "ok", 5), TERMS, 600)
+    claim = state_machine.apply_answer(claim, Answer("t", 7, "ok", 5), TERMS, 600)
     assert claim.token == 5 and claim.expiry_us == 1100
-    assert lease.may_act(claim, TERMS, 1029) and not lease.may_act(claim, TERMS, 1030)
-    claim, renewal = lease.tick(claim, TERMS, A, 601, 9)
+    assert state_machine.may_act(claim, TERMS, 1029) and not state_machine.may_act(claim, TERMS, 1030)
+    claim, renewal = state_machine.tick(claim, TERMS, A, 601, 9)
     assert renewal == Request("keep", "t", "a", 5, 9)
     assert (
-        lease.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
+        state_machine.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
     )  # of another request
-    kept = lease.apply_answer(claim, Answer("t", 9, "ok", 5), TERMS, 700)
+    kept = state_machine.apply_answer(claim, Answer("t", 9, "ok", 5), TERMS, 700)
     assert kept.expiry_us == 1601
-    lost = lease.apply_answer(claim, Answer("t", 9, "not the holder"), TERMS, 700)
-    assert not lease.may_act(lost, TERMS, 700)
-    silent, _ = lease.tick(claim, TERMS, A, 1100, 10)
+    lost = state_machine.apply_answer(claim, Answer("t", 9, "not the holder"), TERMS, 700)
+    assert not state_machine.may_act(lost, TERMS, 700)
+    silent, _ = state_machine.tick(claim, TERMS, A, 1100, 10)
     assert silent.token == 0
 
 
 def without_drift_of_the_holder(claim, terms, now_us):
-    return lease.may_act(claim, terms._replace(drift_us=0), now_us)
+    return state_machine.may_act(claim, terms._replace(drift_us=0), now_us)
 
 
 def without_drift_of_the_voter(row, applied_us, request, terms, now_us):
-    return lease.evaluate_request(row, applied_us, request, terms._replace(drift_us=0), now_us)
+    return state_machine.evaluate_request(row, applied_us, request, terms._replace(drift_us=0), now_us)
 
 
 def without_the_wait(row, applied_us, request, terms, now_us):
-    return lease.evaluate_request(row, applied_us, request, terms._replace(lease_us=0, drift_us=0), now_us)
+    return state_machine.evaluate_request(
+        row, applied_us, request, terms._replace(lease_us=0, drift_us=0), now_us
+    )
 
 
 def without_the_version(row, command):
-    expected = row.version if command.kind == lease.CommandKind.GRANT else command.expected
-    return lease.apply_command(row, command._replace(expected=expected))
+    expected = row.version if command.kind == CommandKind.GRANT else command.expected
+    return state_machine.apply_command(row, command._replace(expected=expected))
 
 
 def test_no_order_of_events_within_six_steps_gives_two_holders():
-    found = modelcheck.explore(modelcheck.Bounds(depth=6))
+    found = model_checker.explore(model_checker.Bounds(depth=6))
     assert found.complete and not found.violation, found
     assert found.states > 500_000
 
@@ -109,25 +110,25 @@
 @pytest.mark.parametrize(
     "rules",
     [
-        modelcheck.Rules(may_act=without_drift_of_the_holder),
-        modelcheck.Rules(evaluate_request=without_drift_of_the_voter),
-        modelcheck.Rules(evaluate_request=without_the_wait),
-        modelcheck.Rules(apply_command=without_the_version),
+        model_checker.Rules(may_act=without_drift_of_the_holder),
+        model_checker.Rules(evaluate_request=without_drift_of_the_voter),
+        model_checker.Rules(evaluate_request=without_the_wait),
+        model_checker.Rules(apply_command=without_the_version),
     ],
     ids=["holder's drift", "voter's drift", "the wait", "the version"],
 )
 def test_the_check_finds_two_holders_where_a_rule_is_taken_out(rules):
-    found = modelcheck.explore(modelcheck.Bounds(depth=6), rules)
+    found = model_checker.explore(model_checker.Bounds(depth=6), rules)
     assert "may act" in found.violation, found
     assert 3 <= len(found.steps) <= 7
 
 
 def test_acts_of_a_holder_that_paused_are_refused_by_the_fence_alone():
-    bounds = modelcheck.Bounds(depth=9, voters=1, jumps=0, drift=0, requests=2, log=2, acts=True)
-    terms = modelcheck.TERMS._replace(lease_us=2, drift_us=0)
-    found = modelcheck.explore(bounds, terms=terms)
+    bounds = model_checker.Bounds(depth=9, voters=1, jumps=0, drift=0, requests=2, log=2, acts=True)
+    terms = model_checker.TERMS._replace(lease_us=2, drift_us=0)
+    found = model_checker.explore(bounds, terms=terms)
     assert found.complete and not found.violation, found
-    unfenced = modelcheck.explore(bounds, modelcheck.Rules(fenced=False), terms)
+    unfenced = model_checker.explore(bounds, model_checker.Rules(fenced=False), terms)
     assert unfenced.violation == "the resource took token 1 after 2", unfenced
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,10 +10,10 @@
 from pinspread.amqp.errors import AmqpError, ReplyCode
 from pinspread.config import settings
 from pinspread.core.message_fields import InvalidFieldError
-from pinspread.http import exchange as http
+from pinspread.http import exchange
 from pinspread.http.call import CallState
 from pinspread.http.retry_after import parse_retry_after_us
-from pinspread.resp import parser as resp
+from pinspread.resp import parser
 from pinspread.sockets import split_address
 
 
@@ -28,9 +28,9 @@
 def test_a_command_is_parsed_whole_or_not_at_all(words):
     data = command(*words)
     for end in range(len(data)):
-        arguments, least = resp.parse(memoryview(data)[:end])
+        arguments, least = parser.parse(memoryview(data)[:end])
         assert arguments is None and end < least <= len(data)
-    arguments, size = resp.parse(memoryview(data + b"*1\r\n"))
+    arguments, size = parser.parse(memoryview(data + b"*1\r\n"))
     assert ([bytes(a) for a in arguments], size) == (words, len(data))
 
 
@@ -48,8 +48,8 @@
     ],
 )
 def test_a_stream_that_cannot_be_followed_is_an_error(data):
-    with pytest.raises(resp.ProtocolError):
-        resp.parse(memoryview(data + b"*" * 9))
+    with pytest.raises(parser.ProtocolError):
+        parser.parse(memoryview(data + b"*" * 9))
 
 
 @pytest.mark.parametrize(
@@ -76,14 +76,14 @@
 )
 def test_a_malformed_enqueue_says_what_is_wrong(words, why):
     with pytest.raises(InvalidFieldError, match=why):
-        resp.parse_enqueue([memoryview(w) for w in (b"ENQUEUE", *words)])
+        parser.parse_enqueue([memoryview(w) for w in (b"ENQUEUE", *words)])
 
 
 def test_a_good_enqueue_gives_its_fields_and_its_body_as_a_slice():
     words = (b"ENQUEUE", b"7f3a9c21e0b4d655", b"9b1f", GOOD, b"x" * 65_536)
-    key, id_, options, body = resp.parse_enqueue([memoryview(w) for w in words])
+    key, id_, options, body = parser.parse_enqueue([memoryview(w) for w in words])
     assert (key, id_, len(body)) == (0x7F3A9C21E0B4D655, "9b1f", 65_536) and isinstance(body, memoryview)
-    assert options == resp.EnqueueOptions(8000, 7, "notice", "acme", "5c0f")
+    assert options == parser.EnqueueOptions(8000, 7, "notice", "acme", "5c0f")
 
 
 @pytest.mark.parametrize(
@@ -105,7 +105,7 @@
     ],
 )
 def test_the_first_line_tells_the_status_past_1xx_answers(seen, status):
-    assert http.parse_status(seen) == status
+    assert exchange.parse_status(seen) == status
 
 
 @pytest.mark.parametrize(
@@ -114,8 +114,8 @@
     + [b"HTTP/1.1 200 OK\r\r\n", b"x" * 20_000, b"HTTP/1.1 100 Go on\r\nX: " + b"x" * 20_000],
 )
 def test_what_is_no_first_line_is_spoilt(seen):
-    with pytest.raises(http.MalformedResponseError):
-        http.parse_status(seen)
+    with pytest.raises(exchange.MalformedResponseError):
+        exchange.parse_status(seen)
 
 
 @pytest.mark.parametrize("text", ["", "host", ":1", "host:", "host:x"])
@@ -160,7 +160,7 @@
     publish = frames.marshal_content(commands.Basic.Publish(0, "", "x", True), properties, b"body", 1)
     for _ in range(2000):
         for data, parse, expected in (
-            (command(b"ENQUEUE", b"0", b"id", GOOD, b"x"), resp.parse, resp.ProtocolError),
+            (command(b"ENQUEUE", b"0", b"id", GOOD, b"x"), parser.parse, parser.ProtocolError),
             (publish, frames.parse_frame, AmqpError),
         ):
             data = bytearray(data)
@@ -169,8 +169,8 @@
             view, contents = memoryview(data), ContentAssembler(100)
             try:
                 while len(view) and (found := parse(view)) and found[0] is not None:
-                    if parse is resp.parse:
-                        resp.parse_enqueue(found[0])
+                    if parse is parser.parse:
+                        parser.parse_enqueue(found[0])
                     else:
                         contents.feed(found[1])
                     view = view[found[-1] :]
@@ -191,7 +191,7 @@
 
 def test_a_call_that_was_given_up_says_whether_an_answer_had_begun():
     call = CallState()
-    call.exchange = http.Exchange(None)
+    call.exchange = exchange.Exchange(None)
     assert call.describe_received(5_000_000) == "silent"
     call.exchange.received += b"HTTP/1.1 2"
     call.exchange.last_read_us = 3_000_000
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -8,9 +8,8 @@
 from hypothesis import strategies as st
 from pysyncobj.journal import MemoryJournal
 
-from pinspread.leases import raft, raft_transport
-from pinspread.leases import raft_log as raftlog
-from pinspread.leases import state_machine as lease
+from pinspread.leases import raft, raft_log, raft_transport
+from pinspread.leases.state_machine import Command, CommandKind
 
 STEPS = st.lists(
     st.tuples(st.sampled_from(["add", "front", "back", "vote", "clear", "again", "torn"]), st.integers(0, 5)),
@@ -26,7 +25,7 @@
 @given(STEPS)
 def test_it_holds_over_restarts_what_the_librarys_own_holds_in_memory(tmp_path_factory, steps):
     path = tmp_path_factory.mktemp("log") / "log"
-    log, model = raftlog.RaftLog(path), MemoryJournal()
+    log, model = raft_log.RaftLog(path), MemoryJournal()
     for n, (do, arg) in enumerate(steps):
         at = min(arg, len(model))
         for one in (log, model):
@@ -44,15 +43,15 @@
             log._destroy()
             if do == "torn":  # a record that was cut short by a power cut, of any length
                 with open(path, "ab") as file:
-                    file.write(raftlog._record(b"x" * 9)[: 1 + arg * 3])
-            log = raftlog.RaftLog(path)
+                    file.write(raft_log._record(b"x" * 9)[: 1 + arg * 3])
+            log = raft_log.RaftLog(path)
         assert state(log) == state(model)
     log._destroy()
 
 
 def test_any_flipped_bit_is_found(tmp_path):
     path = tmp_path / "log"
-    log = raftlog.RaftLog(path)
+    log = raft_log.RaftLog(path)
     log.setCurrentTerm(3, "m1")
     log.add(b"one", 1, 3)
     log.add(b"two", 2, 3)
@@ -64,10 +63,10 @@
         data = bytearray(sound)
         data[bit // 8] ^= 1 << bit % 8
         path.write_bytes(data)
-        with pytest.raises(raftlog.RaftLogFormatError):
-            raftlog.RaftLog(path)
+        with pytest.raises(raft_log.RaftLogFormatError):
+            raft_log.RaftLog(path)
     path.write_bytes(sound)
-    assert raftlog.RaftLog(path).getRaftCommitIndex() == 2
+    assert raft_log.RaftLog(path).getRaftCommitIndex() == 2
 
 
 def no_space_for(log, monkeypatch):
@@ -82,7 +81,7 @@
 
 
 def test_after_a_write_that_failed_nothing_counts_any_more(tmp_path, monkeypatch):
-    log = raftlog.RaftLog(tmp_path / "log")
+    log = raft_log.RaftLog(tmp_path / "log")
     no_space_for(log, monkeypatch)
     with pytest.raises(OSError, match="no space"):
         log.setCurrentTerm(4, "m2")
@@ -118,7 +117,11 @@
         await leads(q)
         with anyio.fail_after(5):
             told = anyio.Event()
-            q.propose("t", lease.Command(lease.CommandKind.GRANT, "m", 0, 7), lambda row, why: told.set())
+            q.propose(
+                "t",
+                Command(CommandKind.GRANT, "m", 0, 7),
+                lambda row, why: told.set(),
+            )
             await told.wait()
 
     rows = []
@@ -155,7 +158,7 @@
         await leads(q)
         with anyio.fail_after(5):
             no_space_for(q.raft_log, monkeypatch)
-            q.propose("t", lease.Command(lease.CommandKind.GRANT, "m", 0, 7), lambda row, why: None)
+            q.propose("t", Command(CommandKind.GRANT, "m", 0, 7), lambda row, why: None)
             while not q.raft_log.write_failed:
                 await anyio.sleep(0.01)
             monkeypatch.undo()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -13,7 +13,7 @@
 from pinspread.core.journal import Journal
 from pinspread.core.messages import FinalResult, FinalState, Message
 from pinspread.errors import JournalFullError
-from pinspread.membership import codec as wire
+from pinspread.membership import codec
 from pinspread.membership.members import MemberState
 from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
@@ -316,7 +316,7 @@
 
 @pytest.mark.parametrize("message", [{}, {"t": "steal"}, SEND | {"token": "5"}, DATA | {"bytes": "text"}])
 def test_a_message_that_is_not_well_formed_ends_its_stream(service, message):
-    with pytest.raises(wire.DatagramError):
+    with pytest.raises(codec.DatagramError):
         answer(service, message)
 
 
@@ -347,18 +347,18 @@
 
 
 def test_the_commands_show_leases_and_copies_as_aligned_text(service):
-    from pinspread.admin import status_client as show
+    from pinspread.admin import status_client
 
     service.primary.replicas = ["a"]
     service.primary.log.rewrite(b"four", 9)
-    shown = show.FORMATTERS["copies"](service.view(), 0)
+    shown = status_client.FORMATTERS["copies"](service.view(), 0)
     assert shown[0].startswith("k: 0 records, 4 bytes, generation 9, 1 copies needed; ")
     assert shown[2].split() == ["a", "no", "0", "4", "0"]
     view = {"id": "k", "voter": True, "leader": "a", "term": 3, "tasks": [{"task": "t", "mine": 0}]}
     view["tasks"].append(
         {"task": "u", "mine": 7, "acts_for_ms": 1500, "holder": "k", "token": 7, "binds_for_ms": 2000}
     )
-    shown = show.FORMATTERS["leases"](view, 0)
+    shown = status_client.FORMATTERS["leases"](view, 0)
     assert shown[0] == "k: a voter, leader a, term 3"
     assert shown[2].split() == ["t", "-", "?", "?", "-"] and shown[3].split() == [
         "u",
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -8,11 +8,11 @@
 import pytest
 from standins import Client, HttpStandIn, configuration, engine, listener, own_address, standing, until
 
-from pinspread import service as platform_module
+from pinspread import service as service_module
 from pinspread import sockets
 from pinspread.config import settings
 from pinspread.config.amqp_front import AmqpFile
-from pinspread.core import log as log_module
+from pinspread.core import log as core_log
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.journal import Journal
 from pinspread.service import Service, ServiceOptions
@@ -51,7 +51,7 @@
 @pytest.fixture(autouse=True)
 def clock_of_the_log(monkeypatch):
     """A service gives the log its clock, which needs a running loop: it is taken back after the test."""
-    monkeypatch.setattr(log_module, "_clock", None)
+    monkeypatch.setattr(core_log, "_clock", None)
 
 
 def service(folder, platform, **more):
@@ -196,7 +196,7 @@
             if event == "address_in_use":
                 before.close()  # now that the new one has met it
 
-        monkeypatch.setattr(platform_module, "log", heard)
+        monkeypatch.setattr(service_module, "log", heard)
         async with running(parts):
             await until(lambda: parts.engine.serving)
     assert "address_in_use" in said
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 from hypothesis import given
-from hypothesis import settings as runs
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from standins import Client, HttpStandIn, configuration, engine, standing, until
 from test_platform import HEARD, Process, platform
@@ -149,7 +149,7 @@
 )
 
 
-@runs(max_examples=60, deadline=None)
+@hypothesis_settings(max_examples=60, deadline=None)
 @given(st.lists(STEPS, max_size=30))
 def test_each_open_message_keeps_its_rules_over_rewrites_and_restarts(steps):
     with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -9,8 +9,8 @@
 import anyio
 import pytest
 import stored
-import stored_cluster as cluster
-import stored_courier as engine
+import stored_cluster
+import stored_courier
 from standins import Client, standing, until
 
 
@@ -52,14 +52,14 @@
 def test_copies_that_lie_in_a_folder_are_read_to_the_same_content(tmp_path):
     shutil.copytree(stored.DATA / "copies", tmp_path / "copies")
     for owner, told in expected("copies").items():
-        assert cluster.told_copy(tmp_path / "copies", owner) == told
-        cluster.rewrite_copy(tmp_path / "copies", owner)
-    assert cluster.files(tmp_path / "copies") == cluster.files(stored.DATA / "copies")
+        assert stored_cluster.told_copy(tmp_path / "copies", owner) == told
+        stored_cluster.rewrite_copy(tmp_path / "copies", owner)
+    assert stored_cluster.files(tmp_path / "copies") == stored_cluster.files(stored.DATA / "copies")
 
 
 def test_copies_are_written_byte_for_byte_as_before(tmp_path):
-    found = anyio.run(cluster.copy_exchange, tmp_path, stored.copied())
-    assert found["files"] == cluster.files(stored.DATA / "copies")
+    found = anyio.run(stored_cluster.copy_exchange, tmp_path, stored.copied())
+    assert found["files"] == stored_cluster.files(stored.DATA / "copies")
     assert found["generation_file"] == (stored.DATA / "copies.generation").read_text()
 
 
@@ -70,7 +70,7 @@
     for generation, restored in ((stamp - 1, False), (stamp, False), (stamp + 1, True)):
         (tmp_path / "journal").write_bytes(own)
         shutil.copy(stored.DATA / "copies.generation", tmp_path / "copies.generation")
-        cluster.restore(tmp_path, generation, own[:200])
+        stored_cluster.restore(tmp_path, generation, own[:200])
         assert ((tmp_path / "journal").read_bytes() == own[:200]) == restored, generation
 
 
@@ -80,16 +80,16 @@
 @pytest.mark.parametrize("name", ["appended", "rewritten"])
 def test_a_voters_log_is_read_to_the_same_content(tmp_path, name):
     shutil.copy(stored.DATA / "voters" / name, tmp_path / "log")
-    assert cluster.told_log(tmp_path / "log") == expected("voters")[name]
+    assert stored_cluster.told_log(tmp_path / "log") == expected("voters")[name]
 
 
 def test_a_voters_log_is_written_byte_for_byte_as_before(tmp_path):
-    for name, data in cluster.log_file(tmp_path / "log").items():
+    for name, data in stored_cluster.log_file(tmp_path / "log").items():
         assert data == (stored.DATA / "voters" / name).read_bytes(), name
 
 
 def test_the_commands_of_leases_stand_in_the_log_as_before(tmp_path):
-    data, rows = anyio.run(cluster.agreed_log, tmp_path / "v")
+    data, rows = anyio.run(stored_cluster.agreed_log, tmp_path / "v")
     assert data == (stored.DATA / "voters" / "agreed").read_bytes()
     assert rows == expected("voters")["rows"]
 
@@ -97,14 +97,14 @@
 def test_a_voter_makes_the_same_rows_of_a_log_that_was_stored(tmp_path):
     shutil.copy(stored.DATA / "voters" / "agreed", tmp_path / "log")
     (tmp_path / "votes").touch()
-    rows, fresh = anyio.run(cluster.replayed_log, tmp_path)
+    rows, fresh = anyio.run(stored_cluster.replayed_log, tmp_path)
     assert rows == expected("voters")["rows"] and not fresh
 
 
 def test_the_dump_of_leases_is_the_same_both_ways(tmp_path):
     stored_dump = stored.DATA / "voters" / "dump"
-    assert anyio.run(cluster.undumped, tmp_path / "u", stored_dump) == expected("voters")["dump"]
-    assert anyio.run(cluster.dump, tmp_path / "w", tmp_path / "dump") == stored_dump.read_bytes()
+    assert anyio.run(stored_cluster.undumped, tmp_path / "u", stored_dump) == expected("voters")["dump"]
+    assert anyio.run(stored_cluster.dump, tmp_path / "w", tmp_path / "dump") == stored_dump.read_bytes()
 
 
 # --- other files of the folder ----------------------------------------------------------------------
@@ -112,21 +112,29 @@
 
 def test_the_endpoints_that_were_told_to_leave_are_read_and_written_as_before(tmp_path):
     kept = stored.DATA / "kept" / "list.left"
-    assert engine.write_left(tmp_path) == kept.read_bytes()
-    assert engine.left(stored.DATA / "kept").health == {"s-2": "gone", "s-ü": "gone", "s-3": "draining"}
+    assert stored_courier.write_left(tmp_path) == kept.read_bytes()
+    assert stored_courier.left(stored.DATA / "kept").health == {
+        "s-2": "gone",
+        "s-ü": "gone",
+        "s-3": "draining",
+    }
     hosts = [{"host": "s-1", "health": "ready"}, {"host": "s-2", "health": "ready"}]
-    assert engine.left(stored.DATA / "kept").apply_to({"hosts": hosts})["hosts"][1]["health"] == "gone"
+    assert (
+        stored_courier.left(stored.DATA / "kept").apply_to({"hosts": hosts})["hosts"][1]["health"] == "gone"
+    )
 
 
 def test_the_last_good_settings_are_read_and_written_as_before(tmp_path):
     kept = stored.DATA / "kept" / "configuration.good"
     raw = zlib.decompress(kept.read_bytes())
-    assert raw == engine.SETTINGS
-    assert engine.kept_settings(stored.DATA / "kept") == (
+    assert raw == stored_courier.SETTINGS
+    assert stored_courier.kept_settings(stored.DATA / "kept") == (
         raw,
         {"name": "n0", "seed": 0x1F, "disk_bytes": 3_000_000},
     )
-    engine.keep_settings(tmp_path, engine.SETTINGS)  # its bytes differ with the library that packs them
+    stored_courier.keep_settings(
+        tmp_path, stored_courier.SETTINGS
+    )  # its bytes differ with the library that packs them
     assert zlib.decompress((tmp_path / "configuration.good").read_bytes()) == raw
 
 
@@ -143,18 +151,20 @@
 
 
 def test_recorded_logs_make_the_same_trace(tmp_path):
-    found = engine.recorded_trace(engine.logs(), tmp_path / "trace")
+    found = stored_courier.recorded_trace(stored_courier.logs(), tmp_path / "trace")
     assert rounded(found) == rounded(expected("trace"))
-    mine, theirs = (json.loads(engine.unpacked_trace(f / "trace")) for f in (tmp_path, stored.DATA))
+    mine, theirs = (json.loads(stored_courier.unpacked_trace(f / "trace")) for f in (tmp_path, stored.DATA))
     assert rounded(mine) == rounded(theirs) and list(mine) == list(theirs)
 
 
 def test_a_recorded_trace_is_read_to_the_same_content():
-    assert engine.read_trace(str(stored.DATA / "trace")) == expected("trace")
+    assert stored_courier.read_trace(str(stored.DATA / "trace")) == expected("trace")
 
 
 def test_recorded_logs_give_the_same_account():
-    assert engine.losses_text(stored.DATA / "logs") == (stored.DATA / "losses.expected.txt").read_text()
+    assert (
+        stored_courier.losses_text(stored.DATA / "logs") == (stored.DATA / "losses.expected.txt").read_text()
+    )
 
 
 # --- an upgrade from that version -------------------------------------------------------------------
@@ -169,37 +179,38 @@
 
 
 async def goes_on(folder):
+    def accept(id_):
+        return 200, [], b""
+
     data = (stored.DATA / "state" / "journal").read_bytes()
-    assert engine.open_ids(data) == SENT_AGAIN | set(TOLD)
+    assert stored_courier.open_ids(data) == SENT_AGAIN | set(TOLD)
     shutil.copytree(stored.DATA / "state", folder / "state")
-    after_ms = {"returned": engine.come_back_ms(data)}  # as it was decided then
+    after_ms = {"returned": stored_courier.come_back_ms(data)}  # as it was decided then
     ends = {(id_, state, after_ms.get(id_, 0)) for id_, state in TOLD.items()}
-    by_us = time.time_ns() // 1000 - 1_000_000 - engine.times(data)
-    (folder / "state" / "journal").write_bytes(engine.shifted(data, by_us))
+    by_us = time.time_ns() // 1000 - 1_000_000 - stored_courier.times(data)
+    (folder / "state" / "journal").write_bytes(stored_courier.shifted(data, by_us))
     had, elsewhere = [], []
-    platform = engine.Platform(None, True)
+    platform = stored_courier.Platform(None, True)
     async with AsyncExitStack() as stack:
-        at = await stack.enter_async_context(standing(engine.partner(had, lambda id_: (200, [], b""))))
-        other = await stack.enter_async_context(
-            standing(engine.partner(elsewhere, lambda id_: (200, [], b"")))
-        )
+        at = await stack.enter_async_context(standing(stored_courier.partner(had, accept)))
+        other = await stack.enter_async_context(standing(stored_courier.partner(elsewhere, accept)))
         platform_at = await stack.enter_async_context(standing(platform))
-        hosts = engine.hosts_at({"s-1": at, "s-4": at, "s-5": at}, other)
-        with engine.process(folder, hosts, platform_at, folder / "log") as running:
-            await engine.listening(running)
+        hosts = stored_courier.hosts_at({"s-1": at, "s-4": at, "s-5": at}, other)
+        with stored_courier.process(folder, hosts, platform_at, folder / "log") as running:
+            await stored_courier.listening(running)
             client = Client(running.listen)
             again = ("answered", *sorted(SENT_AGAIN))  # a client that lost its connection says them once more
             for id_ in again:
-                cls, key, dest = engine.MESSAGES[id_]
+                cls, key, dest = stored_courier.MESSAGES[id_]
                 assert await client.enqueue(cls, id_, key, 20_000, dest) == "+OK\r\n"
             await until(lambda: set(had) >= SENT_AGAIN and platform.ends() >= ends, 8)
             for n in range(8):
                 assert await client.enqueue("status-update", f"new-{n}", for_ms=9_000) == "+OK\r\n"
             await until(lambda: len([i for i in had if i.startswith("new-")]) == 8)
             await anyio.sleep(0.3)
-            assert "404" not in await engine.ask(running.door, "PUT /-/endpoints/s-2/enable")
+            assert "404" not in await stored_courier.ask(running.door, "PUT /-/endpoints/s-2/enable")
     assert sorted(i for i in had if not i.startswith("new-")) == sorted(SENT_AGAIN)  # each of them once
     assert had.index("out-keyed") < had.index("behind-keyed")
     assert elsewhere == []  # neither the endpoint that was banned, nor the one that has gone
     assert platform.ends() == ends
-    assert engine.open_ids((folder / "state" / "journal").read_bytes()) == set()
+    assert stored_courier.open_ids((folder / "state" / "journal").read_bytes()) == set()
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -6,8 +6,8 @@
 import anyio
 import pytest
 import stored
-import stored_cluster as cluster
-import stored_courier as engine
+import stored_cluster
+import stored_courier
 
 
 def recorded(name):
@@ -22,20 +22,20 @@
 
 
 def test_members_say_what_they_said_byte_for_byte():
-    found, before = as_json(cluster.members()), recorded("members")
+    found, before = as_json(stored_cluster.members()), recorded("members")
     assert found["datagrams"] == before["datagrams"] and found["count"] == before["count"]
     assert {d["message"]["t"] for d in before["datagrams"]} == {"ping", "ack", "nack", "ask", "sync"}
 
 
 def test_members_show_what_they_showed():
-    found, before = as_json(cluster.members()), recorded("members")
+    found, before = as_json(stored_cluster.members()), recorded("members")
     assert found["views"] == before["views"] and found["events"] == before["events"]
 
 
 @pytest.mark.parametrize("at", range(len(recorded("members")["datagrams"])))
 def test_a_members_datagram_is_read_to_what_was_said(at):
     one = recorded("members")["datagrams"][at]
-    assert cluster.unpack_member(bytes.fromhex(one["bytes"]), cluster.KEY) == one["message"]
+    assert stored_cluster.unpack_member(bytes.fromhex(one["bytes"]), stored_cluster.KEY) == one["message"]
 
 
 # --- leases -----------------------------------------------------------------------------------------
@@ -43,7 +43,7 @@
 
 def test_leases_are_asked_for_and_given_byte_for_byte_as_before():
     """The exchange plays on what it reads: a field that is misread changes what is said next."""
-    found, before = as_json(anyio.run(cluster.lease_exchange)), recorded("leases")
+    found, before = as_json(anyio.run(stored_cluster.lease_exchange)), recorded("leases")
     assert found["datagrams"] == before["datagrams"]
     assert found["views"] == before["views"]
 
@@ -52,11 +52,13 @@
 
 
 def test_copies_are_sent_and_asked_for_byte_for_byte_as_before(tmp_path):
-    found, before = anyio.run(cluster.copy_exchange, tmp_path, stored.copied()), recorded("copies")
-    assert [cluster.words_of(f) for f in found["frames"]] == [cluster.words_of(f) for f in before["frames"]]
+    found, before = anyio.run(stored_cluster.copy_exchange, tmp_path, stored.copied()), recorded("copies")
+    assert [stored_cluster.words_of(f) for f in found["frames"]] == [
+        stored_cluster.words_of(f) for f in before["frames"]
+    ]
     assert found["frames"] == before["frames"]
     assert as_json(found["views"]) == before["views"] and as_json(found["fetched"]) == before["fetched"]
-    kinds = {cluster.words_of(f)["t"] for f in before["frames"]}
+    kinds = {stored_cluster.words_of(f)["t"] for f in before["frames"]}
     assert kinds == {"send", "have", "data", "ack", "fetch", "copy", "read", "done", "no", "spare"}
 
 
@@ -64,7 +66,7 @@
 
 
 def test_voters_say_and_understand_byte_for_byte_what_they_did(tmp_path: Path):
-    assert as_json(anyio.run(cluster.voter_exchange, tmp_path / "x")) == recorded("voters")
+    assert as_json(anyio.run(stored_cluster.voter_exchange, tmp_path / "x")) == recorded("voters")
 
 
 # --- the operators' door ----------------------------------------------------------------------------
@@ -73,8 +75,8 @@
 def test_the_door_answers_as_before():
     before = recorded("door")
     views = {name: before["views"][name] for name in ("members", "leases", "copies")}
-    assert engine.members_view() == views["members"]
-    found = anyio.run(engine.calls, views)
+    assert stored_courier.members_view() == views["members"]
+    found = anyio.run(stored_courier.calls, views)
     for call, answer in before["calls"].items():
         if (
             call.startswith("GET /-/") and call.rpartition("/")[2] in views
@@ -88,7 +90,7 @@
 
 
 def test_the_check_of_settings_says_what_it_said():
-    assert engine.summary() == recorded("door")["summary"]
+    assert stored_courier.summary() == recorded("door")["summary"]
 
 
 # --- packets between two processes ------------------------------------------------------------------
@@ -96,13 +98,13 @@
 
 def test_packets_of_a_hand_over_are_sent_byte_for_byte_as_before():
     before = recorded("packets")
-    assert before["kinds"] == engine.PACKETS
-    assert anyio.run(engine.packets) == before["packets"]
+    assert before["kinds"] == stored_courier.PACKETS
+    assert anyio.run(stored_courier.packets) == before["packets"]
 
 
 def test_packets_of_a_hand_over_are_read_as_before():
     before = recorded("packets")
-    assert anyio.run(engine.handed_over) == before["handed_over"]
+    assert anyio.run(stored_courier.handed_over) == before["handed_over"]
     reports = [json.loads(data) for kind, _, data, _ in before["packets"] if kind in (9, 11)]
     for report in reports:
-        assert engine.told_outcome(dict(report[-1])) == report[-1]
+        assert stored_courier.told_outcome(dict(report[-1])) == report[-1]
--- a/tools/stored_data.py
+++ b/tools/stored_data.py
@@ -14,8 +14,8 @@
 
 import anyio  # noqa: E402
 import stored  # noqa: E402
-import stored_cluster as cluster  # noqa: E402
-import stored_courier as courier  # noqa: E402
+import stored_cluster  # noqa: E402
+import stored_courier  # noqa: E402
 
 
 def put(path: Path, data: bytes):
@@ -46,23 +46,23 @@
 
 def members():
     """Membership's datagrams, the door's table."""
-    put_json(stored.DATA / "wire" / "members.json", cluster.members())
+    put_json(stored.DATA / "wire" / "members.json", stored_cluster.members())
 
 
 def leases():
     """The datagrams of leases, the door's view."""
-    put_json(stored.DATA / "wire" / "leases.json", anyio.run(cluster.lease_exchange))
+    put_json(stored.DATA / "wire" / "leases.json", anyio.run(stored_cluster.lease_exchange))
 
 
 def copies():
     """The frames of copies, the door's view, and a keeper's files with what each is read to."""
     with tempfile.TemporaryDirectory() as folder:
-        found = anyio.run(cluster.copy_exchange, folder, stored.copied())
+        found = anyio.run(stored_cluster.copy_exchange, folder, stored.copied())
         for name, data in found.pop("files").items():
             put(stored.DATA / "copies" / name, data)
         put(stored.DATA / "copies.generation", found.pop("generation_file").encode())
         put_json(stored.DATA / "wire" / "copies.json", found)
-        told = {owner: cluster.told_copy(Path(folder) / "b" / "copies", owner) for owner in ("a", "c")}
+        told = {owner: stored_cluster.told_copy(Path(folder) / "b" / "copies", owner) for owner in ("a", "c")}
         put_json(stored.DATA / "copies.expected.json", told)
 
 
@@ -70,16 +70,16 @@
     """Voters' frames, their log, and the dump of their table."""
     with tempfile.TemporaryDirectory() as folder:
         folder = Path(folder)
-        put_json(stored.DATA / "wire" / "voters.json", anyio.run(cluster.voter_exchange, folder / "x"))
+        put_json(stored.DATA / "wire" / "voters.json", anyio.run(stored_cluster.voter_exchange, folder / "x"))
         expected = {}
-        for name, data in cluster.log_file(folder / "log").items():
+        for name, data in stored_cluster.log_file(folder / "log").items():
             put(stored.DATA / "voters" / name, data)
             (folder / "log").write_bytes(data)
-            expected[name] = cluster.told_log(folder / "log")
-        data, expected["rows"] = anyio.run(cluster.agreed_log, folder / "v")
+            expected[name] = stored_cluster.told_log(folder / "log")
+        data, expected["rows"] = anyio.run(stored_cluster.agreed_log, folder / "v")
         put(stored.DATA / "voters" / "agreed", data)
-        put(stored.DATA / "voters" / "dump", anyio.run(cluster.dump, folder / "w", folder / "dump"))
-        expected["dump"] = anyio.run(cluster.undumped, folder / "u", folder / "dump")
+        put(stored.DATA / "voters" / "dump", anyio.run(stored_cluster.dump, folder / "w", folder / "dump"))
+        expected["dump"] = anyio.run(stored_cluster.undumped, folder / "u", folder / "dump")
         put_json(stored.DATA / "voters.expected.json", expected)
 
 
@@ -90,28 +90,39 @@
     """A folder and log as a killed process leaves them; other kept files; what readers make of logs."""
     with tempfile.TemporaryDirectory() as work:
         work = Path(work)
-        anyio.run(courier.leave_behind, work)
+        anyio.run(stored_courier.leave_behind, work)
         for name in ("journal", "list.left"):
             put(stored.DATA / "state" / name, (work / "state" / name).read_bytes())
         log = (work / "log").read_bytes()
         put(stored.DATA / "logs" / "n0.log", log)
         put(stored.DATA / "logs" / "n1.log", PROBED % json.loads(log.splitlines()[-1])["at_us"])
         (work / "kept").mkdir()
-        put(stored.DATA / "kept" / "list.left", courier.write_left(work / "kept"))
-        courier.keep_settings(work / "kept", courier.SETTINGS)
+        put(stored.DATA / "kept" / "list.left", stored_courier.write_left(work / "kept"))
+        stored_courier.keep_settings(work / "kept", stored_courier.SETTINGS)
         put(stored.DATA / "kept" / "configuration.good", (work / "kept" / "configuration.good").read_bytes())
-        put_json(stored.DATA / "trace.expected.json", courier.recorded_trace(courier.logs(), work / "trace"))
+        put_json(
+            stored.DATA / "trace.expected.json",
+            stored_courier.recorded_trace(stored_courier.logs(), work / "trace"),
+        )
         put(stored.DATA / "trace", (work / "trace").read_bytes())
-        put(stored.DATA / "losses.expected.txt", courier.losses_text(stored.DATA / "logs").encode())
+        put(stored.DATA / "losses.expected.txt", stored_courier.losses_text(stored.DATA / "logs").encode())
 
 
 def door():
     """The operators' door, `config check`, and packets between two processes."""
-    views = {"members": courier.members_view(), "leases": {"tasks": []}, "copies": {"keeps": ["\u00fc"]}}
-    found = {"views": views, "calls": anyio.run(courier.calls, views), "summary": courier.summary()}
+    views = {
+        "members": stored_courier.members_view(),
+        "leases": {"tasks": []},
+        "copies": {"keeps": ["\u00fc"]},
+    }
+    found = {
+        "views": views,
+        "calls": anyio.run(stored_courier.calls, views),
+        "summary": stored_courier.summary(),
+    }
     put_json(stored.DATA / "wire" / "door.json", found)
-    found = {"kinds": courier.PACKETS, "packets": anyio.run(courier.packets)}
-    found["handed_over"] = anyio.run(courier.handed_over)
+    found = {"kinds": stored_courier.PACKETS, "packets": anyio.run(stored_courier.packets)}
+    found["handed_over"] = anyio.run(stored_courier.handed_over)
     put_json(stored.DATA / "wire" / "packets.json", found)
 
 
