--- a/tests/standins.py
+++ b/tests/standins.py
@@ -62,34 +62,41 @@
     def update_endpoints(
         self, address, id_="s-1", dest=1, scheme="http", state=EndpointState.READY, scope=UpdateScope.DELTA
     ):
-        """Tell it of a next hop."""
+        """Have it learn of an endpoint."""
         endpoint = Endpoint(id_, address, dest, scheme=scheme, weight=500.0)
         self.engine.update_endpoints(scope, [(endpoint, state)])
 
 
 @asynccontextmanager
-async def engine(state, platform="127.0.0.1:1", endpoints=(), legs=512, leg_bytes=8 << 20, **limits):
+async def engine(
+    state, platform="127.0.0.1:1", endpoints=(), max_clients=512, max_unread_bytes=8 << 20, **limits
+):
     """A courier that serves; it ends as if killed, with nothing but its journal left."""
-    told = settings.read(configuration(state, **limits), {})
+    effective_settings = settings.read(configuration(state, **limits), {})
     clock = Clock()
-    journal = Journal(told.state, told.disk_bytes)
-    core = DeliveryEngine(DeliveryPolicy(told.policy_settings, told.seed), told, clock, journal)
-    pool = ConnectionPool(clock, told.keepalive_us)
-    notices = NotificationSender(platform)
-    room = sockets.ConnectionLimiter(clock, legs, leg_bytes)
-    core.transports["http"] = HttpTransport(clock, pool, told.connect_timeout_us)
-    core.fronts["resp"] = resp = front.RespFront(core, notices, room)
-    core.fronts["amqp"] = amqp = AmqpFront(core, limiter=room)
-    core.subscribe = DiscoveryClient(platform, core, told).poll
+    journal = Journal(effective_settings.state, effective_settings.disk_bytes)
+    core = DeliveryEngine(
+        DeliveryPolicy(effective_settings.policy_settings, effective_settings.seed),
+        effective_settings,
+        clock,
+        journal,
+    )
+    pool = ConnectionPool(clock, effective_settings.keepalive_us)
+    notifications = NotificationSender(platform)
+    limiter = sockets.ConnectionLimiter(clock, max_clients, max_unread_bytes)
+    core.transports["http"] = HttpTransport(clock, pool, effective_settings.connect_timeout_us)
+    core.fronts["resp"] = resp = front.RespFront(core, notifications, limiter)
+    core.fronts["amqp"] = amqp = AmqpFront(core, limiter=limiter)
+    core.subscribe = DiscoveryClient(platform, core, effective_settings).poll
     async with anyio.create_task_group() as tasks:
-        core.transports["amqp"] = BrokerTransport(clock, tasks, told.connect_timeout_us)
+        core.transports["amqp"] = BrokerTransport(clock, tasks, effective_settings.connect_timeout_us)
         (resp_sock, address), (amqp_sock, amqp_address) = listener(), listener()
         rig = Rig(core, address, amqp_address, tasks)
         for endpoint in endpoints:
             rig.update_endpoints(*endpoint)
         core.recover()
         core.serving = True
-        for run in (core.run, notices.run, pool.run, room.run):
+        for run in (core.run, notifications.run, pool.run, limiter.run):
             tasks.start_soon(run)
         tasks.start_soon(resp.run, resp_sock)
         tasks.start_soon(amqp.run, amqp_sock)
@@ -150,10 +157,10 @@
                 channel, found = await wire.read_frame()
                 if channel == 0:
                     continue
-                whole = contents.feed(found)
-                if whole is None:
+                content = contents.feed(found)
+                if content is None:
                     continue
-                method, properties, body = whole
+                method, properties, body = content
                 tag += 1
                 await self.published(wire, tag, method, properties, body)
         except OSError:
@@ -164,32 +171,32 @@
 
     async def published(self, wire, tag, method, properties, body):
         """Do with a publish what the plan says."""
-        todo = self.plan(self, properties.message_id)
-        if todo == "return":
+        fate = self.plan(self, properties.message_id)
+        if fate == "return":
             back = commands.Basic.Return(312, "NO_ROUTE", "", method.routing_key)
             await wire.write(frames.marshal_content(back, properties, body, 1))
-        elif todo != "lose":
+        elif fate != "lose":
             self.effects.append(properties.message_id)
-        if todo == "nack":
+        if fate == "nack":
             await wire.send(commands.Basic.Nack(tag, False, False), 1)
-        elif todo in ("kill", "lose"):
+        elif fate in ("kill", "lose"):
             self.kill(wire)
-        elif todo in ("ack", "return"):
+        elif fate in ("ack", "return"):
             await wire.send(commands.Basic.Ack(tag, False), 1)
 
 
 class Gate:
-    """Holds every dial to next hops until it is opened."""
+    """Holds every dial to endpoints until it is opened."""
 
     def __init__(self, monkeypatch):
         self.open, self.waiting, dial = anyio.Event(), 0, http_transport.dial
 
-        async def held(address):
+        async def dial_once_open(address):
             self.waiting += 1
             await self.open.wait()
             return await dial(address)
 
-        monkeypatch.setattr(http_transport, "dial", held)
+        monkeypatch.setattr(http_transport, "dial", dial_once_open)
 
 
 def malformed(payload):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door and the endpoints that they take out."""
+"""The admin server, and the endpoints that operators block through it."""
 
 import time
 from contextlib import asynccontextmanager
@@ -31,18 +31,17 @@
 
 @asynccontextmanager
 async def served(state, endpoints=(), **more):
-    """A courier with its door; gives it and the door's address."""
+    """A courier with its admin server; gives it and the admin server's address."""
     async with engine(state, endpoints=endpoints, **more) as rig:
         sock, address = listener()
-        door = admin_server.AdminServer(rig.engine)
-        rig.tasks.start_soon(door.run, sock)
+        rig.admin_server = admin_server.AdminServer(rig.engine)
+        rig.tasks.start_soon(rig.admin_server.run, sock)
         rig.engine.serving = True
-        rig.door = door
         yield rig, address
 
 
 async def call(address, said):
-    """What the door says to these bytes until it closes; empty if it says nothing."""
+    """What the admin server answers to these bytes until it closes; empty if nothing."""
     connection = await sockets.dial(address)
     heard = b""
     try:
@@ -107,7 +106,7 @@
             began = time.monotonic()
             assert await status(address, READY) == 200
             assert time.monotonic() - began < 1
-            assert len(rig.door.limiter.connections) <= rig.door.limiter.max_connections
+            assert len(rig.admin_server.limiter.connections) <= rig.admin_server.limiter.max_connections
         assert (await call(address, READY[:20])).startswith(b"HTTP/1.1 408")
         for connection in silent:
             connection.close()
@@ -117,13 +116,13 @@
     endpoint = HttpStandIn()
     async with (
         standing(endpoint) as where,
-        served(tmp_path, [(where,)], platform="127.0.0.1:1") as (rig, door),
+        served(tmp_path, [(where,)], platform="127.0.0.1:1") as (rig, admin_address),
     ):
         client = Client(rig.address)
         await client.enqueue()
         await until(lambda: not rig.engine.messages_by_id)
         for _ in range(2):  # twice out is out once
-            assert await status(door, PUT % "s-1/disable") == 200
+            assert await status(admin_address, PUT % "s-1/disable") == 200
         assert await client.enqueue(id_="held") == "+OK\r\n"
         for state, scope in (
             (EndpointState.READY, UpdateScope.FULL),
@@ -136,10 +135,10 @@
         rig.update_endpoints(where)
         await anyio.sleep(0.1)
         assert len(endpoint.requests) == 1 and "held" in rig.engine.messages_by_id
-        assert await status(door, PUT % "s-1/enable") == 200
+        assert await status(admin_address, PUT % "s-1/enable") == 200
         await until(lambda: not rig.engine.messages_by_id)
         assert len(endpoint.requests) == 2
-        assert await status(door, PUT % "s-1/enable") == 200  # back without out
+        assert await status(admin_address, PUT % "s-1/enable") == 200  # back without out
 
 
 async def test_a_call_that_was_decided_on_is_not_written_once_its_endpoint_is_out(tmp_path):
@@ -175,13 +174,13 @@
 
 
 async def test_the_yes_follows_the_record(tmp_path):
-    async with served(tmp_path, [("127.0.0.1:1",)]) as (rig, door):
+    async with served(tmp_path, [("127.0.0.1:1",)]) as (rig, admin_address):
 
         def full(*_):
             raise JournalFullError("no room")
 
         rig.engine.journal.endpoint_blocked = full
-        assert await status(door, PUT % "s-1/disable") == 503
+        assert await status(admin_address, PUT % "s-1/disable") == 503
         assert rig.engine.endpoints["s-1"].usable
 
 
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -125,12 +125,12 @@
 
     broker, platform = Broker(plan), HttpStandIn(lambda request: (204, [], b""))
     accepted, restarts = set(), 0
-    async with standing(broker) as address, standing(platform) as notices:
+    async with standing(broker) as address, standing(platform) as platform_address:
         endpoints = [(address, f"b{n}", n, "amqp") for n in range(DESTINATIONS)]
         while len(accepted) < PAYMENTS:
             restarts += 1
             upto = min(PAYMENTS, len(accepted) + moments.randrange(150, 450))
-            async with engine(tmp_path, notices, endpoints=endpoints) as rig:
+            async with engine(tmp_path, platform_address, endpoints=endpoints) as rig:
                 client = Client(rig.address)
                 while len(accepted) < upto:
                     id_, dest = f"p{len(accepted)}", len(accepted) % DESTINATIONS
@@ -143,7 +143,7 @@
                         kills += 1
                     await until(lambda rig=rig: len(rig.engine.open_messages) < 80, 20)
                 # the instance is killed here, with whatever is in flight or queued
-        async with engine(tmp_path, notices, endpoints=endpoints) as rig:
+        async with engine(tmp_path, platform_address, endpoints=endpoints) as rig:
             await until(lambda: not rig.engine.messages_by_id, 30)
     ended = {notice["id"] for notice in platform.lines}
     assert restarts > 5 and kills > 8 and breaks > 20
@@ -194,9 +194,9 @@
 class Application:
     """An instance in a process of its own, off the platform, whose only endpoint is a broker."""
 
-    def __init__(self, folder, broker, notices):
+    def __init__(self, folder, broker, platform_address):
         self.address = own_address()
-        text = template("pay").replace("127.0.0.1:8500", notices)
+        text = template("pay").replace("127.0.0.1:8500", platform_address)
         text = text.replace('amqp = "127.0.0.1:5672"', "").replace("127.0.0.1:6379", self.address)
         text = text.replace("127.0.0.1:9600", own_address())
         text = text.replace('"state"', f'"{folder}/state"').replace("partners.zone", f"{folder}/zone")
@@ -235,16 +235,16 @@
     broker, platform = Broker(), HttpStandIn(lambda request: (204, [], b""))
     broker.plan = lambda _, id_: "kill" if chance.random() < 0.01 else "ack"
     accepted = set()
-    async with standing(broker) as address, standing(platform) as notices:
+    async with standing(broker) as address, standing(platform) as platform_address:
         for _ in range(4):
-            process = Application(tmp_path, address, notices)
+            process = Application(tmp_path, address, platform_address)
             client = await process.client()
             for _ in range(chance.randrange(60, 120)):
                 id_ = f"p{len(accepted)}"
                 answer = await client.say("ENQUEUE", "0", id_, "c=payment,t=all,d=20000,dest=1", "x")
                 accepted |= {id_} if answer.startswith("+OK") else set()
             await process.kill()
-        process = Application(tmp_path, address, notices)
+        process = Application(tmp_path, address, platform_address)
         ended = lambda: set(broker.effects) | {notice["id"] for notice in platform.lines}  # noqa: E731
         await until(lambda: accepted <= ended(), 20)
         await anyio.sleep(0.3)
--- a/tests/test_amqp_bytes.py
+++ b/tests/test_amqp_bytes.py
@@ -307,7 +307,7 @@
                 await dialogue.say(method(commands.Basic.Qos(0, 1)), method(commands.Connection.CloseOk(), 0))
                 await dialogue.closed()
     (folder / "small").mkdir()
-    async with engine(folder / "small", leg_bytes=10_000) as rig, client(dialogue, rig):
+    async with engine(folder / "small", max_unread_bytes=10_000) as rig, client(dialogue, rig):
         await opened(dialogue)
         await dialogue.exchange(publish(b"x" * 60_000)[:-100])
         await dialogue.say(method(commands.Connection.CloseOk(), 0))
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -52,7 +52,7 @@
 async def test_a_final_result_is_kept_until_acked_over_consumers_and_restarts(tmp_path):
     async with engine(tmp_path) as rig:
         client = await AmqpClient.open(rig.amqp)
-        await client.publish("m1", for_ms=100)  # no next hop: returned when its time is up
+        await client.publish("m1", for_ms=100)  # no endpoint: returned when its time is up
         await client.consume()
         result, first = await client.end(ack=False)
         client.close()
@@ -235,7 +235,7 @@
 
 
 async def test_contents_that_are_never_complete_share_a_limit_of_memory(tmp_path):
-    async with engine(tmp_path, leg_bytes=10_000) as rig:
+    async with engine(tmp_path, max_unread_bytes=10_000) as rig:
         client = await AmqpClient.open(rig.amqp)
         content = frames.marshal_content(
             commands.Basic.Publish(0, "", "p", False), commands.Basic.Properties(), b"x" * 60_000, 1, 4096
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -49,8 +49,8 @@
     assert list(found) == ["a", "b"]
     items = [i for i in answer if isinstance(i, dict)] if isinstance(answer, list) else []
     for id_, outcome in found.items():
-        told = [i.get("state") for i in items if i.get("id") == id_]
-        if len(told) != 1 or told[0] not in ("ok", "later"):
+        bundling_settings = [i.get("state") for i in items if i.get("id") == id_]
+        if len(bundling_settings) != 1 or bundling_settings[0] not in ("ok", "later"):
             assert outcome.outcome is Outcome.ERROR
 
 
@@ -106,7 +106,7 @@
     return await answer if hasattr(answer, "__await__") else answer
 
 
-class Partner(HttpStandIn):
+class BundlingEndpoint(HttpStandIn):
     """Takes bundles; `fate(n, ids)` answers call n."""
 
     def __init__(self, fate=None):
@@ -130,7 +130,7 @@
     return 200, [], orjson.dumps([{"id": i, "state": s} for i, s in states.items()])
 
 
-def told(folder):
+def bundling_settings(folder):
     """Settings of the second shape: one keyed class, bundles of three, routes apart, reports, no probes."""
     found = configuration(folder)["settings"]
     found["lanes"] = [lane("payment", effect="once"), lane("notice", effect="by_key", windowNs=6 * 10**9)]
@@ -140,11 +140,11 @@
     return settings.read(configuration(folder) | {"settings": found}, {})
 
 
-async def played(folder, partner, messages=5, cls="notice", wait=True):
-    """Hand messages in while the first is out alone, so that the rest go together; notices that came."""
+async def played(folder, endpoint, messages=5, cls="notice", wait=True):
+    """Submit messages while the first is in flight alone, so the rest share a call; the notifications."""
     platform = HttpStandIn(lambda request: HEARD)
-    async with standing(platform) as address, standing(partner) as where, engine(folder, address) as rig:
-        rig.engine.apply_settings(told(folder))
+    async with standing(platform) as address, standing(endpoint) as where, engine(folder, address) as rig:
+        rig.engine.apply_settings(bundling_settings(folder))
         http = rig.engine.transports["http"]
         http.reports = True
         rig.update_endpoints(where)
@@ -157,7 +157,7 @@
         if wait:
             await until(lambda: not rig.engine.messages_by_id, 8)
         else:
-            await until(lambda: len(partner.calls) > 1)
+            await until(lambda: len(endpoint.calls) > 1)
     return {line["id"]: line["state"] for line in platform.lines}
 
 
@@ -168,13 +168,13 @@
         fates[n] = ids
         return all_ok(ids, (ids[0], "later")) if n == 2 else all_ok(ids)
 
-    partner = Partner(fate)
-    ends = await played(tmp_path, partner)
+    endpoint = BundlingEndpoint(fate)
+    ends = await played(tmp_path, endpoint)
     assert not ends
-    assert partner.calls[0] == ["m0"] and partner.calls[1] == ["m1", "m2", "m3"]
-    assert sum(ids.count("m1") for ids in partner.calls) == 2  # only what never ran came again
-    assert all(sum(ids.count(f"m{n}") for ids in partner.calls) == 1 for n in (0, 2, 3, 4))
-    first = next(r for r in partner.requests if r[2] == bundle.PATH)
+    assert endpoint.calls[0] == ["m0"] and endpoint.calls[1] == ["m1", "m2", "m3"]
+    assert sum(ids.count("m1") for ids in endpoint.calls) == 2  # only what never ran came again
+    assert all(sum(ids.count(f"m{n}") for ids in endpoint.calls) == 1 for n in (0, 2, 3, 4))
+    first = next(r for r in endpoint.requests if r[2] == bundle.PATH)
     item = orjson.loads(first[4])[0]
     assert item["key"] == "ab12" and b64decode(item["body"]) == b"\x01" * 9
 
@@ -191,25 +191,25 @@
     ],
 )
 async def test_payments_that_an_answer_does_not_tell_truly_of_never_go_again(tmp_path, answer):
-    partner = Partner(lambda n, ids: answer)
-    ends = await played(tmp_path, partner, 4, "payment")
+    endpoint = BundlingEndpoint(lambda n, ids: answer)
+    ends = await played(tmp_path, endpoint, 4, "payment")
     assert sorted(ends) == ["m1", "m2", "m3"] and set(ends.values()) == {"failed"}
-    assert partner.calls == [["m0"], ["m1", "m2", "m3"]]
+    assert endpoint.calls == [["m0"], ["m1", "m2", "m3"]]
 
 
 @pytest.mark.parametrize("status", [400, 413, 429, 503])
 async def test_a_call_that_is_turned_away_whole_never_ran_and_payments_go_again(tmp_path, status):
     head = [("Retry-After", "0.3")] if status == 429 else []
-    partner = Partner(lambda n, ids: (status, head, b"") if n == 2 else all_ok(ids))
-    assert not await played(tmp_path, partner, 4, "payment")
+    endpoint = BundlingEndpoint(lambda n, ids: (status, head, b"") if n == 2 else all_ok(ids))
+    assert not await played(tmp_path, endpoint, 4, "payment")
     for n in (1, 2, 3):
-        assert sum(ids.count(f"m{n}") for ids in partner.calls) == 2
+        assert sum(ids.count(f"m{n}") for ids in endpoint.calls) == 2
 
 
 async def test_a_kill_with_a_bundle_out_leaves_each_message_as_one_that_may_have_run(tmp_path):
-    partner = Partner(lambda n, ids: anyio.sleep(9))
-    await played(tmp_path, partner, 4, "payment", wait=False)
-    platform, after = HttpStandIn(lambda request: HEARD), Partner()
+    endpoint = BundlingEndpoint(lambda n, ids: anyio.sleep(9))
+    await played(tmp_path, endpoint, 4, "payment", wait=False)
+    platform, after = HttpStandIn(lambda request: HEARD), BundlingEndpoint()
     async with standing(platform) as address, standing(after) as where:
         async with engine(tmp_path, address, endpoints=[(where,)]) as rig:
             await until(lambda: not rig.engine.messages_by_id)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -124,9 +124,9 @@
     assert seeds.find_seeds(records, "_pinspread-swim._udp") == ["127.0.0.7:7946"]
     records.zone_file = str(tmp_path / "none")
     assert seeds.find_seeds_or_none(records, "_pinspread-swim._udp") is None
-    told = application.effective_settings(application.load(str(path)), seed=1)
+    effective_settings = application.effective_settings(application.load(str(path)), seed=1)
     assert (
-        told.inherited_listener_descriptor is None
+        effective_settings.inherited_listener_descriptor is None
     )  # so no second process ever binds membership's port beside the first
 
 
@@ -189,8 +189,8 @@
 
 @pytest.mark.anyio
 async def test_a_courier_off_the_platform_delivers_by_http_and_to_a_broker(tmp_path):
-    hop, broker = HttpStandIn(), Broker()
-    async with standing(hop) as http, standing(broker) as amqp, engine(tmp_path) as rig:
+    http_endpoint, broker = HttpStandIn(), Broker()
+    async with standing(http_endpoint) as http, standing(broker) as amqp, engine(tmp_path) as rig:
         ports = {"http": http.split(":")[1], "amqp": amqp.split(":")[1]}
         (tmp_path / "z").write_text(ZONE.format(**ports))
         records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "z"))
@@ -201,18 +201,21 @@
         await client.publish("h1", dest=1)
         await client.publish("b1", dest=3)
         states = dict([((await client.end())[0]["id"], n) for n in range(2)])
-        assert set(states) == {"h1", "b1"} and broker.effects == ["b1"] and len(hop.requests) == 1
+        assert set(states) == {"h1", "b1"} and broker.effects == ["b1"] and len(http_endpoint.requests) == 1
         (tmp_path / "z").write_text("not a zone")  # the list stays as it was
         await until(lambda: rig.engine.endpoints)
         assert rig.engine.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
 
 
 def test_an_applications_file_becomes_settings_for_the_module(tmp_path):
-    told = application.effective_settings(File.model_validate(tomllib.loads(GOOD)), seed=1)
-    assert told.listen == "127.0.0.1:6379" and told.policy_settings.classes[0].in_order
+    effective_settings = application.effective_settings(File.model_validate(tomllib.loads(GOOD)), seed=1)
     assert (
-        told.delivery_rules["booking-change"].traffic_class.in_order
-        and not told.delivery_rules["payment"].traffic_class.in_order
+        effective_settings.listen == "127.0.0.1:6379"
+        and effective_settings.policy_settings.classes[0].in_order
+    )
+    assert (
+        effective_settings.delivery_rules["booking-change"].traffic_class.in_order
+        and not effective_settings.delivery_rules["payment"].traffic_class.in_order
     )
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -62,13 +62,13 @@
     tmp_path, monkeypatch, answer, behind, ends
 ):
     monkeypatch.setattr(http_transport, behind, 60)  # so the message's time ends first
-    endpoint, told = HttpStandIn(lambda request: answer), HttpStandIn(lambda request: (204, [], b""))
-    async with standing(told) as heard, standing(endpoint) as address:
+    endpoint, platform = HttpStandIn(lambda request: answer), HttpStandIn(lambda request: (204, [], b""))
+    async with standing(platform) as heard, standing(endpoint) as address:
         async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:
             assert await Client(rig.address).enqueue("payment", for_ms=300) == "+OK\r\n"
             await until(lambda: not rig.engine.messages_by_id)
     assert len(endpoint.requests) == 1
-    assert [line["state"] for line in told.lines] == ends
+    assert [line["state"] for line in platform.lines] == ends
 
 
 async def test_a_repeat_whose_window_ends_while_it_is_dialled_is_not_written(tmp_path, monkeypatch):
@@ -136,7 +136,7 @@
         self.watches[n].sock.send(head + (b"%x\r\n%s\r\n" % (len(text), text) if text else b""))
 
 
-def told(seq, *hosts, whole=True):
+def list_line(seq, *hosts, whole=True):
     return orjson.dumps({"seq": seq, "whole": whole, "hosts": hosts})
 
 
@@ -169,7 +169,7 @@
 
         async def trickle(n):
             with suppress(OSError):  # it is closed once another one is up
-                for byte in told(2, GONE) * 40:
+                for byte in list_line(2, GONE) * 40:
                     agent.say(n, bytes([byte]))
                     await anyio.sleep(0.02)
 
@@ -178,14 +178,14 @@
             if how != "no head":
                 agent.say(n, head=True)
             if how in ("first line only", "half a line"):
-                agent.say(n, told(1, S1) + b"\n")
+                agent.say(n, list_line(1, S1) + b"\n")
             if how == "half a line":
-                agent.say(n, told(2, GONE)[:40])
+                agent.say(n, list_line(2, GONE)[:40])
             if how == "a trickle":
                 rig.tasks.start_soon(trickle, n)
         await until(lambda: len(agent.watches) > 2)
         last = len(agent.watches) - 1
-        agent.say(last, told(2, S1 | {"health": "draining"}) + b"\n", head=True)
+        agent.say(last, list_line(2, S1 | {"health": "draining"}) + b"\n", head=True)
         await until(lambda: "s-1" in rig.engine.endpoints and not rig.engine.endpoints["s-1"].usable)
         assert 2 * (time.monotonic() - start) < 6.0  # the first was silent from its first moment on
 
@@ -195,7 +195,7 @@
 ):
     async with watched(tmp_path, monkeypatch) as (rig, agent, _):
         await until(lambda: len(agent.watches) == 3)  # while it is away they are opened beside each other
-        agent.say(0, told(1, S1) + b"\n", head=True)  # the one that has waited longest
+        agent.say(0, list_line(1, S1) + b"\n", head=True)  # the one that has waited longest
         await until(lambda: rig.engine.endpoints)
         seen = len(agent.asked)
         await anyio.sleep(0.1)
@@ -205,7 +205,7 @@
 @pytest.mark.parametrize("how", ["moved", "silent"])
 async def test_late_bytes_of_an_old_watch_do_not_undo_the_newer_list(tmp_path, monkeypatch, how):
     async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
-        agent.say(0, told(5, S1) + b"\n", head=True)
+        agent.say(0, list_line(5, S1) + b"\n", head=True)
         await until(lambda: rig.engine.endpoints)
         new, at = agent, 1
         if how == "moved":
@@ -214,8 +214,8 @@
             watch.change_address(new.address)
         await until(lambda: len(new.watches) > at)
         # Both are there before the courier reads either; the newer one's are first.
-        new.say(at, told(9, S1 | {"health": "draining"}) + b"\n", head=True)
-        agent.say(0, told(6, S1, whole=False) + b"\n")
+        new.say(at, list_line(9, S1 | {"health": "draining"}) + b"\n", head=True)
+        agent.say(0, list_line(6, S1, whole=False) + b"\n")
         await until(lambda: watch.sequence == 9)
         await anyio.sleep(0.05)
         assert not rig.engine.endpoints["s-1"].usable and watch.sequence == 9
@@ -251,8 +251,8 @@
     monkeypatch.setattr(discovery_client, "log", lambda event, **_: logged.append(event))
     async with watched(tmp_path, monkeypatch) as (rig, agent, _):
         entry = host("s-2", "127.0.0.1:9") | bad
-        agent.say(0, told(5, S1) + b"\n" + told(6, entry, whole=False) + b"\n", head=True)
-        agent.say(0, told(7, S1 | {"health": "gone", "dial": None}, whole=False) + b"\n")
+        agent.say(0, list_line(5, S1) + b"\n" + list_line(6, entry, whole=False) + b"\n", head=True)
+        agent.say(0, list_line(7, S1 | {"health": "gone", "dial": None}, whole=False) + b"\n")
         await until(lambda: not rig.engine.endpoints)  # what it says of one that is known still counts
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
     assert logged.count("malformed_endpoint") == 2
@@ -261,7 +261,7 @@
 @pytest.mark.parametrize("seq", ["a b", -1, None, 1.5])
 async def test_a_version_that_is_no_number_breaks_the_watch_and_not_the_courier(tmp_path, monkeypatch, seq):
     async with watched(tmp_path, monkeypatch) as (rig, agent, _):
-        agent.say(0, told(seq, S1) + b"\n", head=True)
+        agent.say(0, list_line(seq, S1) + b"\n", head=True)
         await until(lambda: len(agent.watches) == 2)
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
 
@@ -301,17 +301,17 @@
 
 async def test_what_is_read_behind_our_own_end_of_a_leg_is_not_taken_on(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
-        leg = await sockets.dial(rig.address)
-        await leg.write(b"*1\r\n$4\r\nPING\r\n")
-        assert await leg.read() == b"+PONG\r\n"
-        room = rig.engine.fronts["resp"].limiter
-        (ours,) = room.clients.values()
+        connection = await sockets.dial(rig.address)
+        await connection.write(b"*1\r\n$4\r\nPING\r\n")
+        assert await connection.read() == b"+PONG\r\n"
+        limiter = rig.engine.fronts["resp"].limiter
+        (ours,) = limiter.clients.values()
         body = b"x" * 6000  # two of them: the second is still unread when the first is parsed
         command = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm%d\r\n$31\r\nc=payment,t=north,d=5000,dest=1\r\n"
-        leg.sock.send(b"".join(command % n + b"$6000\r\n" + body + b"\r\n" for n in (1, 2)))
-        room._close(ours, "idle")  # they came in this moment, and are read behind it
+        connection.sock.send(b"".join(command % n + b"$6000\r\n" + body + b"\r\n" for n in (1, 2)))
+        limiter._close(ours, "idle")  # they came in this moment, and are read behind it
         with suppress(ConnectionResetError):
-            assert await leg.read() == b""
+            assert await connection.read() == b""
         await until(lambda: ours.connection.sock.fileno() < 0)  # all of it has been read
         assert not rig.engine.messages_by_id
 
@@ -322,10 +322,10 @@
     async with standing(endpoint) as address, standing(HttpStandIn(lambda request: (204, [], b""))) as heard:
         ready = host("s-1", address)
         async with watched(tmp_path, monkeypatch) as (rig, agent, _):
-            agent.say(0, told(5, ready) + b"\n", head=True)
+            agent.say(0, list_line(5, ready) + b"\n", head=True)
             await until(lambda: rig.engine.endpoints)
             left_out = way == "left out"
-            news = told(6) if left_out else told(6, ready | {"health": way}, whole=False)
+            news = list_line(6) if left_out else list_line(6, ready | {"health": way}, whole=False)
             agent.say(0, news + b"\n")
             await until(lambda: not any(h.usable for h in rig.engine.endpoints.values()))
             assert await Client(rig.address).enqueue("status-update", "owed", for_ms=700) == "+OK\r\n"
@@ -340,7 +340,7 @@
             await until(lambda: agent.watches and not rig.engine.messages_by_id)  # its time is over
             assert not endpoint.requests
             assert await Client(rig.address).enqueue("status-update", "later") == "+OK\r\n"
-            agent.say(len(agent.watches) - 1, told(7, ready) + b"\n", head=True)
+            agent.say(len(agent.watches) - 1, list_line(7, ready) + b"\n", head=True)
             await until(lambda: not rig.engine.messages_by_id)
             assert [r[3]["request-id"] for r in endpoint.requests] == ["later"]
         agent.sock.close()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -16,8 +16,8 @@
 
 @pytest.fixture
 def policy(tmp_path):
-    told = settings.read(configuration(tmp_path), {})
-    return DeliveryPolicy(told.policy_settings, told.seed)
+    effective_settings = settings.read(configuration(tmp_path), {})
+    return DeliveryPolicy(effective_settings.policy_settings, effective_settings.seed)
 
 
 def test_another_process_of_this_version_has_the_same_shape(policy):
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -13,12 +13,12 @@
 
 pytestmark = pytest.mark.anyio
 SLOTS = 3
-AT_ONCE = 2  # a sole partner may hold as many slots as it leaves free
+AT_ONCE = 2  # a sole destination may hold as many slots as it leaves free
 HELD = 40
 
 
-class Partner(HttpStandIn):
-    """Holds its answers until told otherwise; knows which call came in which life of the courier."""
+class HoldingEndpoint(HttpStandIn):
+    """Holds its answers until `held` is cleared; knows which call came in which process."""
 
     def __init__(self):
         super().__init__()
@@ -34,7 +34,7 @@
     """The platform's front, with few slots."""
 
     def start(self):
-        self.told["settings"]["specifics"]["callsOut"] = SLOTS
+        self.configuration["settings"]["specifics"]["callsOut"] = SLOTS
         self.configure()
         super().start()
 
@@ -46,9 +46,9 @@
 class Amqp:
     """An application's file with the AMQP front alone, with few slots."""
 
-    def __init__(self, folder, endpoint, _):
+    def __init__(self, folder, endpoint_address, _):
         self.address = own_address()
-        host, port = endpoint.split(":")
+        host, port = endpoint_address.split(":")
         (folder / "partners.zone").write_text(ZONE.format(host=host, port=port))
         self.file = folder / "booking.toml"
         self.file.write_text(FILE.format(amqp=self.address, folder=folder, slots=SLOTS))
@@ -126,28 +126,28 @@
     ids=lambda ends: "-".join(e.name for e in ends),
 )
 async def test_what_a_restart_finds_taken_on_and_untried_is_tried(tmp_path, front, ends):
-    partner, silent = Partner(), HttpStandIn(silent_discovery)
-    async with standing(partner) as endpoint, standing(silent) as platform:
-        process = front(tmp_path, endpoint, platform)
+    endpoint, silent = HoldingEndpoint(), HttpStandIn(silent_discovery)
+    async with standing(endpoint) as endpoint_address, standing(silent) as platform:
+        process = front(tmp_path, endpoint_address, platform)
         try:
             await process.ready()
             for n in range(HELD):
                 await process.hand_in(n)
-            await until(lambda: len(partner.calls) >= AT_ONCE)
+            await until(lambda: len(endpoint.calls) >= AT_ONCE)
             for how in ends:
                 await process.end(how)
-                partner.life += 1
+                endpoint.life += 1
                 process.start()
                 await process.ready()
-            partner.held = False
-            for connection in list(partner.open):  # what hung from this life on ends as a reset
+            endpoint.held = False
+            for connection in list(endpoint.open):  # what hung from this life on ends as a reset
                 connection.shutdown()
-            tried_before = {id_ for id_, lives in partner.calls.items() if lives[0] < partner.life}
+            tried_before = {id_ for id_, lives in endpoint.calls.items() if lives[0] < endpoint.life}
             untried = {f"m{n}" for n in range(HELD)} - tried_before
             assert len(untried) >= HELD - SLOTS * len(ends) - SLOTS
-            await until(lambda: untried <= partner.calls.keys(), 20)
+            await until(lambda: untried <= endpoint.calls.keys(), 20)
             payments = Counter(
-                i for i, lives in partner.calls.items() if int(i[1:]) % PAYS[front] == 0 for _ in lives
+                i for i, lives in endpoint.calls.items() if int(i[1:]) % PAYS[front] == 0 for _ in lives
             )
             assert not [i for i, calls in payments.items() if calls > 1]  # none that may have run went again
         finally:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -116,7 +116,7 @@
 
 async def test_newcomers_are_served_though_silent_or_idle_callers_fill_the_room(tmp_path, monkeypatch):
     monkeypatch.setattr(limiter, "SUBMITTER_GRACE_US", 300_000)
-    async with engine(tmp_path, legs=4) as rig:
+    async with engine(tmp_path, max_clients=4) as rig:
         usual = [Client(rig.address) for _ in range(2)]
         silent = [await sockets.dial(rig.address) for _ in range(10)]
         for client in usual:  # the silent give way at once, those that wait for their next command later
@@ -131,15 +131,15 @@
 
 
 async def test_callers_that_ask_once_and_stay_give_way_before_they_can_open_no_more(tmp_path):
-    async with engine(tmp_path, legs=20) as rig:
-        room = rig.engine.fronts["resp"].limiter
+    async with engine(tmp_path, max_clients=20) as rig:
+        limiter = rig.engine.fronts["resp"].limiter
         pings = [Client(rig.address) for _ in range(3)]
         for client in pings:
             await client.say("PING")
         for n in range(16):
             assert await Client(rig.address).enqueue("status-update", id_=f"m{n}") == "+OK\r\n"
             await anyio.sleep(0.02)
-        assert sum(client.submitted for client in room.clients.values()) <= room.max_submitters + 1 == 9
+        assert sum(client.submitted for client in limiter.clients.values()) <= limiter.max_submitters + 1 == 9
         assert await pings[0].say("PING") == "+PONG\r\n"  # the room is not full: only those gave way
 
 
@@ -177,7 +177,7 @@
 
 
 async def test_commands_that_are_never_whole_share_a_bound_of_memory(tmp_path):
-    async with engine(tmp_path, leg_bytes=100_000) as rig:
+    async with engine(tmp_path, max_unread_bytes=100_000) as rig:
         half = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$1\r\na\r\n$1\r\nb\r\n$60000\r\n" + b"x" * 50_000
         first = await sockets.dial(rig.address)
         await first.write(half)
@@ -210,13 +210,13 @@
     ],
 )
 async def test_a_payment_goes_again_only_after_proof_that_it_never_ran(tmp_path, reply, payments, state):
-    endpoint, told = scripted(reply), platform()
-    async with standing(endpoint) as address, standing(told) as notices:
-        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
+    endpoint, platform_stand_in = scripted(reply), platform()
+    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
+        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue()
             await until(lambda: not rig.engine.messages_by_id)
             assert len(endpoint.requests) == payments
-            assert [line["state"] for line in told.lines] == ([state] if state else [])
+            assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
 
 
 @pytest.mark.parametrize(
@@ -240,13 +240,13 @@
 async def test_a_first_line_with_200_delivers_and_no_other_spoilt_answer_proves_a_thing(
     tmp_path, reply, calls, state
 ):
-    endpoint, told = scripted(reply), platform()
-    async with standing(endpoint) as address, standing(told) as notices:
-        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
+    endpoint, platform_stand_in = scripted(reply), platform()
+    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
+        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue(for_ms=1500)
             await until(lambda: not rig.engine.messages_by_id)
             assert len(endpoint.requests) == calls
-            assert [line["state"] for line in told.lines] == ([state] if state else [])
+            assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
 
 
 async def test_what_comes_behind_an_answer_never_answers_the_next_call(tmp_path):
@@ -309,8 +309,8 @@
 
 
 async def test_a_client_that_sends_much_at_once_and_goes_holds_nobody_up(tmp_path):
-    partner = scripted()
-    async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+    endpoint = scripted()
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         hasty = await sockets.dial(rig.address)
         words = [b"ENQUEUE", b"0", b"hasty%03d", b"c=status-update,t=north,d=5000,dest=1", b"x"]
         command = b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(w.replace(b"%03d", b"000")), w) for w in words)
@@ -318,7 +318,7 @@
         hasty.close()
         assert await Client(rig.address).enqueue("status-update", "steady") == "+OK\r\n"
         await until(lambda: not rig.engine.messages_by_id)
-        delivered = [r[3]["request-id"] for r in partner.requests]
+        delivered = [r[3]["request-id"] for r in endpoint.requests]
         assert "steady" in delivered and len(set(delivered)) == len(delivered)
 
 
@@ -343,12 +343,14 @@
 
 
 async def test_a_timed_out_payment_fails_and_its_connection_is_closed(tmp_path):
-    endpoint, told = HttpStandIn(lambda request: late(30)), platform()
-    async with standing(endpoint) as address, standing(told) as notices:
-        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
+    endpoint, platform_stand_in = HttpStandIn(lambda request: late(30)), platform()
+    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
+        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue(for_ms=300)
-            await until(lambda: told.lines)
-            assert told.lines == [{"id": "id1", "state": "failed"}] and len(endpoint.requests) == 1
+            await until(lambda: platform_stand_in.lines)
+            assert (
+                platform_stand_in.lines == [{"id": "id1", "state": "failed"}] and len(endpoint.requests) == 1
+            )
 
 
 async def test_a_told_wait_silences_all_messages_to_that_partner(tmp_path):
@@ -396,22 +398,22 @@
 
 async def test_a_given_up_message_gets_its_notice_at_once_and_until_it_is_heard(tmp_path):
     answers = [(500, [], b""), None, HEARD]
-    told = HttpStandIn(lambda request: answers.pop(0))
+    platform_stand_in = HttpStandIn(lambda request: answers.pop(0))
     endpoint = HttpStandIn(lambda request: (500, [], b""))
-    async with standing(endpoint) as address, standing(told) as notices:
-        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
+    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
+        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue(for_ms=20_000)
             await until(lambda: not rig.engine.messages_by_id)
-            first, *_, last = told.requests
+            first, *_, last = platform_stand_in.requests
             assert first[0] - endpoint.requests[0][0] < 0.1 and last[0] - first[0] < 1
-            assert len(told.requests) == 3 and first[4] == last[4]
+            assert len(platform_stand_in.requests) == 3 and first[4] == last[4]
 
 
 async def test_a_key_goes_on_only_when_its_earlier_notice_has_been_answered(tmp_path):
     slow = HttpStandIn(lambda request: late(0.3, HEARD))
     endpoint = scripted(*[(500, [], b"")] * 6)
-    async with standing(endpoint) as address, standing(slow) as notices:
-        async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
+    async with standing(endpoint) as address, standing(slow) as platform_address:
+        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
             client = Client(rig.address)
             await client.enqueue("booking-change", key="77", for_ms=400)
             await client.enqueue("booking-change", id_="second", key="77")
@@ -421,15 +423,17 @@
 
 
 async def test_attempts_are_at_most_six_over_restarts_too(tmp_path):
-    endpoint, told = HttpStandIn(lambda request: late(30)), platform()
-    async with standing(endpoint) as address, standing(told) as notices:
+    endpoint, platform_stand_in = HttpStandIn(lambda request: late(30)), platform()
+    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
         for _ in range(8):
-            async with engine(tmp_path, notices, endpoints=[(address,)]) as rig:
-                if not rig.engine.messages_by_id and not told.lines:
+            async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
+                if not rig.engine.messages_by_id and not platform_stand_in.lines:
                     await Client(rig.address).enqueue("status-update", for_ms=20_000)
                 before = len(endpoint.requests)
-                await until(lambda before=before: len(endpoint.requests) > before or told.lines)
-        assert len(endpoint.requests) == 6 and [line["state"] for line in told.lines] == ["returned"]
+                await until(lambda before=before: len(endpoint.requests) > before or platform_stand_in.lines)
+        assert len(endpoint.requests) == 6 and [line["state"] for line in platform_stand_in.lines] == [
+            "returned"
+        ]
 
 
 async def test_an_idle_connection_that_the_next_hop_closed_is_not_written_to(tmp_path):
@@ -468,8 +472,11 @@
 
 @pytest.mark.parametrize("where", ["accept", "send"])
 async def test_a_fault_of_one_message_does_not_end_the_courier(tmp_path, monkeypatch, where):
-    told = platform()
-    async with standing(told) as notices, engine(tmp_path, notices, endpoints=[("not an address",)]) as rig:
+    platform_stand_in = platform()
+    async with (
+        standing(platform_stand_in) as platform_address,
+        engine(tmp_path, platform_address, endpoints=[("not an address",)]) as rig,
+    ):
         if where == "accept":
             monkeypatch.setattr(rig.engine, "accept", lambda message: 1 / 0)
             with pytest.raises(anyio.EndOfStream):
@@ -477,7 +484,7 @@
         else:
             monkeypatch.setattr(rig.engine.transports["http"], "_call", None)
             await Client(rig.address).enqueue(for_ms=300)
-            await until(lambda: told.lines)
+            await until(lambda: platform_stand_in.lines)
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
 
 
@@ -486,13 +493,13 @@
     whole = {"seq": 7, "whole": True, "hosts": [host("s-1", "127.0.0.1:9"), host("s-2", "127.0.0.1:9")]}
     change = {"seq": 8, "whole": False, "hosts": [host("s-1", "127.0.0.1:9", health="draining")]}
     lists.append(orjson.dumps(whole) + b"\n\n" + orjson.dumps(change) + b"\n")
-    told = HttpStandIn(lambda request: (200, [], lists.pop(0) if lists else b""))
-    async with standing(told) as address, engine(tmp_path) as rig:
+    platform_stand_in = HttpStandIn(lambda request: (200, [], lists.pop(0) if lists else b""))
+    async with standing(platform_stand_in) as address, engine(tmp_path) as rig:
         rig.tasks.start_soon(DiscoveryClient(address, rig.engine, rig.engine.settings).run)
         endpoints = rig.engine.endpoints
         await until(lambda: "s-1" in endpoints and not endpoints["s-1"].usable)
         assert endpoints["s-2"].usable
-        await until(lambda: told.requests[-1][2] == "/api/targets?watch=1&from=8")
+        await until(lambda: platform_stand_in.requests[-1][2] == "/api/targets?watch=1&from=8")
 
 
 async def test_next_hops_that_are_replaced_all_day_leave_nothing_behind(tmp_path, monkeypatch):
@@ -526,8 +533,8 @@
         self.address = own_address()
         (folder / "state").mkdir(exist_ok=True)
         self.file = folder / "config.json"
-        self.told = configuration(folder / "state")
-        self.told["known"]["hosts"] = [host("s-1", endpoint)]
+        self.configuration = configuration(folder / "state")
+        self.configuration["known"]["hosts"] = [host("s-1", endpoint)]
         self.configure(listen=self.address, discovery=discovery)
         self.env = os.environ | {
             "RELAY_CONFIG": str(self.file),
@@ -542,9 +549,9 @@
         )
         self.client = Client(self.address)
 
-    def configure(self, **told):
-        self.told |= told
-        self.file.write_bytes(orjson.dumps(self.told))
+    def configure(self, **changes):
+        self.configuration |= changes
+        self.file.write_bytes(orjson.dumps(self.configuration))
 
     async def ready(self):
         with anyio.fail_after(10):
@@ -563,24 +570,24 @@
 
 
 async def test_killed_outright_it_delivers_what_it_had_taken_and_repeats_no_payment(tmp_path):
-    endpoint, told = scripted(late(30), late(30)), platform()
-    async with standing(endpoint) as address, standing(told) as notices:
-        first = await Process(tmp_path, address, notices).ready()
+    endpoint, platform_stand_in = scripted(late(30), late(30)), platform()
+    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
+        first = await Process(tmp_path, address, platform_address).ready()
         await first.client.enqueue("payment", "out", for_ms=20_000)
         await first.client.enqueue("status-update", "repeatable", for_ms=20_000)
         await until(lambda: len(endpoint.requests) == 2)
         await first.end(signal.SIGKILL)
-        second = await Process(tmp_path, address, notices).ready()
-        await until(lambda: len(endpoint.requests) == 3 and told.lines)
+        second = await Process(tmp_path, address, platform_address).ready()
+        await until(lambda: len(endpoint.requests) == 3 and platform_stand_in.lines)
         assert endpoint.requests[2][3]["request-id"] == "repeatable"
-        assert told.lines == [{"id": "out", "state": "failed"}]
+        assert platform_stand_in.lines == [{"id": "out", "state": "failed"}]
         await second.end(signal.SIGKILL)
 
 
 async def test_sigterm_finishes_what_is_out_answers_busy_and_ends_in_time(tmp_path):
-    endpoint, told = scripted(late(1.0), late(60)), platform()
-    async with standing(endpoint) as address, standing(told) as notices:
-        process = await Process(tmp_path, address, notices).ready()
+    endpoint, platform_stand_in = scripted(late(1.0), late(60)), platform()
+    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
+        process = await Process(tmp_path, address, platform_address).ready()
         await process.client.enqueue(id_="out", for_ms=20_000)
         await until(lambda: endpoint.requests)
         async with anyio.create_task_group() as tasks:
@@ -589,9 +596,9 @@
             assert await process.client.enqueue(id_="more") == "-BUSY 2000\r\n"
             assert await Client(process.address).enqueue(id_="new") == "-BUSY 2000\r\n"
         assert process.process.returncode == 0
-        again = await Process(tmp_path, address, notices).ready()
+        again = await Process(tmp_path, address, platform_address).ready()
         await anyio.sleep(0.2)
-        assert len(endpoint.requests) == 1 and not told.lines  # delivered: nothing is owed
+        assert len(endpoint.requests) == 1 and not platform_stand_in.lines  # delivered: nothing is owed
         await again.client.enqueue("status-update", "hung", for_ms=20_000)
         await until(lambda: len(endpoint.requests) == 2)
         code, seconds = await again.end(signal.SIGTERM)
@@ -707,9 +714,9 @@
 @pytest.mark.parametrize("broken", ["state", "listen"])
 def test_what_keeps_a_courier_from_starting_is_said_in_a_line(tmp_path, broken):
     sock, address = listener()
-    told = configuration(tmp_path)
-    told |= {"state": str(tmp_path / "none")} if broken == "state" else {"listen": address}
-    (tmp_path / "c.json").write_bytes(orjson.dumps(told))
+    settings_file = configuration(tmp_path)
+    settings_file |= {"state": str(tmp_path / "none")} if broken == "state" else {"listen": address}
+    (tmp_path / "c.json").write_bytes(orjson.dumps(settings_file))
     env = os.environ | {"RELAY_CONFIG": str(tmp_path / "c.json")}
     command = [sys.executable, "-m", "pinspread"]
     ended = subprocess.run(command, env=env, capture_output=True, timeout=10, text=True)
@@ -728,8 +735,8 @@
             return 503, [], b""
         return (429, [("Retry-After", "1.0")], b"") if barred else silent()
 
-    partner = HttpStandIn(answer)
-    async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+    endpoint = HttpStandIn(answer)
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client, turns = Client(rig.address), []
         found = rig.engine.policy
         await until(lambda: "s-1" in found.discovery.endpoints)
@@ -739,5 +746,5 @@
         for _ in range(2):
             assert await client.enqueue(for_ms=3000) == "+OK\r\n"
         await anyio.sleep(0.7)
-        assert [r[1] for r in partner.requests] == ["GET"]
+        assert [r[1] for r in endpoint.requests] == ["GET"]
         assert len(turns) < 20
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -116,13 +116,13 @@
     async def grant(q):
         await leads(q)
         with anyio.fail_after(5):
-            told = anyio.Event()
+            answered = anyio.Event()
             q.propose(
                 "t",
                 Command(CommandKind.GRANT, "m", 0, 7),
-                lambda row, why: told.set(),
+                lambda row, why: answered.set(),
             )
-            await told.wait()
+            await answered.wait()
 
     rows = []
     anyio.run(voter(tmp_path, rows), grant)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -25,7 +25,7 @@
     answers = [anyio.sleep_forever(), (429, [("Retry-After", "60")], b"")]
     endpoint = HttpStandIn(lambda request: answers.pop(0))
     async with standing(endpoint) as address:
-        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed with the first branch out
+        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed with the first attempt out
             await Client(rig.address).enqueue("booking-change", for_ms=60_000)
             await until(lambda: endpoint.requests)
             written_us = rig.engine.messages_by_id["id1"].in_flight_since_unix_us
@@ -42,7 +42,7 @@
     async with standing(endpoint) as address, standing(unheard) as first, standing(heard) as second:
         async with engine(tmp_path, first, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue("payment")
-            await until(lambda: unheard.requests)  # and killed, with the notice out
+            await until(lambda: unheard.requests)  # and killed, with the notification in flight
         async with engine(tmp_path, second, endpoints=[(address,)]) as rig:
             await until(lambda: not rig.engine.messages_by_id)
         assert [r[4] for r in heard.requests] == [unheard.requests[0][4]] and len(endpoint.requests) == 1
@@ -56,8 +56,10 @@
 
 def service(folder, platform, **more):
     """The parts of a process, in this one; `leaving` stands for SIGTERM."""
-    told = settings.read(configuration(folder) | {"listen": own_address(), "discovery": platform}, {})
-    options = ServiceOptions(told, AmqpFile(), lambda last: pytest.fail("no SIGHUP"), **more)
+    effective_settings = settings.read(
+        configuration(folder) | {"listen": own_address(), "discovery": platform}, {}
+    )
+    options = ServiceOptions(effective_settings, AmqpFile(), lambda last: pytest.fail("no SIGHUP"), **more)
     return Service(options)
 
 
@@ -88,10 +90,10 @@
         parts = service(tmp_path, platform)
         async with running(parts) as done:
             await until(lambda: parts.engine.serving)
-            leg = await sockets.dial(parts.settings.listen)
+            connection = await sockets.dial(parts.settings.listen)
             if known:
-                await leg.write(command(b"PING"))
-                assert await leg.read() == b"+PONG\r\n"
+                await connection.write(command(b"PING"))
+                assert await connection.read() == b"+PONG\r\n"
             idle = await sockets.dial(parts.settings.listen)
             half = await sockets.dial(parts.settings.listen)
             await half.write(ENQUEUE[:-5])
@@ -99,13 +101,13 @@
 
             async def stopped():
                 await stop()
-                leg.sock.send(ENQUEUE)  # it is in the kernel, unread, when the process is about to end
+                connection.sock.send(ENQUEUE)  # it is in the kernel, unread, when the process is about to end
 
             parts.engine.stop = stopped
             parts.leaving.set()
             await done.wait()
             heard = b""
-            while piece := await leg.read():  # never a reset
+            while piece := await connection.read():  # never a reset
                 heard += piece
             assert heard == b"-BUSY 2000\r\n"
             assert await idle.read() == b""
@@ -118,14 +120,14 @@
         parts = service(tmp_path, platform)
         async with running(parts) as done:
             await until(lambda: parts.engine.serving)
-            leg = await sockets.dial(parts.settings.listen)
-            await leg.write(command(b"PING"))
-            assert await leg.read() == b"+PONG\r\n"
+            connection = await sockets.dial(parts.settings.listen)
+            await connection.write(command(b"PING"))
+            assert await connection.read() == b"+PONG\r\n"
             tasks = parts.tasks
 
             def last_moment():
-                if leg.is_idle():  # this client has not seen the end: it may still ask
-                    sent.append(leg.sock.send(ENQUEUE))
+                if connection.is_idle():  # this client has not seen the end: it may still ask
+                    sent.append(connection.sock.send(ENQUEUE))
                 tasks.cancel_scope.cancel()
 
             scope = SimpleNamespace(cancel=last_moment)
@@ -133,32 +135,32 @@
             parts.leaving.set()
             await done.wait()
             with suppress(ConnectionResetError):
-                assert await leg.read() == b""
+                assert await connection.read() == b""
     assert not sent  # whatever it asks then is answered by nobody
 
 
 async def test_a_leg_whose_next_command_is_there_is_not_ended_for_having_been_idle(tmp_path, monkeypatch):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
-        leg = await sockets.dial(rig.address)
-        await leg.write(command(b"PING"))
-        assert await leg.read() == b"+PONG\r\n"
-        room = rig.engine.fronts["resp"].limiter
+        connection = await sockets.dial(rig.address)
+        await connection.write(command(b"PING"))
+        assert await connection.read() == b"+PONG\r\n"
+        client_limiter = rig.engine.fronts["resp"].limiter
         monkeypatch.setattr(limiter, "IDLE_TIMEOUT_US", -1)  # it has been idle for too long just now
-        leg.sock.send(ENQUEUE)
-        room.close_overdue()
-        assert await leg.read() == b"+OK\r\n"
+        connection.sock.send(ENQUEUE)
+        client_limiter.close_overdue()
+        assert await connection.read() == b"+OK\r\n"
 
 
 async def test_a_first_command_that_is_there_is_answered_though_the_loop_was_late(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
-        leg = await sockets.dial(rig.address)
-        room = rig.engine.fronts["resp"].limiter
-        await until(lambda: room.clients)
-        (ours,) = room.clients.values()
-        leg.sock.send(ENQUEUE)
+        connection = await sockets.dial(rig.address)
+        client_limiter = rig.engine.fronts["resp"].limiter
+        await until(lambda: client_limiter.clients)
+        (ours,) = client_limiter.clients.values()
+        connection.sock.send(ENQUEUE)
         ours.waiting_since_us -= limiter.COMMAND_TIMEOUT_US + 1  # nothing ran for so long
-        room.close_overdue()
-        assert await leg.read() == b"+OK\r\n"
+        client_limiter.close_overdue()
+        assert await connection.read() == b"+OK\r\n"
 
 
 async def test_sigterm_is_heard_while_another_process_owns_the_folder(tmp_path):
@@ -186,8 +188,8 @@
 
 
 async def test_an_address_that_the_process_before_still_holds_is_waited_for(tmp_path, monkeypatch):
-    async with standing(HttpStandIn(lambda request: (204, [], b""))) as notices:
-        parts = service(tmp_path, notices)
+    async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform_address:
+        parts = service(tmp_path, platform_address)
         before = sockets.listen(parts.settings.listen)
         said = []
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -44,21 +44,21 @@
 
 
 def without(path):
-    def broken(told):
+    def broken(raw_settings):
         *way, name = path.split(".")
         for step in way:
-            told = told[step]
-        del told[name]
+            raw_settings = raw_settings[step]
+        del raw_settings[name]
 
     return broken
 
 
 def having(path, value):
-    def broken(told):
+    def broken(raw_settings):
         *way, name = path.split(".")
         for step in way:
-            told = told[int(step) if step.isdigit() else step]
-        told[name] = value
+            raw_settings = raw_settings[int(step) if step.isdigit() else step]
+        raw_settings[name] = value
 
     return broken
 
@@ -81,11 +81,11 @@
 def test_a_file_that_is_broken_is_refused_whole(tmp_path, broken):
     file = tmp_path / "c.json"
     env = {"RELAY_CONFIG": str(file)}
-    told = configuration(tmp_path)
-    file.write_bytes(orjson.dumps(told))
+    raw_settings = configuration(tmp_path)
+    file.write_bytes(orjson.dumps(raw_settings))
     last = settings.from_environment(env)
-    broken(told)
-    file.write_bytes(orjson.dumps(told))
+    broken(raw_settings)
+    file.write_bytes(orjson.dumps(raw_settings))
     with pytest.raises(settings.SettingsError):
         settings.from_environment(env, last)
 
@@ -103,13 +103,13 @@
 
 async def test_new_messages_go_by_the_new_settings_and_open_ones_by_theirs(tmp_path):
     down = HttpStandIn(lambda request: (500, [], b""))
-    told = configuration(tmp_path)
+    raw_settings = configuration(tmp_path)
     async with standing(platform()) as heard, standing(down) as address:
         async with engine(tmp_path, heard, endpoints=[(address,), (address, "s-2", 2)]) as rig:
             client, core = Client(rig.address), rig.engine
             assert await client.enqueue("status-update", "old", for_ms=3500) == "+OK\r\n"
             await until(lambda: down.requests)
-            new = copy.deepcopy(told)
+            new = copy.deepcopy(raw_settings)
             new["settings"]["lanes"] = [lane("refund", effect="once"), lane("status-update", effect="once")]
             new["settings"]["policyLimits"]["sendCap"] = 1
             core.apply_settings(settings.read(new, {}))
@@ -125,9 +125,9 @@
     endpoint = HttpStandIn(lambda request: answers.pop(0) if answers else (500, [], b""))
     async with standing(platform()) as heard, standing(endpoint) as address:
         async with engine(tmp_path, heard) as rig:
-            told = configuration(tmp_path)
-            told["settings"]["lanes"].append(lane("refund", effect="once"))
-            rig.engine.apply_settings(settings.read(told, {}))
+            raw_settings = configuration(tmp_path)
+            raw_settings["settings"]["lanes"].append(lane("refund", effect="once"))
+            rig.engine.apply_settings(settings.read(raw_settings, {}))
             rig.update_endpoints(address, state=0)
             assert await Client(rig.address).enqueue("refund", "kept") == "+OK\r\n"
         async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:  # whose settings know no refund
@@ -185,9 +185,9 @@
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, standing(HttpStandIn(lambda r: HEARD)) as heard:
         process = await Process(tmp_path, address, heard).ready()
-        lanes = [*process.told["settings"]["lanes"], lane("refund")]
-        good = copy.deepcopy(process.told)
-        process.configure(settings=process.told["settings"] | {"lanes": lanes})
+        lanes = [*process.configuration["settings"]["lanes"], lane("refund")]
+        good = copy.deepcopy(process.configuration)
+        process.configure(settings=process.configuration["settings"] | {"lanes": lanes})
         whole = process.file.read_bytes()
         for raw in (b"", whole[:-9], whole):  # in quick succession: the last file counts
             process.file.write_bytes(raw)
@@ -208,12 +208,12 @@
 
 
 def test_config_check_of_a_platforms_file_says_what_will_count_or_what_is_missing(tmp_path, capsys):
-    told = configuration(tmp_path)
-    (tmp_path / "c.json").write_bytes(orjson.dumps(told))
+    raw_settings = configuration(tmp_path)
+    (tmp_path / "c.json").write_bytes(orjson.dumps(raw_settings))
     assert main(["config", "check", str(tmp_path / "c.json")]) == 0
     said = capsys.readouterr().out
     assert "class payment: once" in said and "nothing new 250 ms after a drain" in said
-    del told["settings"]["rules"]["drainGraceNs"]
-    (tmp_path / "c.json").write_bytes(orjson.dumps(told))
+    del raw_settings["settings"]["rules"]["drainGraceNs"]
+    (tmp_path / "c.json").write_bytes(orjson.dumps(raw_settings))
     assert main(["config", "check", str(tmp_path / "c.json")]) == 2
     assert "rules.drainGraceNs is missing" in capsys.readouterr().err
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades: one process takes over from the one before, under load; real processes, stand-in partners."""
+"""Upgrades: one process takes over from the one before, under load; real processes, stand-in endpoints."""
 
 import os
 import signal
@@ -24,26 +24,25 @@
 class Deployment:
     """A courier whose clients' socket the platform holds, and its processes one after the other."""
 
-    def __init__(self, folder, partner, platform):
+    def __init__(self, folder, endpoint, platform):
         self.sock, self.address = listener()
         self.folder = folder
         (folder / "state").mkdir(exist_ok=True)
         self.file = folder / "config.json"
-        told = configuration(folder / "state", callsOut=64)
-        told["known"]["hosts"] = [host("s-1", partner), host("s-2", partner, 2)]
-        told |= {"listen": self.address, "discovery": platform}
-        self.told = told
+        self.configuration = configuration(folder / "state", callsOut=64)
+        self.configuration["known"]["hosts"] = [host("s-1", endpoint), host("s-2", endpoint, 2)]
+        self.configuration |= {"listen": self.address, "discovery": platform}
         self.processes = []
 
     def start(self, **more):
-        """Another process, with a door of its own."""
-        self.file.write_bytes(orjson.dumps(self.told))
-        door = own_address()
+        """Another process, with an admin server of its own."""
+        self.file.write_bytes(orjson.dumps(self.configuration))
+        admin_address = own_address()
         env = os.environ | {
             "RELAY_CONFIG": str(self.file),
             "RELAY_STATE": str(self.folder / "state"),
             "RELAY_PASSED_SOCKET": str(self.sock.fileno()),
-            "RELAY_ADMIN_ADDR": door,
+            "RELAY_ADMIN_ADDR": admin_address,
         }
         log = open(self.folder / f"log{len(self.processes)}", "wb")
         process = subprocess.Popen(
@@ -53,7 +52,7 @@
             stdout=log,
             stderr=log,
         )
-        process.door = door
+        process.admin_address = admin_address
         self.processes.append(process)
         return process
 
@@ -69,7 +68,7 @@
 
 
 async def call(address, said="GET /-/ready"):
-    """The status that a door answers; 0 if nobody does."""
+    """The status that an admin server answers; 0 if nobody does."""
     try:
         connection = await sockets.dial(address)
         await connection.write(f"{said} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -82,16 +81,16 @@
 
 
 async def ready(process, seconds=6.0):
-    """Until its door says yes; how long it took."""
+    """Until its admin server answers that it is ready; how long it took."""
     began = time.monotonic()
-    while await call(process.door) != 200:
+    while await call(process.admin_address) != 200:
         assert time.monotonic() - began < seconds and process.poll() is None
         await anyio.sleep(0.02)
     return time.monotonic() - began
 
 
 class Ledger:
-    """What was handed in, what partners have had, and what was told of ends."""
+    """What was submitted, what endpoints received, and which final results were notified."""
 
     def __init__(self):
         self.taken = {}  # id -> (class, key)
@@ -104,7 +103,7 @@
         self.trouble = []
         self.stop = False
 
-    async def partner(self, request):
+    async def endpoint(self, request):
         id_ = request[3].get("request-id")
         if id_ is None:
             return 200, [], b""
@@ -119,13 +118,13 @@
     def platform(self, request):
         if request[2] == "/v2/finals":
             for line in request[4].splitlines():
-                told = orjson.loads(line)
-                self.ends.setdefault(told["id"], set()).add(told["state"])
+                notification = orjson.loads(line)
+                self.ends.setdefault(notification["id"], set()).add(notification["state"])
             return 204, [], b""
         return 503, [], b""
 
     async def client(self, address, name, fresh=False):
-        """Hand messages in, one after the other, until told to stop."""
+        """Submit messages, one after the other, until `stop` is set."""
         client, n = Client(address, again=True), 0
         while not self.stop:
             n += 1
@@ -169,8 +168,8 @@
 @asynccontextmanager
 async def deployed(folder, clients=6):
     ledger = Ledger()
-    partner = HttpStandIn(ledger.partner)
-    async with standing(partner) as address, standing(HttpStandIn(ledger.platform)) as platform:
+    endpoint = HttpStandIn(ledger.endpoint)
+    async with standing(endpoint) as address, standing(HttpStandIn(ledger.platform)) as platform:
         made = Deployment(folder, address, platform)
         try:
             await ready(made.start())
@@ -192,7 +191,7 @@
             old = made.processes[-1]
             new = made.start()
             await ready(new)
-            assert await call(old.door) != 200
+            assert await call(old.admin_address) != 200
             old.send_signal(signal.SIGTERM)
             with anyio.fail_after(3.7):
                 while old.poll() is None:
@@ -208,19 +207,19 @@
 async def test_a_ban_binds_both_processes_and_lasts(tmp_path):
     async with deployed(tmp_path, clients=0) as (made, ledger):
         old = made.processes[0]
-        assert await call(old.door, "PUT /-/endpoints/s-1/disable") == 200
+        assert await call(old.admin_address, "PUT /-/endpoints/s-1/disable") == 200
         new = made.start()
         await ready(new)
-        assert await call(old.door, "PUT /-/endpoints/s-2/disable") == 200  # asked at the old one's door
+        assert await call(old.admin_address, "PUT /-/endpoints/s-2/disable") == 200  # via the old one
         client = Client(made.address)
         for n in range(2):
             assert await client.enqueue("status-update", f"m{n}", dest=1 + n) == "+OK\r\n"
             ledger.taken[f"m{n}"] = "status-update", "0"
         await anyio.sleep(0.4)
         assert not ledger.had
-        assert await call(new.door, "PUT /-/endpoints/s-1/enable") == 200
-        assert await call(old.door, "PUT /-/endpoints/s-2/enable") == 200
-        assert await call(old.door, "PUT /-/endpoints/s-7/enable") == 404
+        assert await call(new.admin_address, "PUT /-/endpoints/s-1/enable") == 200
+        assert await call(old.admin_address, "PUT /-/endpoints/s-2/enable") == 200
+        assert await call(old.admin_address, "PUT /-/endpoints/s-7/enable") == 404
         await until(ledger.settled)
     ledger.check()
 
@@ -326,9 +325,9 @@
     async with deployed(tmp_path, clients=0) as (made, _):
         old, new = made.processes[0], made.start()
         await ready(new)
-        lanes = made.told["settings"]["lanes"]
-        made.told["settings"]["lanes"] = [*lanes, lanes[-1] | {"name": "refund"}]
-        made.file.write_bytes(orjson.dumps(made.told))
+        lanes = made.configuration["settings"]["lanes"]
+        made.configuration["settings"]["lanes"] = [*lanes, lanes[-1] | {"name": "refund"}]
+        made.file.write_bytes(orjson.dumps(made.configuration))
         for process in (old, new, old):
             process.send_signal(signal.SIGHUP)
         client = Client(made.address)
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -1,4 +1,4 @@
-"""What a promise waits for where copies are kept, on both fronts and towards next hops, on real sockets."""
+"""What waits for replication, on both fronts and towards endpoints, over real sockets."""
 
 from contextlib import suppress
 
@@ -29,8 +29,8 @@
 
 
 async def test_ok_waits_for_copies_and_so_does_the_first_byte_of_a_branch(tmp_path):
-    partner = HttpStandIn()
-    async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         copies = rig.engine.replication = ReplicationService()
         said = []
         async with anyio.create_task_group() as tasks:
@@ -39,20 +39,20 @@
                 said.append(await Client(rig.address).enqueue())
 
             tasks.start_soon(hand_in)
-            await until(lambda: copies.waited >= 2)  # the answer, and the branch
+            await until(lambda: copies.waited >= 2)  # the answer, and the attempt
             await anyio.sleep(0.1)
-            assert said == [] and partner.requests == []
+            assert said == [] and endpoint.requests == []
             (held,) = rig.engine.journal.open_messages.values()
-            assert held.in_flight_since_unix_us  # the copies hear of the branch before the partner does
+            assert held.in_flight_since_unix_us  # the replicas get the attempt before the endpoint does
             copies.open.set()
         assert said == ["+OK\r\n"]
-        await until(lambda: len(partner.requests) == 1)
+        await until(lambda: len(endpoint.requests) == 1)
         await until(lambda: not rig.engine.messages_by_id)
 
 
 async def test_waiting_for_copies_costs_no_attempt_and_is_not_taken_for_the_partners_time(tmp_path):
-    partner, ended = HttpStandIn(), []
-    async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+    endpoint, ended = HttpStandIn(), []
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         copies, handle = ReplicationService(), rig.engine.policy.handle
 
         def heard(now_ns, events):
@@ -66,7 +66,7 @@
         rig.engine.replication, rig.engine.policy.handle = copies, heard
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(hand_in)
-            await until(lambda: copies.waited >= 2)  # the answer, and the branch
+            await until(lambda: copies.waited >= 2)  # the answer, and the attempt
             await anyio.sleep(3.5)  # longer than a call may take
             copies.open.set()
         await until(lambda: not rig.engine.messages_by_id)
@@ -75,19 +75,19 @@
 
 
 async def test_what_is_not_copied_is_neither_promised_nor_sent(tmp_path):
-    partner = HttpStandIn()
-    async with standing(partner) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+    endpoint = HttpStandIn()
+    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         copies = rig.engine.replication = ReplicationService()
         copies.ok = False
         copies.open.set()
         with pytest.raises(anyio.EndOfStream):
             await Client(rig.address).enqueue(id_="a")  # closed: neither answer would be true
-        assert partner.requests == []
+        assert endpoint.requests == []
         copies.why = "too few copies"
         assert (await Client(rig.address).enqueue(id_="b")).startswith("-BUSY ")
         assert (await Client(rig.address).enqueue(id_="a")).startswith("-BUSY ")  # known, but not promised
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
-        assert "b" not in rig.engine.messages_by_id and partner.requests == []
+        assert "b" not in rig.engine.messages_by_id and endpoint.requests == []
 
 
 async def test_a_notice_waits_for_copies_and_what_was_taken_over_meanwhile_has_none(tmp_path):
