--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -82,13 +82,13 @@
         ("GET /-/ready HTTP/1.1\r\nHost: x\r\nX: " + "y" * 20_000, 400),
     ],
 )
-async def test_each_call_has_its_answer_and_one_that_cannot_be_read_hears_why(tmp_path, said, wanted):
+async def test_each_call_has_its_answer_and_a_malformed_one_is_told_why(tmp_path, said, wanted):
     async with served(tmp_path, [("127.0.0.1:1",)]) as (_, address):
         assert await status(address, said) == wanted
         assert await status(address, READY) == 200
 
 
-async def test_ready_says_no_before_callers_are_heard_and_when_leaving(tmp_path):
+async def test_readiness_is_refused_before_clients_are_served_and_during_shutdown(tmp_path):
     async with served(tmp_path) as (rig, address):
         rig.engine.serving = False
         assert await status(address, READY) == 503
@@ -96,7 +96,7 @@
         assert await status(address, READY) == 503
 
 
-async def test_callers_that_stay_silent_cost_only_themselves(tmp_path, monkeypatch):
+async def test_silent_connections_are_closed_and_do_not_delay_other_clients(tmp_path, monkeypatch):
     monkeypatch.setattr(admin_server, "REQUEST_TIMEOUT_S", 0.6)
     async with served(tmp_path) as (rig, address):
         silent = [await sockets.dial(address) for _ in range(200)]
@@ -112,7 +112,7 @@
             connection.close()
 
 
-async def test_nothing_goes_to_an_endpoint_that_is_out_until_it_is_called_back(tmp_path):
+async def test_nothing_is_sent_to_a_blocked_endpoint_until_it_is_unblocked(tmp_path):
     endpoint = HttpStandIn()
     async with (
         standing(endpoint) as where,
@@ -141,7 +141,7 @@
         assert await status(admin_address, PUT % "s-1/enable") == 200  # back without out
 
 
-async def test_a_call_that_was_decided_on_is_not_written_once_its_endpoint_is_out(tmp_path):
+async def test_a_call_that_was_decided_on_is_not_written_once_its_endpoint_is_blocked(tmp_path):
     endpoint = HttpStandIn()
     async with standing(endpoint) as where, served(tmp_path, [(where,)]) as (rig, _):
         transport = rig.engine.transports["http"]
@@ -157,7 +157,7 @@
         assert not endpoint.requests
 
 
-async def test_a_ban_outlasts_a_kill_and_the_rewriting_of_the_journal(tmp_path):
+async def test_a_block_outlasts_a_kill_and_the_rewriting_of_the_journal(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as rig:
         assert await rig.engine.disable("s-1") and await rig.engine.disable("s-2")
         assert await rig.engine.enable("s-2")
@@ -173,7 +173,7 @@
         assert not await rig.engine.enable("s-1")
 
 
-async def test_the_yes_follows_the_record(tmp_path):
+async def test_a_block_is_confirmed_only_once_it_is_in_the_journal(tmp_path):
     async with served(tmp_path, [("127.0.0.1:1",)]) as (rig, admin_address):
 
         def full(*_):
@@ -184,7 +184,7 @@
         assert rig.engine.endpoints["s-1"].usable
 
 
-def test_an_endpoint_that_is_back_gets_its_ramp_from_the_module():
+def test_an_unblocked_endpoint_gets_a_recovery_ramp_from_the_policy():
     settings = Settings(
         classes=[TrafficClass(10**9, 10**10)],
         kinds=[DestinationKind()],
@@ -213,7 +213,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.sampled_from("abc"))))
-def test_one_call_back_undoes_any_number_of_calls_out(calls):
+def test_one_unblock_undoes_any_number_of_blocks(calls):
     bans, out = EndpointBlocklist(), {}
     for off, id_ in calls:
         assert (bans.block(id_) if off else bans.unblock(id_)) is (out.get(id_, False) is not off)
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -42,7 +42,7 @@
         assert len(seen) > 1 if tries is None else len(seen) == tries
 
 
-async def test_a_broker_that_stays_blocked_counts_as_retry_after_and_one_that_is_gone_does_not(tmp_path):
+async def test_a_broker_that_stays_blocked_counts_as_retry_after_and_one_that_is_down_does_not(tmp_path):
     broker = Broker()
     async with engine(tmp_path) as rig:
         async with standing(broker) as address:
@@ -62,7 +62,7 @@
         assert not rig.engine.retry_after_until_us
 
 
-async def test_a_broker_that_is_gone_is_forgotten_with_its_last_pending_publish(tmp_path):
+async def test_a_broker_that_is_removed_is_forgotten_with_its_last_pending_publish(tmp_path):
     broker = Broker(lambda broker, id_: "wait")
     async with standing(broker) as address, engine(tmp_path) as rig:
         transport = rig.engine.transports["amqp"]
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -24,7 +24,7 @@
 
 
 @given(st.lists(st.integers(1, 10_000), max_size=20), st.integers(1, 6))
-def test_calls_hold_each_branch_once_at_most_so_many_and_of_about_one_time(times, most):
+def test_calls_hold_each_attempt_once_within_the_bundle_size_and_of_about_one_time(times, most):
     attempts = [SimpleNamespace(timeout_us=t, message=SimpleNamespace(number=n)) for n, t in enumerate(times)]
     calls = group_into_calls(attempts, most)
     assert sorted(b.message.number for call in calls for b in call) == list(range(len(times)))
@@ -43,7 +43,7 @@
 
 
 @given(JSON | st.binary(max_size=30))
-def test_whatever_an_answer_holds_only_a_state_told_once_is_believed(answer):
+def test_whatever_an_answer_holds_only_a_state_given_once_counts(answer):
     raw = answer if isinstance(answer, bytes) else orjson.dumps(answer)
     found = bundle.parse_results(raw, ["a", "b"], 0)
     assert list(found) == ["a", "b"]
@@ -161,7 +161,7 @@
     return {line["id"]: line["state"] for line in platform.lines}
 
 
-async def test_messages_that_wait_go_together_and_each_has_its_own_end(tmp_path):
+async def test_messages_that_wait_share_a_call_and_each_has_its_own_outcome(tmp_path):
     fates = {}
 
     def fate(n, ids):
@@ -190,7 +190,7 @@
         (500, [], b""),
     ],
 )
-async def test_payments_that_an_answer_does_not_tell_truly_of_never_go_again(tmp_path, answer):
+async def test_payments_without_a_well_formed_state_in_the_answer_are_never_retried(tmp_path, answer):
     endpoint = BundlingEndpoint(lambda n, ids: answer)
     ends = await played(tmp_path, endpoint, 4, "payment")
     assert sorted(ends) == ["m1", "m2", "m3"] and set(ends.values()) == {"failed"}
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("status", [400, 413, 429, 503])
-async def test_a_call_that_is_turned_away_whole_never_ran_and_payments_go_again(tmp_path, status):
+async def test_a_call_that_is_rejected_as_a_whole_never_ran_and_payments_are_retried(tmp_path, status):
     head = [("Retry-After", "0.3")] if status == 429 else []
     endpoint = BundlingEndpoint(lambda n, ids: (status, head, b"") if n == 2 else all_ok(ids))
     assert not await played(tmp_path, endpoint, 4, "payment")
@@ -206,7 +206,7 @@
         assert sum(ids.count(f"m{n}") for ids in endpoint.calls) == 2
 
 
-async def test_a_kill_with_a_bundle_out_leaves_each_message_as_one_that_may_have_run(tmp_path):
+async def test_a_kill_with_a_bundle_in_flight_leaves_each_message_as_one_that_may_have_run(tmp_path):
     endpoint = BundlingEndpoint(lambda n, ids: anyio.sleep(9))
     await played(tmp_path, endpoint, 4, "payment", wait=False)
     platform, after = HttpStandIn(lambda request: HEARD), BundlingEndpoint()
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize(("report", "limit"), [("x0=0.25,x1=40", 40.0), ("x0=?", 0.0)])
-async def test_reports_of_good_and_bad_answers_reach_the_module_and_odd_ones_harm_nothing(
+async def test_load_reports_of_good_and_bad_answers_reach_the_policy_and_malformed_ones_are_ignored(
     tmp_path, report, limit
 ):
     replies = [(503, [("Server-Load", report)], b"")]
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -34,12 +34,12 @@
         (codec.encode(PING | {"t": "ask"}, KEY), KEY, "'to_at'"),
     ],
 )
-def test_a_datagram_that_is_not_taken_says_why(data, key, why):
+def test_a_datagram_that_is_rejected_says_why(data, key, why):
     with pytest.raises(codec.DatagramError, match=why):
         message_codec.decode_message(data, key)
 
 
-def test_a_whole_datagram_comes_back_as_it_went():
+def test_a_complete_datagram_is_decoded_to_what_was_encoded():
     assert message_codec.to_map(message_codec.decode_message(codec.encode(PING, KEY), KEY)) == PING
 
 
@@ -54,7 +54,7 @@
             message_codec.decode_message(bytes(data), KEY)
 
 
-def test_a_leave_while_the_turns_go_on_breaks_no_socket():
+def test_a_leave_while_rounds_are_sent_breaks_no_socket():
     import anyio
 
     from pinspread.membership import swim
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -46,7 +46,7 @@
 """
 
 
-def test_what_config_write_makes_config_check_finds_well(tmp_path, capsys):
+def test_config_check_accepts_what_config_write_makes(tmp_path, capsys):
     path = str(tmp_path / "booking.toml")
     assert main(["config", "write", "booking", "--file", path]) == 0
     assert main(["config", "check", path]) == 0
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("source", ["zone file", "server"])
-def test_next_hops_come_from_dns_sd_and_what_is_not_well_is_left_out(tmp_path, source):
+def test_endpoints_come_from_dns_sd_and_malformed_records_are_left_out(tmp_path, source):
     text = ZONE.format(http=8080, amqp=5672)
     if source == "server":
         server = DnsServer(text)
@@ -207,7 +207,7 @@
         assert rig.engine.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
 
 
-def test_an_applications_file_becomes_settings_for_the_module(tmp_path):
+def test_an_applications_file_becomes_settings_of_the_policy(tmp_path):
     effective_settings = application.effective_settings(File.model_validate(tomllib.loads(GOOD)), seed=1)
     assert (
         effective_settings.listen == "127.0.0.1:6379"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -58,7 +58,7 @@
         ),  # never ran
     ],
 )
-async def test_what_an_answer_has_proven_stands_though_the_time_ends_behind_it(
+async def test_what_an_answer_has_proven_stands_though_the_time_ends_after_it(
     tmp_path, monkeypatch, answer, behind, ends
 ):
     monkeypatch.setattr(http_transport, behind, 60)  # so the message's time ends first
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("how", ["no head", "head only", "first line only", "half a line", "a trickle"])
-async def test_a_watch_that_is_silent_is_opened_anew_and_again_before_what_it_missed_counts(
+async def test_a_silent_watch_is_reopened_again_and_again_before_what_it_missed_counts(
     tmp_path, monkeypatch, how
 ):
     async with watched(tmp_path, monkeypatch, 2) as (rig, agent, _):
@@ -190,7 +190,7 @@
         assert 2 * (time.monotonic() - start) < 6.0  # the first was silent from its first moment on
 
 
-async def test_an_agent_that_was_away_is_heard_whether_it_answers_who_waits_or_who_asks_then(
+async def test_discovery_that_was_unreachable_is_heard_on_a_waiting_watch_or_on_a_new_one(
     tmp_path, monkeypatch
 ):
     async with watched(tmp_path, monkeypatch) as (rig, agent, _):
@@ -267,7 +267,7 @@
 
 
 @pytest.mark.parametrize("bar", ["told wait", "notice"])
-async def test_what_bars_a_call_behind_its_choice_uses_up_no_attempt(tmp_path, monkeypatch, bar):
+async def test_a_call_that_is_blocked_after_it_was_chosen_uses_up_no_attempt(tmp_path, monkeypatch, bar):
     longest_ns = 2000 * MS if bar == "told wait" else 50 * MS
     monkeypatch.setattr(outlier_detection, "MOST_TIMEOUT_NS", longest_ns)
     untold = b"HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 9\r\n\r\n"  # its body never comes
@@ -299,7 +299,7 @@
         await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests), 20)
 
 
-async def test_what_is_read_behind_our_own_end_of_a_leg_is_not_taken_on(tmp_path):
+async def test_what_is_read_after_we_ended_a_connection_is_not_accepted(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         connection = await sockets.dial(rig.address)
         await connection.write(b"*1\r\n$4\r\nPING\r\n")
@@ -317,7 +317,9 @@
 
 
 @pytest.mark.parametrize("way", ["draining", "gone", "left out"])
-async def test_a_restart_while_discovery_is_away_keeps_to_the_drains_told_before(tmp_path, monkeypatch, way):
+async def test_a_restart_while_discovery_is_unreachable_keeps_to_the_drains_received_before(
+    tmp_path, monkeypatch, way
+):
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, standing(HttpStandIn(lambda request: (204, [], b""))) as heard:
         ready = host("s-1", address)
--- a/tests/test_delivery_policy.py
+++ b/tests/test_delivery_policy.py
@@ -137,7 +137,7 @@
 # --- the design ----------------------------------------------------------------------------------
 
 
-def test_bucket_starts_full_and_only_failed_retries_cost():
+def test_retry_budget_starts_full_and_only_failed_retries_cost():
     desk = Desk()
     assert desk.bucket.retry_budget.tokens == retry_budget.BUCKET_CAP == 10
     desk.take()
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("verdict", [Outcome.NOT_SENT, CONNECT_FAILED, TIMEOUT])
-def test_what_was_out_when_its_time_ended_is_answered_when_its_outcome_comes(verdict):
+def test_a_message_in_flight_at_its_deadline_is_answered_when_its_outcome_comes(verdict):
     desk = Desk()
     desk.take(life=SECOND)
     assert not desk.turn(after=SECOND)  # the turn at its deadline: it is out
@@ -163,7 +163,7 @@
     assert not desk.sender.messages
 
 
-def test_ten_successes_bring_a_token_up_to_the_cap():
+def test_ten_successes_add_a_token_to_the_retry_budget_up_to_its_cap():
     desk = Desk()
     desk.bucket.retry_budget.tokens = 3.0
     for n in range(1, 11):
@@ -176,7 +176,7 @@
     assert desk.bucket.retry_budget.tokens == retry_budget.BUCKET_CAP
 
 
-def test_empty_bucket_stops_retries_but_not_first_attempts():
+def test_empty_retry_budget_stops_retries_but_not_first_attempts():
     desk = Desk(endpoints=(("a", 1), ("b", 1)))
     desk.bucket.retry_budget.tokens = 0.95
     desk.take()
@@ -186,7 +186,7 @@
     assert desk.sent(desk.end(2)) == [1]  # its success brings the missing part of a token
 
 
-def test_waits_grow_fourfold_with_jitter():
+def test_backoff_grows_fourfold_with_jitter():
     sender = Desk().sender
     for n in range(6):
         waits = [retry_budget.backoff_ns(sender.context.random, n) for _ in range(300)]
@@ -195,7 +195,7 @@
         assert 1.4 * middle < max(waits) <= 1.5 * middle
 
 
-def test_told_wait_holds_first_tries_to_every_endpoint_until_it_is_over():
+def test_retry_after_holds_first_attempts_to_every_endpoint_until_it_is_over():
     desk = Desk(endpoints=(("a", 1), ("b", 1), ("c", 2)))
     desk.take()
     desk.end(1, FULL, retry_after_ns=700 * MS)
@@ -206,7 +206,7 @@
     assert desk.sent(desk.turn(after=SECOND)) == [2]
 
 
-def test_later_message_of_a_bundle_may_tell_the_longer_wait():
+def test_later_message_of_a_bundle_may_bring_the_longer_retry_after():
     desk = Desk(kind=1)
     assert desk.sent(desk.take(2)) == [1, 2]
     events = [
@@ -218,7 +218,7 @@
     assert sorted(desk.sent(desk.turn(after=MS))) == [1, 2]
 
 
-def test_message_whose_next_wait_passes_its_deadline_is_answered_at_once():
+def test_message_whose_next_backoff_passes_its_deadline_is_answered_at_once():
     desk = Desk()
     desk.take(life=55 * MS)
     answers = desk.end(1, CONNECT_FAILED, after=51 * MS)
@@ -234,7 +234,7 @@
     assert type(answer) is Reject and 0 <= answer.retry_after_ns <= 2 * SECOND
 
 
-def test_turns_favour_fewest_calls_out():
+def test_dispatch_favours_destinations_with_fewest_calls_in_flight():
     desk = Desk(endpoints=(("a", 1), ("b", 2)), max_concurrent_calls=4)
     assert desk.sent(desk.take(3)) == [1, 2]  # the rest of the slots are left to others
     assert desk.sent(desk.take(2, destination=2)) == [4]  # two out here, none there
@@ -242,7 +242,7 @@
     assert desk.sender.dispatcher.calls_in_flight == 3
 
 
-def test_short_slots_go_to_what_is_worth_most_among_destinations_with_as_few_calls_out():
+def test_scarce_slots_go_to_the_highest_priority_weight_among_destinations_with_as_few_calls():
     classes = settings().classes
     classes[UNSAFE] = replace(classes[UNSAFE], priority_weight=3.0)
     desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 5)], max_concurrent_calls=1, classes=classes)
@@ -252,7 +252,7 @@
     assert desk.sent(desk.end(3)) == [2]
 
 
-def test_told_wait_of_a_used_up_limit_is_not_over_for_all_at_once():
+def test_retry_after_of_a_used_up_limit_is_not_over_for_all_at_once():
     ends = set()
     for seed in range(12):
         desk = Desk(senders=50)
@@ -265,7 +265,7 @@
     assert len(ends) > 5
 
 
-def test_refusal_by_a_used_up_route_makes_its_siblings_wait():
+def test_rejection_by_a_used_up_endpoint_makes_its_siblings_wait():
     desk = Desk(endpoints=(("a", 1), ("b", 1)), kind=2, senders=50)
     desk.take()
     desk.end(1, FULL, limit_remaining=0.0, limit_per_s=3.0)
@@ -294,7 +294,7 @@
     assert desk.turn(after=SECOND) == []
 
 
-def test_rule_1_nothing_follows_a_withdrawn_message():
+def test_rule_1_nothing_follows_a_cancelled_message():
     desk = Desk()
     desk.take()
     desk.end(1, CONNECT_FAILED)
@@ -311,7 +311,7 @@
     assert desk.sender.dispatcher.calls_in_flight == 0 and not desk.sender.messages
 
 
-def test_rule_2_unsafe_message_is_retried_only_where_nothing_ran():
+def test_rule_2_non_idempotent_message_is_retried_only_where_nothing_ran():
     desk = Desk()
     desk.take(cls=UNSAFE)
     assert desk.end(1, CONNECT_FAILED) == []
@@ -319,13 +319,13 @@
     assert desk.end(1, TIMEOUT) == [Fail(1)]
 
 
-def test_rule_2_unsafe_message_after_an_error_fails_and_is_not_refused():
+def test_rule_2_non_idempotent_message_after_an_error_fails_and_is_not_rejected():
     desk = Desk()
     desk.take(cls=UNSAFE)
     assert desk.end(1, ERROR) == [Fail(1)]
 
 
-def test_rule_2_keyed_message_is_sent_again_only_inside_its_window():
+def test_rule_2_message_with_idempotency_key_is_retried_only_inside_its_window():
     desk = Desk(endpoints=(("a", 1), ("b", 1)))
     desk.take(cls=KEYED)
     desk.bucket.retry_budget.tokens = 0.0
@@ -338,7 +338,7 @@
     assert desk.turn(after=1) == [Fail(1)]
 
 
-def test_rule_2_zone_group_binds_further_sends():
+def test_rule_2_deduplication_by_zone_binds_retries_to_the_zone():
     desk = Desk(endpoints=(("a", 1), ("b", 1)), zones={"a": 0, "b": 1}, cross_zone_price=0.1)
     desk.take(cls=ZONED)
     assert desk.attempts[1][1] == "a"
@@ -350,14 +350,14 @@
     assert not desk.sender.dispatcher.may_send(message, desk.sender.discovery.endpoints["b"])
 
 
-def test_rule_2_never_two_attempts_out():
+def test_rule_2_never_two_attempts_in_flight():
     desk = Desk(endpoints=(("a", 1), ("b", 1)))
     desk.take()
     assert desk.turn(after=3 * SECOND) == []
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_rule_3_nothing_new_to_a_draining_or_gone_endpoint(state):
+def test_rule_3_nothing_new_to_a_draining_or_removed_endpoint(state):
     desk = Desk()
     desk.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry("a", 1, state=state)]))
     assert desk.take(life=3 * SECOND) == []
@@ -370,7 +370,7 @@
     return sum(type(action) is Subscribe for action in actions)
 
 
-def test_rule_3_the_list_is_asked_for_once_and_again_after_failures():
+def test_rule_3_the_endpoint_list_is_polled_once_and_again_after_failures():
     desk = Desk(polled_discovery=True, max_poll_interval_ns=10 * SECOND)
     news = [desk.turn(after=100 * MS) for _ in range(100)]
     assert sum(map(asks, news)) == 1 and sum(map(asks, news[:31])) == 1
@@ -387,7 +387,7 @@
     assert desk.sent(desk.take()) == [1]  # the list that is held stays in force throughout
 
 
-def test_first_asks_are_spread_and_pushed_lists_are_never_asked_for():
+def test_first_polls_are_spread_and_pushed_lists_are_never_polled():
     firsts = set()
     for seed in range(20):
         sender = DeliveryPolicy(settings(polled_discovery=True, max_poll_interval_ns=10 * SECOND), seed)
@@ -400,14 +400,14 @@
     assert not any(asks(pushed.turn(after=SECOND)) for _ in range(30))
 
 
-def test_rule_3_endpoint_missing_from_a_whole_list_is_gone():
+def test_rule_3_endpoint_missing_from_a_full_list_is_removed():
     desk = Desk()
     desk.turn(EndpointsChanged(UpdateScope.FULL, []))
     assert desk.take() == []
     assert desk.turn(EndpointsChanged(UpdateScope.FAILED, [])) == []
 
 
-def test_endpoints_that_are_gone_are_forgotten_once_nothing_is_out_and_an_heir_is_there():
+def test_removed_endpoints_are_forgotten_once_nothing_is_in_flight_and_a_successor_is_there():
     desk = Desk()
     known = desk.sender.discovery.endpoints
 
@@ -430,7 +430,7 @@
     assert list(known) == ["b", "c"]
 
 
-def test_rule_4_outage_leaves_single_trials_spaced_by_growing_waits():
+def test_rule_4_outage_leaves_single_attempts_spaced_by_growing_backoff():
     desk = Desk()
     desk.take(4)
     for n in range(1, 5):
@@ -493,7 +493,7 @@
     )  # warm
 
 
-def test_rule_4_end_of_a_told_shutting_is_a_cold_return_for_all_who_were_told():
+def test_rule_4_end_of_an_announced_shutdown_starts_a_recovery_ramp_for_all_who_were_notified():
     starts = []
     for seed in range(60):
         desk = Desk(senders=60)
@@ -519,7 +519,7 @@
     assert desk.sent(desk.end(4)) == []
 
 
-def test_rule_6_key_rests_after_an_attempt_that_may_be_running():
+def test_rule_6_key_pauses_after_an_attempt_that_may_be_running():
     desk = Desk()
     desk.take(2, cls=ORDERED, key=5)
     desk.turn(ClientCancelled(1))
@@ -528,7 +528,7 @@
     assert desk.sent(desk.turn(after=1)) == [2]
 
 
-def test_rule_6_unfinished_attempt_of_a_withdrawn_message_blocks_its_key():
+def test_rule_6_unfinished_attempt_of_a_cancelled_message_blocks_its_key():
     desk = Desk()
     desk.take(2, cls=ORDERED, key=5)
     assert desk.turn(ClientCancelled(1)) == []
@@ -624,7 +624,7 @@
     assert (waits < outlier_detection.LEAST_TIMEOUT_NS) is shorter
 
 
-def test_resets_speak_for_connections_and_leave_no_ramp_behind():
+def test_resets_count_against_connections_and_leave_no_recovery_ramp():
     desk = Desk(endpoints=(("a", 1), ("b", 1)))
     for _ in range(2):  # both have answered
         desk.take()
@@ -645,7 +645,7 @@
     assert len(desk.sent(desk.take(2, destination=2))) == 2
 
 
-def test_full_held_set_gives_way_at_the_longest_queue():
+def test_a_full_queue_of_messages_sheds_from_the_longest_queue():
     desk = Desk(endpoints=(("b", 2),), max_held_messages=20)
     desk.take(19)  # destination 1 is not listed
     actions = desk.take(destination=2)
@@ -653,7 +653,7 @@
     assert [a.request for a in actions if type(a) is Reject] == [1]
 
 
-def test_unsafe_message_shuns_a_doubtful_endpoint_while_another_can_find_out():
+def test_non_idempotent_message_avoids_a_failing_endpoint_while_another_message_can_probe_it():
     desk = Desk(max_concurrent_calls=20)
     desk.take()
     desk.end(1, ERROR, done=True)
@@ -663,7 +663,7 @@
     assert desk.sent(desk.end(3)) == [2]
 
 
-def test_untold_refusals_hold_the_destination_and_set_a_pace():
+def test_rejections_without_retry_after_hold_the_destination_and_set_a_rate():
     desk = Desk()
     desk.take()
     desk.end(1, FULL)
@@ -671,7 +671,7 @@
     assert desk.sender.discovery.endpoints["a"].limiter.rate >= rate_limit.LEAST_RATE
 
 
-def test_routes_apart_wait_alone():
+def test_endpoints_with_limits_of_their_own_wait_alone():
     desk = Desk(endpoints=(("a", 1), ("b", 1)), kind=2)
     desk.take()
     first = desk.attempts[1][1]
@@ -722,7 +722,7 @@
         settings(classes=[TrafficClass(SECOND, 0)])
 
 
-def test_the_module_stays_within_its_limits():
+def test_the_policy_stays_within_its_limits():
     root = Path(__file__).parents[1]
     listed = tomllib.loads((root / "deploy/balancer.toml").read_text())["policy"]
     undecided = {"__init__.py", "actions.py", "events.py", "settings.py", "state.py"}  # types only
@@ -738,7 +738,7 @@
 
 
 @pytest.mark.parametrize(("senders", "closes"), [(2, False), (8, True), (200, True)])
-def test_idle_connections_are_closed_where_tables_are_full(senders, closes):
+def test_idle_connections_are_closed_where_connection_tables_are_full(senders, closes):
     desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 80)], senders=senders)
     endpoint = desk.sender.discovery.endpoints["e1"]
     endpoint.first_seen_ns -= 9 * SECOND
@@ -752,7 +752,7 @@
     assert desk.sender.balancer.keeps_connections(endpoint)
 
 
-def test_an_outage_closes_no_connections_to_others_where_full_tables_are_told():
+def test_an_outage_closes_no_other_connections_where_full_tables_are_reported():
     for told in (True, False):
         desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 80)], senders=40)
         desk.sender.discovery.endpoints["e1"].first_seen_ns -= 9 * SECOND
@@ -762,14 +762,14 @@
         assert (Disconnect("e1") in desk.end(desk.sent(desk.take())[0])) is not told
 
 
-def test_who_got_a_connection_in_time_lets_it_go_by_chance_to_learn_of_full_tables():
+def test_a_sender_with_a_connection_closes_it_by_chance_to_detect_full_tables():
     for senders, least, most in ((4, 0, 0), (12, 4, 40), (120, 8, 50)):
         desk = Desk(senders=senders)
         let_go = sum(Disconnect("a") in desk.end(desk.sent(desk.take())[0]) for _ in range(200))
         assert least <= let_go <= most
 
 
-def test_a_streak_that_began_on_a_kept_connection_tells_of_no_full_table():
+def test_failures_that_began_on_a_reused_connection_indicate_no_full_table():
     for first, closing in ((False, False), (True, True)):
         desk = Desk(senders=40)
         request = desk.sent(desk.take())[0]
@@ -781,7 +781,9 @@
 
 
 @pytest.mark.parametrize(("senders", "closes"), [(3, False), (12, True), (40, True), (120, True)])
-def test_untold_refusals_of_new_connections_tell_many_senders_of_full_tables(senders, closes):
+def test_rejections_of_new_connections_without_retry_after_indicate_full_tables_to_many_senders(
+    senders, closes
+):
     cases = (({"opened": True}, True), ({}, False), ({"opened": True, "retry_after_ns": SECOND}, False))
     for fields, told in cases:
         desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 9)], senders=senders)
@@ -792,7 +794,7 @@
         assert (Disconnect("e1") in desk.end(desk.sent(desk.take())[0])) is (closes and told)
 
 
-def test_rule_4_new_endpoint_of_a_destination_that_is_out_starts_with_looks():
+def test_rule_4_new_endpoint_of_a_failed_destination_starts_with_probes():
     desk = Desk(senders=50)
     request = desk.sent(desk.take())[0]
     for _ in range(2):
@@ -807,7 +809,7 @@
     assert not other.sender.discovery.endpoints["new"].ejected
 
 
-def test_failure_speaks_for_siblings_and_they_share_one_look():
+def test_failure_counts_for_siblings_and_they_share_one_probe():
     desk = Desk(endpoints=(("a", 1), ("b", 1)), senders=200)
     desk.take()
     first = desk.attempts[1][1]
@@ -823,7 +825,7 @@
 
 
 @pytest.mark.parametrize(("senders", "waits"), [(3, False), (12, True)])
-def test_rule_4_a_line_that_is_back_is_not_looked_at_by_all_at_each_endpoint(senders, waits):
+def test_rule_4_a_rate_limit_that_recovered_is_not_probed_by_all_at_each_endpoint(senders, waits):
     desk = Desk(endpoints=(("a", 1), ("b", 1)), senders=senders)
     desk.take()
     for _ in range(4):  # so many that one success leaves a doubt
@@ -847,7 +849,7 @@
     assert not waits or other.next_health_check_ns > desk.now + SECOND
 
 
-def test_volley_of_refusals_counts_once():
+def test_burst_of_rejections_counts_once():
     desk = Desk(max_concurrent_calls=20)
     desk.take(6)
     for n in range(1, 7):
@@ -855,13 +857,13 @@
     assert desk.sender.discovery.endpoints["a"].limiter.refusals == 1
 
 
-def test_looks_of_many_senders_are_spread():
+def test_probes_of_many_senders_are_spread():
     few, many = Desk(senders=3), Desk(senders=200)
     for desk, longest in ((few, SECOND), (many, many.sender.context.settings.slow_start_ns)):
         assert desk.sender.limits.longest_wait_ns(desk.sender.discovery.endpoints["a"]) == longest
 
 
-def test_little_told_room_makes_a_sender_wait():
+def test_a_low_reported_capacity_makes_a_sender_wait():
     desk = Desk(senders=200)
     desk.take()
     desk.end(1, OK, limit_remaining=0.05, limit_per_s=5.0)
@@ -872,7 +874,7 @@
     assert other.sent(other.take(after=SECOND)) == [2]
 
 
-def test_outage_is_looked_at_by_a_repeatable_message_and_by_a_probe_only_for_unsafe_ones():
+def test_outage_is_probed_by_an_idempotent_message_and_by_a_health_check_only_for_others():
     for cls, look in ((SAFE, Send), (UNSAFE, CheckHealth)):
         desk = Desk(health_checks_allowed=True)
         endpoint = desk.sender.discovery.endpoints["a"]
@@ -912,7 +914,7 @@
     assert bool(endpoint.warming_since_ns) is ramps
 
 
-def test_rule_4_first_look_of_many_senders_waits_near_the_longest():
+def test_rule_4_first_probe_of_many_senders_waits_near_the_longest():
     desk = Desk(senders=200)
     endpoint = desk.sender.discovery.endpoints["a"]
     looks = [desk.sender.limits.wait_ns(endpoint, 0) for _ in range(20)]
@@ -920,7 +922,7 @@
     assert min(desk.sender.limits.wait_ns(endpoint, 1) for _ in range(20)) >= 5 * SECOND
 
 
-def test_rule_4_a_probe_spends_the_ramp_of_a_cold_endpoint_as_a_call_does():
+def test_rule_4_a_health_check_spends_the_ramp_of_an_endpoint_that_warms_up_as_a_call_does():
     desk = Desk(health_checks_allowed=True)
     endpoint = desk.sender.discovery.endpoints["a"]
     endpoint.warming_since_ns, endpoint.failure_rate, endpoint.usual_rate = desk.now, 0.4, 1.0
@@ -930,7 +932,7 @@
     assert not desk.sent(desk.turn(done, after=20 * MS))  # its message waits for the ramp
 
 
-def test_a_probe_that_was_never_sent_tells_nothing():
+def test_a_health_check_that_was_never_sent_proves_nothing():
     desk = Desk(health_checks_allowed=True)
     endpoint = desk.sender.discovery.endpoints["a"]
     endpoint.failure_rate = 0.4
@@ -952,7 +954,7 @@
     return count
 
 
-def test_a_payment_that_waits_for_a_probe_does_not_wake_the_sender_again_and_again():
+def test_a_payment_that_waits_for_a_health_check_does_not_wake_the_policy_again_and_again():
     desk = Desk(health_checks_allowed=True)
     endpoint = desk.sender.discovery.endpoints["a"]
     endpoint.failure_rate, endpoint.next_health_check_ns = 0.4, desk.now - SECOND
@@ -962,7 +964,7 @@
     assert endpoint.health_check_out
 
 
-def test_a_barred_probe_is_not_asked_for_again_at_once():
+def test_a_blocked_health_check_is_not_requested_again_at_once():
     desk = Desk(health_checks_allowed=True)
     desk.sender.discovery.endpoints["a"].failure_rate = 0.4
     actions, probes = desk.take(cls=UNSAFE), 0
@@ -973,7 +975,7 @@
     assert 2 <= probes <= 15
 
 
-def test_rule_5_a_wait_told_to_a_probe_binds_as_one_told_to_a_call():
+def test_rule_5_retry_after_of_a_health_check_binds_as_that_of_a_call():
     desk = Desk(health_checks_allowed=True)
     desk.sender.discovery.endpoints["a"].failure_rate = 0.4
     desk.take(cls=UNSAFE)
@@ -1007,7 +1009,7 @@
         (SAFE, 8, True, Reject),  # its attempts were spent before the restart
     ],
 )
-def test_a_message_of_before_a_restart_goes_on_with_what_it_may_have_done(cls, attempts, may_run, answer):
+def test_a_recovered_message_goes_on_with_what_it_may_have_done(cls, attempts, may_run, answer):
     desk = Desk()
     at = {True: desk.now - SECOND, False: 0, None: desk.now - 11 * SECOND}[may_run]
     actions = desk.take(cls=cls, attempts=attempts, may_have_run_ns=at)
@@ -1017,7 +1019,7 @@
         assert not desk.sent(desk.end(1)) and not desk.sender.messages
 
 
-def test_unsafe_messages_are_waited_for_longer_while_slots_are_free():
+def test_non_idempotent_messages_get_longer_timeouts_while_slots_are_free():
     desk = Desk(endpoints=[(f"e{n}", n) for n in range(1, 9)])
     for endpoint in desk.sender.discovery.endpoints.values():
         endpoint.latency_mean_ns = 100.0 * MS
@@ -1027,7 +1029,7 @@
 
 
 @pytest.mark.parametrize(("mean_s", "most_s"), [(0.2, 3), (1.4, 3), (4, 8)])
-def test_time_outs_of_a_jam_do_not_grow_without_end(mean_s, most_s):
+def test_timeouts_of_a_jammed_destination_do_not_grow_without_end(mean_s, most_s):
     desk = Desk()
     endpoint = desk.sender.discovery.endpoints["a"]
     endpoint.latency_mean_ns, endpoint.latency_deviation_ns, endpoint.timeout_factor = (
@@ -1039,7 +1041,7 @@
     assert send.timeout_ns == most_s * SECOND
 
 
-def test_what_a_restart_finds_untried_waits_for_no_pace_of_its_own_but_for_told_waits():
+def test_recovered_messages_without_attempts_wait_for_no_rate_limit_but_for_retry_after():
     desk = Desk(senders=200)
     line = next(iter(desk.sender.discovery.endpoints.values())).limiter
     line.backoff_until_ns = line.next_call_ns = desk.now + 60 * SECOND  # untold, and longer than its time
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -14,7 +14,7 @@
 EXAMPLES = Path(__file__).parents[1] / "examples"
 
 
-def test_the_example_courier_delivers_to_the_toy_partner(tmp_path):
+def test_the_example_courier_delivers_to_the_toy_destination(tmp_path):
     ports = {old: own_address().split(":")[1] for old in ("6379", "5672", "8500", "8080", "9600")}
     for name in ("booking.toml", "partners.zone"):
         text = (EXAMPLES / name).read_text().replace("examples/", f"{tmp_path}/")
@@ -47,5 +47,5 @@
 
 
 @pytest.mark.parametrize("file", sorted(EXAMPLES.glob("*.toml")), ids=lambda p: p.name)
-def test_example_files_are_well(file):
+def test_example_files_are_valid(file):
     assert problems(file.read_text()) == []
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -87,7 +87,7 @@
     anyio.run(service.failover.check_owner, "a")
 
 
-def test_what_a_lost_node_owed_is_taken_over_once_and_its_lease_is_held_until_that_has_ended(
+def test_what_a_lost_node_owed_is_taken_over_once_under_a_lease_that_is_held_to_the_end(
     service, engine, tmp_path
 ):
     store = store_of_lost_node(service, journal_of(tmp_path / "a", 1, 2), ["k"])
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -84,6 +84,6 @@
         pickle.dumps(print),
     ],
 )
-def test_what_is_no_state_is_refused(data):
+def test_what_is_no_state_is_rejected(data):
     with pytest.raises(HandoverFormatError):
         state_codec.read_state(data)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -26,7 +26,7 @@
     return sum(-(-f.stat().st_size // 512) * 512 for f in folder.iterdir())
 
 
-def test_what_is_owed_comes_back_in_order_with_its_branches_and_final(tmp_path):
+def test_open_messages_are_recovered_in_order_with_their_attempts_and_final_results(tmp_path):
     journal, _ = opened(tmp_path)
     held = [message(n, bytes(range(256))) for n in range(1, 6)]
     for t in held:
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -125,7 +125,7 @@
     ],
     ids=lambda ends: "-".join(e.name for e in ends),
 )
-async def test_what_a_restart_finds_taken_on_and_untried_is_tried(tmp_path, front, ends):
+async def test_accepted_messages_without_an_attempt_are_sent_after_a_restart(tmp_path, front, ends):
     endpoint, silent = HoldingEndpoint(), HttpStandIn(silent_discovery)
     async with standing(endpoint) as endpoint_address, standing(silent) as platform:
         process = front(tmp_path, endpoint_address, platform)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -56,7 +56,7 @@
         (Request("give", "t", "a", 1, 9), 1, Command("release", "a", 1)),
     ],
 )
-def test_what_a_voter_makes_of_a_request(request_, now_us, said):
+def test_a_voters_decision_on_each_request(request_, now_us, said):
     assert state_machine.evaluate_request(LeaseRecord("a", 1, 2, 7), 0, request_, TERMS, now_us) == said
 
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -24,7 +24,7 @@
 {"at_us":7,"event":"bra"""
 
 
-def test_fates_and_partners_are_counted_over_all_couriers_and_lines_that_are_no_events(tmp_path):
+def test_outcomes_and_destinations_are_counted_over_all_couriers_and_other_lines_are_skipped(tmp_path):
     assert CliRunner().invoke(cli.app, ["losses", str(tmp_path)]).exit_code == 2
     (tmp_path / "n0.log").write_text(ONE % (BRANCH, BRANCH))
     (tmp_path / "n1.log").write_text(OTHER)  # the same id at another courier, which was killed as it wrote
@@ -123,7 +123,7 @@
     assert recorded({"at_us": 1} | old) == {"at_us": 1} | old
 
 
-async def test_the_engines_log_has_all_that_recordings_have(tmp_path, capfd):
+async def test_the_engines_log_has_all_fields_that_recordings_have(tmp_path, capfd):
     endpoint = HttpStandIn(lambda request: (200, [], b""))
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         assert await Client(rig.address).enqueue() == "+OK\r\n"
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("senders", [12, 40, 120])
-def test_a_clump_at_one_sender_does_not_use_the_limit_up_for_all(senders):
+def test_a_burst_at_one_sender_does_not_use_the_limit_up_for_all(senders):
     first, *others = clump(senders)
     assert sum(others) > 0.8 * 28 * 10 * len(others) / senders
     assert first > 2 * sum(others) / len(others)  # and it gets more than an even share
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("words", [[b"PING"], [b"X", b""], [b"E", b"\r\n$1\0*", bytes(range(256))]])
-def test_a_command_is_parsed_whole_or_not_at_all(words):
+def test_a_command_is_parsed_completely_or_not_at_all(words):
     data = command(*words)
     for end in range(len(data)):
         arguments, least = parser.parse(memoryview(data)[:end])
@@ -90,7 +90,7 @@
     ("text", "us"),
     [(b"0.5", 500_001), (b"2", 2_000_001), (b"", 0), (b"-1", 0), (b"nan", 0), (b"inf", 0), (b"Tue, 01", 0)],
 )
-def test_a_told_wait_is_rounded_up_and_nonsense_is_none(text, us):
+def test_retry_after_is_rounded_up_and_none_where_malformed(text, us):
     assert parse_retry_after_us(text) == us
 
 
@@ -104,7 +104,7 @@
         (b"HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 102 On\r\n\r\nHTTP/1.1 429 Wait\r\n", 429),
     ],
 )
-def test_the_first_line_tells_the_status_past_1xx_answers(seen, status):
+def test_the_status_line_is_found_after_1xx_answers(seen, status):
     assert exchange.parse_status(seen) == status
 
 
@@ -113,7 +113,7 @@
     [b"ICY 200 OK\r\n", b"HTTP/1.1 OK 200\r\n", b"HTTP/1.1 2x0 OK\r\n", b"HTTP/1.1 2000\r\n", b"\n"]
     + [b"HTTP/1.1 200 OK\r\r\n", b"x" * 20_000, b"HTTP/1.1 100 Go on\r\nX: " + b"x" * 20_000],
 )
-def test_what_is_no_first_line_is_spoilt(seen):
+def test_what_is_no_status_line_is_a_malformed_response(seen):
     with pytest.raises(exchange.MalformedResponseError):
         exchange.parse_status(seen)
 
@@ -178,7 +178,7 @@
                 pass
 
 
-def test_a_returned_end_and_its_body_are_assembled_from_split_frames():
+def test_a_returned_message_and_its_body_are_assembled_from_split_frames():
     method = commands.Basic.Return(312, "NO_ROUTE", "", "x")
     data = frames.marshal_content(method, commands.Basic.Properties(message_id="m"), b"y" * 9000, 1, 4096)
     view, contents, found = memoryview(data), ContentAssembler(), None
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -71,7 +71,7 @@
         (("ENQUEUE", "0", "m1", "c=payment,t=north,d=1,dest=1", "x" * 70_000), "-ERR a body"),
     ],
 )
-async def test_malformed_commands_hear_an_error_and_the_connection_goes_on(tmp_path, words, answer):
+async def test_malformed_commands_get_an_error_and_the_connection_goes_on(tmp_path, words, answer):
     async with engine(tmp_path) as rig:
         client = Client(rig.address)
         assert (await client.say(*words)).startswith(answer)
@@ -79,7 +79,7 @@
         assert not rig.engine.messages_by_id
 
 
-async def test_a_stream_that_cannot_be_followed_hears_why_and_ends(tmp_path):
+async def test_a_stream_that_cannot_be_parsed_gets_an_error_and_ends(tmp_path):
     async with engine(tmp_path) as rig:
         stream = await anyio.connect_tcp(*rig.address.split(":"))
         await stream.send(b"GET / HTTP/1.1\r\n\r\n")
@@ -89,14 +89,14 @@
 
 
 @pytest.mark.parametrize("full", [{"disk_mb": 0.0004}, {"mostHeld": 1}])
-async def test_without_room_the_answer_is_busy_with_a_time_and_nothing_is_owed(tmp_path, full):
+async def test_without_capacity_the_answer_is_busy_with_a_time_and_nothing_is_accepted(tmp_path, full):
     async with engine(tmp_path, **full) as rig:
         rig.engine.open_messages[0] = None  # one place is taken
         assert await Client(rig.address).enqueue() == "-BUSY 1000\r\n"
         assert not rig.engine.messages_by_id
 
 
-async def test_a_message_for_a_partner_that_does_not_exist_is_an_error(tmp_path):
+async def test_a_message_for_a_destination_that_does_not_exist_is_an_error(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         assert await Client(rig.address).enqueue(dest=2) == "-ERR unknown dest: 2\r\n"
         assert await Client(rig.address).enqueue(dest=1) == "+OK\r\n"
@@ -114,7 +114,7 @@
     return heard
 
 
-async def test_newcomers_are_served_though_silent_or_idle_callers_fill_the_room(tmp_path, monkeypatch):
+async def test_new_clients_are_served_though_silent_or_idle_ones_fill_the_limit(tmp_path, monkeypatch):
     monkeypatch.setattr(limiter, "SUBMITTER_GRACE_US", 300_000)
     async with engine(tmp_path, max_clients=4) as rig:
         usual = [Client(rig.address) for _ in range(2)]
@@ -130,7 +130,7 @@
             connection.close()
 
 
-async def test_callers_that_ask_once_and_stay_give_way_before_they_can_open_no_more(tmp_path):
+async def test_clients_that_send_one_command_and_stay_are_closed_before_no_more_can_connect(tmp_path):
     async with engine(tmp_path, max_clients=20) as rig:
         limiter = rig.engine.fronts["resp"].limiter
         pings = [Client(rig.address) for _ in range(3)]
@@ -146,7 +146,9 @@
 @pytest.mark.parametrize(
     "said", [b"", b"*5\r\n$7\r\nENQ", b"*1\r\n$4\r\nPING\r\n*5\r\n$7\r\nENQ", b"*1\r\n$4\r\nPING\r\n"]
 )
-async def test_who_keeps_a_command_waiting_or_is_idle_for_long_is_ended_in_time(tmp_path, monkeypatch, said):
+async def test_a_client_with_an_incomplete_command_or_long_idle_is_closed_in_time(
+    tmp_path, monkeypatch, said
+):
     monkeypatch.setattr(limiter, "COMMAND_TIMEOUT_US", 200_000)
     monkeypatch.setattr(limiter, "IDLE_TIMEOUT_US", 800_000)
     async with engine(tmp_path) as rig:
@@ -158,13 +160,13 @@
         assert not rig.engine.fronts["resp"].limiter.clients
 
 
-async def test_the_error_is_heard_though_much_is_still_unread(tmp_path):
+async def test_the_error_is_received_though_much_is_still_unread(tmp_path):
     async with engine(tmp_path) as rig:
         huge = b"*1\r\n$60000000\r\n" + b"x" * 8_000_000
         assert await ends(rig.address, huge) == b"-ERR a string of 60000000 bytes\r\n"
 
 
-async def test_hundreds_of_malformed_commands_are_cut_short_and_hold_nobody_up(tmp_path):
+async def test_hundreds_of_malformed_commands_are_cut_short_and_delay_nobody(tmp_path):
     async with engine(tmp_path) as rig, anyio.create_task_group() as tasks:
         for _ in range(4):
             tasks.start_soon(ends, rig.address, b"*1\r\n$4\r\nNOPE\r\n" * 40_000)
@@ -176,7 +178,7 @@
         assert 1 <= heard.count(b"-ERR") <= 40
 
 
-async def test_commands_that_are_never_whole_share_a_bound_of_memory(tmp_path):
+async def test_commands_that_are_never_complete_share_a_limit_of_memory(tmp_path):
     async with engine(tmp_path, max_unread_bytes=100_000) as rig:
         half = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$1\r\na\r\n$1\r\nb\r\n$60000\r\n" + b"x" * 50_000
         first = await sockets.dial(rig.address)
@@ -187,7 +189,7 @@
         await until(lambda: not rig.engine.fronts["resp"].limiter.reserved_bytes)
 
 
-async def test_a_request_sent_once_more_is_taken_on_once(tmp_path):
+async def test_a_request_that_is_repeated_is_accepted_once(tmp_path):
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = Client(rig.address)
@@ -209,7 +211,7 @@
         ((410, [], b""), 1, None),  # over: nothing more is owed
     ],
 )
-async def test_a_payment_goes_again_only_after_proof_that_it_never_ran(tmp_path, reply, payments, state):
+async def test_a_payment_is_retried_only_after_proof_that_it_never_ran(tmp_path, reply, payments, state):
     endpoint, platform_stand_in = scripted(reply), platform()
     async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
         async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
@@ -237,7 +239,7 @@
         (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n" * 2, 2, None),  # a good one, twice
     ],
 )
-async def test_a_first_line_with_200_delivers_and_no_other_spoilt_answer_proves_a_thing(
+async def test_a_status_line_with_200_delivers_and_no_other_malformed_response_proves_anything(
     tmp_path, reply, calls, state
 ):
     endpoint, platform_stand_in = scripted(reply), platform()
@@ -249,7 +251,7 @@
             assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
 
 
-async def test_what_comes_behind_an_answer_never_answers_the_next_call(tmp_path):
+async def test_bytes_after_an_answer_never_answer_the_next_call(tmp_path):
     twice = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" * 2
     endpoint = scripted(twice, (500, [], b""))
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
@@ -260,7 +262,7 @@
         assert endpoint.connections == 2 and rig.engine.messages_by_id["m1"].final.state.name == "FAILED"
 
 
-async def test_a_wait_told_in_a_spoilt_answer_binds_from_its_head_on(tmp_path):
+async def test_retry_after_in_a_malformed_response_binds_from_its_head_on(tmp_path):
     endpoint = scripted(b"HTTP/1.1 429 Wait\r\nRetry-After: 0.6\r\nContent-Length: 9\r\n\r\n")
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         for n in range(3):
@@ -271,7 +273,7 @@
         assert endpoint.requests[1][0] - endpoint.requests[0][0] >= 0.6
 
 
-async def test_one_who_always_has_data_does_not_hold_the_loop():
+async def test_a_client_that_always_has_data_does_not_block_the_loop():
     sock, address = listener()
     theirs = await sockets.dial(address)
     ours, read = sockets.Connection(sock.accept()[0]), []
@@ -291,7 +293,7 @@
         each.close()
 
 
-async def test_small_writes_are_not_held_back_by_the_system():
+async def test_small_writes_are_not_delayed_by_the_system():
     sock, address = listener()
     served = []
 
@@ -308,7 +310,7 @@
         each.close()
 
 
-async def test_a_client_that_sends_much_at_once_and_goes_holds_nobody_up(tmp_path):
+async def test_a_client_that_sends_much_at_once_and_disconnects_delays_nobody(tmp_path):
     endpoint = scripted()
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         hasty = await sockets.dial(rig.address)
@@ -322,7 +324,7 @@
         assert "steady" in delivered and len(set(delivered)) == len(delivered)
 
 
-async def test_a_leg_that_is_ended_keeps_its_number_until_its_own_task_closes_it():
+async def test_a_connection_that_is_ended_keeps_its_descriptor_until_its_own_task_closes_it():
     sock, address = listener()
     theirs = await sockets.dial(address)
     ours, seen = sockets.Connection(sock.accept()[0]), []
@@ -353,7 +355,7 @@
             )
 
 
-async def test_a_told_wait_silences_all_messages_to_that_partner(tmp_path):
+async def test_retry_after_holds_back_all_messages_to_that_destination(tmp_path):
     endpoint = scripted((429, [("Retry-After", "0.4")], b""))
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = Client(rig.address)
@@ -384,7 +386,7 @@
         assert not endpoint.requests
 
 
-async def test_two_next_hops_of_other_partners_are_never_called(tmp_path):
+async def test_two_endpoints_of_other_destinations_are_never_called(tmp_path):
     endpoint = HttpStandIn()
     endpoints = [("127.0.0.1:1", "s-1", 1)]
     async with (
@@ -396,7 +398,7 @@
         assert not endpoint.requests
 
 
-async def test_a_given_up_message_gets_its_notice_at_once_and_until_it_is_heard(tmp_path):
+async def test_the_end_of_a_message_is_notified_at_once_and_until_it_is_acknowledged(tmp_path):
     answers = [(500, [], b""), None, HEARD]
     platform_stand_in = HttpStandIn(lambda request: answers.pop(0))
     endpoint = HttpStandIn(lambda request: (500, [], b""))
@@ -409,7 +411,7 @@
             assert len(platform_stand_in.requests) == 3 and first[4] == last[4]
 
 
-async def test_a_key_goes_on_only_when_its_earlier_notice_has_been_answered(tmp_path):
+async def test_an_ordering_key_goes_on_only_once_its_earlier_notification_is_acknowledged(tmp_path):
     slow = HttpStandIn(lambda request: late(0.3, HEARD))
     endpoint = scripted(*[(500, [], b"")] * 6)
     async with standing(endpoint) as address, standing(slow) as platform_address:
@@ -436,7 +438,7 @@
         ]
 
 
-async def test_an_idle_connection_that_the_next_hop_closed_is_not_written_to(tmp_path):
+async def test_an_idle_connection_that_the_endpoint_closed_is_not_written_to(tmp_path):
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         client = Client(rig.address)
@@ -449,7 +451,7 @@
 
 
 @pytest.mark.parametrize("how", ["drains", "left out"])
-async def test_idle_connections_to_a_next_hop_that_goes_are_closed(tmp_path, how):
+async def test_idle_connections_to_a_removed_endpoint_are_closed(tmp_path, how):
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         await Client(rig.address).enqueue()
@@ -461,7 +463,7 @@
         await until(lambda: not endpoint.open, 1.0)
 
 
-async def test_idle_connections_are_closed_before_the_next_hop_would(tmp_path):
+async def test_idle_connections_are_closed_before_the_endpoint_would(tmp_path):
     endpoint = HttpStandIn()
     async with standing(endpoint) as address:
         async with engine(tmp_path, endpoints=[(address,)], keepaliveNs=500_000_000) as rig:
@@ -502,7 +504,7 @@
         await until(lambda: platform_stand_in.requests[-1][2] == "/api/targets?watch=1&from=8")
 
 
-async def test_next_hops_that_are_replaced_all_day_leave_nothing_behind(tmp_path, monkeypatch):
+async def test_endpoints_that_are_replaced_all_day_leave_no_state(tmp_path, monkeypatch):
     from pinspread.policy import discovery
 
     monkeypatch.setattr(discovery, "REMOVED_KEPT_NS", 0)
@@ -569,7 +571,7 @@
         return code, time.monotonic() - start
 
 
-async def test_killed_outright_it_delivers_what_it_had_taken_and_repeats_no_payment(tmp_path):
+async def test_after_a_kill_it_delivers_what_it_had_accepted_and_repeats_no_payment(tmp_path):
     endpoint, platform_stand_in = scripted(late(30), late(30)), platform()
     async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
         first = await Process(tmp_path, address, platform_address).ready()
@@ -584,7 +586,7 @@
         await second.end(signal.SIGKILL)
 
 
-async def test_sigterm_finishes_what_is_out_answers_busy_and_ends_in_time(tmp_path):
+async def test_sigterm_finishes_what_is_in_flight_answers_busy_and_ends_in_time(tmp_path):
     endpoint, platform_stand_in = scripted(late(1.0), late(60)), platform()
     async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
         process = await Process(tmp_path, address, platform_address).ready()
@@ -605,7 +607,7 @@
         assert code == 0 and seconds < 3.7
 
 
-async def test_sighup_moves_watch_and_notices_and_an_unreadable_file_changes_nothing(tmp_path):
+async def test_sighup_moves_watch_and_notifications_and_an_unreadable_file_changes_nothing(tmp_path):
     watches = [None, None]  # what the watches of the two discoveries have told
 
     def discovery(n):
@@ -642,7 +644,7 @@
 
 
 @pytest.mark.parametrize(("couriers", "least", "most"), [(3, 3, 12), (40, 0, 1)])
-async def test_a_discovery_that_turns_all_away_is_asked_by_turns_of_the_fleet(
+async def test_couriers_take_turns_to_poll_a_discovery_service_that_rejects_them(
     tmp_path, couriers, least, most
 ):
     overbooked = HttpStandIn(lambda request: (503, [], b""))
@@ -654,7 +656,7 @@
         assert least <= len(overbooked.requests) - 1 <= most
 
 
-async def test_the_module_hears_which_calls_had_a_connection_opened_for_them(tmp_path, monkeypatch):
+async def test_the_policy_learns_which_calls_had_a_connection_opened_for_them(tmp_path, monkeypatch):
     endpoint, heard = scripted((503, [], b""), (503, [], b"")), []
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         post = rig.engine.events.post
@@ -712,7 +714,7 @@
 
 
 @pytest.mark.parametrize("broken", ["state", "listen"])
-def test_what_keeps_a_courier_from_starting_is_said_in_a_line(tmp_path, broken):
+def test_what_keeps_a_courier_from_starting_is_logged_in_a_line(tmp_path, broken):
     sock, address = listener()
     settings_file = configuration(tmp_path)
     settings_file |= {"state": str(tmp_path / "none")} if broken == "state" else {"listen": address}
@@ -725,7 +727,7 @@
 
 
 @pytest.mark.parametrize("barred", [True, False], ids=["told to wait", "a silent probe"])
-async def test_a_payment_behind_a_probe_leaves_the_loop_at_rest(tmp_path, barred):
+async def test_a_payment_that_waits_for_a_health_check_leaves_the_loop_idle(tmp_path, barred):
     async def silent():
         await anyio.sleep(2)
         return 200, [], b""
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -23,7 +23,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(STEPS)
-def test_it_holds_over_restarts_what_the_librarys_own_holds_in_memory(tmp_path_factory, steps):
+def test_the_log_holds_over_restarts_what_the_librarys_own_holds_in_memory(tmp_path_factory, steps):
     path = tmp_path_factory.mktemp("log") / "log"
     log, model = raft_log.RaftLog(path), MemoryJournal()
     for n, (do, arg) in enumerate(steps):
@@ -49,7 +49,7 @@
     log._destroy()
 
 
-def test_any_flipped_bit_is_found(tmp_path):
+def test_any_flipped_bit_is_detected(tmp_path):
     path = tmp_path / "log"
     log = raft_log.RaftLog(path)
     log.setCurrentTerm(3, "m1")
@@ -110,7 +110,7 @@
     return run
 
 
-def test_a_voter_keeps_its_entries_there_and_is_fresh_when_they_are_damaged(tmp_path, monkeypatch):
+def test_a_voter_keeps_its_entries_in_the_log_and_is_a_learner_when_they_are_damaged(tmp_path, monkeypatch):
     monkeypatch.setattr(raft_transport, "FIRST_VOTE_DELAY_S", 0)
 
     async def grant(q):
@@ -151,7 +151,7 @@
     anyio.run(voter(tmp_path, []), damaged)
 
 
-def test_a_voter_whose_log_cannot_be_written_says_nothing_and_the_courier_goes_on(tmp_path, monkeypatch):
+def test_a_voter_whose_log_cannot_be_written_stays_silent_and_the_courier_goes_on(tmp_path, monkeypatch):
     monkeypatch.setattr(raft_transport, "FIRST_VOTE_DELAY_S", 0)
 
     async def fail(q):
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -103,7 +103,7 @@
         (None, 10, 1),
     ],
 )
-def test_whose_work_is_due_for_another(state, for_us, lost):
+def test_whose_work_is_due_for_takeover(state, for_us, lost):
     assert fleet.is_lost(state, for_us, 10) == bool(lost)
 
 
@@ -148,7 +148,7 @@
     assert found is said if isinstance(said, WriteTarget) else found.startswith(said)
 
 
-def test_a_new_generation_takes_the_old_ones_place_only_when_it_is_whole():
+def test_a_new_generation_takes_the_old_ones_place_only_when_it_is_complete():
     replica = Replica(
         "a", fencing_token=5, generation=7, size=10, takeover_token=3, takeover_candidates=["b"]
     )
@@ -222,7 +222,7 @@
     assert "id3" in journal.finished_ids and 3 not in journal.open_messages
 
 
-def test_what_is_taken_over_stays_within_the_journals_room(tmp_path):
+def test_what_is_taken_over_stays_within_the_journals_limit(tmp_path):
     journal = Journal(str(tmp_path), 3000)
     journal.recover()
     with pytest.raises(JournalFullError):
@@ -320,7 +320,7 @@
         answer(service, message)
 
 
-def test_waiting_for_replicas_is_bounded_and_promises_on_one_disk_only_where_allowed(service, monkeypatch):
+def test_waiting_for_replicas_is_bounded_and_one_disk_is_enough_only_where_allowed(service, monkeypatch):
     service.primary.replicas = ["a", "b"]
     service.primary.announced = {"a": ["a", "b"], "b": ["a", "c"]}
     service.primary.log.rewrite(b"x", 1)
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -95,7 +95,7 @@
             assert "lease" in a.blocked_reason()
 
 
-async def test_a_replica_that_was_away_gets_only_what_it_lacks(tmp_path, port):
+async def test_a_replica_that_was_unreachable_gets_only_what_it_lacks(tmp_path, port):
     with anyio.fail_after(10):
         async with running(node("a", port, tmp_path)) as a:
             async with running(node("b", port, tmp_path)):
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -36,7 +36,7 @@
             assert (t.may_have_run_unix_us, t.attempts) == (written_us, 2)
 
 
-async def test_a_notice_that_nobody_answered_is_told_again_after_a_restart(tmp_path):
+async def test_an_unacknowledged_notification_is_sent_again_after_a_restart(tmp_path):
     endpoint = HttpStandIn(lambda request: (500, [], b""))  # it may have run: the payment fails
     unheard, heard = HttpStandIn(lambda request: None), HttpStandIn(lambda request: (204, [], b""))
     async with standing(endpoint) as address, standing(unheard) as first, standing(heard) as second:
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-async def test_a_whole_request_that_comes_in_the_last_moment_before_the_end_has_its_answer(tmp_path, known):
+async def test_a_complete_request_in_the_last_moment_before_the_end_has_its_answer(tmp_path, known):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform)
         async with running(parts) as done:
@@ -114,7 +114,7 @@
     assert not list(Journal(str(tmp_path), 3_000_000).recover())  # neither it nor the half one was taken on
 
 
-async def test_the_end_of_the_process_comes_only_after_its_legs_have_seen_their_ends(tmp_path):
+async def test_the_process_ends_only_after_its_clients_have_seen_their_connections_end(tmp_path):
     sent = []
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform)
@@ -139,7 +139,9 @@
     assert not sent  # whatever it asks then is answered by nobody
 
 
-async def test_a_leg_whose_next_command_is_there_is_not_ended_for_having_been_idle(tmp_path, monkeypatch):
+async def test_a_connection_whose_next_command_is_there_is_not_ended_for_having_been_idle(
+    tmp_path, monkeypatch
+):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         connection = await sockets.dial(rig.address)
         await connection.write(command(b"PING"))
@@ -163,7 +165,7 @@
         assert await connection.read() == b"+OK\r\n"
 
 
-async def test_sigterm_is_heard_while_another_process_owns_the_folder(tmp_path):
+async def test_sigterm_is_handled_while_another_process_owns_the_folder(tmp_path):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         other = FolderLock(str(tmp_path))
         assert other.acquire()
@@ -177,7 +179,7 @@
         other.release()
 
 
-async def test_sighup_between_the_reading_of_the_file_and_the_receiver_is_heeded(tmp_path):
+async def test_sighup_between_the_reading_of_the_file_and_the_receiver_is_applied(tmp_path):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform, early_sighup=[True])
         changed = []
@@ -187,7 +189,7 @@
     assert changed == [True]
 
 
-async def test_an_address_that_the_process_before_still_holds_is_waited_for(tmp_path, monkeypatch):
+async def test_an_address_that_the_previous_process_still_holds_is_waited_for(tmp_path, monkeypatch):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform_address:
         parts = service(tmp_path, platform_address)
         before = sockets.listen(parts.settings.listen)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("broken", BROKEN)
-def test_a_file_that_is_broken_is_refused_whole(tmp_path, broken):
+def test_a_file_that_is_broken_is_refused_as_a_whole(tmp_path, broken):
     file = tmp_path / "c.json"
     env = {"RELAY_CONFIG": str(file)}
     raw_settings = configuration(tmp_path)
@@ -101,7 +101,7 @@
         settings.from_environment({"RELAY_CONFIG": str(file)})
 
 
-async def test_new_messages_go_by_the_new_settings_and_open_ones_by_theirs(tmp_path):
+async def test_new_messages_follow_the_new_settings_and_open_ones_keep_theirs(tmp_path):
     down = HttpStandIn(lambda request: (500, [], b""))
     raw_settings = configuration(tmp_path)
     async with standing(platform()) as heard, standing(down) as address:
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -81,7 +81,7 @@
         (frame(ON, b"\x06" + bytes(8)), b"instance 3 was never configured"),
     ],
 )
-def test_bad_input_is_said_plainly(data, words):
+def test_bad_input_is_reported_plainly(data, words):
     done = run(data)
     assert done.returncode != 0
     assert any(word in done.stderr for word in words.split(b"|"))
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -49,7 +49,7 @@
 # --- copies kept for others -------------------------------------------------------------------------
 
 
-def test_copies_that_lie_in_a_folder_are_read_to_the_same_content(tmp_path):
+def test_stored_replicas_are_read_to_the_same_content(tmp_path):
     shutil.copytree(stored.DATA / "copies", tmp_path / "copies")
     for owner, told in expected("copies").items():
         assert stored_cluster.told_copy(tmp_path / "copies", owner) == told
@@ -57,7 +57,7 @@
     assert stored_cluster.files(tmp_path / "copies") == stored_cluster.files(stored.DATA / "copies")
 
 
-def test_copies_are_written_byte_for_byte_as_before(tmp_path):
+def test_replicas_are_written_byte_for_byte_as_before(tmp_path):
     found = anyio.run(stored_cluster.copy_exchange, tmp_path, stored.copied())
     assert found["files"] == stored_cluster.files(stored.DATA / "copies")
     assert found["generation_file"] == (stored.DATA / "copies.generation").read_text()
@@ -110,7 +110,7 @@
 # --- other files of the folder ----------------------------------------------------------------------
 
 
-def test_the_endpoints_that_were_told_to_leave_are_read_and_written_as_before(tmp_path):
+def test_the_departed_endpoints_are_read_and_written_as_before(tmp_path):
     kept = stored.DATA / "kept" / "list.left"
     assert stored_courier.write_left(tmp_path) == kept.read_bytes()
     assert stored_courier.left(stored.DATA / "kept").health == {
@@ -161,7 +161,7 @@
     assert stored_courier.read_trace(str(stored.DATA / "trace")) == expected("trace")
 
 
-def test_recorded_logs_give_the_same_account():
+def test_recorded_logs_give_the_same_report_of_losses():
     assert (
         stored_courier.losses_text(stored.DATA / "logs") == (stored.DATA / "losses.expected.txt").read_text()
     )
@@ -173,7 +173,7 @@
 TOLD = {"out-payment": "failed", "failed": "failed", "returned": "returned"}
 
 
-def test_this_version_goes_on_where_a_killed_process_of_that_one_was(tmp_path):
+def test_this_version_recovers_the_folder_of_a_killed_process_of_that_one(tmp_path):
     """Nothing is lost, and what may have run and must not run twice is not sent again."""
     anyio.run(goes_on, tmp_path)
 
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -174,7 +174,7 @@
     assert timeout_us(a, 1) < timeout_us(a, 0)
 
 
-def test_copies_of_the_first_suspicion_confirm_nothing():
+def test_repeats_of_the_first_suspicion_confirm_nothing():
     a = swim.SwimMember("a", "xa")
     a.apply(Update("x", "xx", 0, MemberState.ALIVE, "x"), 0)
     a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "b"), 0)
@@ -204,7 +204,7 @@
     assert len(seen) == len(big.table)
 
 
-def test_a_suspected_member_is_told_in_every_message_to_it_however_often_the_rumour_was_sent():
+def test_a_suspected_member_is_notified_in_every_message_to_it_however_often_the_rumour_was_sent():
     one, two = (swim.SwimMember(f"m{i}", f"a{i}", rng=random.Random(i)) for i in (1, 2))
     one.apply(Update("m2", "a2", 0, MemberState.ALIVE, "m2"), 0)
     one.apply(Update("m2", "a2", 0, MemberState.SUSPECT, "m3"), 0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -204,7 +204,7 @@
     assert "handover_received" in events and "recovered" not in events and "handed_over" in events
 
 
-async def test_a_ban_binds_both_processes_and_lasts(tmp_path):
+async def test_a_block_binds_both_processes_and_lasts(tmp_path):
     async with deployed(tmp_path, clients=0) as (made, ledger):
         old = made.processes[0]
         assert await call(old.admin_address, "PUT /-/endpoints/s-1/disable") == 200
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -28,7 +28,7 @@
         return self.ok
 
 
-async def test_ok_waits_for_copies_and_so_does_the_first_byte_of_a_branch(tmp_path):
+async def test_ok_waits_for_replication_and_so_does_the_first_byte_of_an_attempt(tmp_path):
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         copies = rig.engine.replication = ReplicationService()
@@ -50,7 +50,7 @@
         await until(lambda: not rig.engine.messages_by_id)
 
 
-async def test_waiting_for_copies_costs_no_attempt_and_is_not_taken_for_the_partners_time(tmp_path):
+async def test_waiting_for_replication_costs_no_attempt_and_is_not_counted_as_the_endpoints_time(tmp_path):
     endpoint, ended = HttpStandIn(), []
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         copies, handle = ReplicationService(), rig.engine.policy.handle
@@ -74,7 +74,7 @@
     assert only.outcome is Outcome.OK and only.elapsed_ns < 1_000_000_000
 
 
-async def test_what_is_not_copied_is_neither_promised_nor_sent(tmp_path):
+async def test_what_is_not_replicated_is_neither_acknowledged_nor_sent(tmp_path):
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         copies = rig.engine.replication = ReplicationService()
@@ -90,7 +90,7 @@
         assert "b" not in rig.engine.messages_by_id and endpoint.requests == []
 
 
-async def test_a_notice_waits_for_copies_and_what_was_taken_over_meanwhile_has_none(tmp_path):
+async def test_a_notification_waits_for_replication_and_what_was_taken_over_meanwhile_has_none(tmp_path):
     platform = HttpStandIn(lambda request: (204, [], b""))
     async with standing(platform) as heard, engine(tmp_path, platform=heard) as rig:
         copies = rig.engine.replication = ReplicationService()
@@ -110,7 +110,7 @@
         assert set(rig.engine.journal.finished_ids) >= {"gone"} and not rig.engine.messages_by_id
 
 
-async def test_a_confirm_waits_for_copies_and_never_comes_without_them(tmp_path):
+async def test_a_confirm_waits_for_replication_and_never_comes_without_it(tmp_path):
     async with engine(tmp_path) as rig:
         copies = rig.engine.replication = ReplicationService()
         client = await AmqpClient.open(rig.amqp)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -51,7 +51,7 @@
     assert [(e.destination, e.weight, e.state) for e in event.entries] == [(57, 1.0, 2), (57, 1.5, 2)]
 
 
-def test_outcome_gone_and_probe():
+def test_outcome_cancellation_and_health_check():
     found = decode(
         4, ON, RESULT, "05 0007fa040e6f2b19", "07 0000000000155cc0 0000 0a9011f2 1f6c 02 3ecccccd3fa00000"
     )
@@ -61,7 +61,7 @@
     assert probe == HealthCheckCompleted(bytes.fromhex("0a9011f21f6c"), Outcome.OK, 0x155CC0)
 
 
-def test_told_wait_is_in_milliseconds():
+def test_retry_after_is_in_milliseconds():
     text = "04 000bac885d3a91c4 00 0a124a07 1f43 00fe 00000000011a49a0 00 000000fa 00"
     ((_, outcome),) = decode(2, ON, text)
     assert outcome.outcome is Outcome.OVERLOADED and outcome.retry_after_ns == 250_000_000
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -51,7 +51,7 @@
 # --- copies -----------------------------------------------------------------------------------------
 
 
-def test_copies_are_sent_and_asked_for_byte_for_byte_as_before(tmp_path):
+def test_replicas_are_sent_and_fetched_byte_for_byte_as_before(tmp_path):
     found, before = anyio.run(stored_cluster.copy_exchange, tmp_path, stored.copied()), recorded("copies")
     assert [stored_cluster.words_of(f) for f in found["frames"]] == [
         stored_cluster.words_of(f) for f in before["frames"]
@@ -72,7 +72,7 @@
 # --- the operators' door ----------------------------------------------------------------------------
 
 
-def test_the_door_answers_as_before():
+def test_the_admin_server_answers_as_before():
     before = recorded("door")
     views = {name: before["views"][name] for name in ("members", "leases", "copies")}
     assert stored_courier.members_view() == views["members"]
