--- a/tests/standins.py
+++ b/tests/standins.py
@@ -2,14 +2,11 @@
 
 import os
 import socket
-import time
 from contextlib import asynccontextmanager
 from itertools import count
 
 import anyio
-import h11
-import orjson
-from pamqp import base, commands, frame
+from pamqp import commands, frame
 
 from pinspread import sockets
 from pinspread.amqp import frames
@@ -41,6 +38,25 @@
     until,
 )
 
+__all__ = [
+    "AmqpClient",
+    "Broker",
+    "Client",
+    "Gate",
+    "HttpStandIn",
+    "Rig",
+    "answering",
+    "configuration",
+    "engine",
+    "host",
+    "listener",
+    "malformed",
+    "marshal",
+    "own_address",
+    "standing",
+    "until",
+]
+
 _ports = count(20_000 + os.getpid() % 750 * 16)  # under those that outgoing connections take
 
 
@@ -185,6 +201,18 @@
             await wire.send(commands.Basic.Ack(tag, False), 1)
 
 
+async def answering(client):
+    """Wait until the process that the client calls answers, at most 10 s."""
+    with anyio.fail_after(10):
+        while True:
+            try:
+                assert await client.say("PING") == "+PONG\r\n"
+            except OSError:
+                await anyio.sleep(0.02)
+            else:
+                return
+
+
 class Gate:
     """Holds every dial to endpoints until it is opened."""
 
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -283,6 +283,15 @@
 # --- membership's datagrams -------------------------------------------------------------------------
 
 
+def first_of_each_kind(sent):
+    """The first message of each kind, with its bytes; kinds differ by the states that are gossiped too."""
+    first = {}
+    for message in sent:
+        kind = message["t"], message.get("reply"), tuple(sorted({r[3] for r in message["up"]}))
+        first.setdefault(kind, message)
+    return [{"message": message, "bytes": pack(message, KEY).hex()} for message in first.values()]
+
+
 def members():
     """Three members: c is cut off at 6 s, b leaves at 14 s. Datagrams, the view of a, and events."""
     fleet = {n: member(n) for n in ADDRESSES}
@@ -307,13 +316,8 @@
             del fleet["b"]
         if now in (1_000_000, 8_000_000, 14_000_000, 19_000_000):
             views[str(now)] = fleet["a"].view()
-    chosen, seen = [], {}
-    for message in sent:
-        kind = message["t"], message.get("reply"), tuple(sorted({r[3] for r in message["up"]}))
-        seen[kind] = seen.get(kind, 0) + 1
-        if seen[kind] == 1:
-            chosen.append({"message": message, "bytes": pack(message, KEY).hex()})
-    return {"datagrams": chosen, "count": len(sent), "views": views, "events": fleet["a"].events}
+    datagrams = first_of_each_kind(sent)
+    return {"datagrams": datagrams, "count": len(sent), "views": views, "events": fleet["a"].events}
 
 
 # --- leases' datagrams ------------------------------------------------------------------------------
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -426,23 +426,26 @@
 
     gone = host("s-3", "127.0.0.1:3", 1, "gone")
     platform = Platform({"seq": 2, "whole": False, "hosts": [gone]}, False)
-    async with standing(partner(had, plan)) as at, standing(partner(elsewhere, plan)) as other:
-        async with standing(platform) as platform_at:
-            hosts = hosts_at({"s-1": at, "s-4": "127.0.0.1:1", "s-5": at}, other)
-            with process(folder, hosts, platform_at, Path(folder) / "log") as running:
-                await listening(running)
-                state = Path(folder) / "state"
-                await until(lambda: (state / "list.left").exists())
-                assert "200" in await ask(running.door, "PUT /-/endpoints/s-2/disable")
-                client = Client(running.listen)
-                for n in range(8):  # calls that go well, for the log
-                    assert await client.enqueue("status-update", f"well-{n}", for_ms=20_000) == "+OK\r\n"
-                for id_, (cls, key, dest) in MESSAGES.items():
-                    await until(lambda: len(had) >= 8)
-                    assert await client.enqueue(cls, id_, key, for_ms(id_), dest) == "+OK\r\n"
-                want = {"out-payment", "out-keyed", "out-repeatable", "answered", "failed", "refused"}
-                await until(lambda: want <= set(had))
-                await until(lambda: b'"RETURNED"' in (Path(folder) / "log").read_bytes())
+    async with (
+        standing(partner(had, plan)) as at,
+        standing(partner(elsewhere, plan)) as other,
+        standing(platform) as platform_at,
+    ):
+        hosts = hosts_at({"s-1": at, "s-4": "127.0.0.1:1", "s-5": at}, other)
+        with process(folder, hosts, platform_at, Path(folder) / "log") as running:
+            await listening(running)
+            state = Path(folder) / "state"
+            await until(lambda: (state / "list.left").exists())
+            assert "200" in await ask(running.door, "PUT /-/endpoints/s-2/disable")
+            client = Client(running.listen)
+            for n in range(8):  # calls that go well, for the log
+                assert await client.enqueue("status-update", f"well-{n}", for_ms=20_000) == "+OK\r\n"
+            for id_, (cls, key, dest) in MESSAGES.items():
+                await until(lambda: len(had) >= 8)
+                assert await client.enqueue(cls, id_, key, for_ms(id_), dest) == "+OK\r\n"
+            want = {"out-payment", "out-keyed", "out-repeatable", "answered", "failed", "refused"}
+            await until(lambda: want <= set(had))
+            await until(lambda: b'"RETURNED"' in (Path(folder) / "log").read_bytes())
     return had, elsewhere
 
 
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -9,7 +9,7 @@
 import anyio
 import pytest
 from pamqp import commands
-from standins import AmqpClient, Broker, Client, HttpStandIn, engine, own_address, standing, until
+from standins import AmqpClient, Broker, Client, HttpStandIn, answering, engine, own_address, standing, until
 
 from pinspread.config.template import template
 from pinspread.policy.events import EndpointState
@@ -217,13 +217,8 @@
     async def client(self):
         """A client, once the instance answers."""
         client = Client(self.address)
-        with anyio.fail_after(10):
-            while True:
-                try:
-                    assert await client.say("PING") == "+PONG\r\n"
-                    return client
-                except OSError:
-                    await anyio.sleep(0.02)
+        await answering(client)
+        return client
 
     async def kill(self):
         self.process.send_signal(signal.SIGKILL)
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -210,9 +210,12 @@
     endpoint = BundlingEndpoint(lambda n, ids: anyio.sleep(9))
     await played(tmp_path, endpoint, 4, "payment", wait=False)
     platform, after = HttpStandIn(lambda request: HEARD), BundlingEndpoint()
-    async with standing(platform) as address, standing(after) as where:
-        async with engine(tmp_path, address, endpoints=[(where,)]) as rig:
-            await until(lambda: not rig.engine.messages_by_id)
+    async with (
+        standing(platform) as address,
+        standing(after) as where,
+        engine(tmp_path, address, endpoints=[(where,)]) as rig,
+    ):
+        await until(lambda: not rig.engine.messages_by_id)
     assert {line["id"]: line["state"] for line in platform.lines} == {f"m{n}": "failed" for n in (1, 2, 3)}
     assert not after.calls
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -63,10 +63,13 @@
 ):
     monkeypatch.setattr(http_transport, behind, 60)  # so the message's time ends first
     endpoint, platform = HttpStandIn(lambda request: answer), HttpStandIn(lambda request: (204, [], b""))
-    async with standing(platform) as heard, standing(endpoint) as address:
-        async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:
-            assert await Client(rig.address).enqueue("payment", for_ms=300) == "+OK\r\n"
-            await until(lambda: not rig.engine.messages_by_id)
+    async with (
+        standing(platform) as heard,
+        standing(endpoint) as address,
+        engine(tmp_path, heard, endpoints=[(address,)]) as rig,
+    ):
+        assert await Client(rig.address).enqueue("payment", for_ms=300) == "+OK\r\n"
+        await until(lambda: not rig.engine.messages_by_id)
     assert len(endpoint.requests) == 1
     assert [line["state"] for line in platform.lines] == ends
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,6 +14,7 @@
     Client,
     Gate,
     HttpStandIn,
+    answering,
     configuration,
     engine,
     host,
@@ -213,12 +214,15 @@
 )
 async def test_a_payment_is_retried_only_after_proof_that_it_never_ran(tmp_path, reply, payments, state):
     endpoint, platform_stand_in = scripted(reply), platform()
-    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
-        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
-            await Client(rig.address).enqueue()
-            await until(lambda: not rig.engine.messages_by_id)
-            assert len(endpoint.requests) == payments
-            assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
+    async with (
+        standing(endpoint) as address,
+        standing(platform_stand_in) as platform_address,
+        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+    ):
+        await Client(rig.address).enqueue()
+        await until(lambda: not rig.engine.messages_by_id)
+        assert len(endpoint.requests) == payments
+        assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
 
 
 @pytest.mark.parametrize(
@@ -243,12 +247,15 @@
     tmp_path, reply, calls, state
 ):
     endpoint, platform_stand_in = scripted(reply), platform()
-    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
-        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
-            await Client(rig.address).enqueue(for_ms=1500)
-            await until(lambda: not rig.engine.messages_by_id)
-            assert len(endpoint.requests) == calls
-            assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
+    async with (
+        standing(endpoint) as address,
+        standing(platform_stand_in) as platform_address,
+        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+    ):
+        await Client(rig.address).enqueue(for_ms=1500)
+        await until(lambda: not rig.engine.messages_by_id)
+        assert len(endpoint.requests) == calls
+        assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
 
 
 async def test_bytes_after_an_answer_never_answer_the_next_call(tmp_path):
@@ -346,13 +353,14 @@
 
 async def test_a_timed_out_payment_fails_and_its_connection_is_closed(tmp_path):
     endpoint, platform_stand_in = HttpStandIn(lambda request: late(30)), platform()
-    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
-        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
-            await Client(rig.address).enqueue(for_ms=300)
-            await until(lambda: platform_stand_in.lines)
-            assert (
-                platform_stand_in.lines == [{"id": "id1", "state": "failed"}] and len(endpoint.requests) == 1
-            )
+    async with (
+        standing(endpoint) as address,
+        standing(platform_stand_in) as platform_address,
+        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+    ):
+        await Client(rig.address).enqueue(for_ms=300)
+        await until(lambda: platform_stand_in.lines)
+        assert platform_stand_in.lines == [{"id": "id1", "state": "failed"}] and len(endpoint.requests) == 1
 
 
 async def test_retry_after_holds_back_all_messages_to_that_destination(tmp_path):
@@ -402,26 +410,32 @@
     answers = [(500, [], b""), None, HEARD]
     platform_stand_in = HttpStandIn(lambda request: answers.pop(0))
     endpoint = HttpStandIn(lambda request: (500, [], b""))
-    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
-        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
-            await Client(rig.address).enqueue(for_ms=20_000)
-            await until(lambda: not rig.engine.messages_by_id)
-            first, *_, last = platform_stand_in.requests
-            assert first[0] - endpoint.requests[0][0] < 0.1 and last[0] - first[0] < 1
-            assert len(platform_stand_in.requests) == 3 and first[4] == last[4]
+    async with (
+        standing(endpoint) as address,
+        standing(platform_stand_in) as platform_address,
+        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+    ):
+        await Client(rig.address).enqueue(for_ms=20_000)
+        await until(lambda: not rig.engine.messages_by_id)
+        first, *_, last = platform_stand_in.requests
+        assert first[0] - endpoint.requests[0][0] < 0.1 and last[0] - first[0] < 1
+        assert len(platform_stand_in.requests) == 3 and first[4] == last[4]
 
 
 async def test_an_ordering_key_goes_on_only_once_its_earlier_notification_is_acknowledged(tmp_path):
     slow = HttpStandIn(lambda request: late(0.3, HEARD))
     endpoint = scripted(*[(500, [], b"")] * 6)
-    async with standing(endpoint) as address, standing(slow) as platform_address:
-        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
-            client = Client(rig.address)
-            await client.enqueue("booking-change", key="77", for_ms=400)
-            await client.enqueue("booking-change", id_="second", key="77")
-            await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests))
-            sent = next(r[0] for r in endpoint.requests if r[3]["request-id"] == "second")
-            assert sent - slow.requests[0][0] >= 0.3
+    async with (
+        standing(endpoint) as address,
+        standing(slow) as platform_address,
+        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+    ):
+        client = Client(rig.address)
+        await client.enqueue("booking-change", key="77", for_ms=400)
+        await client.enqueue("booking-change", id_="second", key="77")
+        await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests))
+        sent = next(r[0] for r in endpoint.requests if r[3]["request-id"] == "second")
+        assert sent - slow.requests[0][0] >= 0.3
 
 
 async def test_attempts_are_at_most_six_over_restarts_too(tmp_path):
@@ -465,11 +479,13 @@
 
 async def test_idle_connections_are_closed_before_the_endpoint_would(tmp_path):
     endpoint = HttpStandIn()
-    async with standing(endpoint) as address:
-        async with engine(tmp_path, endpoints=[(address,)], keepaliveNs=500_000_000) as rig:
-            await Client(rig.address).enqueue()
-            await until(lambda: endpoint.requests)
-            await until(lambda: not endpoint.open, 1.0)
+    async with (
+        standing(endpoint) as address,
+        engine(tmp_path, endpoints=[(address,)], keepaliveNs=500_000_000) as rig,
+    ):
+        await Client(rig.address).enqueue()
+        await until(lambda: endpoint.requests)
+        await until(lambda: not endpoint.open, 1.0)
 
 
 @pytest.mark.parametrize("where", ["accept", "send"])
@@ -556,13 +572,8 @@
         self.file.write_bytes(orjson.dumps(self.configuration))
 
     async def ready(self):
-        with anyio.fail_after(10):
-            while True:
-                try:
-                    assert await self.client.say("PING") == "+PONG\r\n"
-                    return self
-                except OSError:
-                    await anyio.sleep(0.02)
+        await answering(self.client)
+        return self
 
     async def end(self, how):
         self.process.send_signal(how)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -44,14 +44,14 @@
             "RELAY_PASSED_SOCKET": str(self.sock.fileno()),
             "RELAY_ADMIN_ADDR": admin_address,
         }
-        log = open(self.folder / f"log{len(self.processes)}", "wb")
-        process = subprocess.Popen(
-            [sys.executable, "-m", "pinspread"],
-            env=env | more,
-            pass_fds=[self.sock.fileno()],
-            stdout=log,
-            stderr=log,
-        )
+        with open(self.folder / f"log{len(self.processes)}", "wb") as log:
+            process = subprocess.Popen(
+                [sys.executable, "-m", "pinspread"],
+                env=env | more,
+                pass_fds=[self.sock.fileno()],
+                stdout=log,
+                stderr=log,
+            )
         process.admin_address = admin_address
         self.processes.append(process)
         return process
