--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -13,9 +13,9 @@
 
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
-from pinspread.simulation.compare import interval, judge
+from pinspread.simulation.compare import compare_points, interval
 from pinspread.simulation.model import FleetModel
-from pinspread.simulation.random_streams import whole
+from pinspread.simulation.random_streams import random_seed
 
 WORLD = {
     "length_s": 15,
@@ -27,7 +27,7 @@
     """The accounts of one day with two seeds of the module's chance."""
     world = FleetModel.model_validate(WORLD)
     drawn = scenarios.draw_scenario(world, seed)
-    return [brief(simulate.Simulation(world, drawn, whole(seed, name)).run()) for name in "ab"]
+    return [brief(simulate.Simulation(world, drawn, random_seed(seed, name)).run()) for name in "ab"]
 
 
 def brief(found):
@@ -52,7 +52,7 @@
         _, low, high = interval(differences[mine], seed=n)
         held += low <= 0 <= high
         a, b = ({"runs": list(side)} for side in zip(*found[mine], strict=True))
-        told += judge(a, b)[0] != "cannot tell"
+        told += compare_points(a, b)[0] != "cannot tell"
     print(
         f"{held} of {chosen.comparisons} intervals hold 0 ({held / chosen.comparisons:.1%}); {told} verdicts"
         f" ({told / chosen.comparisons:.1%}) are better or worse; {chosen.pairs} pairs each, standard deviation"
--- a/benchmarks/decisions/fleets.py
+++ b/benchmarks/decisions/fleets.py
@@ -12,7 +12,7 @@
 from pinspread.policy.events import AttemptCompleted, MessageAccepted, Outcome, UpdateScope
 from pinspread.simulation import scenario, simulate
 from pinspread.simulation.model import FleetModel
-from pinspread.simulation.random_streams import whole
+from pinspread.simulation.random_streams import random_seed
 
 MS, SECOND = 1_000_000, 1_000_000_000
 MAX_TURNS = 1200
@@ -68,7 +68,7 @@
         """The policy of a courier's process number `start`."""
         if courier not in self.day.recorded:
             return super().make_sender(courier, start)
-        seed = whole(self.module_seed, "module", courier, start)
+        seed = random_seed(self.module_seed, "module", courier, start)
         name = f"fleet-{self.day.name}-{courier}-{start}"
         self.recorders.append(Recorder(name, self.settings, seed, MAX_TURNS))
         return RecordedCourier(self, courier, self.recorders[-1], start)
--- a/benchmarks/replays.py
+++ b/benchmarks/replays.py
@@ -18,7 +18,7 @@
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
 from pinspread.simulation.model import FleetModel
-from pinspread.simulation.random_streams import stream
+from pinspread.simulation.random_streams import random_stream
 
 # On loopback the day begins when all couriers are ready.
 BASE = {"length_s": 20.0, "network": {"silent_accepts": True}, "couriers": {"start_spread_s": 0.0}}
@@ -52,7 +52,7 @@
     """One run of the model: the module's chance, jitter, the time of starts and clients' timing drawn anew."""
     one = world(scenario)
     drawn = scenarios.draw_scenario(one, scenario[2])
-    rng = stream(seed, "replay")
+    rng = random_stream(seed, "replay")
     drawn.chances[:, :, :2] = rng.random(drawn.chances.shape[:2] + (2,))
     drawn.start_draws = rng.random(drawn.start_draws.shape)
     late = LATE_MS[0] + rng.exponential(LATE_MS[1], len(drawn.arrival_ns))
@@ -87,10 +87,10 @@
     SCENARIOS[:] = [(name, tables, seed + chosen.shift) for name, tables, seed in SCENARIOS]
     folder = Path(chosen.folder)
     if chosen.one:
-        from pinspread.testbed import platform as stage
+        from pinspread.testbed import platform
 
         scenario = next(s for s in SCENARIOS if s[0] == chosen.one)
-        found = stage.play(world(scenario), scenarios.draw_scenario(world(scenario), scenario[2]), folder)
+        found = platform.play(world(scenario), scenarios.draw_scenario(world(scenario), scenario[2]), folder)
         (folder / "accounts.json").write_bytes(orjson.dumps(found))
         return
     folder.mkdir(parents=True, exist_ok=True)
--- a/pinspread/__main__.py
+++ b/pinspread/__main__.py
@@ -9,10 +9,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-import anyio
-
-from pinspread.config import last_good, settings
-from pinspread.config.amqp_front import amqp_file
+from pinspread.config import settings
 from pinspread.config.settings import EffectiveSettings, SettingsError
 from pinspread.errors import JournalFormatError, JournalFullError
 
@@ -115,6 +112,8 @@
 
 def serve_platform() -> None:
     """Serve as the platform's file says."""
+    from pinspread.config import last_good
+    from pinspread.config.amqp_front import amqp_file
     from pinspread.service import ServiceOptions
 
     early_sighup = _note_sighup()
@@ -132,20 +131,22 @@
 
 
 def _note_sighup() -> list[bool]:
-    """Take note of SIGHUP until it can be heeded, for it may come after the file has been read."""
+    """Record SIGHUP until it can be handled, for it may come after the file has been read."""
     received: list[bool] = []
     signal.signal(signal.SIGHUP, lambda *_: received.append(True))
     return received
 
 
 def _serve(options: "ServiceOptions") -> None:
+    import anyio
+
     from pinspread import service
 
     anyio.run(service.serve, options)
 
 
 def reload_platform(last: EffectiveSettings) -> "ReloadedSettings":
-    """The platform's file as it is by now."""
+    """The platform's file as it is now."""
     from pinspread.service import ReloadedSettings
 
     effective = settings.from_environment(os.environ, last)
--- a/pinspread/amqp/publishing.py
+++ b/pinspread/amqp/publishing.py
@@ -22,12 +22,11 @@
     parse_number,
 )
 from pinspread.core.messages import Message
+from pinspread.core.time_units import NS_PER_MS, US_PER_MS
 from pinspread.errors import RejectedError
 
 FRONT_NAME = "amqp"  # in the journal and the log
 KEY_BYTES = 8
-NS_PER_MS = 1_000_000
-US_PER_MS = 1000
 
 
 def parse_key(text: str) -> int:
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -9,7 +9,7 @@
 from pinspread.core.acceptance import Acceptance
 from pinspread.core.attempts import AttemptId, AttemptRunner
 from pinspread.core.clock import Clock
-from pinspread.core.context import SECOND_US, EngineContext
+from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_blocklist import EndpointBlocklist
 from pinspread.core.endpoint_registry import EndpointRegistry, RetryAfterScope
 from pinspread.core.event_queue import EventQueue
@@ -26,16 +26,14 @@
     Successor,
     Transport,
 )
+from pinspread.core.time_units import NS_PER_MS, NS_PER_US, US_PER_S
 from pinspread.policy.actions import Action, CheckHealth, Disconnect, Fail, Reject, Send, SetTimer, Subscribe
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, Event, SettingsChanged, UpdateScope
 
-DRAIN_US = (
-    3_000_000  # after SIGTERM: the process is killed 3.7 s after it, and connections are closed after this
-)
-LINGER_US = 500_000  # new clients keep arriving for a while and must be told that they are rejected
+DRAIN_US = 3_000_000  # after SIGTERM, before connections are closed; the process is killed 3.7 s after it
+LINGER_US = 500_000  # new clients keep arriving for a while and must get a rejection
 ACKNOWLEDGEMENT_POLL_S = 0.005
-NS_PER_MS = 1_000_000
 
 
 def _ignore_subscription() -> None:
@@ -96,7 +94,7 @@
 
     @property
     def events(self) -> EventQueue:
-        """What the policy is to be told in the next turn."""
+        """The events for the policy's next turn."""
         return self.context.events
 
     @property
@@ -191,7 +189,7 @@
     # --- what fronts and replication call ---------------------------------------------------------
 
     def recover(self) -> None:
-        """Owe again all that the journal says is owed.
+        """Take up again all messages that the journal has as pending.
 
         Raises:
             JournalFormatError: A newer version wrote the journal.
@@ -219,7 +217,7 @@
         return self.replication is None or await self.replication.wait_replicated()
 
     def take_over(self, messages: Iterable[Message]) -> int:
-        """Owe what another node accepted; return how many messages were new here.
+        """Take responsibility for what another node accepted; return how many messages were new here.
 
         Raises:
             JournalFullError: One can't be recorded; those before it are taken over.
@@ -227,7 +225,7 @@
         return self.acceptance.take_over(messages)
 
     def release(self, ids: Collection[str]) -> int:
-        """Owe these no longer, for another node has taken them over; return how many were owed here.
+        """Drop these, for another node has taken them over; return how many were pending here.
 
         Raises:
             JournalFullError: The journal can't be rewritten without them.
@@ -235,7 +233,7 @@
         return self.acceptance.release(ids)
 
     def withdraw(self, message: Message) -> None:
-        """Owe nothing for a message that nobody wants any more."""
+        """Drop a message that its client has withdrawn."""
         self.acceptance.withdraw(message)
 
     # --- what discovery, settings and operators change --------------------------------------------
@@ -266,7 +264,7 @@
     # --- hot restart ------------------------------------------------------------------------------
 
     def pause_for_handover(self, successor: Successor) -> EngineState:
-        """Act no more, and return what the successor needs beside the journal, which is closed."""
+        """Stop acting, and return what the successor needs apart from the journal, which is closed."""
         return self.ownership.pause(self.policy, successor)
 
     def cancel_handover(self) -> None:
@@ -275,7 +273,7 @@
 
     def resume_from_handover(self, state: EngineState) -> None:
         """Take over from the process before; the journal has been read."""
-        self.policy = state["sender"]
+        self.policy = state["policy"]
         self.ownership.resume(state)
 
     def predecessor_attempt_ended(self, number: int, attempt_number: int, result: AttemptResult) -> None:
@@ -283,7 +281,7 @@
         self.ownership.predecessor_attempt_ended(number, attempt_number, result)
 
     def predecessor_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
-        """Heed that an endpoint told the process before to wait."""
+        """Apply a Retry-After that an endpoint gave the process before."""
         self.ownership.predecessor_retry_after(endpoint_id, retry_after_us)
 
     def predecessor_health_check_ended(self, endpoint_id: str, result: AttemptResult) -> None:
@@ -317,12 +315,12 @@
             self._drained.set()
 
     def _decide(self, events: list[Event], now_us: int) -> None:
-        for action in self.policy.handle(now_us * 1000, events):
+        for action in self.policy.handle(now_us * NS_PER_US, events):
             self._performers[type(action)](action, now_us)
         self.attempt_runner.launch()
 
     def _set_timer(self, action: SetTimer, now_us: int) -> None:
-        self.events.set_timer(now_us + max(1, action.delay_ns // 1000), action.tag)
+        self.events.set_timer(now_us + max(1, action.delay_ns // NS_PER_US), action.tag)
 
     def _send(self, action: Send, now_us: int) -> None:
         if not self.stopping:  # what is not sent now stays in the journal for the next start
@@ -353,8 +351,8 @@
         log("stopping", in_flight=len(self.attempts), open=len(self.open_messages))
         self.stopping = True
         self.events.wake()
-        with anyio.move_on_after(DRAIN_US / SECOND_US):
-            await anyio.sleep(LINGER_US / SECOND_US)
+        with anyio.move_on_after(DRAIN_US / US_PER_S):
+            await anyio.sleep(LINGER_US / US_PER_S)
             await self._drained.wait()
             while self.pending_notifications:
                 await anyio.sleep(ACKNOWLEDGEMENT_POLL_S)
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -10,6 +10,7 @@
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.log import log
 from pinspread.core.messages import Endpoint
+from pinspread.core.time_units import US_PER_S
 from pinspread.discovery.backoff import SMALL_FLEET, reopen_delay_s
 from pinspread.discovery.departures import DepartedEndpoints
 from pinspread.discovery.endpoint_list import (
@@ -33,9 +34,8 @@
 SHARED_RESPONSE_TIMEOUT_S = 5.0  # and where all ask one service, which works through requests in turn
 SHARED_SPREAD_S = 1.5  # over which watches of many that all fell silent are opened again there
 OPEN_INTERVAL_S = 0.3  # between watches that are opened while an agent is silent
-MAX_OPENING = 4  # that wait for their responses beside each other
+MAX_OPENING = 4  # that wait for their responses at the same time
 MAX_LOGGED_FAILURES = 3  # in a row
-SECOND_US = 1_000_000
 
 
 class DiscoverySettings(Protocol):
@@ -105,7 +105,7 @@
         """Hand over the configuration's list, and what was reported as draining or removed since.
 
         That list may be old, and an agent that is away reports no newer one: without the file, drains that an
-        earlier process heard of would be forgotten, and its messages would go there.
+        earlier process was notified of would be forgotten, and its messages would go there.
 
         Raises:
             ValueError: The configuration has no list.
@@ -161,7 +161,7 @@
                 if wait_us <= 0:
                     self._open(tasks)
                     continue
-                with anyio.move_on_after(wait_us / SECOND_US):
+                with anyio.move_on_after(wait_us / US_PER_S):
                     await self._wake.wait()
                 self._wake = anyio.Event()
 
@@ -179,18 +179,18 @@
             return watch.silent_at_us - now_us
         max_opening = len({self.address, self._last_address} - {""}) if self._shared else MAX_OPENING
         if len(self._opening) >= max_opening:
-            return SECOND_US  # the end of one wakes
+            return US_PER_S  # the end of one wakes
         return self._next_open_us - now_us
 
     def _open(self, tasks: TaskGroup) -> None:
-        """Open another watch beside those that are there.
+        """Open another watch in addition to those that are there.
 
         An agent that was silent may answer what waits for it once it is back, or only what is asked from then
-        on. Both are had where watches are opened beside each other; the old one is followed until then.
+        on. Both are met where watches are opened side by side; the old one is followed until then.
         """
         if self._current and not self._full_wanted and not self._opening and not self._failures:
             log("watch_broke", address=self._current.address, error="silent")
-        self._next_open_us = self.engine.clock.now() + int(OPEN_INTERVAL_S * SECOND_US)
+        self._next_open_us = self.engine.clock.now() + int(OPEN_INTERVAL_S * US_PER_S)
         addresses = {self.address}
         if self._current is None and self._last_address:
             # The old watch broke before the new address was up: better to follow the old one than none.
@@ -227,7 +227,7 @@
         soon = own_agent and (watch.up or isinstance(error, ConnectionRefusedError))
         instances = 1 if soon else self.settings.policy_settings.senders
         delay_s = reopen_delay_s(self._failures, instances, self._random.random())
-        self._next_open_us = self.engine.clock.now() + int(delay_s * SECOND_US)
+        self._next_open_us = self.engine.clock.now() + int(delay_s * US_PER_S)
         self._failures += 1
 
     def _promote(self, watch: Watch) -> None:
@@ -283,7 +283,7 @@
         """
         if self._shared and self.settings.policy_settings.senders > SMALL_FLEET:
             timeout_s += SHARED_SPREAD_S * self._random.random()
-        watch.silent_at_us = self.engine.clock.now() + int(timeout_s * SECOND_US)
+        watch.silent_at_us = self.engine.clock.now() + int(timeout_s * US_PER_S)
 
     def _apply(self, update: EndpointUpdate, scope: UpdateScope | None = None, moved: bool = False) -> None:
         """Hand an update to the engine.
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -1,4 +1,4 @@
-"""The new process's side: it takes everything over from the owner of the folder, and hears its reports.
+"""The new process's side: it takes everything over from the owner of the folder, and follows its reports.
 
 `core/handover.py` (`HandoverTarget`) decides what an exchange leads to; this carries it out.
 """
@@ -19,6 +19,7 @@
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult
+from pinspread.core.time_units import US_PER_S
 from pinspread.errors import JournalFormatError
 from pinspread.hot_restart import packet_codec
 from pinspread.hot_restart.link import (
@@ -60,22 +61,32 @@
 
     def add(self, packet: Packet) -> None:
         """Take in one packet of what is handed over; HandoverFormatError if it is none of these."""
-        kind, data, descriptor = packet
-        if kind == PacketKind.STATE:
-            self.state = read_state(data)
-        elif kind == PacketKind.CLIENT_CONNECTION and descriptor is not None:
-            connection = _connection(descriptor)
-            self.client_connections.append(packet_codec.decode_client_connection(data, connection))
-        elif kind == PacketKind.IDLE_CONNECTION and descriptor is not None:
-            endpoint_id, address, idle_since_us = orjson.loads(data)
-            connection = _connection(descriptor)
-            self.idle_connections.append(
-                IdleEndpointConnection(endpoint_id, address, idle_since_us, connection)
-            )
-        elif kind == PacketKind.LISTENER and descriptor is not None:
-            self.listeners[data.decode()] = socket.socket(fileno=descriptor)
+        if packet.descriptor is not None:
+            self._add_socket(packet.kind, packet.data, packet.descriptor)
+        elif packet.kind == PacketKind.STATE:
+            self.state = read_state(packet.data)
         else:
-            _refuse(kind, descriptor)
+            raise _out_of_place(packet.kind)
+
+    def _add_socket(self, kind: int, data: bytes, descriptor: int) -> None:
+        """Take in the socket of a descriptor; it is closed if the packet is malformed."""
+        with ExitStack() as on_error:
+            sock = _socket_of(descriptor)
+            on_error.callback(sock.close)
+            if kind == PacketKind.CLIENT_CONNECTION:
+                connection = _connection(sock)
+                self.client_connections.append(packet_codec.decode_client_connection(data, connection))
+            elif kind == PacketKind.IDLE_CONNECTION:
+                endpoint_id, address, idle_since_us = orjson.loads(data)
+                connection = _connection(sock)
+                self.idle_connections.append(
+                    IdleEndpointConnection(endpoint_id, address, idle_since_us, connection)
+                )
+            elif kind == PacketKind.LISTENER:
+                self.listeners[data.decode()] = sock
+            else:
+                raise _out_of_place(kind)
+            on_error.pop_all()
 
     def close(self) -> None:
         """Close all that came, for the exchange came to nothing."""
@@ -87,14 +98,20 @@
             listener.close()
 
 
-def _refuse(kind: int, descriptor: int | None) -> None:
-    if descriptor is not None:
+def _out_of_place(kind: int) -> HandoverFormatError:
+    return HandoverFormatError(f"message {int(kind)} is out of place")
+
+
+def _socket_of(descriptor: int) -> socket.socket:
+    """The socket of a descriptor, which is closed if it is no socket's."""
+    try:
+        return socket.socket(fileno=descriptor)
+    except OSError:
         os.close(descriptor)
-    raise HandoverFormatError(f"message {int(kind)} is out of place")
+        raise
 
 
-def _connection(descriptor: int) -> Connection:
-    sock = socket.socket(fileno=descriptor)
+def _connection(sock: socket.socket) -> Connection:
     try:
         return Connection(sock)
     except OSError:  # its other side has reset it: that shows at the first use
@@ -174,6 +191,7 @@
             with anyio.fail_after(STEP_S):
                 packet = await link.receive()
             if packet.kind == PacketKind.DECLINED:
+                packet.discard_descriptor()
                 reason, busy = packet_codec.decode_refusal(packet.data)
                 log("handover_declined", why=reason)
                 self.target.declined(busy)
@@ -203,8 +221,8 @@
 
     def _broken(self, error: Exception) -> None:
         log("handover_broke", error=str(error) or type(error).__name__, state=self.target.state.value)
-        # A process that has not heard that everything was taken serves on, or is gone and the lock free: with
-        # the lock held here as well, there would be two owners.
+        # A process that got no answer that everything was taken over serves on, or has ended and the lock is
+        # free: with the lock held here as well, there would be two owners.
         self.lock.release()
         if isinstance(error, ValueError):
             self.target.received(False)  # it cannot be read: it would be no better the next time
@@ -212,7 +230,7 @@
 
 
 async def _request_departure(folder: str) -> None:
-    """Have the old process end; it hears that on a connection of its own, once the exchange is over."""
+    """Ask the old process to end, on a connection of its own, once the exchange is over."""
     try:
         link = connect(folder)
         with anyio.fail_after(STEP_S):
@@ -232,8 +250,7 @@
         try:
             while True:
                 packet = await link.receive()
-                if packet.descriptor is not None:
-                    os.close(packet.descriptor)
+                packet.discard_descriptor()
                 await _report(link, engine, packet.kind, orjson.loads(packet.data))
         except (OSError, ValueError, KeyError, TypeError) as error:
             log("predecessor_gone", why=str(error) or type(error).__name__)
@@ -247,7 +264,7 @@
 
     A process that hangs reports nothing, and without this a message would never have its final result.
     """
-    await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / 1e6)
+    await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / US_PER_S)
     engine.predecessor_attempt_ended(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
 
 
@@ -268,4 +285,4 @@
         known = await (engine.disable(endpoint_id) if disabled else engine.enable(endpoint_id))
         await link.send(PacketKind.ENDPOINT_DISABLED, orjson.dumps([question, known]))
     else:
-        raise HandoverFormatError(f"message {int(kind)} is out of place")
+        raise _out_of_place(kind)
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -27,7 +27,7 @@
     from pinspread.simulation import experiment
 
     try:
-        found = experiment.load(str(file))
+        found = experiment.load_experiment(str(file))
     except experiment.ExperimentError as error:
         fail(error)
     print(f"{file}: no problems; {len(found.points)} points, {len(found.seeds)} seeds")
@@ -43,7 +43,7 @@
 
     if not any(folder.glob("*.log")):
         fail(f"{folder}: no *.log there")
-    print(counter.text(counter.Losses(folder), partner or ()))
+    print(counter.format_report(counter.LossReport(folder), partner or ()))
 
 
 @app.command()
@@ -59,11 +59,11 @@
     from pinspread.simulation import report as writer
 
     try:
-        found = runs.run(experiment.load(str(file)), str(out), processes, quiet)
+        found = runs.run_experiment(experiment.load_experiment(str(file)), str(out), processes, quiet)
     except (experiment.ExperimentError, trace.TraceError) as error:
         fail(error)
     if report:
-        print(writer.write(found, str(out)))
+        print(writer.write_report(found, str(out)))
     for point in found.get("points", []):
         services = [r["service"] for r in point["runs"]]
         broken = sum(bool(r["broken"]) for r in point["runs"])
@@ -84,10 +84,10 @@
     from pinspread.simulation import experiment
     from pinspread.simulation import scenario as scenarios
     from pinspread.simulation.model import FleetModel
-    from pinspread.testbed import platform as stage
+    from pinspread.testbed import platform
 
     try:
-        points = experiment.load(str(file)).points
+        points = experiment.load_experiment(str(file)).points
     except experiment.ExperimentError as error:
         fail(error)
     point = next((p for p in points if variant in ("", p["variant"])), None)
@@ -95,7 +95,7 @@
         fail(f"{file}: has no variant {variant!r}")
     model = FleetModel.model_validate(point["world"])
     scenario = scenarios.draw_scenario(model, seed)
-    found = stage.play(model, scenario, out)
+    found = platform.play(model, scenario, out)
     (out / "accounts.json").write_bytes(orjson.dumps(found))
     for line in became(model, scenario, found):
         print(line)
@@ -116,8 +116,8 @@
     left, right = point_of(a), point_of(b)
     if left["seeds"] != right["seeds"]:
         fail(f"{a} and {b}: the days differ: other seeds")
-    found = judge.compare(left, right)
-    print(orjson.dumps(found).decode() if as_json else judge.table(found))
+    found = judge.compare_variants(left, right)
+    print(orjson.dumps(found).decode() if as_json else judge.format_comparison(found))
 
 
 def point_of(text):
@@ -140,7 +140,7 @@
     from pinspread.simulation import report as writer
 
     try:
-        print(writer.write(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
+        print(writer.write_report(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
     except (OSError, orjson.JSONDecodeError) as error:
         fail(f"{folder}/result.json: {error}")
 
@@ -156,11 +156,13 @@
     ],
 ):
     """Turn couriers' logs into a trace, and say what was fitted and how well it holds."""
-    from pinspread.simulation import trace
+    from pinspread.simulation import trace, trace_recording
 
     try:
-        found = trace.record([(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip())
-        trace.write(found, str(out))
+        found = trace_recording.record_trace(
+            [(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip()
+        )
+        trace.write_trace(found, str(out))
     except OSError as error:
         fail(error)
     except trace.TraceError as error:
@@ -174,28 +176,26 @@
     from pinspread.simulation import trace
 
     try:
-        show(trace.read(str(file)), file)
+        show(trace.read_trace(str(file)), file)
     except trace.TraceError as error:
         fail(error)
 
 
 def show(found, path):
     """A trace in words."""
-    count = len(found["arrivals"]["at_us"])
-    seconds = max(found["arrivals"]["at_us"]) / 1e6
+    arrivals = found.arrivals.at_us
     print(
-        f"{path}: {count} messages in {seconds:.1f} s from {found['couriers']} couriers; {found['skipped_lines']} lines skipped"
+        f"{path}: {len(arrivals)} messages in {max(arrivals) / 1e6:.1f} s from {found.instance_count} couriers;"
+        f" {found.skipped_lines} lines skipped"
     )
-    for one in found["fits"]:
-        fit = one["latency"]
-        distance = "" if fit["distance"] is None else f" (distance {fit['distance']:.3f})"
-        limit = (
-            f"limit {one['limit_per_s']:.1f} a second, holds {one['limit_holds']}"
-            if one["limit_per_s"]
-            else one["limit_holds"]
-        )
+    for one in found.fits:
+        distance = "" if one.latency.distance is None else f" (distance {one.latency.distance:.3f})"
+        limit = one.limit.quality
+        if one.limit.per_s:
+            limit = f"limit {one.limit.per_s:.1f} a second, holds {one.limit.quality}"
         print(
-            f"partner {one['dest']}: {one['calls']} calls, mean {fit['mean_ms']:.0f} ms, log-normal holds {fit['holds']}{distance}; {limit}; {len(one['outages'])} outages"
+            f"partner {one.destination}: {one.calls} calls, mean {one.latency.mean_ms:.0f} ms, log-normal holds"
+            f" {one.latency.quality}{distance}; {limit}; {len(one.outages)} outages"
         )
 
 
@@ -212,7 +212,7 @@
 
     from pinspread.simulation import scenario as scenarios
     from pinspread.simulation.model import FleetModel
-    from pinspread.testbed import platform as stage
+    from pinspread.testbed import platform
 
     model = FleetModel.model_validate(
         {
@@ -231,7 +231,7 @@
         flush=True,
     )
     with tempfile.TemporaryDirectory() as folder:
-        found = stage.play(model, scenario, keep or folder)
+        found = platform.play(model, scenario, keep or folder)
     for line in became(model, scenario, found):
         print(line)
     raise typer.Exit(1 if found["broken"] else 0)
@@ -262,13 +262,14 @@
 @stage.command("run")
 def stage_run(file: File, out: Out = Path("found/stage")):
     """Play a scene; its history and verdicts go to OUT; exit code 1 if an expectation failed."""
-    from pinspread.testbed import processes as cast
+    from pinspread.testbed import cluster
+    from pinspread.testbed.cluster_scenario import ScenarioError, load
 
     try:
-        scene = cast.load(str(file))
-        print(f"playing {file}: {scene['members']} members for {scene['seconds']} s ...", flush=True)
-        found = cast.play(scene, out)
-    except (cast.ScenarioError, ValueError) as error:
+        scenario = load(str(file))
+        print(f"playing {file}: {scenario['members']} members for {scenario['seconds']} s ...", flush=True)
+        found = cluster.play(scenario, out)
+    except (ScenarioError, ValueError) as error:
         fail(error)
     for verdict in found:
         shown = {k: v for k, v in verdict.items() if k not in ("ok", "kind", "faults", "each_s")}
@@ -278,7 +279,7 @@
     from pinspread.testbed import picture
 
     lines = judge.read_scene(out / "history.jsonl")
-    marks = [(e["s"], e["do"] + " " + ",".join(e.get("who", []))) for e in scene.get("at", [])]
+    marks = [(e["s"], e["do"] + " " + ",".join(e.get("who", []))) for e in scenario.get("at", [])]
     picture.draw(lines, out / "members.png", marks)
     print(f"history: {out / 'history.jsonl'}; picture: {out / 'members.png'}")
     if not all(v["ok"] for v in found):
@@ -288,10 +289,10 @@
 @stage.command("check")
 def stage_check(file: File):
     """Name a scene's problem, or say that it can be played."""
-    from pinspread.testbed import processes as cast
+    from pinspread.testbed.cluster_scenario import ScenarioError, load
 
     try:
-        scene = cast.load(str(file))
-    except cast.ScenarioError as error:
+        scenario = load(str(file))
+    except ScenarioError as error:
         fail(error)
-    print(f"{file}: no problems; {scene['members']} members, {len(scene.get('at', []))} faults")
+    print(f"{file}: no problems; {scenario['members']} members, {len(scenario.get('at', []))} faults")
--- a/pinspread/simulation/metrics.py
+++ b/pinspread/simulation/metrics.py
@@ -70,7 +70,7 @@
     }
 
 
-def of(fleet, seen=()):
+def measure(fleet, seen=()):
     """The accounts of a run that is over, with breaks that others have `seen`: plain numbers, lists and names only, the same for the same run."""
     model, scenario = fleet.model, fleet.scenario
     n = max(1, len(scenario.arrival_ns))
@@ -93,7 +93,7 @@
     wasted = max(0.0, fleet.work_done_ns - useful)
     handshakes = sum(c.handshakes for c in fleet.instances)
     probes = sum(c.probes for c in fleet.instances)
-    refused = sum(p.refused_limit for p in fleet.destinations.values())
+    refused = sum(p.rejected_over_limit for p in fleet.destinations.values())
     deductions = {
         "late_failures": LATE * float(late.sum()) / n,
         "waste": WASTE * min(wasted / asked_work, 2.0),
@@ -139,7 +139,7 @@
         "unanswered": fleet.unanswered,
         "handshakes": handshakes,
         "probes": probes,
-        "refused": sum(p.refused for p in fleet.destinations.values()),
+        "refused": sum(p.rejected for p in fleet.destinations.values()),
         "refused_limit": refused,
         "falls": sum(p.falls for p in fleet.destinations.values()),
         "verdicts": {Outcome(v).name.lower(): c for v, c in sorted(fleet.outcomes.items())},
--- a/pinspread/simulation/paper.py
+++ b/pinspread/simulation/paper.py
@@ -2,12 +2,14 @@
 
 import numpy as np
 
-from pinspread.simulation.random_streams import stream
+from pinspread.simulation.random_streams import random_stream
 
 
 def waits(seed, requests, retries, base_ms, factor, randomness):
     """When each request's retries go out, in ms after its first failure: [requests, retries]."""
-    scale = stream(seed, "paper", randomness).uniform(1 - randomness, 1 + randomness, (requests, retries))
+    scale = random_stream(seed, "paper", randomness).uniform(
+        1 - randomness, 1 + randomness, (requests, retries)
+    )
     return np.cumsum(base_ms * factor ** np.arange(retries) * scale, axis=1)
 
 
@@ -41,7 +43,7 @@
     return seen
 
 
-def run(paper, seeds):
+def recompute_figures(paper, seeds):
     """The paper's numbers beside ours: most concurrent requests at the last retry, and the chain."""
     found = {"randomness": {}, "chain": chain(paper.chain, paper.calls), "paper_chain": 81}
     for randomness in paper.randomness:
--- a/pinspread/simulation/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -5,23 +5,22 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointEntry, EndpointState, UpdateScope
 from pinspread.policy.settings import DestinationKind, Idempotency, Settings, Tenant, TrafficClass
-from pinspread.simulation import destination as partner
 from pinspread.simulation import metrics as accounts
 from pinspread.simulation.clients import ClientBehavior
-from pinspread.simulation.destination import Endpoint, build_destinations
+from pinspread.simulation.destination import Endpoint, ServingState, build_destinations
 from pinspread.simulation.engine import SECOND, Engine
 from pinspread.simulation.instance import Instance
-from pinspread.simulation.random_streams import stream, whole
+from pinspread.simulation.policy_sources import SETTINGS_KEYS
+from pinspread.simulation.random_streams import random_seed, random_stream
 from pinspread.simulation.rules import RuleChecker
 from pinspread.simulation.scenario import START_DRAWS, Scenario, tenant_quotas
-from pinspread.simulation.variants import SETTINGS_KEYS
 
 AFTER_NS = 30 * SECOND  # a day runs on so long for what is owed, unless all is over before
-STATE_OF = {
-    "crash": partner.CRASHED,
-    "silent": partner.SILENT,
-    "errors": partner.ERRORS,
-    "shut": partner.SHUT,
+OUTAGE_STATES = {
+    "crash": ServingState.CRASHED,
+    "silent": ServingState.SILENT,
+    "errors": ServingState.FAILING,
+    "shut": ServingState.REJECTING,
 }
 REPLACED_NS = 3 * SECOND  # a replaced endpoint goes so long after its successor came
 NEW_ID = 1_000_000
@@ -43,7 +42,7 @@
         self.entries = {e.id: self._entry(e) for e in self.endpoints.values()}
         self.delays = scenario.delay_ns.tolist()
         low, high = model.network.list_late_s
-        lag = stream(scenario.seed, "lag").uniform(low, high, model.couriers.count)
+        lag = random_stream(scenario.seed, "lag").uniform(low, high, model.couriers.count)
         self.lag_ns = (lag * SECOND).astype(np.int64).tolist()
         self.instances = [Instance(n, self) for n in range(model.couriers.count)]
         n = len(scenario.arrival_ns)
@@ -64,14 +63,16 @@
 
     def make_sender(self, courier, start):
         """The module of a courier that starts."""
-        return self.sender(self.settings, whole(self.module_seed, "module", courier, start))
+        return self.sender(self.settings, random_seed(self.module_seed, "module", courier, start))
 
     def run(self):
         """Play the day; gives its accounts."""
         engine, scenario, couriers = self.engine, self.scenario, self.instances
         entries = list(self.entries.values())
         spread = (
-            stream(scenario.seed, "start").random(len(couriers)) * self.model.couriers.start_spread_s * SECOND
+            random_stream(scenario.seed, "start").random(len(couriers))
+            * self.model.couriers.start_spread_s
+            * SECOND
         )
         for courier, at in zip(couriers, spread.tolist(), strict=True):
             engine.at(int(at), courier.start, entries)
@@ -84,7 +85,7 @@
         while engine.now < end and any(c.open for c in couriers):
             engine.run(engine.now + SECOND)
         self.checker.close(engine.now, {c.number for c in couriers if c.up})
-        return accounts.of(self)
+        return accounts.measure(self)
 
     # --- clients ----------------------------------------------------------------------------------
 
@@ -160,11 +161,11 @@
 
     def _plan(self, t):
         engine = self.engine
-        if t.kind in STATE_OF:
+        if t.kind in OUTAGE_STATES:
             for number in t.targets:
                 one = self.destinations[number]
-                engine.at(t.at_ns, one.start_outage, STATE_OF[t.kind], t.until_ns, t.size, t.leaves_cold)
-                engine.at(t.until_ns, one.restore)
+                engine.at(t.at_ns, one.start_outage, OUTAGE_STATES[t.kind], t.until_ns, t.size, t.leaves_cold)
+                engine.at(t.until_ns, one.end_outage)
         elif t.kind in ("restart", "kill"):
             for number, at in t.restarts(len(self.instances)):
                 engine.at(at, self._restart, self.instances[number], t.kind, t.down_ns)
@@ -205,7 +206,7 @@
             self.engine.at(until_ns, self._list, endpoint, EndpointState.READY)
             return
         owner = endpoint.destination
-        new = Endpoint(NEW_ID + id_, owner, endpoint.cores, endpoint.queue_room, endpoint.table)
+        new = Endpoint(NEW_ID + id_, owner, endpoint.cores, endpoint.queue_limit, endpoint.connection_limit)
         new.state = endpoint.state
         owner.endpoints.append(new)
         self.endpoints[new.id] = new
@@ -216,8 +217,8 @@
     def _go(self, endpoint):
         self._list(endpoint, EndpointState.REMOVED)
         endpoint.destination.endpoints.remove(endpoint)
-        endpoint.state = partner.CRASHED
-        endpoint.destination.lose(endpoint, reset=True)
+        endpoint.state = ServingState.CRASHED
+        endpoint.destination.discard_work(endpoint, reset=True)
 
     def _list(self, endpoint, state):
         entry = self.entries[endpoint.id] = self._entry(endpoint, state)
--- a/pinspread/sockets/limiter.py
+++ b/pinspread/sockets/limiter.py
@@ -6,6 +6,7 @@
 
 from pinspread.core.clock import Clock
 from pinspread.core.log import log
+from pinspread.core.time_units import US_PER_S
 from pinspread.sockets.connection import Connection
 
 COMMAND_TIMEOUT_US = (
@@ -28,7 +29,7 @@
         answered: A command of it has been answered without an error.
         submitted: It has submitted a message.
         mid_command: A command has begun and is not complete.
-        has_heartbeat: Its protocol notices when the client has gone: it is never closed for being idle.
+        has_heartbeat: Its protocol detects a lost client: it is never closed for being idle.
         reserved_bytes: Memory reserved for it beyond what each connection has.
         timeout_reply: The last reply to a client that does not send a complete command in time.
     """
@@ -165,7 +166,7 @@
         # Bytes that are there unread may be its command, where the event loop was late: closed now, it would
         # have no answer. A client that always has bytes unread and never a complete command is closed all the
         # same, two sweeps later.
-        excused = idle or waited_us < COMMAND_TIMEOUT_US + int(2 * SWEEP_INTERVAL_S * 1_000_000)
+        excused = idle or waited_us < COMMAND_TIMEOUT_US + int(2 * SWEEP_INTERVAL_S * US_PER_S)
         if excused and not client.connection.is_idle():
             return False
         return waited_us > (IDLE_TIMEOUT_US if idle else COMMAND_TIMEOUT_US)
--- a/tests/decision_recordings.py
+++ b/tests/decision_recordings.py
@@ -4,9 +4,9 @@
 type or field of the package. First line: a JSON array of the seed and the settings' row. Then a line a turn,
 three fields parted by tabs: nanoseconds since the turn before, the events as a JSON array of rows, the
 actions as one. Last line: a digest of the state of the sender's random generator, so that draws which led to
-no action count too. A row is an array: a code as on the simulator's wire (`pinspread/wire.py`; 0 stands for
-other settings), then values by position. The codes are written out here a second time on purpose: a change of
-the wire must not change how a recording is read.
+no action count too. A row is an array: a code as on the simulator's wire (`pinspread/simulator_wire/`; 0
+stands for other settings), then values by position. The codes are written out here a second time on purpose:
+a change of the wire must not change how a recording is read.
 
 `tests/test_recorded_decisions.py` replays the files, `benchmarks/record_decisions.py` writes them.
 """
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -27,16 +27,10 @@
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.resp import front
 from pinspread.resp.notifications import NotificationSender
-from pinspread.testbed.stand_ins import (
-    AmqpClient,
-    Client,
-    HttpStandIn,
-    configuration,
-    host,
-    listener,
-    standing,
-    until,
-)
+from pinspread.testbed.clients import AmqpClient, Client
+from pinspread.testbed.courier_settings import configuration, host
+from pinspread.testbed.loopback import listener, standing, until
+from pinspread.testbed.stand_ins import HttpStandIn
 
 __all__ = [
     "AmqpClient",
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -14,7 +14,7 @@
 import msgpack
 
 from pinspread.leases import codec as lease_codec
-from pinspread.leases import raft, raft_log, raft_transport, state_machine
+from pinspread.leases import learner, raft, raft_log, raft_messages, state_machine
 from pinspread.leases import service as lease_service
 from pinspread.membership import codec, message_codec, swim
 from pinspread.membership import service as member_service
@@ -36,7 +36,7 @@
     codec.MAGIC,
     lease_codec.MAGIC,
     protocol.MAGIC,
-    raft_transport.MAGIC,
+    raft_messages.MAGIC,
 )
 pack, unpack, DatagramError = codec.encode, codec.decode, codec.DatagramError
 
@@ -277,7 +277,7 @@
 
 def no_wait():
     """A voter that is fresh needs no wait before it votes."""
-    return mock.patch.object(raft_transport, "FIRST_VOTE_DELAY_S", 0)
+    return mock.patch.object(learner, "FIRST_VOTE_DELAY_S", 0)
 
 
 # --- membership's datagrams -------------------------------------------------------------------------
@@ -336,7 +336,7 @@
         sent.append((f"{host}:{port}", data))
 
     for one in parties.values():
-        one._socket = SimpleNamespace(sendto=sendto)
+        one._socket.socket = SimpleNamespace(sendto=sendto)
     taken = []
 
     async def settle():
@@ -353,7 +353,7 @@
                 if message["t"] == "lease":
                     await party.handler.handle(*received)
                 else:
-                    party._handle_answer(received)
+                    party.claims.handle_answer(received)
 
     views = {}
     for name, us in (("a", 0), ("c", 100_000), ("a", 4_000_000)):
@@ -516,7 +516,7 @@
     rows = []
     with no_wait():
         q = voter(folder, rows=lambda task, found: rows.append([task, told_row(found)]))
-        fresh = q.transport.is_learner
+        fresh = q.learner.is_learner
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(q._run_library)
             await leads(q)
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 from pamqp import commands
-from standins import AmqpClient, Client, HttpStandIn, engine, malformed, standing, until
+from standins import AmqpClient, Client, HttpStandIn, engine, malformed, marshal, standing, until
 
 from pinspread.amqp import frames
 from pinspread.amqp.errors import ReplyCode
@@ -84,6 +84,38 @@
         assert (await client.end())[0]["id"] == "m2"
 
 
+async def test_a_result_that_is_refused_for_good_makes_room_for_the_next(tmp_path):
+    async with engine(tmp_path) as rig:
+        client = await AmqpClient.open(rig.amqp)
+        for n in (1, 2):
+            await client.publish(f"m{n}", for_ms=50 * n)
+            await client.next()
+        await until(lambda: len(rig.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
+        await client.consume(prefetch=1)
+        result, method = await client.end(ack=False)
+        await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, False), 1)
+        with anyio.fail_after(1):
+            assert (result["id"], (await client.end())[0]["id"]) == ("m1", "m2")
+
+
+async def test_an_answer_that_waits_when_the_connection_is_closed_is_written_once(tmp_path):
+    async with engine(tmp_path) as rig:
+        client = await AmqpClient.open(rig.amqp)
+        declare = commands.Queue.Declare(0, "q")
+        await client.wire.write(marshal(declare) + malformed(b"\0\0\0\0"))  # in one read of the front's
+        heard = [(await client.next())[0].name for _ in range(2)]
+        assert heard == ["Queue.DeclareOk", "Connection.Close"]
+
+
+async def test_what_cannot_be_decoded_is_named_without_addresses_of_memory(tmp_path):
+    async with engine(tmp_path) as rig:
+        client = await AmqpClient.open(rig.amqp)
+        await client.wire.write(malformed(marshal(commands.Basic.Ack(1))[7:-1][:-3]))
+        method, _, _ = await client.next()
+        assert method.reply_code == ReplyCode.SYNTAX_ERROR
+        assert "Basic.Ack" in method.reply_text and "0x" not in method.reply_text
+
+
 @pytest.mark.parametrize(
     ("send", "code"),
     [
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from pysyncobj.journal import MemoryJournal
 
-from pinspread.leases import raft, raft_log, raft_transport
+from pinspread.leases import learner, raft, raft_log, raft_transport
 from pinspread.leases.state_machine import Command, CommandKind
 
 STEPS = st.lists(
@@ -111,7 +111,7 @@
 
 
 def test_a_voter_keeps_its_entries_in_the_log_and_is_a_learner_when_they_are_damaged(tmp_path, monkeypatch):
-    monkeypatch.setattr(raft_transport, "FIRST_VOTE_DELAY_S", 0)
+    monkeypatch.setattr(learner, "FIRST_VOTE_DELAY_S", 0)
 
     async def grant(q):
         await leads(q)
@@ -129,7 +129,7 @@
     assert rows[-1].holder == "m"
 
     async def look(q):
-        assert not q.transport.is_learner
+        assert not q.learner.is_learner
         with anyio.fail_after(5):
             while not rows or rows[-1].holder != "m":
                 await anyio.sleep(0.01)
@@ -142,9 +142,7 @@
 
     async def damaged(q):
         assert (
-            q.transport.is_learner
-            and (tmp_path / "damaged-log").exists()
-            and not (tmp_path / "votes").exists()
+            q.learner.is_learner and (tmp_path / "damaged-log").exists() and not (tmp_path / "votes").exists()
         )
 
     monkeypatch.setattr(raft_transport.VoterTransport, "promote_if_safe", lambda self: None)
@@ -152,7 +150,7 @@
 
 
 def test_a_voter_whose_log_cannot_be_written_stays_silent_and_the_courier_goes_on(tmp_path, monkeypatch):
-    monkeypatch.setattr(raft_transport, "FIRST_VOTE_DELAY_S", 0)
+    monkeypatch.setattr(learner, "FIRST_VOTE_DELAY_S", 0)
 
     async def fail(q):
         await leads(q)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -18,7 +18,7 @@
 from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
 from pinspread.membership.swim import SwimConfig
-from pinspread.replication import fleet, placement
+from pinspread.replication import fleet, placement, protocol
 from pinspread.replication.config import ReplicationConfig
 from pinspread.replication.journal_bytes import replay
 from pinspread.replication.log import (
@@ -32,6 +32,7 @@
 from pinspread.replication.snapshots import (
     ReplicaSnapshot,
     covers_promises,
+    covers_takeovers,
     newest_of,
     without_torn_tails,
 )
@@ -182,6 +183,25 @@
     assert newest_of(found) == snapshot(3, b"ab") and not newest_of([snapshot(0, b"")])
 
 
+def test_which_replicas_must_answer_before_their_owner_goes_by_what_they_know_of_a_successor():
+    def told(replicas, generation=3):
+        return ReplicaSnapshot(generation, b"a", replicas, [], 0)
+
+    one = {"b": told(["b", "c"])}
+    assert covers_takeovers(one, 3, 2, 1)  # a successor has asked both
+    assert not covers_takeovers(one, 3, 2, 2)  # it may have asked the other alone
+    assert covers_takeovers(one | {"c": told(["b", "c"], 2)}, 3, 2, 2)
+    assert not covers_takeovers(one, 4, 2, 1)  # has missed a rewrite: others may be replicas since
+    assert not covers_takeovers(one | {"x": snapshot(0, b"")}, 4, 2, 1)
+    assert covers_takeovers(one | {"c": snapshot(0, b"")}, 4, 2, 1)  # the rewrite has reached none of them
+    assert not covers_takeovers({}, 0, 2, 1)
+    assert not covers_takeovers({"x": snapshot(0, b"")}, 0, 2, 1)
+    # "d" was chosen for "c" by then, and a successor may have asked "b" and "d", or "c" and another.
+    moved = {"c": told(["b", "c"]), "d": told(["d", "e"])}
+    assert covers_takeovers(moved, 3, 2, 1)
+    assert not covers_takeovers({"c": told(["d", "e"])}, 3, 2, 1)
+
+
 def message(number, **more):
     return Message(number, f"id{number}", "payment", "all", 1, 0, "", 10**18, b"body", "resp", **more)
 
@@ -268,6 +288,27 @@
     assert ReplicaStore(tmp_path, "a").replica.takeover_token == 6
 
 
+@pytest.mark.parametrize(
+    ("meta", "read"),
+    [
+        (b"{", {}),
+        (b"[1]", {}),
+        (b'{"token": "6", "tried": ["b"]}', {"takeover_candidates": ["b"]}),
+        (b'{"token": -1}', {}),
+        (b'{"token": 4, "keepers": 5}', {"fencing_token": 4}),
+        (b'{"token": 4, "tried": [1]}', {"fencing_token": 4}),
+        (b'{"token": 4, "adopted": true}', {"fencing_token": 4}),
+    ],
+)
+def test_of_a_damaged_meta_file_what_can_be_read_counts(service, tmp_path, capfd, meta, read):
+    (tmp_path / "a").mkdir()
+    (tmp_path / "a" / "meta").write_bytes(meta)
+    service.stores.open()
+    assert service.stores["a"].replica == Replica("a", **read)
+    assert capfd.readouterr().out.count('"event":"copies_meta_damaged"') == 1
+    assert answer(service, SEND)["t"] == "have"
+
+
 def test_a_replica_removes_its_data_but_not_the_token_when_the_owner_says_so(service, tmp_path):
     answer(service, SEND)
     answer(service, DATA | {"bytes": b"base"})
@@ -314,12 +355,50 @@
     )
 
 
-@pytest.mark.parametrize("message", [{}, {"t": "steal"}, SEND | {"token": "5"}, DATA | {"bytes": "text"}])
+@pytest.mark.parametrize(
+    "message",
+    [
+        {},
+        {"t": "steal"},
+        {"t": []},
+        SEND | {"t": {"send": 1}},
+        SEND | {"token": "5"},
+        DATA | {"bytes": "text"},
+    ],
+)
 def test_a_message_that_is_not_well_formed_ends_its_stream(service, message):
     with pytest.raises(codec.DatagramError):
         answer(service, message)
 
 
+HAVE = {"t": "have", "generation": 7, "size": 4, "sums": [1]}
+COPY = {"t": "copy", "generation": 7, "bytes": b"x", "keepers": ["k"], "tried": [], "adopted": 0}
+
+
+@pytest.mark.parametrize(
+    ("request_", "message"),
+    [
+        *(
+            (protocol.FetchSnapshot("a", 5), {k: v for k, v in COPY.items() if k != key})
+            for key in COPY
+            if key != "t"
+        ),
+        (protocol.FetchSnapshot("a", 5), COPY | {"bytes": "text"}),
+        (protocol.FetchSnapshot("a", 5), COPY | {"keepers": [["k"]]}),
+        (protocol.ReadSnapshot("a"), COPY | {"tried": [1]}),
+        (protocol.ReadSnapshot("a"), COPY | {"generation": -1}),
+        (protocol.ReadSnapshot("a"), COPY | {"adopted": True}),
+        (protocol.AnnounceReplicas("a", 5, ["k"]), HAVE | {"sums": ["1"]}),
+        (protocol.AnnounceReplicas("a", 5, ["k"]), HAVE | {"size": -1}),
+        (protocol.AppendData("a", 5, 7, 4, 0, b"x"), {"t": "ack", "generation": 7, "size": -1}),
+        (protocol.AppendData("a", 5, 7, 4, 0, b"x"), {"t": "ack", "generation": 7}),
+    ],
+)
+def test_an_answer_that_is_not_well_formed_is_refused(request_, message):
+    with pytest.raises(codec.DatagramError):
+        protocol.decode_answer(request_, message)
+
+
 def test_waiting_for_replicas_is_bounded_and_one_disk_is_enough_only_where_allowed(service, monkeypatch):
     service.primary.replicas = ["a", "b"]
     service.primary.announced = {"a": ["a", "b"], "b": ["a", "c"]}
