--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -6,8 +6,7 @@
 
 from pinspread.leases import codec as lease_codec
 from pinspread.leases.state_machine import Request, RequestKind
-from pinspread.membership import codec as wire
-from pinspread.membership import message_codec, service
+from pinspread.membership import codec, message_codec, service
 from pinspread.membership.config import SwimConfig
 from pinspread.membership.framing import ConnectionClosedError, FrameStream
 
@@ -16,7 +15,7 @@
 
 
 def damaged(change):
-    data = bytearray(wire.encode(PING, KEY))
+    data = bytearray(codec.encode(PING, KEY))
     change(data)
     return bytes(data)
 
@@ -25,32 +24,32 @@
     ("data", "key", "why"),
     [
         (b"", KEY, "shorter"),
-        (b"PSX" + wire.encode(PING, KEY)[3:], KEY, "not a datagram"),
+        (b"PSX" + codec.encode(PING, KEY)[3:], KEY, "not a datagram"),
         (damaged(lambda d: d.__setitem__(3, 9)), KEY, "version 9"),
-        (wire.encode(PING, KEY)[:-1], KEY, "length"),
+        (codec.encode(PING, KEY)[:-1], KEY, "length"),
         (damaged(lambda d: d.__setitem__(-1, d[-1] ^ 1)), KEY, "checksum"),
-        (wire.encode(PING, KEY), b"fleet-b", "checksum"),
-        (wire.encode([1, 2], KEY), KEY, "not a map"),
-        (wire.encode(PING | {"t": "boom"}, KEY), KEY, "kind"),
-        (wire.encode(PING | {"seq": "1"}, KEY), KEY, "'seq'"),
-        (wire.encode(PING | {"inc": True}, KEY), KEY, "'inc'"),
-        (wire.encode(PING | {"inc": -1}, KEY), KEY, "update"),
-        (wire.encode(PING | {"up": [["b", "x", 0, "zombie", "a"]]}, KEY), KEY, "update"),
-        (wire.encode(PING | {"t": "sync", "reply": True, "table": [["b"]]}, KEY), KEY, "row of the table"),
-        (wire.encode(PING | {"t": "ask"}, KEY), KEY, "'to_at'"),
+        (codec.encode(PING, KEY), b"fleet-b", "checksum"),
+        (codec.encode([1, 2], KEY), KEY, "not a map"),
+        (codec.encode(PING | {"t": "boom"}, KEY), KEY, "kind"),
+        (codec.encode(PING | {"seq": "1"}, KEY), KEY, "'seq'"),
+        (codec.encode(PING | {"inc": True}, KEY), KEY, "'inc'"),
+        (codec.encode(PING | {"inc": -1}, KEY), KEY, "update"),
+        (codec.encode(PING | {"up": [["b", "x", 0, "zombie", "a"]]}, KEY), KEY, "update"),
+        (codec.encode(PING | {"t": "sync", "reply": True, "table": [["b"]]}, KEY), KEY, "row of the table"),
+        (codec.encode(PING | {"t": "ask"}, KEY), KEY, "'to_at'"),
     ],
 )
-def test_a_datagram_that_is_not_taken_says_why(data, key, why):
-    with pytest.raises(wire.DatagramError, match=why):
+def test_a_datagram_that_is_rejected_says_why(data, key, why):
+    with pytest.raises(codec.DatagramError, match=why):
         message_codec.decode_message(data, key)
 
 
-def test_a_whole_datagram_comes_back_as_it_went():
-    assert message_codec.to_map(message_codec.decode_message(wire.encode(PING, KEY), KEY)) == PING
+def test_a_complete_datagram_is_decoded_to_what_was_encoded():
+    assert message_codec.to_map(message_codec.decode_message(codec.encode(PING, KEY), KEY)) == PING
 
 
 def test_a_field_of_another_kind_of_message_is_ignored():
-    data = wire.encode(PING | {"to_at": 5}, KEY)
+    data = codec.encode(PING | {"to_at": 5}, KEY)
     assert message_codec.to_map(message_codec.decode_message(data, KEY)) == PING
 
 
@@ -58,14 +57,14 @@
     import random
 
     rng = random.Random(5)
-    good = wire.encode(PING, KEY)
+    good = codec.encode(PING, KEY)
     for n in range(2000):
         data = bytearray(good[: rng.randrange(len(good))]) if n % 2 else bytearray(rng.randbytes(n % 90))
-        with pytest.raises(wire.DatagramError):
+        with pytest.raises(codec.DatagramError):
             message_codec.decode_message(bytes(data), KEY)
 
 
-def test_a_leave_while_the_turns_go_on_breaks_no_socket():
+def test_a_leave_while_rounds_are_sent_breaks_no_socket():
     async def play():
         plan = service.MembershipConfig("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, SwimConfig())
         one = service.MembershipService(plan)
@@ -82,23 +81,23 @@
     ("sent", "error"),
     [
         (b"", ConnectionClosedError),
-        (wire.encode({"n": 2}, KEY)[:-1], ConnectionClosedError),  # ends within a frame
-        (wire.encode({"n": "x" * 90}, KEY), wire.DatagramError),  # longer than is accepted
-        (wire.encode({"n": 2}, b"fleet-b"), wire.DatagramError),
+        (codec.encode({"n": 2}, KEY)[:-1], ConnectionClosedError),  # ends within a frame
+        (codec.encode({"n": "x" * 90}, KEY), codec.DatagramError),  # longer than is accepted
+        (codec.encode({"n": 2}, b"fleet-b"), codec.DatagramError),
     ],
 )
 def test_a_stream_of_frames_tells_its_end_from_a_frame_that_is_not_accepted(sent, error):
     async def play():
         async def serve(stream):
             async with stream:
-                await stream.send(wire.encode({"n": 1}, KEY) + sent)
+                await stream.send(codec.encode({"n": 1}, KEY) + sent)
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         async with listener, anyio.create_task_group() as tasks:
             tasks.start_soon(listener.serve, serve)
             async with await anyio.connect_tcp("127.0.0.1", port) as stream:
-                frames = FrameStream(stream, KEY, wire.MAGIC, 80)
+                frames = FrameStream(stream, KEY, codec.MAGIC, 80)
                 with anyio.fail_after(5):
                     assert await frames.receive() == {"n": 1}
                     with pytest.raises(error):
@@ -112,8 +111,8 @@
 
 @pytest.mark.parametrize("change", [{"t": []}, {"up": [["b", "x", 0, [], "a"]]}])
 def test_a_list_where_a_word_belongs_is_dropped_too(change):
-    with pytest.raises(wire.DatagramError):
-        message_codec.decode_message(wire.encode(PING | change, KEY), KEY)
+    with pytest.raises(codec.DatagramError):
+        message_codec.decode_message(codec.encode(PING | change, KEY), KEY)
 
 
 NO_ADDRESSES = ["nowhere", "", ":7001", "127.0.0.1:", "127.0.0.1:99999", "127.0.0.1:\u00b2", "a\0b:1"]
@@ -131,14 +130,14 @@
     ids=["sender", "update", "target", "table"],
 )
 def test_an_address_that_nothing_can_be_sent_to_is_dropped(change, address):
-    with pytest.raises(wire.DatagramError):
-        message_codec.decode_message(wire.encode(PING | change(address), KEY), KEY)
+    with pytest.raises(codec.DatagramError):
+        message_codec.decode_message(codec.encode(PING | change(address), KEY), KEY)
 
 
 @pytest.mark.parametrize("address", NO_ADDRESSES)
 def test_a_lease_request_that_cannot_be_answered_is_dropped(address):
     request = Request(RequestKind.ACQUIRE, "nightly", "a", 0, 1)
-    with pytest.raises(wire.DatagramError):
+    with pytest.raises(codec.DatagramError):
         lease_codec.decode(lease_codec.encode_request(request, address, KEY), KEY)
 
 
@@ -156,8 +155,8 @@
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(member.run)
                     for _ in range(3):  # two turns more may pass before a socket that was closed is noticed
-                        await sender.sendto(wire.encode(PING | {"from_at": address}, KEY), "127.0.0.1", port)
-                        await sender.sendto(wire.encode(good, KEY), "127.0.0.1", port)
+                        await sender.sendto(codec.encode(PING | {"from_at": address}, KEY), "127.0.0.1", port)
+                        await sender.sendto(codec.encode(good, KEY), "127.0.0.1", port)
                         await sender.receive()
                     tasks.cancel_scope.cancel()
         assert member.dropped == 3 and member.member.table["a"].address == good["from_at"]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,8 +7,7 @@
 import pytest
 from standins import until
 
-from pinspread.leases import learner, lease_model
-from pinspread.leases import state_machine as lease
+from pinspread.leases import learner, lease_model, state_machine
 from pinspread.leases.lease_model import Bounds, Rules
 from pinspread.leases.model_checker import explore
 from pinspread.leases.service import LeaseConfig, LeaseService, LeaseTask
@@ -16,8 +15,8 @@
 from pinspread.membership.config import SwimConfig
 from pinspread.membership.service import MembershipConfig, MembershipService
 
-TERMS = lease.LeaseTerms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
-A = lease.Contender("t", "a")
+TERMS = state_machine.LeaseTerms(lease_us=1000, drift_us=50, margin_us=20, renew_us=300, retry_us=100)
+A = state_machine.Contender("t", "a")
 
 
 @pytest.mark.parametrize(
@@ -51,7 +50,7 @@
     ],
 )
 def test_a_row_after_each_command(row, command, after, why):
-    assert lease.apply_command(row, command) == (after, why)
+    assert state_machine.apply_command(row, command) == (after, why)
 
 
 @pytest.mark.parametrize(
@@ -67,47 +66,49 @@
         (Request("give", "t", "a", 1, 9), 1, Command("release", "a", 1)),
     ],
 )
-def test_what_a_voter_makes_of_a_request(request_, now_us, said):
-    assert lease.evaluate_request(LeaseRecord("a", 1, 2, 7), 0, request_, TERMS, now_us) == said
+def test_a_voters_decision_on_each_request(request_, now_us, said):
+    assert state_machine.evaluate_request(LeaseRecord("a", 1, 2, 7), 0, request_, TERMS, now_us) == said
 
 
 def test_a_claim_counts_from_before_it_asked_and_ends_when_a_renewal_is_refused():
-    claim, request = lease.tick(Claim(), TERMS, A, 100, 7)
+    claim, request = state_machine.tick(Claim(), TERMS, A, 100, 7)
     assert request == Request("ask", "t", "a", 0, 7)
-    assert lease.tick(claim, TERMS, A, 150, 8) == (claim, None)
-    claim, again = lease.tick(claim, TERMS, A, 200, 8)
+    assert state_machine.tick(claim, TERMS, A, 150, 8) == (claim, None)
+    claim, again = state_machine.tick(claim, TERMS, A, 200, 8)
     assert again == request  # the same number, so that it is granted once
-    claim = lease.apply_answer(claim, Answer("t", 7, "ok", 5), TERMS, 600)
+    claim = state_machine.apply_answer(claim, Answer("t", 7, "ok", 5), TERMS, 600)
     assert claim.token == 5 and claim.expiry_us == 1100
-    assert lease.may_act(claim, TERMS, 1029) and not lease.may_act(claim, TERMS, 1030)
-    claim, renewal = lease.tick(claim, TERMS, A, 601, 9)
+    assert state_machine.may_act(claim, TERMS, 1029) and not state_machine.may_act(claim, TERMS, 1030)
+    claim, renewal = state_machine.tick(claim, TERMS, A, 601, 9)
     assert renewal == Request("keep", "t", "a", 5, 9)
     assert (
-        lease.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
+        state_machine.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
     )  # of another request
-    kept = lease.apply_answer(claim, Answer("t", 9, "ok", 5), TERMS, 700)
+    kept = state_machine.apply_answer(claim, Answer("t", 9, "ok", 5), TERMS, 700)
     assert kept.expiry_us == 1601
-    lost = lease.apply_answer(claim, Answer("t", 9, "not the holder"), TERMS, 700)
-    assert not lease.may_act(lost, TERMS, 700)
-    silent, _ = lease.tick(claim, TERMS, A, 1100, 10)
+    lost = state_machine.apply_answer(claim, Answer("t", 9, "not the holder"), TERMS, 700)
+    assert not state_machine.may_act(lost, TERMS, 700)
+    silent, _ = state_machine.tick(claim, TERMS, A, 1100, 10)
     assert silent.token == 0
 
 
 def without_drift_of_the_holder(claim, terms, now_us):
-    return lease.may_act(claim, terms._replace(drift_us=0), now_us)
+    return state_machine.may_act(claim, terms._replace(drift_us=0), now_us)
 
 
 def without_drift_of_the_voter(row, applied_us, request, terms, now_us):
-    return lease.evaluate_request(row, applied_us, request, terms._replace(drift_us=0), now_us)
+    return state_machine.evaluate_request(row, applied_us, request, terms._replace(drift_us=0), now_us)
 
 
 def without_the_wait(row, applied_us, request, terms, now_us):
-    return lease.evaluate_request(row, applied_us, request, terms._replace(lease_us=0, drift_us=0), now_us)
+    return state_machine.evaluate_request(
+        row, applied_us, request, terms._replace(lease_us=0, drift_us=0), now_us
+    )
 
 
 def without_the_version(row, command):
-    expected = row.version if command.kind == lease.CommandKind.GRANT else command.expected
-    return lease.apply_command(row, command._replace(expected=expected))
+    expected = row.version if command.kind == state_machine.CommandKind.GRANT else command.expected
+    return state_machine.apply_command(row, command._replace(expected=expected))
 
 
 def test_no_order_of_events_within_six_steps_gives_two_holders():
@@ -184,7 +185,7 @@
 
 def test_the_only_voter_grants_itself_a_lease_over_its_sockets_and_takes_it_back(tmp_path, free_address):
     membership = MembershipService(MembershipConfig("a", "", free_address, (), b"fleet", SwimConfig()))
-    terms = lease.LeaseTerms(retry_us=20_000)
+    terms = state_machine.LeaseTerms(retry_us=20_000)
     config = LeaseConfig(
         free_address,
         free_address,
