--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -17,8 +17,7 @@
 from hdrh.histogram import HdrHistogram
 
 from pinspread.admin import status_client as show
-from pinspread.testbed import cluster
-from pinspread.testbed import history_checker as judge
+from pinspread.testbed import cluster, history_checker
 from pinspread.testbed.ledger import ledger
 
 LEASES = {"lease_s": 2.0, "renew_s": 0.6, "retry_s": 0.2, "drift_s": 0.1, "margin_s": 0.1, "election_s": 0.3}
@@ -61,7 +60,7 @@
     finally:
         await testbed.stop_traffic()
         await asyncio.to_thread(testbed.finish)
-    return judge.read_scene(Path(folder) / "history.jsonl")
+    return history_checker.read_scenario(Path(folder) / "history.jsonl")
 
 
 def flowing(lines):
@@ -114,7 +113,7 @@
     finally:
         await testbed.stop_traffic()
         await asyncio.to_thread(testbed.finish)
-    lines = judge.read_scene(Path(folder) / "history.jsonl")
+    lines = history_checker.read_scenario(Path(folder) / "history.jsonl")
     took = [li["took_us"] for li in lines if li.get("event") == "acked"]
     sent = sum(v["sent_bytes"] for v in views)
     print(f"R={count}, W={need}{', synced' * sync}: ms to +OK: {spread(took)}; {len(took) / 8:.0f} messages a second in all;"
@@ -133,7 +132,7 @@
     finally:
         await testbed.stop_traffic()
         await asyncio.to_thread(testbed.finish)
-    lines = judge.read_scene(Path(folder) / "history.jsonl")
+    lines = history_checker.read_scenario(Path(folder) / "history.jsonl")
     took = [li["took_us"] for li in lines if li.get("event") == "acked"]
     busy = sum(li.get("event") == "turned_away" for li in lines)
     print(f"R={count}, W={need}{', synced' * sync}: {len(took) / 8:.0f} messages a second at one courier, ms to +OK:"
--- a/benchmarks/copies_chaos.py
+++ b/benchmarks/copies_chaos.py
@@ -15,8 +15,7 @@
 from collections import Counter
 from pathlib import Path
 
-from pinspread.testbed import cluster
-from pinspread.testbed import history_checker as judge
+from pinspread.testbed import cluster, history_checker
 
 LEASES = {"lease_s": 2.0, "renew_s": 0.6, "retry_s": 0.2, "drift_s": 0.1, "margin_s": 0.1, "election_s": 0.3}
 LIFE_S = 25.0
@@ -84,13 +83,13 @@
     finally:
         await testbed.stop_traffic()
         await asyncio.to_thread(testbed.finish)
-    return judge.read_scene(Path(folder) / "history.jsonl"), counts
+    return history_checker.read_scenario(Path(folder) / "history.jsonl"), counts
 
 
 def main(out, seconds, seed):
     lines, counts = asyncio.run(play(out, seconds, seed))
     print("troubles:", sum(counts.values()), dict(counts))
-    found = judge.judge(lines, [{"kind": "ledger", "least": 100}, {"kind": "one_holder"}])
+    found = history_checker.check(lines, [{"kind": "ledger", "least": 100}, {"kind": "one_holder"}])
     for verdict in found:
         print("ok  " if verdict["ok"] else "FAIL", verdict)
     print("taken over:", sum(li.get("event") == "copies_taken_over" for li in lines))
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -18,9 +18,7 @@
 from pinspread.admin import status_client as show
 from pinspread.leases.lease_model import Bounds
 from pinspread.leases.model_checker import explore
-from pinspread.testbed import cluster
-from pinspread.testbed import history_checker as judge
-from pinspread.testbed import lease_checker as judge_leases
+from pinspread.testbed import cluster, history_checker, lease_checker
 from pinspread.testbed.member_configuration import ClockError
 
 LEASES = {
@@ -77,23 +75,23 @@
             await asyncio.sleep(rng.uniform(2, 6))
     finally:
         await asyncio.to_thread(testbed.finish)
-    return judge.read_scene(Path(folder) / "history.jsonl")
+    return history_checker.read_scenario(Path(folder) / "history.jsonl")
 
 
 def report(lines):
-    found = judge.judge(lines, [{"kind": "one_holder"}, {"kind": "tokens_grow"}])
+    found = history_checker.check(lines, [{"kind": "one_holder"}, {"kind": "tokens_grow"}])
     for verdict in found:
         print("ok  " if verdict["ok"] else "FAIL", verdict)
     begin = next(li["mono_us"] for li in lines if li.get("event") == "lease_held")
     end = next(li["mono_us"] for li in lines if li.get("event") == "ending")
     seconds = (end - begin) / 1e6
-    gaps = sorted(g for g in judge_leases.gaps(lines) if g is not None)
+    gaps = sorted(g for g in lease_checker.gaps(lines) if g is not None)
     if gaps:
         p99 = gaps[min(len(gaps) - 1, round(0.99 * (len(gaps) - 1)))]
         print(
             f"without a holder after a loss: median {statistics.median(gaps):.2f} s, p99 {p99:.2f} s, {len(gaps)} losses"
         )
-    shares = judge_leases.held_share(lines, begin, end)
+    shares = lease_checker.held_share(lines, begin, end)
     print("held:", {t: round(s, 3) for t, s in sorted(shares.items())}, f"of {seconds:.0f} s")
     count = {
         e: sum(li.get("event") == e for li in lines)
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -12,8 +12,7 @@
 import time
 from pathlib import Path
 
-from pinspread.testbed import cluster
-from pinspread.testbed import history_checker as judge
+from pinspread.testbed import cluster, history_checker
 
 N = 16
 TUNING = {"period_s": 0.5, "timeout_s": 0.2}
@@ -22,7 +21,9 @@
 
 def one_table(testbed):
     def test(views):
-        return len(views) == N and judge.agreed(set(views), views, [c.id for c in testbed.members])
+        return len(views) == N and history_checker.all_agree(
+            set(views), views, [c.id for c in testbed.members]
+        )
 
     return test
 
@@ -76,9 +77,9 @@
                 await asyncio.sleep(1)
     finally:
         await asyncio.to_thread(testbed.finish)
-    lines = judge.read(Path(folder) / "history.jsonl")
+    lines = history_checker.read(Path(folder) / "history.jsonl")
     deaths = [li for li in lines if li.get("event") == "member" and li["state"] == "dead"]
-    false, hours = judge.false_deaths(lines)
+    false, hours = history_checker.false_deaths(lines)
     return false, len(deaths), hours, paused
 
 
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -275,12 +275,11 @@
         shown = {k: v for k, v in verdict.items() if k not in ("ok", "kind", "faults", "each_s")}
         print("ok  " if verdict["ok"] else "FAIL", verdict["kind"], orjson.dumps(shown).decode()[:300])
     (out / "verdicts.json").write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2))
-    from pinspread.testbed import history_checker as judge
-    from pinspread.testbed import picture
+    from pinspread.testbed import history_checker, plot
 
-    lines = judge.read_scene(out / "history.jsonl")
+    lines = history_checker.read_scenario(out / "history.jsonl")
     marks = [(e["s"], e["do"] + " " + ",".join(e.get("who", []))) for e in scenario.get("at", [])]
-    picture.draw(lines, out / "members.png", marks)
+    plot.draw(lines, out / "members.png", marks)
     print(f"history: {out / 'history.jsonl'}; picture: {out / 'members.png'}")
     if not all(v["ok"] for v in found):
         raise typer.Exit(1)
--- a/pinspread/testbed/cluster.py
+++ b/pinspread/testbed/cluster.py
@@ -160,8 +160,8 @@
         finally:
             await self.stop_traffic()
             await asyncio.to_thread(self.finish)
-        lines = history_checker.read_scene(self.folder / HISTORY_FILE)
-        return history_checker.judge(lines, self.scenario.expectations)
+        lines = history_checker.read_scenario(self.folder / HISTORY_FILE)
+        return history_checker.check(lines, self.scenario.expectations)
 
 
 def play(scenario: Mapping[str, Any], folder: Path | str) -> list[dict[str, Any]]:
--- a/pinspread/testbed/history_checker.py
+++ b/pinspread/testbed/history_checker.py
@@ -1,181 +1,176 @@
-"""The stage's history and its judge: one JSON line an event, in monotonic microseconds of the machine.
-
-A line has `mono_us`, `who` (a member's id, or `stage`) and `event`. The judge replays each member's table
-from its `member` lines and which processes ran from the stage's own lines, then weighs expectations:
-
-- `dead`: every member that runs at the end says `of` is dead (or left) within `within_s` of `after_s`; -
-`never_dead`: nobody says any of `of` (all members if empty) is dead from `from_s` to `to_s`; - `one_table`:
-from `after_s` on, within `within_s`, every running member sees every running one alive and none that is
-down alive, and that holds to the end (or to `until_s`); - `refuted`: `of` refuted a rumour of its end, or
-came back with a higher incarnation; - those of leases are in judge_leases.py: `one_holder`, `tokens_grow`,
-`stale_refused`, `held_again`, `never_held`.
-
-`judge` gives a list of verdicts, each a dict with `ok`, the expectation, and what was measured.
+"""Checks a cluster's history: one JSON line an event, in monotonic microseconds of the machine.
+
+A line has `mono_us`, `who` (a member's id, or `stage`) and `event`. Each member's table is replayed from its
+`member` lines, and which processes ran from the test bed's own lines. Expectations, by their `kind`:
+
+- `dead`: every member that runs at the end says `of` is dead (or left) within `within_s` of `after_s`;
+- `never_dead`: nobody says any of `of` (all members if empty) is dead from `from_s` to `to_s`;
+- `one_table`: from `after_s` on, within `within_s`, every running member sees every running one alive and
+  none that is down alive, and that holds to the end (or to `until_s`);
+- `refuted`: `of` refuted a rumour of its end, or came back with a higher incarnation;
+- `ledger`: of at least `least` acknowledged messages none is lost, ended twice or out of order, and no
+  payment is delivered twice;
+- those of leases, in `lease_checker`.
 """
 
+from collections.abc import Mapping, Sequence
+from os import PathLike
+from typing import Any, NamedTuple
+
 import orjson
 
-from pinspread.testbed import lease_checker as judge_leases
-from pinspread.testbed import ledger
+from pinspread.testbed import lease_checker
+from pinspread.testbed.cluster_scenario import ScenarioError
+from pinspread.testbed.history import Line
+from pinspread.testbed.ledger import MAX_LISTED, ledger
+from pinspread.testbed.replay import SECOND_US, TO_THE_END_S, Check, Expectation, Finding, Replay
 
-SECOND_US = 1_000_000
-DOWN = {"kill", "term", "wipe"}
+GONE = ("dead", "left")
+PROGRAM_FAULTS = ("fault", "internal_error", "crashed")
+MAX_FAULTS = 5  # that are listed
 
 
-def read(path):
-    """The history's lines, in order of time."""
+def read(path: str | PathLike[str]) -> list[Line]:
+    """The lines of a history's file, in order of time."""
     with open(path, "rb") as file:
         lines = [orjson.loads(line) for line in file if line.strip()]
     return sorted(lines, key=lambda line: line["mono_us"])
 
 
-def read_scene(path):
-    """A stage's history whose times count from when all members served, as a scene's times do."""
+def read_scenario(path: str | PathLike[str]) -> list[Line]:
+    """A scenario's history, whose times count from when all members served, as a scenario's times do."""
     lines = read(path)
-    began = next(li["mono_us"] for li in lines if li.get("event") == "serving" and li["who"] == "stage")
-    for line in lines:
-        if line.get("event") == "stage_began":
-            line["mono_us"] = began
-    return sorted(lines, key=lambda li: li["mono_us"])
-
-
-class Replay:
-    """Who ran and what each saw, at any moment of the history."""
-
-    def __init__(self, lines):
-        self.lines = lines
-        self.begin = next(
-            (li["mono_us"] for li in lines if li.get("event") == "stage_began"), lines[0]["mono_us"]
-        )
-        self.members = sorted({li["who"] for li in lines if li.get("event") == "started"})
-        self.end = next((li["mono_us"] for li in lines if li.get("event") == "ending"), lines[-1]["mono_us"])
-
-    def at(self, s):
-        return self.begin + int(s * SECOND_US)
-
-    def at_end(self):
-        """Who ran, not paused, when the scene ended (before the stage ended them all)."""
-        final = set()
-        for when, running, _ in self.states():
-            if when > self.end:
-                break
-            final = set(running)
-        return final
-
-    def states(self):
-        """Moments and, for each, who runs (not paused) and the tables: yields (mono_us, running, views)."""
-        running, paused, views = set(), set(), {}
-        for line in self.lines:
-            who, event = line["who"], line.get("event")
-            if event == "started":
-                running.add(who)
-                views[who] = {}
-            elif event == "signalled":
-                if line["do"] in DOWN:
-                    running.discard(who)
-                    paused.discard(who)
-                elif line["do"] == "pause":
-                    paused.add(who)
-                elif line["do"] == "resume":
-                    paused.discard(who)
-            elif event == "exited":
-                running.discard(who)
-            elif event == "member" and who in views:
-                views[who][line["id"]] = line["state"]
-            yield line["mono_us"], running - paused, views
-
-
-def _dead(replay, lines, e):
-    after = replay.at(e.get("after_s", 0))
-    seers = replay.at_end() - {e["of"]}
-    told = {}
-    for line in lines:
-        if line["mono_us"] >= after and line.get("event") == "member" and line["id"] == e["of"]:
-            if line["state"] in ("dead", "left") and line["who"] in seers:
-                told.setdefault(line["who"], (line["mono_us"] - after) / SECOND_US)
-    worst = max(told.values()) if told and len(told) == len(seers) else None
-    ok = worst is not None and worst <= e["within_s"]
-    return ok, {"seers": len(seers), "told": len(told), "slowest_s": worst, "each_s": sorted(told.values())}
-
-
-def _never_dead(replay, lines, e):
-    of = set(e.get("of") or replay.members)
-    begin, end = replay.at(e.get("from_s", 0)), replay.at(e.get("to_s", 1e9))
-    deaths = [
-        {"who": li["who"], "of": li["id"], "s": round((li["mono_us"] - replay.begin) / SECOND_US, 3)}
-        for li in lines
-        if li.get("event") == "member"
-        and li["state"] == "dead"
-        and li["id"] in of
-        and begin <= li["mono_us"] <= end
-    ]
-    return not deaths, {"deaths": deaths}
+    began_us = next(
+        line["mono_us"] for line in lines if line.get("event") == "serving" and line["who"] == "stage"
+    )
+    moved = [{**line, "mono_us": began_us} if line.get("event") == "stage_began" else line for line in lines]
+    return sorted(moved, key=lambda line: line["mono_us"])
 
 
-def _one_table(replay, lines, e):
-    after = replay.at(e.get("after_s", 0))
-    since = None
-    end = min(replay.end, replay.at(e.get("until_s", 1e9)))
-    for when, running, views in replay.states():
-        if when < after:
-            continue
-        if when > end:
-            break
-        one = agreed(running, views, replay.members)
-        if one and since is None:
-            since = when
-        elif not one:
-            since = None
-    took = None if since is None else max(0, since - after) / SECOND_US
-    return took is not None and took <= e["within_s"], {"took_s": took}
+def check(lines: Sequence[Line], expectations: Sequence[Expectation]) -> list[dict[str, Any]]:
+    """The verdict on each expectation, and on whether a member had an internal error.
 
+    Each verdict is a table of `ok`, the expectation and what was measured.
 
-def agreed(running, views, members):
+    Raises:
+        ScenarioError: An expectation's kind is unknown.
+    """
+    replay = Replay(lines)
+    verdicts = []
+    for expectation in expectations:
+        run = CHECKS.get(expectation.get("kind", ""))
+        if run is None:
+            kinds = ", ".join(CHECKS)
+            raise ScenarioError(f"unknown expectation {expectation.get('kind')!r}: one of {kinds}")
+        ok, measured = run(replay, expectation)
+        verdicts.append({"ok": ok, **expectation, **measured})
+    faults = [line for line in lines if line.get("event") in PROGRAM_FAULTS]
+    verdicts.append({"ok": not faults, "kind": "no_fault", "faults": faults[:MAX_FAULTS]})
+    return verdicts
+
+
+def all_agree(running: set[str], views: Mapping[str, Mapping[str, str]], members: Sequence[str]) -> bool:
     """Whether every running member sees every running one alive, and none of the others alive."""
     return all(
-        all((views[s].get(m) == "alive") == (m in running) for m in members if m != s) for s in running
+        (views[observer].get(member) == "alive") == (member in running)
+        for observer in running
+        for member in members
+        if member != observer
     )
 
 
-def _refuted(replay, lines, e):
-    after = replay.at(e.get("after_s", 0))
-    said = [
-        li for li in lines if li["who"] == e["of"] and li.get("event") == "refuted" and li["mono_us"] >= after
+class FalseDeaths(NamedTuple):
+    """How often a member was called dead while it ran, not paused; and for how many hours members ran."""
+
+    deaths: int
+    member_hours: float
+
+
+def false_deaths(lines: Sequence[Line]) -> FalseDeaths:
+    """The false deaths of a history."""
+    replay = Replay(lines)
+    false, member_us = 0, 0
+    last_us: int | None = None
+    running: set[str] = set()
+    for line, moment in zip(replay.lines, replay.moments(), strict=True):
+        if last_us is not None:
+            member_us += len(running) * (moment.at_us - last_us)
+        last_us, running = moment.at_us, moment.running
+        if line.get("event") == "member" and line["state"] == "dead" and line["id"] in running:
+            false += 1
+    return FalseDeaths(false, member_us / 3600 / SECOND_US)
+
+
+def _dead(replay: Replay, expectation: Expectation) -> Finding:
+    after_us = replay.after_us(expectation)
+    dead = expectation["of"]
+    observers = replay.running_at_end() - {dead}
+    took_s: dict[str, float] = {}
+    for line in replay.lines:
+        if line["mono_us"] < after_us or line.get("event") != "member" or line["id"] != dead:
+            continue
+        if line["state"] in GONE and line["who"] in observers:
+            took_s.setdefault(line["who"], (line["mono_us"] - after_us) / SECOND_US)
+    slowest_s = max(took_s.values()) if took_s and len(took_s) == len(observers) else None
+    measured = {"seers": len(observers), "told": len(took_s), "slowest_s": slowest_s}
+    ok = slowest_s is not None and slowest_s <= expectation["within_s"]
+    return Finding(ok, measured | {"each_s": sorted(took_s.values())})
+
+
+def _never_dead(replay: Replay, expectation: Expectation) -> Finding:
+    members = set(expectation.get("of") or replay.members)
+    begin_us, end_us = replay.span_us(expectation)
+    deaths = [
+        {
+            "who": line["who"],
+            "of": line["id"],
+            "s": round((line["mono_us"] - replay.begin_us) / SECOND_US, 3),
+        }
+        for line in replay.lines
+        if line.get("event") == "member"
+        and line["state"] == "dead"
+        and line["id"] in members
+        and begin_us <= line["mono_us"] <= end_us
     ]
-    return bool(said), {"refutations": len(said)}
+    return Finding(not deaths, {"deaths": deaths})
 
 
-def _ledger(replay, lines, e):
-    found = ledger.ledger(lines)
-    return found.clean and found.acked >= e.get("least", 1), found.to_dict(ledger.MAX_LISTED)
+def _one_table(replay: Replay, expectation: Expectation) -> Finding:
+    after_us = replay.after_us(expectation)
+    end_us = min(replay.end_us, replay.at(expectation.get("until_s", TO_THE_END_S)))
+    since_us = None
+    for moment in replay.moments():
+        if moment.at_us < after_us:
+            continue
+        if moment.at_us > end_us:
+            break
+        if not all_agree(moment.running, moment.views, replay.members):
+            since_us = None
+        elif since_us is None:
+            since_us = moment.at_us
+    took_s = None if since_us is None else max(0, since_us - after_us) / SECOND_US
+    return Finding(took_s is not None and took_s <= expectation["within_s"], {"took_s": took_s})
+
+
+def _refuted(replay: Replay, expectation: Expectation) -> Finding:
+    after_us = replay.after_us(expectation)
+    refutations = sum(
+        line["who"] == expectation["of"] and line.get("event") == "refuted" and line["mono_us"] >= after_us
+        for line in replay.lines
+    )
+    return Finding(refutations > 0, {"refutations": refutations})
 
 
-KINDS = {"dead": _dead, "never_dead": _never_dead, "one_table": _one_table, "refuted": _refuted}
-KINDS |= judge_leases.KINDS | {"ledger": _ledger}
+def _ledger(replay: Replay, expectation: Expectation) -> Finding:
+    found = ledger(replay.lines)
+    return Finding(found.clean and found.acked >= expectation.get("least", 1), found.to_dict(MAX_LISTED))
 
 
-def judge(lines, expectations):
-    """The verdict on each expectation; an unknown kind is a ValueError."""
-    replay = Replay(lines)
-    found = []
-    for e in expectations:
-        if e.get("kind") not in KINDS:
-            raise ValueError(f"unknown expectation {e.get('kind')!r}: one of {', '.join(KINDS)}")
-        ok, measured = KINDS[e["kind"]](replay, lines, e)
-        found.append({"ok": ok, **e, **measured})
-    faults = [li for li in lines if li.get("event") in ("fault", "internal_error", "crashed")]
-    found.append({"ok": not faults, "kind": "no_fault", "faults": faults[:5]})
-    return found
-
-
-def false_deaths(lines):
-    """Deaths said of a member that was running and not paused then, and the member-hours that ran."""
-    replay = Replay(lines)
-    false, member_us, last, before = 0, 0, None, set()
-    for line, (when, running, _) in zip(replay.lines, replay.states(), strict=True):
-        if last is not None:
-            member_us += len(before) * (when - last)
-        last, before = when, set(running)
-        if line.get("event") == "member" and line["state"] == "dead" and line["id"] in running:
-            false += 1
-    return false, member_us / 3600 / SECOND_US
+CHECKS: Mapping[str, Check] = {
+    "dead": _dead,
+    "never_dead": _never_dead,
+    "one_table": _one_table,
+    "refuted": _refuted,
+    **lease_checker.CHECKS,
+    "ledger": _ledger,
+}
--- a/pinspread/testbed/lease_checker.py
+++ b/pinspread/testbed/lease_checker.py
@@ -1,20 +1,31 @@
-"""What a history says of leases: the judge's expectations on holders, acts and tokens, and their figures.
+"""Checks what a history says of leases: holders, their actions and fencing tokens.
 
-A *span* is from a member's `lease_held` to when its acts had to end: the last `stops_us` that it was told, or
-earlier, when it lost the lease, gave it back or its process ended. A paused process cannot act, but its span
-goes on, which is the harder reading.
+Expectations, by their `kind`:
+
+- `one_holder`: no two members hold a task at one time, by their own word;
+- `tokens_grow`: the tokens that the resource took never fall, and each is one member's;
+- `stale_refused`: at least one action with an outdated token came, and was refused;
+- `held_again`: after `after_s` a member other than `of` holds each task within `within_s`;
+- `never_held`: none of `of` begins or keeps to hold anything from `from_s` to `to_s`.
+
+A *span* is from a member's `lease_held` to when its actions had to end: the last `stops_us` that it was told,
+or earlier, when it lost the lease, gave it back or its process ended. A paused process cannot act, but its
+span goes on, which is the harder reading.
 """
 
+from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-SECOND_US = 1_000_000
-ENDS = {"lease_lost", "lease_given_back"}
-DOWN = {"kill", "wipe"}
+from pinspread.testbed.history import Line
+from pinspread.testbed.replay import KILLED, SECOND_US, Check, Expectation, Finding, Replay
+
+LEASE_ENDS = frozenset({"lease_lost", "lease_given_back"})
+MAX_LISTED = 5
 
 
 @dataclass
 class Span:
-    """One member's time as a holder; monotonic microseconds of the machine."""
+    """One member's time as a task's holder; times are monotonic microseconds of the machine."""
 
     task: str
     member: str
@@ -22,124 +33,134 @@
     begin_us: int
     end_us: int
 
+    def end_by(self, at_us: int) -> None:
+        """End it at a time, unless it ends earlier."""
+        self.end_us = min(self.end_us, at_us)
 
-def spans(lines):
+
+def spans(lines: Iterable[Line]) -> list[Span]:
     """Every time of holding, in order of its beginning."""
-    found, now = [], {}
+    found: list[Span] = []
+    current: dict[tuple[str, str], Span] = {}  # by member and task
     for line in lines:
-        who, event, at = line["who"], line.get("event"), line["mono_us"]
+        who, event, at_us = line["who"], line.get("event"), line["mono_us"]
+        place = (who, line.get("task", ""))
         if event == "lease_held":
-            span = Span(line["task"], who, line["token"], at, line["stops_us"])
-            found.append(span)
-            now[who, line["task"]] = span
-        elif event == "lease_kept" and (who, line["task"]) in now:
-            now[who, line["task"]].end_us = line["stops_us"]
-        elif event in ENDS and (who, line["task"]) in now:
-            span = now.pop((who, line["task"]))
-            span.end_us = min(span.end_us, at)
-        elif event == "exited" or (event == "signalled" and line["do"] in DOWN):
-            for key in [k for k in now if k[0] == who]:
-                span = now.pop(key)
-                span.end_us = min(span.end_us, at)
+            current[place] = Span(line["task"], who, line["token"], at_us, line["stops_us"])
+            found.append(current[place])
+        elif event == "lease_kept" and place in current:
+            current[place].end_us = line["stops_us"]
+        elif event in LEASE_ENDS and place in current:
+            current.pop(place).end_by(at_us)
+        elif event == "exited" or (event == "signalled" and line["do"] in KILLED):
+            for lost in [place for place in current if place[0] == who]:
+                current.pop(lost).end_by(at_us)
     return found
 
 
-def acts(lines):
-    return [li for li in lines if li.get("event") == "act"]
+def actions(lines: Iterable[Line]) -> list[Line]:
+    """The actions that came to the resource."""
+    return [line for line in lines if line.get("event") == "act"]
 
 
-def _one_holder(replay, lines, e):
-    """No two members hold a task in overlapping time, by their own word in the machine's time."""
-    overlaps, last = [], {}
+def held_share(lines: Sequence[Line], begin_us: int, end_us: int) -> dict[str, float]:
+    """For each task the share of a time in which a member held it."""
+    held_us: dict[str, int] = {}
     for span in spans(lines):
-        before = last.get(span.task)
-        if before and before.member != span.member and span.begin_us < before.end_us:
-            overlaps.append(
-                {"task": span.task, "of": [before.member, span.member], "us": before.end_us - span.begin_us}
-            )
-        if not before or span.end_us > before.end_us:
-            last[span.task] = span
-    return not overlaps and bool(last), {"spans": len(spans(lines)), "overlaps": overlaps[:5]}
-
-
-def _tokens_grow(replay, lines, e):
-    """What the resource took never falls, and one token is one member's."""
-    seen, of, wrong, refused = {}, {}, [], 0
-    for act in acts(lines):
-        key = act["task"], act["token"]
-        if of.setdefault(key, act["holder"]) != act["holder"]:
-            wrong.append(f"{key} used by {of[key]} and {act['holder']}")
-        if not act["taken"]:
-            refused += 1
-        elif act["token"] < seen.get(act["task"], 0):
-            wrong.append(f"{key} taken after {seen[act['task']]}")
-        else:
-            seen[act["task"]] = act["token"]
-    return not wrong and bool(seen), {"acts": len(acts(lines)), "refused": refused, "wrong": wrong[:5]}
-
+        within_us = max(0, min(span.end_us, end_us) - max(span.begin_us, begin_us))
+        held_us[span.task] = held_us.get(span.task, 0) + within_us
+    return {task: us / (end_us - begin_us) for task, us in held_us.items()}
 
-def _stale_refused(replay, lines, e):
-    """At least one act with an old token came, and was refused."""
-    refused = [a for a in acts(lines) if not a["taken"]]
-    return bool(refused), {"refused": [[a["task"], a["holder"], a["token"]] for a in refused[:5]]}
 
+def gaps(lines: Sequence[Line]) -> list[float | None]:
+    """Seconds from each loss of a task's holder to the next member's holding; None if there is none.
 
-def held_share(lines, begin, end):
-    """{task: share of the time from begin to end in which a member holds it}."""
-    found = {}
-    for span in spans(lines):
-        took = max(0, min(span.end_us, end) - max(span.begin_us, begin))
-        found[span.task] = found.get(span.task, 0) + took
-    return {task: us / (end - begin) for task, us in found.items()}
-
-
-def gaps(lines, members=None):
-    """Seconds from a holder's loss (killed, wiped or paused) to the next member's holding, one a loss and
-    task."""
+    A holder is lost when it is killed, wiped or paused.
+    """
     found = []
-    told = spans(lines)
+    held = spans(lines)
     for line in lines:
-        if line.get("event") != "signalled" or line["do"] not in DOWN | {"pause"}:
+        if line.get("event") != "signalled" or line["do"] not in KILLED | {"pause"}:
             continue
-        at, who = line["mono_us"], line["who"]
-        for span in told:
-            if span.member != who or not span.begin_us <= at <= span.end_us:
+        at_us = line["mono_us"]
+        for span in held:
+            if span.member != line["who"] or not span.begin_us <= at_us <= span.end_us:
                 continue
-            after = [s.begin_us for s in told if s.task == span.task and s.begin_us > at]
-            found.append((min(after) - at) / SECOND_US if after else None)
+            after_us = [s.begin_us for s in held if s.task == span.task and s.begin_us > at_us]
+            found.append((min(after_us) - at_us) / SECOND_US if after_us else None)
     return found
 
 
-def _held_again(replay, lines, e):
-    """After `after_s` a member other than `of` holds each task within `within_s`."""
-    after = replay.at(e.get("after_s", 0))
-    tasks = {s.task for s in spans(lines)}
-    took = {}
-    for task in tasks:
-        times = [
-            max(s.begin_us, after)
-            for s in spans(lines)
-            if s.task == task and s.end_us > after and s.member != e.get("of")
+def _one_holder(replay: Replay, expectation: Expectation) -> Finding:
+    held = spans(replay.lines)
+    overlaps = []
+    last: dict[str, Span] = {}
+    for span in held:
+        before = last.get(span.task)
+        if before and before.member != span.member and span.begin_us < before.end_us:
+            members = [before.member, span.member]
+            overlaps.append({"task": span.task, "of": members, "us": before.end_us - span.begin_us})
+        if not before or span.end_us > before.end_us:
+            last[span.task] = span
+    return Finding(not overlaps and bool(last), {"spans": len(held), "overlaps": overlaps[:MAX_LISTED]})
+
+
+def _tokens_grow(replay: Replay, expectation: Expectation) -> Finding:
+    came = actions(replay.lines)
+    newest: dict[str, int] = {}
+    holders: dict[tuple[str, int], str] = {}
+    wrong = []
+    for action in came:
+        task, token, holder = action["task"], action["token"], action["holder"]
+        key = task, token
+        if holders.setdefault(key, holder) != holder:
+            wrong.append(f"{key} used by {holders[key]} and {holder}")
+        if not action["taken"]:
+            continue
+        if token < newest.get(task, 0):
+            wrong.append(f"{key} taken after {newest[task]}")
+        else:
+            newest[task] = token
+    refused = sum(not action["taken"] for action in came)
+    measured = {"acts": len(came), "refused": refused, "wrong": wrong[:MAX_LISTED]}
+    return Finding(not wrong and bool(newest), measured)
+
+
+def _stale_refused(replay: Replay, expectation: Expectation) -> Finding:
+    refused = [action for action in actions(replay.lines) if not action["taken"]]
+    listed = [[action["task"], action["holder"], action["token"]] for action in refused[:MAX_LISTED]]
+    return Finding(bool(refused), {"refused": listed})
+
+
+def _held_again(replay: Replay, expectation: Expectation) -> Finding:
+    after_us = replay.after_us(expectation)
+    held = spans(replay.lines)
+    took_s: dict[str, float | None] = {}
+    for task in {span.task for span in held}:
+        times_us = [
+            max(span.begin_us, after_us)
+            for span in held
+            if span.task == task and span.end_us > after_us and span.member != expectation.get("of")
         ]
-        took[task] = (min(times) - after) / SECOND_US if times else None
-    ok = bool(tasks) and all(t is not None and t <= e["within_s"] for t in took.values())
-    return ok, {"took_s": took}
-
-
-def _never_held(replay, lines, e):
-    """None of `of` begins to hold or keeps anything from `from_s` to `to_s`."""
-    begin, end = replay.at(e.get("from_s", 0)), replay.at(e.get("to_s", 1e9))
-    wrong = [
-        li["who"]
-        for li in lines
-        if li.get("event") in ("lease_held", "lease_kept")
-        and li["who"] in e["of"]
-        and begin <= li["mono_us"] <= end
+        took_s[task] = (min(times_us) - after_us) / SECOND_US if times_us else None
+    within_s = expectation["within_s"]
+    in_time = all(took is not None and took <= within_s for took in took_s.values())
+    return Finding(bool(took_s) and in_time, {"took_s": took_s})
+
+
+def _never_held(replay: Replay, expectation: Expectation) -> Finding:
+    begin_us, end_us = replay.span_us(expectation)
+    held = [
+        line["who"]
+        for line in replay.lines
+        if line.get("event") in ("lease_held", "lease_kept")
+        and line["who"] in expectation["of"]
+        and begin_us <= line["mono_us"] <= end_us
     ]
-    return not wrong, {"held": wrong[:5]}
+    return Finding(not held, {"held": held[:MAX_LISTED]})
 
 
-KINDS = {
+CHECKS: Mapping[str, Check] = {
     "one_holder": _one_holder,
     "tokens_grow": _tokens_grow,
     "stale_refused": _stale_refused,
--- a/tests/test_leases_stage.py
+++ b/tests/test_leases_stage.py
@@ -4,9 +4,7 @@
 
 from pinspread.leases import codec, raft_messages
 from pinspread.membership import codec as wire
-from pinspread.testbed import cluster
-from pinspread.testbed import history_checker as judge
-from pinspread.testbed import lease_checker as judge_leases
+from pinspread.testbed import cluster, history_checker, lease_checker
 from pinspread.testbed.member_configuration import LEASES_PORT
 
 pytestmark = pytest.mark.stage
@@ -29,7 +27,7 @@
     scenario = {"members": 5, "seconds": seconds, "tuning": FAST, "leases": LEASES, "at": at} | more
     found = cluster.play(scenario | {"expect": [*ALWAYS, *expect]}, tmp_path)
     assert all(v["ok"] for v in found), found
-    return judge.read_scene(tmp_path / "history.jsonl")
+    return history_checker.read_scenario(tmp_path / "history.jsonl")
 
 
 def test_the_leader_and_a_holder_are_killed_under_loss_and_strange_datagrams(tmp_path):
@@ -52,7 +50,7 @@
         seconds=15,
     )
     assert sum(li.get("event") == "lease_dropped" for li in lines) >= 100
-    assert {li["task"] for li in judge_leases.acts(lines)} == set(LEASES["tasks"])
+    assert {li["task"] for li in lease_checker.actions(lines)} == set(LEASES["tasks"])
 
 
 def test_a_holder_that_is_stopped_past_its_lease_does_no_harm_and_members_clocks_may_drift(tmp_path):
@@ -75,7 +73,7 @@
         seconds=17,
         late=late,
     )
-    assert [g for g in judge_leases.gaps(lines) if g is not None]
+    assert [g for g in lease_checker.gaps(lines) if g is not None]
 
 
 def test_the_minority_side_of_the_voters_holds_nothing_and_the_majority_goes_on(tmp_path):
@@ -203,7 +201,7 @@
     assert raft_messages.skip_applied_entries({"type": "request_vote"}, 8) == {"type": "request_vote"}
 
 
-def test_the_judge_finds_two_holders_and_tokens_that_fall():
+def test_the_checker_finds_two_holders_and_tokens_that_fall():
     def line(us, who, event, **more):
         return {"mono_us": us, "who": who, "event": event, **more}
 
@@ -216,9 +214,9 @@
         line(170, "resource", "act", task="t", token=1, holder="m0", taken=True),
         line(900, "stage", "ending"),
     ]
-    found = judge.judge(lines, ALWAYS)
+    found = history_checker.check(lines, ALWAYS)
     assert [v["ok"] for v in found] == [False, False, True]
     lines[5]["taken"] = False
     lines.insert(3, line(149, "m0", "lease_lost", task="t", token=1))
-    assert [v["ok"] for v in judge.judge(lines, ALWAYS)] == [True, True, True]
-    assert judge.judge(lines, [{"kind": "stale_refused"}])[0]["ok"]
+    assert [v["ok"] for v in history_checker.check(lines, ALWAYS)] == [True, True, True]
+    assert history_checker.check(lines, [{"kind": "stale_refused"}])[0]["ok"]
--- a/tests/test_replication_stage.py
+++ b/tests/test_replication_stage.py
@@ -5,8 +5,7 @@
 import pytest
 from test_leases_stage import FAST, LEASES
 
-from pinspread.testbed import cluster
-from pinspread.testbed import history_checker as judge
+from pinspread.testbed import cluster, history_checker
 from pinspread.testbed.loopback import until
 
 pytestmark = pytest.mark.stage
@@ -24,7 +23,7 @@
     } | more
     found = cluster.play(scenario, tmp_path)
     assert all(v["ok"] for v in found), found
-    lines = judge.read_scene(tmp_path / "history.jsonl")
+    lines = history_checker.read_scenario(tmp_path / "history.jsonl")
     began = next(li["mono_us"] for li in lines if li.get("event") == "stage_began")
     return lines, lambda event, who=None, after_s=0: [
         li
@@ -175,7 +174,7 @@
             await asyncio.to_thread(testbed.finish)
 
     asyncio.run(until_sigterm())
-    lines = judge.read_scene(tmp_path / "history.jsonl")
+    lines = history_checker.read_scenario(tmp_path / "history.jsonl")
     of = {li["event"]: li for li in lines if li["who"] == "m3"}
     assert "copies_up" in of and "serving" not in of
     assert of["exited"]["code"] == 0 and of["exited"]["mono_us"] - of["signalled"]["mono_us"] < 900_000
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -2,8 +2,7 @@
 
 import pytest
 
-from pinspread.testbed import cluster
-from pinspread.testbed import history_checker as judge
+from pinspread.testbed import cluster, history_checker
 from pinspread.testbed.proxy import LinkRules
 
 pytestmark = pytest.mark.stage
@@ -32,7 +31,7 @@
         ],
     )
     assert all(v["ok"] for v in found.values()), found
-    lines = judge.read(tmp_path / "history.jsonl")
+    lines = history_checker.read(tmp_path / "history.jsonl")
     dropped = [li for li in lines if li.get("event") == "member_dropped"]
     assert {li["who"] for li in dropped} == {"m1", "m2"} and len(dropped) >= 60
 
@@ -56,7 +55,7 @@
     assert rules.between("a", "b").cut and rules.between("c", "a").cut and not rules.between("b", "c").cut
 
 
-def test_the_judge_fails_a_history_with_a_false_death():
+def test_the_checker_fails_a_history_with_a_false_death():
     lines = [
         {"mono_us": 0, "who": "stage", "event": "stage_began"},
         {"mono_us": 1, "who": "m0", "event": "started"},
@@ -65,9 +64,9 @@
         {"mono_us": 9, "who": "m0", "event": "member", "id": "m1", "state": "dead"},
         {"mono_us": 10, "who": "stage", "event": "ending"},
     ]
-    found = judge.judge(lines, [{"kind": "never_dead"}, {"kind": "one_table", "within_s": 1}])
+    found = history_checker.check(lines, [{"kind": "never_dead"}, {"kind": "one_table", "within_s": 1}])
     assert [v["ok"] for v in found] == [False, False, True]
-    assert judge.false_deaths(lines)[0] == 1
+    assert history_checker.false_deaths(lines)[0] == 1
 
 
 def test_a_long_pause_is_dead_then_back_with_a_higher_incarnation_under_duplicates(tmp_path):
@@ -88,7 +87,7 @@
         seconds=15,
     )
     assert all(v["ok"] for v in found.values()), found
-    lines = judge.read(tmp_path / "history.jsonl")
+    lines = history_checker.read(tmp_path / "history.jsonl")
     back = [li for li in lines if li.get("event") == "member" and li["id"] == "m3" and li["state"] == "alive"]
     assert back[-1]["incarnation"] >= 1
 
@@ -156,14 +155,14 @@
         "expect": [{"kind": "never_dead", "of": ["m0", "m1", "m3"]}],
     }
     found = cluster.play(scenario, tmp_path)
-    lines = judge.read(tmp_path / "history.jsonl")
+    lines = history_checker.read(tmp_path / "history.jsonl")
     raised = [
         li for li in lines if li.get("event") == "member" and li["who"] == "m2" and li["state"] == "suspect"
     ]
     return found, len([li for li in raised if li["by"] == "m2"])
 
 
-def test_a_slow_member_judges_slower_by_its_own_health(tmp_path):
+def test_a_slow_member_suspects_later_by_its_own_health(tmp_path):
     found, with_health = accusations(tmp_path / "with", 8)
     assert all(v["ok"] for v in found), found
     _, without = accusations(tmp_path / "without", 0)
@@ -184,7 +183,7 @@
         seconds=18,
     )
     assert all(v["ok"] for v in found.values()), found
-    lines = judge.read(tmp_path / "history.jsonl")
+    lines = history_checker.read(tmp_path / "history.jsonl")
     ending = next(li for li in lines if li.get("event") == "ending")
     assert ending["proxy"]["lost"] > 100  # the faults were there
 
@@ -212,8 +211,8 @@
     assert main(["members", "127.0.0.1:1"]) == 1
 
 
-def test_the_picture_counts_who_sees_whom_alive():
-    from pinspread.testbed import picture
+def test_the_plot_counts_who_sees_whom_alive():
+    from pinspread.testbed import plot
 
     lines = [
         {"mono_us": 0, "who": "stage", "event": "stage_began"},
@@ -224,7 +223,7 @@
         {"mono_us": 3_000_000, "who": "stage", "event": "ending"},
         {"mono_us": 4_000_000, "who": "m0", "event": "member", "id": "m1", "state": "alive"},
     ]
-    assert picture.counts(lines)["m1"] == [(0.0, 0), (1.0, 1), (2.0, 0)]
+    assert plot.alive_counts(lines)["m1"] == [(0.0, 0), (1.0, 1), (2.0, 0)]
 
 
 def test_streams_through_the_proxy_are_held_cut_and_refused_by_the_rules():
--- a/tests/test_testbed_history.py
+++ b/tests/test_testbed_history.py
@@ -10,11 +10,12 @@
 from pinspread.__main__ import main
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation.model import FleetModel
-from pinspread.testbed import cluster, history_checker, lease_checker, picture
+from pinspread.testbed import cluster, history_checker, lease_checker, plot
 from pinspread.testbed.cluster_scenario import load
 from pinspread.testbed.platform_configuration import courier_configuration
 from pinspread.testbed.platform_run import PlatformRun
 from pinspread.testbed.platform_stand_in import PlatformStandIn
+from pinspread.testbed.replay import Replay
 
 ROOT = Path(__file__).parents[1]
 DATA = ROOT / "tests" / "data" / "testbed"
@@ -36,7 +37,7 @@
 
 def verdicts(lines):
     scenario = load(str(DATA / "short.toml"))
-    return json.loads(json.dumps(history_checker.judge(lines, scenario["expect"])))
+    return json.loads(json.dumps(history_checker.check(lines, scenario["expect"])))
 
 
 def broken(lines):
@@ -74,22 +75,22 @@
 
 
 def test_the_recorded_history_gets_the_recorded_verdicts(history):
-    lines = history_checker.read_scene(history)
+    lines = history_checker.read_scenario(history)
     assert verdicts(lines) == recorded("verdicts.json")
     assert verdicts(broken(lines)) == recorded("verdicts_broken.json")
 
 
 def test_the_recorded_history_gets_the_recorded_figures(history):
-    lines = history_checker.read_scene(history)
-    replay = history_checker.Replay(lines)
+    lines = history_checker.read_scenario(history)
+    replay = Replay(lines)
     figures = {
         "members": replay.members,
-        "at_end": sorted(replay.at_end()),
+        "at_end": sorted(replay.running_at_end()),
         "false_deaths": history_checker.false_deaths(lines),
         "gaps": lease_checker.gaps(lines),
-        "held_share": lease_checker.held_share(lines, replay.begin, replay.end),
+        "held_share": lease_checker.held_share(lines, replay.begin_us, replay.end_us),
         "spans": [[s.task, s.member, s.token, s.begin_us, s.end_us] for s in lease_checker.spans(lines)],
-        "picture": picture.counts(lines),
+        "picture": plot.alive_counts(lines),
     }
     assert json.loads(json.dumps(figures)) == recorded("figures.json")
 
@@ -98,7 +99,7 @@
     def play(scenario, folder):
         Path(folder).mkdir()
         shutil.copy(history, folder)
-        return history_checker.judge(history_checker.read_scene(history), scenario["expect"])
+        return history_checker.check(history_checker.read_scenario(history), scenario["expect"])
 
     monkeypatch.setattr(cluster, "play", play)
     out = tmp_path / "out"
