--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -27,7 +27,7 @@
     from pinspread.simulation import experiment
 
     try:
-        found = experiment.load(str(file))
+        found = experiment.load_experiment(str(file))
     except experiment.ExperimentError as error:
         fail(error)
     print(f"{file}: no problems; {len(found.points)} points, {len(found.seeds)} seeds")
@@ -43,7 +43,7 @@
 
     if not any(folder.glob("*.log")):
         fail(f"{folder}: no *.log there")
-    print(counter.text(counter.Losses(folder), partner or ()))
+    print(counter.format_report(counter.LossReport(folder), partner or ()))
 
 
 @app.command()
@@ -59,11 +59,11 @@
     from pinspread.simulation import report as writer
 
     try:
-        found = runs.run(experiment.load(str(file)), str(out), processes, quiet)
+        found = runs.run_experiment(experiment.load_experiment(str(file)), str(out), processes, quiet)
     except (experiment.ExperimentError, trace.TraceError) as error:
         fail(error)
     if report:
-        print(writer.write(found, str(out)))
+        print(writer.write_report(found, str(out)))
     for point in found.get("points", []):
         services = [r["service"] for r in point["runs"]]
         broken = sum(bool(r["broken"]) for r in point["runs"])
@@ -87,7 +87,7 @@
     from pinspread.testbed import platform
 
     try:
-        points = experiment.load(str(file)).points
+        points = experiment.load_experiment(str(file)).points
     except experiment.ExperimentError as error:
         fail(error)
     point = next((p for p in points if variant in ("", p["variant"])), None)
@@ -116,8 +116,8 @@
     left, right = point_of(a), point_of(b)
     if left["seeds"] != right["seeds"]:
         fail(f"{a} and {b}: the days differ: other seeds")
-    found = judge.compare(left, right)
-    print(orjson.dumps(found).decode() if as_json else judge.table(found))
+    found = judge.compare_variants(left, right)
+    print(orjson.dumps(found).decode() if as_json else judge.format_comparison(found))
 
 
 def point_of(text):
@@ -140,7 +140,7 @@
     from pinspread.simulation import report as writer
 
     try:
-        print(writer.write(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
+        print(writer.write_report(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
     except (OSError, orjson.JSONDecodeError) as error:
         fail(f"{folder}/result.json: {error}")
 
@@ -156,11 +156,13 @@
     ],
 ):
     """Turn couriers' logs into a trace, and say what was fitted and how well it holds."""
-    from pinspread.simulation import trace
+    from pinspread.simulation import trace, trace_recording
 
     try:
-        found = trace.record([(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip())
-        trace.write(found, str(out))
+        found = trace_recording.record_trace(
+            [(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip()
+        )
+        trace.write_trace(found, str(out))
     except OSError as error:
         fail(error)
     except trace.TraceError as error:
@@ -174,28 +176,26 @@
     from pinspread.simulation import trace
 
     try:
-        show(trace.read(str(file)), file)
+        show(trace.read_trace(str(file)), file)
     except trace.TraceError as error:
         fail(error)
 
 
 def show(found, path):
     """A trace in words."""
-    count = len(found["arrivals"]["at_us"])
-    seconds = max(found["arrivals"]["at_us"]) / 1e6
+    arrivals = found.arrivals.at_us
     print(
-        f"{path}: {count} messages in {seconds:.1f} s from {found['couriers']} couriers; {found['skipped_lines']} lines skipped"
+        f"{path}: {len(arrivals)} messages in {max(arrivals) / 1e6:.1f} s from {found.instance_count} couriers;"
+        f" {found.skipped_lines} lines skipped"
     )
-    for one in found["fits"]:
-        fit = one["latency"]
-        distance = "" if fit["distance"] is None else f" (distance {fit['distance']:.3f})"
-        limit = (
-            f"limit {one['limit_per_s']:.1f} a second, holds {one['limit_holds']}"
-            if one["limit_per_s"]
-            else one["limit_holds"]
-        )
+    for one in found.fits:
+        distance = "" if one.latency.distance is None else f" (distance {one.latency.distance:.3f})"
+        limit = one.limit.quality
+        if one.limit.per_s:
+            limit = f"limit {one.limit.per_s:.1f} a second, holds {one.limit.quality}"
         print(
-            f"partner {one['dest']}: {one['calls']} calls, mean {fit['mean_ms']:.0f} ms, log-normal holds {fit['holds']}{distance}; {limit}; {len(one['outages'])} outages"
+            f"partner {one.destination}: {one.calls} calls, mean {one.latency.mean_ms:.0f} ms, log-normal holds"
+            f" {one.latency.quality}{distance}; {limit}; {len(one.outages)} outages"
         )
 
 
--- a/pinspread/testbed/courier_logs.py
+++ b/pinspread/testbed/courier_logs.py
@@ -77,11 +77,11 @@
     Who was refused a connection is known from the couriers' own logs alone.
     """
     for destination in run.destinations.values():
-        for overloaded_ns, down_ns, up_ns, callers in destination.fallen:
+        for overloaded_ns, down_ns, up_ns, callers in destination.collapses:
             informed = {
                 failure.courier
                 for failure in failures
                 if failure.destination == destination.number and down_ns <= failure.at_ns < up_ns
             }
             informed_calls = sum(caller in informed for caller in callers)
-            run.checker.fell(destination.number, overloaded_ns, informed_calls, len(callers))
+            run.checker.destination_collapsed(destination.number, overloaded_ns, informed_calls, len(callers))
--- a/pinspread/testbed/endpoint_stand_in.py
+++ b/pinspread/testbed/endpoint_stand_in.py
@@ -9,7 +9,7 @@
 
 from pinspread import sockets
 from pinspread.policy.events import Outcome
-from pinspread.simulation.destination import CRASHED, FALLEN, Endpoint
+from pinspread.simulation.destination import Endpoint, ServingState
 from pinspread.simulation.engine import MS, SECOND
 from pinspread.testbed.loopback import until
 from pinspread.testbed.platform_run import PlatformRun
@@ -21,7 +21,7 @@
 HEALTH_CHECK_CHANCES = (0.5, 0.5, 0.5, 0.5)
 FOREVER_S = 1e6
 LINGER_ZERO = b"\1\0\0\0\0\0\0\0"  # struct linger: on, 0 s; closing then resets the connection
-DOWN = (CRASHED, FALLEN)
+DOWN = (ServingState.CRASHED, ServingState.COLLAPSED)
 
 
 class IncomingCall:
@@ -34,30 +34,30 @@
     """
 
     def __init__(
-        self, run: PlatformRun, courier: int, row: int | None, work_ns: int, chance: Sequence[float]
+        self, run: PlatformRun, instance: int, row: int | None, work_ns: int, draws: Sequence[float]
     ) -> None:
         self.run = run
-        self.courier = courier
+        self.instance = instance
         self.row = row
         self.work_ns = work_ns
-        self.chance = chance
+        self.draws = draws
         self.abandoned = False
         self.result: asyncio.Future[tuple[Outcome, int]] = asyncio.get_running_loop().create_future()
 
-    def runs(self) -> None:
+    def work_started(self) -> None:
         """The call takes effect."""
         if self.row is not None:
             self.run.effects[self.row] += 1
             self.run.work_done_ns += self.work_ns
 
-    def answered(self, outcome: Outcome, retry_after_ns: int) -> None:
+    def respond(self, outcome: Outcome, retry_after_ns: int) -> None:
         """The endpoint answers."""
         if self.abandoned and outcome is Outcome.OK and self.row is not None:
             self.run.unheard += 1
         if not self.result.done():
             self.result.set_result((outcome, retry_after_ns))
 
-    def broken(self) -> None:
+    def reset(self) -> None:
         """The connection is reset."""
         if not self.result.done():
             self.result.set_result((Outcome.RESET, 0))
@@ -90,7 +90,7 @@
         self.run_state = run
         self.endpoint = endpoint
         self.courier = courier
-        endpoint.pools.append(self)
+        endpoint.connection_owners.append(self)
         self.address = run.addresses.endpoint(courier, endpoint.id)
         self.listening: anyio.CancelScope | None = None
         self.over_table: set[sockets.Connection] = set()
@@ -112,7 +112,7 @@
         if endpoint.state in DOWN:
             reset_connection(connection)
             return
-        if endpoint.table and endpoint.connections >= endpoint.table:
+        if endpoint.connection_limit and endpoint.connections >= endpoint.connection_limit:
             self.over_table.add(connection)
             try:
                 await super().serve(connection)
@@ -126,10 +126,10 @@
         finally:
             endpoint.connections -= 1
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close idle connections: nothing to do, as they end by themselves."""
 
-    def broken(self, reset: bool) -> None:
+    def connection_lost(self, reset: bool) -> None:
         """The endpoint is gone: with a reset all its connections end."""
         if not reset:
             return
--- a/pinspread/testbed/platform_run.py
+++ b/pinspread/testbed/platform_run.py
@@ -54,7 +54,7 @@
     """Takes the place of the rule checker for destinations, whose overloads are judged after the run."""
 
     @staticmethod
-    def fell(*what: object) -> None:
+    def destination_collapsed(*what: object) -> None:
         """Ignore a destination that was overloaded while it warmed up."""
 
 
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -32,7 +32,7 @@
 from pinspread.membership.swim import SwimConfig
 from pinspread.policy.events import EndpointState, Outcome
 from pinspread.replication.service import ReplicationService
-from pinspread.simulation import losses, trace
+from pinspread.simulation import losses, trace, trace_recording
 
 DATA = Path(__file__).parent / "data" / "stored"
 
@@ -102,17 +102,19 @@
 
 
 def recorded_trace(logs, path):
-    """A trace of these logs, written to a file."""
-    found = trace.record(logs, TRACE_KEY)
-    trace.write(found, str(path))
-    return found
+    """The JSON object of a trace of these logs, written to a file."""
+    found = trace_recording.record_trace(logs, TRACE_KEY)
+    trace.write_trace(found, str(path))
+    return trace.to_document(found)
 
 
-read_trace = trace.read
+def read_trace(path):
+    """The JSON object of a trace file."""
+    return trace.to_document(trace.read_trace(path))
 
 
 def losses_text(folder):
-    return losses.text(losses.Losses(folder), (1, 2))
+    return losses.format_report(losses.LossReport(folder), (1, 2))
 
 
 PACKETS = {
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -4,6 +4,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from types import SimpleNamespace
 
 import anyio
 import orjson
@@ -11,10 +12,11 @@
 
 from pinspread.config import settings
 from pinspread.simulation import scenario as scenarios
-from pinspread.simulation import simulate, trace
-from pinspread.simulation.destination import SILENT
+from pinspread.simulation import simulate, trace, trace_recording, trace_replay
+from pinspread.simulation.destination import ServingState
 from pinspread.simulation.model import FleetModel
 from pinspread.testbed import platform
+from pinspread.testbed.client_traffic import ClientTraffic
 from pinspread.testbed.clients import Client
 from pinspread.testbed.courier_logs import ObservedFailure, check_overloads
 from pinspread.testbed.endpoint_stand_in import EndpointStandIn
@@ -36,10 +38,10 @@
     assert found["delivered"] == found["messages"] == said["messages"]
     assert found["service_unbroken"] == pytest.approx(said["service_unbroken"], abs=0.05)
     logs = [(p.name, p.read_bytes().splitlines()) for p in sorted(tmp_path.glob("play-*/*.log"))]
-    recorded = trace.record(logs, b"sixteen bytes or more")
-    assert len(recorded["arrivals"]["at_us"]) == found["messages"] and recorded["couriers"] == 2
-    trace.write(recorded, str(tmp_path / "t"))
-    again = simulate.Simulation(world, trace.replay(str(tmp_path / "t"), world, 1)).run()
+    recorded = trace_recording.record_trace(logs, b"sixteen bytes or more")
+    assert len(recorded.arrivals.at_us) == found["messages"] and recorded.instance_count == 2
+    trace.write_trace(recorded, str(tmp_path / "t"))
+    again = simulate.Simulation(world, trace_replay.replay_trace(str(tmp_path / "t"), world, 1)).run()
     assert again["messages"] == found["messages"]
     ours, theirs = again["latency_all"]["ms"]["50"], found["latency_all"]["ms"]["50"]
     assert ours == pytest.approx(theirs, rel=0.4)
@@ -103,19 +105,56 @@
     anyio.run(scene)
 
 
+@pytest.mark.parametrize("ends_unheard", [False, True])
+def test_a_client_without_an_answer_submits_under_the_same_id_at_the_same_courier(ends_unheard):
+    heard = []  # (courier, id)
+
+    async def scene():
+        world = FleetModel.model_validate(CALM)
+        run = PlatformRun(world, scenarios.draw_scenario(world, 3))
+
+        def courier(number):
+            async def answer(stream):
+                async with stream:
+                    heard.append((number, (await stream.receive()).split(b"\r\n")[6].decode()))
+                    if len(heard) > 1:
+                        await stream.send(b"+OK\r\n")
+                    elif ends_unheard:
+                        clients.on_final({"id": heard[0][1], "state": "failed"})
+                    await anyio.sleep(1)
+
+            return answer
+
+        async with anyio.create_task_group() as tasks:
+            couriers = []
+            clients = ClientTraffic(run, couriers, tasks)
+            for number in range(2):
+                listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
+                tasks.start_soon(listener.serve, courier(number))
+                port = listener.extra(anyio.abc.SocketAttribute.local_port)
+                couriers.append(SimpleNamespace(address=f"127.0.0.1:{port}", ready=True, idle_clients=[]))
+            run.clients.courier = lambda row: len(heard) % 2  # another one each time, were it asked again
+            await clients._submit(0)
+            tasks.cancel_scope.cancel()
+        assert run.unanswered == 1
+
+    anyio.run(scene)
+    assert heard == heard[:1] * (1 if ends_unheard else 2)
+
+
 def test_a_silent_partner_does_not_keep_the_places_of_callers_that_are_gone():
     async def scene():
         world = FleetModel.model_validate(CALM)
         run = PlatformRun(world, scenarios.draw_scenario(world, 3))
         endpoint = run.endpoints[1]
-        endpoint.table = 2
+        endpoint.connection_limit = 2
         hop = EndpointStandIn(run, endpoint, 0)
         host, port = hop.address.rsplit(":", 1)
         call = b"POST /x HTTP/1.1\r\nHost: p\r\nRequest-Id: 0000000000aaaaaa\r\nContent-Length: 0\r\n\r\n"
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(hop.listen)
             await until(lambda: hop.listening is not None)
-            endpoint.state = SILENT
+            endpoint.state = ServingState.SILENT
             callers = [await anyio.connect_tcp(host, int(port)) for _ in range(3)]
             for caller in callers:
                 await caller.send(call)
@@ -134,7 +173,7 @@
     world = FleetModel.model_validate(CALM)
     run = PlatformRun(world, scenarios.draw_scenario(world, 3))
     # Down from 5 to 9 s, pushed over at 11 s; what failed after its return is no outage.
-    run.destinations[1].fallen.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
+    run.destinations[1].collapses.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
     seen = [ObservedFailure(0, 1, int(failed_at_s * 1e9)), ObservedFailure(1, 2, int(6e9))]
     check_overloads(run, seen)
     assert bool(run.checker.counts["cold"]) == broken
