--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -16,6 +16,7 @@
 from pinspread.simulation.compare import compare_points, interval
 from pinspread.simulation.model import FleetModel
 from pinspread.simulation.random_streams import random_seed
+from pinspread.simulation.results import RunResult
 
 WORLD = {
     "length_s": 15,
@@ -51,7 +52,7 @@
         mine = slice(n * chosen.pairs, (n + 1) * chosen.pairs)
         _, low, high = interval(differences[mine], seed=n)
         held += low <= 0 <= high
-        a, b = ({"runs": list(side)} for side in zip(*found[mine], strict=True))
+        a, b = ([RunResult(run) for run in side] for side in zip(*found[mine], strict=True))
         told += compare_points(a, b)[0] != "cannot tell"
     print(
         f"{held} of {chosen.comparisons} intervals hold 0 ({held / chosen.comparisons:.1%}); {told} verdicts"
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -114,24 +114,25 @@
     from pinspread.simulation import compare as judge
 
     left, right = point_of(a), point_of(b)
-    if left["seeds"] != right["seeds"]:
+    if left.seeds != right.seeds:
         fail(f"{a} and {b}: the days differ: other seeds")
     found = judge.compare_variants(left, right)
-    print(orjson.dumps(found).decode() if as_json else judge.format_comparison(found))
+    print(orjson.dumps(found.to_document()).decode() if as_json else judge.format_comparison(found))
 
 
 def point_of(text):
     """The point that FILE or FILE:VARIANT names."""
+    from pinspread.simulation.results import points_of
+
     path, _, name = text.partition(":")
     try:
-        result = orjson.loads(Path(path).read_bytes())
-        points = result["points"]
+        points = points_of(orjson.loads(Path(path).read_bytes()))
     except (OSError, orjson.JSONDecodeError, KeyError) as error:
         fail(f"{path}: no result of an experiment: {error}")
     for point in points:
-        if not name or name in (point["variant"], f"{point['variant']}, {point['value']}"):
-            return point | {"seeds": result["seeds"]}
-    fail(f"{path}: has no variant {name!r}; it has {', '.join(repr(p['variant']) for p in points)}")
+        if not name or name in (point.variant, point.label):
+            return point
+    fail(f"{path}: has no variant {name!r}; it has {', '.join(repr(p.variant) for p in points)}")
 
 
 @app.command()
--- a/pinspread/simulation/compare.py
+++ b/pinspread/simulation/compare.py
@@ -1,167 +1,309 @@
 """Two variants on the same days: paired differences with bootstrap intervals, and a plain verdict."""
 
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any, NamedTuple
+
 import numpy as np
+from numpy.typing import ArrayLike, NDArray
 from scipy import stats
 
 from pinspread.simulation.random_streams import random_stream
+from pinspread.simulation.results import PointResult, RunResult, Violation
 
-LEVEL = 0.90
+LEVEL = 0.90  # of all intervals
 RESAMPLES = 2000
-LEAST_RUNS = 5  # under that no interval is honest
-MATTERS = 0.005  # a difference of service that someone would act on
+MIN_RUNS = 5  # under that no interval is honest
+RELEVANT_DIFFERENCE = 0.005  # a difference of service that someone would act on
+
+
+class VerdictWord(StrEnum):
+    """What a comparison comes to."""
+
+    BETTER = "better"
+    WORSE = "worse"
+    CANNOT_TELL = "cannot tell"
+
+
+class Verdict(NamedTuple):
+    """What a comparison says of its second side, and why, as part of a sentence."""
+
+    word: VerdictWord
+    reason: str
+
+
+class Interval(NamedTuple):
+    """A mean and the ends of its interval of confidence."""
+
+    mean: float
+    low: float
+    high: float
+
+
+@dataclass(frozen=True, slots=True)
+class Figure:
+    """A figure of a run that is compared."""
+
+    name: str
+    read: Callable[[RunResult], float]
+    more_is_better: bool
+
+
+# The first is the one that verdicts are about; it counts stalled runs too.
+SERVICE = Figure("service", lambda run: run.service, more_is_better=True)
 FIGURES = (
-    ("service", lambda r: r["service"], True),
-    ("service, rules apart", lambda r: r["service_unbroken"], True),
-    ("whole run", lambda r: r["parts"]["whole"], True),
-    ("worst 10 s", lambda r: r["parts"]["worst_10s"], True),
-    ("worst class", lambda r: r["parts"]["worst_class"], True),
-    ("worst team", lambda r: r["parts"]["worst_team"], True),
-    ("late failures", lambda r: r["deductions"]["late_failures"], False),
-    ("waste", lambda r: r["deductions"]["waste"], False),
-    ("handshakes", lambda r: r["deductions"]["handshakes"], False),
-    ("probes", lambda r: r["deductions"]["probes"], False),
-    ("refused calls", lambda r: r["deductions"]["refused"], False),
-    ("retries a message", lambda r: r["retries"] / max(1, r["messages"]), False),
-    ("p50 ms", lambda r: r["latency_all"]["ms"].get("50", 0.0), False),
-    ("p99 ms", lambda r: r["latency_all"]["ms"].get("99", 0.0), False),
+    SERVICE,
+    Figure("service, rules apart", lambda run: run.service_without_rules, more_is_better=True),
+    Figure("whole run", lambda run: run.service_part("whole"), more_is_better=True),
+    Figure("worst 10 s", lambda run: run.service_part("worst_10s"), more_is_better=True),
+    Figure("worst class", lambda run: run.service_part("worst_class"), more_is_better=True),
+    Figure("worst team", lambda run: run.service_part("worst_team"), more_is_better=True),
+    Figure("late failures", lambda run: run.deductions["late_failures"], more_is_better=False),
+    Figure("waste", lambda run: run.deductions["waste"], more_is_better=False),
+    Figure("handshakes", lambda run: run.deductions["handshakes"], more_is_better=False),
+    Figure("probes", lambda run: run.deductions["probes"], more_is_better=False),
+    Figure("refused calls", lambda run: run.deductions["refused"], more_is_better=False),
+    Figure("retries a message", lambda run: run.retries_per_message, more_is_better=False),
+    Figure("p50 ms", lambda run: run.latency_ms(50), more_is_better=False),
+    Figure("p99 ms", lambda run: run.latency_ms(99), more_is_better=False),
 )
 
 
-def interval(values, level=LEVEL, seed=0, resamples=RESAMPLES):
-    """The mean of some values and its bootstrap interval: (mean, low, high).
+@dataclass(frozen=True, slots=True)
+class Difference:
+    """A figure on both sides of a comparison.
+
+    Attributes:
+        figure: Which one.
+        first_mean: Its mean over the runs of the first side.
+        second_mean: The same for the second side.
+        interval: Of the mean of second minus first, run by run.
+        pairs: How many pairs of runs there were.
+        deviation: The standard deviation of these differences; 0 for a single pair.
+    """
+
+    figure: Figure
+    first_mean: float
+    second_mean: float
+    interval: Interval
+    pairs: int
+    deviation: float
+
+    def describe(self) -> str:
+        """The difference with its interval, as part of a sentence."""
+        mean, low, high = self.interval
+        return f"{self.figure.name} {mean:+.4f}, 90% interval {low:+.4f} to {high:+.4f}"
+
+
+@dataclass(frozen=True, slots=True)
+class BrokenRun:
+    """A run that broke a rule."""
+
+    seed: int
+    rules: dict[str, int]
+    first: Violation
+
+
+@dataclass(frozen=True, slots=True)
+class ComparedSide:
+    """One of the two sides: its label, and its runs that broke a rule."""
+
+    label: str
+    broken: list[BrokenRun]
+
+
+@dataclass(frozen=True, slots=True)
+class Comparison:
+    """Two points on the same days; differences and the verdict are of the second against the first."""
+
+    first: ComparedSide
+    second: ComparedSide
+    verdict: Verdict
+    differences: list[Difference]
+
+    def to_document(self) -> dict[str, Any]:
+        """The JSON object that `pinspread fleet compare --json` prints."""
+        sides = (("a", self.first), ("b", self.second))
+        return {
+            **{key: side.label for key, side in sides},
+            "verdict": self.verdict.word,
+            "why": self.verdict.reason,
+            "figures": [_difference_document(difference) for difference in self.differences],
+            "broken": {
+                key: [
+                    {"seed": run.seed, "rules": run.rules, "first": run.first.record} for run in side.broken
+                ]
+                for key, side in sides
+            },
+        }
+
+
+def _difference_document(difference: Difference) -> dict[str, Any]:
+    return {
+        "figure": difference.figure.name,
+        "a": difference.first_mean,
+        "b": difference.second_mean,
+        "difference": difference.interval.mean,
+        "low": difference.interval.low,
+        "high": difference.interval.high,
+        "more_is_better": difference.figure.more_is_better,
+        "pairs": difference.pairs,
+        "sd": difference.deviation,
+    }
+
+
+def interval(values: ArrayLike, level: float = LEVEL, seed: int = 0, resamples: int = RESAMPLES) -> Interval:
+    """The mean of some values and its bootstrap interval.
 
     The expanded percentile interval (Hesterberg 2014, "What teachers should know about the bootstrap"): the
     plain one is too narrow for a dozen runs, by the root of n/(n-1) and by what Student's t is wider than
     the normal distribution. Its coverage is measured in docs/fleet.md.
+
+    Args:
+        values: One for each run.
+        level: The part of all such intervals that shall hold the true mean, between 0 and 1.
+        seed: Of the resampling.
+        resamples: How many resamples are drawn.
     """
-    values = np.asarray(values, dtype=float)
-    n, mean = len(values), float(values.mean())
-    if n < 2 or np.ptp(values) == 0:
-        return mean, mean, mean
+    sample: NDArray[np.float64] = np.asarray(values, dtype=float)
+    n, mean = len(sample), float(sample.mean())
+    if n < 2 or np.ptp(sample) == 0:
+        return Interval(mean, mean, mean)
     rng = random_stream(seed, "bootstrap", n)
-    means = values[rng.integers(0, n, (resamples, n))].mean(axis=1)
+    means = sample[rng.integers(0, n, (resamples, n))].mean(axis=1)
     tail = stats.norm.cdf(np.sqrt(n / (n - 1)) * stats.t.ppf((1 - level) / 2, n - 1))
     low, high = np.quantile(means, (tail, 1 - tail))
-    return mean, float(low), float(high)
-
-
-def figures(a_runs, b_runs):
-    """Each figure's means and the interval of B minus A, over runs in the same order of seeds."""
-    found = []
-    for name, read, more_is_better in FIGURES:
-        pairs = [
-            (read(a), read(b)) for a, b in zip(a_runs, b_runs, strict=True) if "parts" in a and "parts" in b
-        ]
-        if name == "service":  # a run that broke a rule, or got stuck, counts as 0 here
-            pairs = [(read(a), read(b)) for a, b in zip(a_runs, b_runs, strict=True)]
-        if not pairs:
-            continue
-        a, b = np.array(pairs).T
-        mean, low, high = interval(b - a)
-        found.append({"figure": name, "a": float(a.mean()), "b": float(b.mean()), "difference": mean,
-                      "low": low, "high": high, "more_is_better": more_is_better, "pairs": len(pairs),
-                      "sd": float((b - a).std(ddof=1)) if len(pairs) > 1 else 0.0})  # fmt: skip
-    return found
-
-
-def verdict(figure):
-    """Better, worse, or cannot tell (and how many more runs would): a word and a sentence."""
-    n, name = figure["pairs"], figure["figure"]
-    if figure["difference"] == figure["low"] == figure["high"] == 0:
-        return "cannot tell", f"the two were the same in all {n} pairs of runs"
-    if n < LEAST_RUNS:
-        return "cannot tell", f"{n} pairs of runs are too few for an interval; run {LEAST_RUNS - n} more"
-    if figure["low"] > 0 or figure["high"] < 0:
-        good = (figure["low"] > 0) is figure["more_is_better"]
-        span = f"{figure['difference']:+.4f}, 90% interval {figure['low']:+.4f} to {figure['high']:+.4f}"
-        return ("better" if good else "worse"), f"{name} {span}"
+    return Interval(mean, float(low), float(high))
+
+
+def measure_difference(
+    figure: Figure, first: Sequence[RunResult], second: Sequence[RunResult]
+) -> Difference | None:
+    """A figure of two sides, over runs in the same order of seeds; None where no pair of runs has it."""
+    pairs = [
+        (figure.read(a), figure.read(b))
+        for a, b in zip(first, second, strict=True)
+        if figure is SERVICE or (a.completed and b.completed)
+    ]
+    if not pairs:
+        return None
+    a, b = np.array(pairs).T
+    return Difference(
+        figure=figure,
+        first_mean=float(a.mean()),
+        second_mean=float(b.mean()),
+        interval=interval(b - a),
+        pairs=len(pairs),
+        deviation=float((b - a).std(ddof=1)) if len(pairs) > 1 else 0.0,
+    )
+
+
+def difference_verdict(difference: Difference) -> Verdict:
+    """Better, worse, or cannot tell (and how many more runs would)."""
+    n, (mean, low, high) = difference.pairs, difference.interval
+    if mean == low == high == 0:
+        return Verdict(VerdictWord.CANNOT_TELL, f"the two were the same in all {n} pairs of runs")
+    if n < MIN_RUNS:
+        return Verdict(
+            VerdictWord.CANNOT_TELL,
+            f"{n} pairs of runs are too few for an interval; run {MIN_RUNS - n} more",
+        )
+    if low > 0 or high < 0:
+        improved = (low > 0) is difference.figure.more_is_better
+        return Verdict(VerdictWord.BETTER if improved else VerdictWord.WORSE, difference.describe())
+    half_width = (high - low) / 2
+    if abs(mean) < RELEVANT_DIFFERENCE and half_width < RELEVANT_DIFFERENCE:
+        reason = f"{difference.describe()}: if there is a difference, it is under {RELEVANT_DIFFERENCE}"
+        return Verdict(VerdictWord.CANNOT_TELL, reason)
     # The half width shrinks with the root of the runs; it must come under what is seen, or what matters.
-    aim = max(abs(figure["difference"]), MATTERS)
-    half = (figure["high"] - figure["low"]) / 2
-    more = max(1, int(np.ceil(n * (half / aim) ** 2 - n)))
-    why = f"{name} {figure['difference']:+.4f}, 90% interval {figure['low']:+.4f} to {figure['high']:+.4f}"
-    if abs(figure["difference"]) < MATTERS and half < MATTERS:
-        return "cannot tell", f"{why}: if there is a difference, it is under {MATTERS}"
-    return "cannot tell", f"{why}; about {more} more pairs of runs would tell a difference of {aim:.4f}"
+    detectable = max(abs(mean), RELEVANT_DIFFERENCE)
+    more = max(1, int(np.ceil(n * (half_width / detectable) ** 2 - n)))
+    needed = f"about {more} more pairs of runs would tell a difference of {detectable:.4f}"
+    return Verdict(VerdictWord.CANNOT_TELL, f"{difference.describe()}; {needed}")
 
 
-def unbroken_pairs(a_runs, b_runs):
-    """The pairs of days on which neither broke a rule."""
-    return [(a, b) for a, b in zip(a_runs, b_runs, strict=True) if not a["broken"] and not b["broken"]]
+def unbroken_pairs(
+    first: Sequence[RunResult], second: Sequence[RunResult]
+) -> list[tuple[RunResult, RunResult]]:
+    """The pairs of runs on the same day of which neither broke a rule."""
+    pairs = zip(first, second, strict=True)
+    return [(a, b) for a, b in pairs if not a.broken_rules and not b.broken_rules]
 
 
-def compare_points(a, b):
-    """The verdict on two points and why: rules first, then service on the days on which both kept them.
+def compare_points(first: Sequence[RunResult], second: Sequence[RunResult]) -> Verdict:
+    """The verdict on two sides: rules first, then service on the days on which both kept them.
 
     A run that broke a rule counts as 0, and one such day among twenty moves a mean further than any bootstrap
     of it can know. So days that differ in rules are counted, by an exact test.
     """
-    pairs = list(zip(a["runs"], b["runs"], strict=True))
-    lost = sum(not x["broken"] and bool(y["broken"]) for x, y in pairs)
-    won = sum(bool(x["broken"]) and not y["broken"] for x, y in pairs)
-    chance = stats.binomtest(won, won + lost).pvalue if won + lost else 1.0
-    a_broke, b_broke = (sum(bool(run["broken"]) for run in side["runs"]) for side in (a, b))
-    days = f"rules broken on {a_broke} and {b_broke} of {len(pairs)} days"
-    if chance < 1 - LEVEL:
-        return (
-            "better" if won > lost else "worse",
-            f"{days}; chance alone would differ so with p = {chance:.2g}",
-        )
-    both = unbroken_pairs(a["runs"], b["runs"])
-    if not both:
-        return "cannot tell", f"{days}: none is left on which both kept them"
-    word, why = verdict(figures(*zip(*both, strict=True))[0])
-    return (
-        word,
-        why if not a_broke + b_broke else f"{why} (the {len(both)} days without a broken rule; {days})",
+    pairs = list(zip(first, second, strict=True))
+    lost = sum(not a.broken_rules and bool(b.broken_rules) for a, b in pairs)
+    won = sum(bool(a.broken_rules) and not b.broken_rules for a, b in pairs)
+    p_value = stats.binomtest(won, won + lost).pvalue if won + lost else 1.0
+    first_broken = sum(bool(run.broken_rules) for run in first)
+    second_broken = sum(bool(run.broken_rules) for run in second)
+    days = f"rules broken on {first_broken} and {second_broken} of {len(pairs)} days"
+    if p_value < 1 - LEVEL:
+        word = VerdictWord.BETTER if won > lost else VerdictWord.WORSE
+        return Verdict(word, f"{days}; chance alone would differ so with p = {p_value:.2g}")
+    unbroken = unbroken_pairs(first, second)
+    difference = measure_difference(SERVICE, [a for a, _ in unbroken], [b for _, b in unbroken])
+    if difference is None:
+        return Verdict(VerdictWord.CANNOT_TELL, f"{days}: none is left on which both kept them")
+    word, reason = difference_verdict(difference)
+    if first_broken + second_broken:
+        reason += f" (the {len(unbroken)} days without a broken rule; {days})"
+    return Verdict(word, reason)
+
+
+def compare_variants(
+    first: PointResult, second: PointResult, labels: tuple[str, str] | None = None
+) -> Comparison:
+    """Compare two points with the same seeds.
+
+    Args:
+        first: What the second is measured against.
+        second: What the verdict is about.
+        labels: What the two are called; without them, by their variants.
+    """
+    first_label, second_label = labels or (first.variant, second.variant)
+    differences = [measure_difference(figure, first.runs, second.runs) for figure in FIGURES]
+    return Comparison(
+        first=ComparedSide(first_label, _broken_runs(first)),
+        second=ComparedSide(second_label, _broken_runs(second)),
+        verdict=compare_points(first.runs, second.runs),
+        differences=[difference for difference in differences if difference is not None],
     )
 
 
-def compare_variants(a, b):
-    """Two points of results with the same seeds: verdict, reason and the figures."""
-    found = figures(a["runs"], b["runs"])
-    word, why = compare_points(a, b)
-    broken = {}
-    for side, point in (("a", a), ("b", b)):
-        broken[side] = [
-            {
-                "seed": seed,
-                "rules": run["broken"],
-                "first": (run.get("breaks") or [{"why": run.get("stuck", "")}])[0],
-            }
-            for seed, run in zip(point.get("seeds", range(len(point["runs"]))), point["runs"], strict=True)
-            if run["broken"]
-        ]
-    return {
-        "a": a["variant"],
-        "b": b["variant"],
-        "verdict": word,
-        "why": why,
-        "figures": found,
-        "broken": broken,
-    }
+def _broken_runs(point: PointResult) -> list[BrokenRun]:
+    return [
+        BrokenRun(seed, run.broken_rules, run.first_violation)
+        for seed, run in zip(point.seeds, point.runs, strict=True)
+        if run.broken_rules
+    ]
 
 
-def format_comparison(found) -> str:
+def format_comparison(comparison: Comparison) -> str:
     """A comparison as a Markdown table."""
+    first, second = comparison.first, comparison.second
     lines = [
-        f"**{found['b']} against {found['a']}: {found['verdict']}.** {found['why']}.",
+        f"**{second.label} against {first.label}: {comparison.verdict.word}.** {comparison.verdict.reason}.",
         "",
-        f"| figure | {found['a']} | {found['b']} | difference | 90% interval |",
+        f"| figure | {first.label} | {second.label} | difference | 90% interval |",
         "| --- | ---: | ---: | ---: | ---: |",
     ]
-    for f in found["figures"]:
+    for difference in comparison.differences:
+        mean, low, high = difference.interval
         lines.append(
-            f"| {f['figure']} | {f['a']:.4f} | {f['b']:.4f} | {f['difference']:+.4f} |"
-            f" {f['low']:+.4f} to {f['high']:+.4f} |"
+            f"| {difference.figure.name} | {difference.first_mean:.4f} | {difference.second_mean:.4f} |"
+            f" {mean:+.4f} | {low:+.4f} to {high:+.4f} |"
         )
-    for side in ("a", "b"):
-        for one in found["broken"][side]:
-            rules = ", ".join(f"{rule} ({count})" for rule, count in one["rules"].items())
-            first = one["first"]
-            at = f" at {first['at_s']} s" if "at_s" in first else ""
-            lines.append("")
-            lines.append(
-                f"{found[side]}, seed {one['seed']}: service counts as 0, broken: {rules};{at} {first['why']}."
-            )
+    for side in (first, second):
+        for run in side.broken:
+            rules = ", ".join(f"{rule} ({count})" for rule, count in run.rules.items())
+            at = "" if run.first.at_s is None else f" at {run.first.at_s} s"
+            broken = f"service counts as 0, broken: {rules};{at} {run.first.reason}."
+            lines += ["", f"{side.label}, seed {run.seed}: {broken}"]
     return "\n".join(lines)
--- a/pinspread/simulation/report.py
+++ b/pinspread/simulation/report.py
@@ -1,83 +1,119 @@
-"""One Markdown report of a result, with its plots, for someone who wasn't there."""
+"""One Markdown report of a result, with its plots, for a reader who does not know the experiment."""
 
+from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
+from typing import Any
 
-from pinspread.simulation import compare
-from pinspread.simulation.compare import interval
+from pinspread.simulation.compare import compare_variants, format_comparison, interval
+from pinspread.simulation.results import PointResult, RunResult, points_of
 
+MAX_PLOTTED = 4  # points that one plot shows; of more, the first and the last are shown
 
-def write_report(result: dict, folder: str) -> Path:
-    """Write report.md and its plots into a folder."""
-    folder = Path(folder)
-    folder.mkdir(parents=True, exist_ok=True)
-    text = _paper(result) if result["kind"] == "paper" else _days(result, folder)
-    file = folder / "report.md"
+
+def write_report(result: Mapping[str, Any], folder: str) -> Path:
+    """Write report.md and its plots.
+
+    Args:
+        result: What result.json holds.
+        folder: Where they go; it is made if it is not there.
+
+    Returns:
+        The path of report.md.
+    """
+    path = Path(folder)
+    path.mkdir(parents=True, exist_ok=True)
+    text = _paper_report(result) if result["kind"] == "paper" else _days_report(result, path)
+    file = path / "report.md"
     file.write_text(text)
     return file
 
 
-def _days(result, folder):
-    from pinspread.simulation import plots
-
-    points = result["points"]
+def _days_report(result: Mapping[str, Any], folder: Path) -> str:
+    points = points_of(result)
     lines = [f"# {result['experiment']}", ""]
     if result["about"]:
         lines += [result["about"], ""]
-    world = points[0]["world"]
-    lines += [
-        f"{len(result['seeds'])} days of {world['length_s']:g} s, drawn anew for each seed and the same for every variant:"
-        f" {world['couriers']['count']} couriers, {world['partners']['endpoints']} endpoints,"
-        f" {world['traffic']['rate_per_s']:g} messages a second at {world['traffic']['load']:.0%} of full load."
-        " Service and its parts run from 0 to 1; a run that breaks a rule counts as 0.",
-        "",
-        "| variant | service | 90% interval | whole | worst 10 s | worst class | deductions | p50 ms | p99 ms | retries a message | runs that broke a rule |",
+    lines += [_introduction(points[0]), ""]
+    lines += _variant_table(points)
+    lines.append("")
+    for point in points[1:]:
+        lines += _comparison_section(points, point)
+    lines += _plots_section(points, folder)
+    return "\n".join(lines)
+
+
+def _introduction(point: PointResult) -> str:
+    world = point.world
+    traffic = world["traffic"]
+    return (
+        f"{len(point.seeds)} days of {world['length_s']:g} s, drawn anew for each seed and the same for every"
+        f" variant: {world['couriers']['count']} couriers, {world['partners']['endpoints']} endpoints,"
+        f" {traffic['rate_per_s']:g} messages a second at {traffic['load']:.0%} of full load."
+        " Service and its parts run from 0 to 1; a run that breaks a rule counts as 0."
+    )
+
+
+def _variant_table(points: Sequence[PointResult]) -> list[str]:
+    return [
+        "| variant | service | 90% interval | whole | worst 10 s | worst class | deductions | p50 ms | p99 ms"
+        " | retries a message | runs that broke a rule |",
         "| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |",
+        *(_variant_row(point) for point in points),
     ]
-    for point in points:
-        runs = point["runs"]
-        whole = [r for r in runs if "parts" in r]
-        mean, low, high = interval([r["service"] for r in runs])
 
-        def of(read, whole=whole):
-            return sum(map(read, whole)) / max(1, len(whole))
 
-        lines.append(
-            f"| {plots.label(point)} | {mean:.4f} | {low:.4f} to {high:.4f} | {of(lambda r: r['parts']['whole']):.4f} |"
-            f" {of(lambda r: r['parts']['worst_10s']):.4f} | {of(lambda r: r['parts']['worst_class']):.4f} |"
-            f" {of(lambda r: sum(r['deductions'].values())):.4f} |"
-            f" {of(lambda r: r['latency_all']['ms'].get('50', 0)):.0f} | {of(lambda r: r['latency_all']['ms'].get('99', 0)):.0f} |"
-            f" {of(lambda r: r['retries'] / max(1, r['messages'])):.3f} | {sum(bool(r['broken']) for r in runs)} of {len(runs)} |"
-        )
-    lines.append("")
-    first = points[0]
-    for other in points[1:]:
-        if other["value"] != first["value"] and other["variant"] != first["variant"]:
-            base = next(
-                p for p in points if p["variant"] == first["variant"] and p["value"] == other["value"]
-            )
-        else:
-            base = first
-        seeds = {"seeds": result["seeds"]}
-        found = compare.compare_variants(
-            base | seeds | {"variant": plots.label(base)}, other | seeds | {"variant": plots.label(other)}
-        )
-        lines += [f"## {plots.label(other)}", "", compare.format_comparison(found), ""]
-    lines += ["## Plots", ""]
-    swept = any(p["value"] is not None for p in points)
-    shown = points if len(points) <= 4 else [points[0], points[-1]]
-    for title, name in (
-        ("Service and load over time", plots.over_time(shown, folder)),
-        ("Time to delivery", plots.latencies(shown, folder)),
-        ("Retries against first tries", plots.retries(shown, folder)),
-        ("Service by variant", plots.variants(points, folder)),
-        *([("Over the sweep", plots.sweep(points, folder))] if swept else []),
-    ):
-        lines += [f"![{title}]({name})", ""]
-    return "\n".join(lines)
+def _variant_row(point: PointResult) -> str:
+    mean, low, high = interval([run.service for run in point.runs])
+
+    def mean_of(read: Callable[[RunResult], float]) -> float:
+        runs = point.completed_runs
+        return sum(map(read, runs)) / max(1, len(runs))
+
+    cells = [
+        point.label,
+        f"{mean:.4f}",
+        f"{low:.4f} to {high:.4f}",
+        f"{mean_of(lambda run: run.service_part('whole')):.4f}",
+        f"{mean_of(lambda run: run.service_part('worst_10s')):.4f}",
+        f"{mean_of(lambda run: run.service_part('worst_class')):.4f}",
+        f"{mean_of(lambda run: sum(run.deductions.values())):.4f}",
+        f"{mean_of(lambda run: run.latency_ms(50)):.0f}",
+        f"{mean_of(lambda run: run.latency_ms(99)):.0f}",
+        f"{mean_of(lambda run: run.retries_per_message):.3f}",
+        f"{point.broken_count} of {len(point.runs)}",
+    ]
+    return f"| {' | '.join(cells)} |"
+
+
+def _comparison_section(points: Sequence[PointResult], point: PointResult) -> list[str]:
+    """A point against the first one, or against the first variant at the same value of the sweep."""
+    base = points[0]
+    if point.value != base.value and point.variant != base.variant:
+        base = next(one for one in points if one.variant == base.variant and one.value == point.value)
+    comparison = compare_variants(base, point, (base.label, point.label))
+    return [f"## {point.label}", "", format_comparison(comparison), ""]
+
+
+def _plots_section(points: Sequence[PointResult], folder: Path) -> list[str]:
+    from pinspread.simulation import plots  # which loads matplotlib
+
+    shown = points if len(points) <= MAX_PLOTTED else [points[0], points[-1]]
+    titles = [
+        ("Service and load over time", plots.plot_over_time(shown, folder)),
+        ("Time to delivery", plots.plot_latencies(shown, folder)),
+        ("Retries against first tries", plots.plot_retries(shown, folder)),
+        ("Service by variant", plots.plot_variants(points, folder)),
+    ]
+    if any(point.value is not None for point in points):
+        titles.append(("Over the sweep", plots.plot_sweep(points, folder)))
+    lines = ["## Plots", ""]
+    for title, file_name in titles:
+        lines += [f"![{title}]({file_name})", ""]
+    return lines
 
 
-def _paper(result):
-    found = result["paper"]
+def _paper_report(result: Mapping[str, Any]) -> str:
+    figures = result["paper"]
     lines = [
         f"# {result['experiment']}",
         "",
@@ -86,15 +122,16 @@
         "| randomness | mean over seeds | 5% to 95% | paper |",
         "| ---: | ---: | ---: | ---: |",
     ]
-    for randomness, one in found["randomness"].items():
-        low, high = one["last_retry_5_95"]
+    for randomness, last_retry in figures["randomness"].items():
+        low, high = last_retry["last_retry_5_95"]
         lines.append(
-            f"| {randomness} | {one['last_retry_mean']:.1f} | {low:.0f} to {high:.0f} | {one['paper']} |"
+            f"| {randomness} | {last_retry['last_retry_mean']:.1f} | {low:.0f} to {high:.0f} |"
+            f" {last_retry['paper']} |"
         )
     lines += [
         "",
-        f"Calls that the last service of the chain sees for one request: {found['chain']}"
-        f" (the paper: {found['paper_chain']}); with empty buckets: {found['chain_with_empty_buckets']}.",
+        f"Calls that the last service of the chain sees for one request: {figures['chain']}"
+        f" (the paper: {figures['paper_chain']}); with empty buckets: {figures['chain_with_empty_buckets']}.",
         "",
     ]
     return "\n".join(lines)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,6 +21,7 @@
     fit,
     paper,
     policy_sources,
+    results,
     runs,
     simulate,
     trace,
@@ -392,8 +393,8 @@
 
 def result(name, services):
     one = play(world(length_s=4))
-    return {"variant": name, "seeds": list(range(len(services))),
-            "runs": [one | {"service": s, "service_unbroken": s} for s in services]}  # fmt: skip
+    runs = [one | {"service": s, "service_unbroken": s} for s in services]
+    return results.PointResult.from_record({"variant": name, "runs": runs}, range(len(services)))
 
 
 @pytest.mark.parametrize(
@@ -411,8 +412,10 @@
     found = compare.compare_variants(
         result("a", base), result("b", [b + s for b, s in zip(base, shift, strict=True)])
     )
-    assert found["verdict"] == word and why in found["why"]
-    assert found["why"] in compare.format_comparison(found)
+    assert found.verdict.word == word and why in found.verdict.reason
+    assert found.verdict.reason in compare.format_comparison(found)
+    shown = found.to_document()
+    assert (shown["verdict"], shown["why"]) == found.verdict and len(shown["figures"]) == len(compare.FIGURES)
 
 
 @pytest.mark.parametrize(
@@ -430,10 +433,11 @@
     for name, broke in (("a", a_broke), ("b", b_broke)):
         side = result(name, services)
         for n in broke:
-            side["runs"][n] = side["runs"][n] | {"service": 0.0, "broken": {"cold": 1}}
+            record = side.runs[n].record | {"service": 0.0, "broken": {"cold": 1}}
+            side.runs[n] = results.RunResult(record)
         sides.append(side)
     found = compare.compare_variants(*sides)
-    assert found["verdict"] == word and why in found["why"]
+    assert found.verdict.word == word and why in found.verdict.reason
     assert compare.format_comparison(found).count("service counts as 0") == len(a_broke) + len(b_broke)
 
 
