--- a/pinspread/hot_restart/source.py
+++ b/pinspread/hot_restart/source.py
@@ -129,6 +129,7 @@
         try:
             while True:
                 packet = await self.link.receive()
+                packet.discard_descriptor()
                 if packet.kind == PacketKind.ENDPOINT_DISABLED:
                     number, known = orjson.loads(packet.data)
                     self._questions[number].answer(known)
@@ -201,10 +202,11 @@
         await successor.run()
 
     async def _agree(self, link: Link) -> bool:
-        """Hear what the other process wants; whether it is to be given everything."""
+        """Read what the other process asks for; whether everything is to be transferred."""
         try:
             with anyio.fail_after(STEP_S):
                 packet = await link.receive()
+                packet.discard_descriptor()
                 step = HandoverStep.DECLINE
                 if packet.kind == PacketKind.HELLO:
                     step = await self._greet(link, packet.data.decode())
@@ -226,11 +228,12 @@
         return step
 
     async def _transfer(self, link: Link, payload: HandoverPayload) -> HandoverStep:
-        """Send everything and hear what became of it."""
+        """Send everything and wait for the answer."""
         try:
             with anyio.fail_after(2 * STEP_S):
                 await self._send(link, payload)
                 packet = await link.receive()
+                packet.discard_descriptor()
             if packet.kind == PacketKind.DECLINED:
                 reason, _ = packet_codec.decode_refusal(packet.data)
                 log("handover_declined", why=reason)
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -83,19 +83,18 @@
     """Play one day of an experiment on real sockets, with real couriers among stand-ins."""
     from pinspread.simulation import experiment
     from pinspread.simulation import scenario as scenarios
-    from pinspread.simulation.model import FleetModel
-    from pinspread.testbed import platform as stage
+    from pinspread.testbed import platform
 
     try:
         points = experiment.load_experiment(str(file)).points
     except experiment.ExperimentError as error:
         fail(error)
-    point = next((p for p in points if variant in ("", p["variant"])), None)
+    point = next((p for p in points if variant in ("", p.variant)), None)
     if point is None:
         fail(f"{file}: has no variant {variant!r}")
-    model = FleetModel.model_validate(point["world"])
+    model = point.model
     scenario = scenarios.draw_scenario(model, seed)
-    found = stage.play(model, scenario, out)
+    found = platform.play(model, scenario, out)
     (out / "accounts.json").write_bytes(orjson.dumps(found))
     for line in became(model, scenario, found):
         print(line)
@@ -213,7 +212,7 @@
 
     from pinspread.simulation import scenario as scenarios
     from pinspread.simulation.model import FleetModel
-    from pinspread.testbed import platform as stage
+    from pinspread.testbed import platform
 
     model = FleetModel.model_validate(
         {
@@ -232,7 +231,7 @@
         flush=True,
     )
     with tempfile.TemporaryDirectory() as folder:
-        found = stage.play(model, scenario, keep or folder)
+        found = platform.play(model, scenario, keep or folder)
     for line in became(model, scenario, found):
         print(line)
     raise typer.Exit(1 if found["broken"] else 0)
