--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -586,7 +586,7 @@
         (["fleet", "run", "experiments/smoke.toml"], 2, "--out"),
         (["fleet", "inspect", "README.md"], 2, "no trace"),
         (["fleet", "compare", "README.md", "README.md"], 2, "no result"),
-        (["fleet", "loopback", "experiments/smoke.toml", "--out", "found", "--variant", "x"], 2, "no variant"),
+        (["fleet", "loopback", "experiments/smoke.toml", "--out", "x", "--variant", "x"], 2, "no variant"),
         (["fleet", "walk"], 2, "walk"),
         (["demo", "--seconds", "soon"], 2, "--seconds"),
     ],
