--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -1,262 +1,49 @@
-"""The command line of the model: `pinspread fleet …`, and `pinspread demo`. Exit codes: 0 done, 2 unusable input."""
+"""The command line of the simulation and the test beds: `pinspread fleet …`, `demo` and `stage`.
+
+Exit codes: 0 done, 1 a rule was broken or an expectation failed, 2 unusable input.
+"""
 
-import sys
 from pathlib import Path
-from typing import Annotated
 
 import orjson
 import typer
 
-app = typer.Typer(help="A model of the fleet: try settings and versions before a partner sees them.",
-                  no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False, rich_markup_mode=None)  # fmt: skip
-File = Annotated[Path, typer.Argument(metavar="FILE", show_default=False)]
-Out = Annotated[
-    Path, typer.Option("--out", help="the folder for results; runs that are there are not run again")
-]
-
-
-def fail(error):
-    """A line a problem on standard error, and exit code 2."""
-    print(error, file=sys.stderr)
-    raise typer.Exit(2)
-
-
-@app.command()
-def check(file: File):
-    """Name every problem of an experiment file with its place."""
-    from pinspread.simulation import experiment
-
-    try:
-        found = experiment.load_experiment(str(file))
-    except experiment.ExperimentError as error:
-        fail(error)
-    print(f"{file}: no problems; {len(found.points)} points, {len(found.seeds)} seeds")
-
-
-@app.command()
-def losses(
-    folder: Annotated[Path, typer.Argument(metavar="LOGS", show_default=False)],
-    partner: Annotated[list[int] | None, typer.Option(help="second by second for this one, too")] = None,
-):
-    """Count where a day's messages went, from the logs (*.log) of all its couriers in a folder."""
-    from pinspread.simulation import losses as counter
-
-    if not any(folder.glob("*.log")):
-        fail(f"{folder}: no *.log there")
-    print(counter.format_report(counter.LossReport(folder), partner or ()))
-
-
-@app.command()
-def run(
-    file: File,
-    out: Out,
-    processes: Annotated[int, typer.Option(help="how many at once; 0: all cores")] = 0,
-    quiet: Annotated[bool, typer.Option(help="no progress bar")] = False,
-    report: Annotated[bool, typer.Option(help="write report.md and plots too")] = True,
-):
-    """Run an experiment; stop it with Ctrl-C and start it again, and it goes on where it was."""
-    from pinspread.simulation import experiment, runs, trace
-    from pinspread.simulation import report as writer
-
-    try:
-        found = runs.run_experiment(experiment.load_experiment(str(file)), str(out), processes, quiet)
-    except (experiment.ExperimentError, trace.TraceError) as error:
-        fail(error)
-    if report:
-        print(writer.write_report(found, str(out)))
-    for point in found.get("points", []):
-        services = [r["service"] for r in point["runs"]]
-        broken = sum(bool(r["broken"]) for r in point["runs"])
-        name = point["variant"] if point["value"] is None else f"{point['variant']}, {point['value']}"
-        print(
-            f"{name}: service {sum(services) / len(services):.4f}, {broken} of {len(services)} runs broke a rule"
-        )
-
-
-@app.command()
-def loopback(
-    file: File,
-    out: Annotated[Path, typer.Option("--out", help="a folder for logs, journals and accounts")],
-    seed: Annotated[int, typer.Option(help="which day")] = 1,
-    variant: Annotated[str, typer.Option(help="whose world; the couriers are this checkout's")] = "",
+from pinspread.simulation import cli_experiments, cli_loopback, cli_traffic
+from pinspread.simulation.cli_common import File, Out, fail
+
+app = typer.Typer(
+    help="A model of the fleet: try settings and versions before a partner sees them.",
+    no_args_is_help=True,
+    add_completion=False,
+    pretty_exceptions_enable=False,
+    rich_markup_mode=None,
+)
+for command in (
+    cli_experiments.check,
+    cli_traffic.losses,
+    cli_experiments.run,
+    cli_loopback.loopback,
+    cli_experiments.compare,
+    cli_experiments.report,
+    cli_traffic.record,
+    cli_traffic.inspect,
 ):
-    """Play one day of an experiment on real sockets, with real couriers among stand-ins."""
-    from pinspread.simulation import experiment
-    from pinspread.simulation import scenario as scenarios
-    from pinspread.testbed import platform
-
-    try:
-        points = experiment.load_experiment(str(file)).points
-    except experiment.ExperimentError as error:
-        fail(error)
-    point = next((p for p in points if variant in ("", p.variant)), None)
-    if point is None:
-        fail(f"{file}: has no variant {variant!r}")
-    model = point.model
-    scenario = scenarios.draw_scenario(model, seed)
-    found = platform.play(model, scenario, out)
-    (out / "accounts.json").write_bytes(orjson.dumps(found))
-    for line in became(model, scenario, found):
-        print(line)
-    raise typer.Exit(1 if found["broken"] else 0)
-
-
-@app.command()
-def compare(
-    a: Annotated[
-        str, typer.Argument(metavar="A", help="FILE or FILE:VARIANT, of a result.json", show_default=False)
-    ],
-    b: Annotated[str, typer.Argument(metavar="B", show_default=False)],
-    as_json: Annotated[bool, typer.Option("--json", help="for programs")] = False,
-):
-    """Compare two variants on the same days: differences with intervals, and a plain verdict."""
-    from pinspread.simulation import compare as judge
-
-    left, right = point_of(a), point_of(b)
-    if left.seeds != right.seeds:
-        fail(f"{a} and {b}: the days differ: other seeds")
-    found = judge.compare_variants(left, right)
-    print(orjson.dumps(found.to_document()).decode() if as_json else judge.format_comparison(found))
-
-
-def point_of(text):
-    """The point that FILE or FILE:VARIANT names."""
-    from pinspread.simulation.results import points_of
-
-    path, _, name = text.partition(":")
-    try:
-        points = points_of(orjson.loads(Path(path).read_bytes()))
-    except (OSError, orjson.JSONDecodeError, KeyError) as error:
-        fail(f"{path}: no result of an experiment: {error}")
-    for point in points:
-        if not name or name in (point.variant, point.label):
-            return point
-    fail(f"{path}: has no variant {name!r}; it has {', '.join(repr(p.variant) for p in points)}")
-
-
-@app.command()
-def report(folder: Annotated[Path, typer.Argument(metavar="DIR", show_default=False)]):
-    """Write report.md and the plots of a folder's result again."""
-    from pinspread.simulation import report as writer
-
-    try:
-        print(writer.write_report(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
-    except (OSError, orjson.JSONDecodeError) as error:
-        fail(f"{folder}/result.json: {error}")
-
-
-@app.command()
-def record(
-    logs: Annotated[
-        list[Path], typer.Argument(metavar="LOG...", help="one log a courier", show_default=False)
-    ],
-    out: Annotated[Path, typer.Option("--out", help="the trace")],
-    key: Annotated[
-        Path, typer.Option("--key", help="a file with the secret that hashes ids and keys, 16 bytes or more")
-    ],
-):
-    """Turn couriers' logs into a trace, and say what was fitted and how well it holds."""
-    from pinspread.simulation import trace, trace_recording
-
-    try:
-        found = trace_recording.record_trace(
-            [(p.name, p.read_bytes().splitlines()) for p in logs], key.read_bytes().strip()
-        )
-        trace.write_trace(found, str(out))
-    except OSError as error:
-        fail(error)
-    except trace.TraceError as error:
-        fail(error)
-    show(found, out)
-
-
-@app.command()
-def inspect(file: File):
-    """Check a trace and show what it holds."""
-    from pinspread.simulation import trace
-
-    try:
-        show(trace.read_trace(str(file)), file)
-    except trace.TraceError as error:
-        fail(error)
-
-
-def show(found, path):
-    """A trace in words."""
-    arrivals = found.arrivals.at_us
-    print(
-        f"{path}: {len(arrivals)} messages in {max(arrivals) / 1e6:.1f} s from {found.instance_count} couriers;"
-        f" {found.skipped_lines} lines skipped"
-    )
-    for one in found.fits:
-        distance = "" if one.latency.distance is None else f" (distance {one.latency.distance:.3f})"
-        limit = one.limit.quality
-        if one.limit.per_s:
-            limit = f"limit {one.limit.per_s:.1f} a second, holds {one.limit.quality}"
-        print(
-            f"partner {one.destination}: {one.calls} calls, mean {one.latency.mean_ms:.0f} ms, log-normal holds"
-            f" {one.latency.quality}{distance}; {limit}; {len(one.outages)} outages"
-        )
-
+    app.command()(command)
 
 demo = typer.Typer(add_completion=False, pretty_exceptions_enable=False, rich_markup_mode=None)
-
-
-@demo.command()
-def play(
-    seconds: Annotated[float, typer.Option(help="how long traffic comes")] = 20.0,
-    keep: Annotated[Path | None, typer.Option(help="a folder for the courier's log and journal")] = None,
-):
-    """A real courier, three stand-in partners of which one goes down, and traffic; prints what became of it."""
-    import tempfile
-
-    from pinspread.simulation import scenario as scenarios
-    from pinspread.simulation.model import FleetModel
-    from pinspread.testbed import platform
-
-    model = FleetModel.model_validate(
-        {
-            "length_s": seconds,
-            "traffic": {"rate_per_s": 12.0, "load": 0.4},
-            "partners": {"endpoints": 3, "per_partner": 1, "mean_per_partner": 1.0, "big_share": 0.0},
-            "couriers": {"count": 1},
-            "trouble": [{"kind": "crash", "at_s": seconds * 0.3, "length_s": seconds * 0.25, "share": 0.4}],
-        }
-    )
-    scenario = scenarios.draw_scenario(model, 7)
-    down = scenario.faults[0]
-    print(
-        f"one courier, three partners, {len(scenario.arrival_ns)} messages in {seconds:g} s; partner {down.targets[0]}"
-        f" refuses connections from {down.at_ns / 1e9:.1f} to {down.until_ns / 1e9:.1f} s",
-        flush=True,
-    )
-    with tempfile.TemporaryDirectory() as folder:
-        found = platform.play(model, scenario, keep or folder)
-    for line in became(model, scenario, found):
-        print(line)
-    raise typer.Exit(1 if found["broken"] else 0)
-
-
-def became(model, scenario, found):
-    """What became of a play, in a few lines."""
-    yield f"{'class':16} {'messages':>8} {'delivered':>9} {'p50 ms':>7} {'p99 ms':>7}"
-    for n, one in enumerate(model.classes):
-        spread = found["latency"][one.name]
-        ms = spread["ms"]
-        yield (
-            f"{one.name:16} {int((scenario.class_index == n).sum()):8} {spread['count']:9}"
-            f" {ms.get('50', 0):7.0f} {ms.get('99', 0):7.0f}"
-        )
-    yield (
-        f"{found['delivered']} of {found['messages']} delivered, {found['in_time']} within the wanted time;"
-        f" {found['branches']} calls, {found['retries']} of them retries, {found['handshakes']} connections"
-    )
-    yield f"payments run twice: {found['payments_twice']}; messages without an end: {found['lost']}"
-    yield f"service {found['service_unbroken']:.3f} of 1; worst 10 s {found['parts']['worst_10s']:.3f}"
-
-
-stage = typer.Typer(help="The fault stage: couriers with membership on loopback, faults between them.",
-                    no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False, rich_markup_mode=None)  # fmt: skip
+demo.command(
+    "play",
+    help="A real courier, three stand-in partners of which one goes down, and traffic;"
+    " prints what became of it.",
+)(cli_loopback.demo)
+
+stage = typer.Typer(
+    help="The fault stage: couriers with membership on loopback, faults between them.",
+    no_args_is_help=True,
+    add_completion=False,
+    pretty_exceptions_enable=False,
+    rich_markup_mode=None,
+)
 
 
 @stage.command("run")
