--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,6 +8,7 @@
 import time
 from collections import Counter
 from contextlib import asynccontextmanager, suppress
+from itertools import pairwise
 
 import anyio
 import orjson
@@ -16,10 +17,15 @@
 
 from pinspread import sockets
 from pinspread.core import journal_records
+from pinspread.core.messages import NEVER_RAN
 from pinspread.hot_restart.link import SOCKET_NAME, Link, PacketKind
+from pinspread.policy.events import Outcome
 
 pytestmark = pytest.mark.anyio
 
+CLOCKS_APART_US = 10_000  # at most, between the Unix times of two processes' logs: each sets its own at start
+UNTOLD = "its process did not tell"  # the note of an attempt that the new process gave up for the old one
+
 
 class Deployment:
     """A courier whose clients' socket the platform holds, and its processes one after the other."""
@@ -66,6 +72,12 @@
         lines = (self.folder / f"log{n}").read_bytes().splitlines()
         return [orjson.loads(line) for line in lines if line.startswith(b"{")]
 
+    def attempts(self, id_):
+        """The ends of a message's attempts as the processes logged them, in the attempts' order."""
+        events = [event for n in range(len(self.processes)) for event in self.events(n)]
+        found = [event for event in events if event["event"] == "attempt" and event["id"] == id_]
+        return sorted(found, key=lambda event: event["number"])
+
 
 async def call(address, said="GET /-/ready"):
     """The status that an admin server answers; 0 if nobody does."""
@@ -97,24 +109,33 @@
         self.order = {}  # key -> ids in the order handed in
         self.had = []  # ids, in the order in which calls came whole
         self.done = Counter()  # 200 written
-        self.out = Counter()
-        self.twice_out = 0
+        self.running = {}  # id -> connections of the calls that the endpoint has not answered
+        self.live_twice = []  # ids of calls that came while the courier kept an earlier one's connection open
+        self.called_again = set()  # ids of calls that came while an earlier one ran, which it had closed
         self.ends = {}
         self.trouble = []
         self.stop = False
 
-    async def endpoint(self, request):
+    async def endpoint(self, request, connection):
         id_ = request[3].get("request-id")
         if id_ is None:
             return 200, [], b""
         self.had.append(id_)
-        self.twice_out += self.out[id_] > 0
-        self.out[id_] += 1
-        await anyio.sleep(0.02 if len(self.had) % 10 else 0.3)
-        self.out[id_] -= 1
+        running = self.running.setdefault(id_, [])
+        if running:
+            # An endpoint runs on after its caller has timed out; the call is over once its connection is.
+            self.called_again.add(id_)
+            self.live_twice += [id_ for earlier in running if not earlier.is_finished()]
+        running.append(connection)
+        await anyio.sleep(self.duration_s(request))
+        running.remove(connection)
         self.done[id_] += 1
         return 200, [], b""
 
+    def duration_s(self, request):
+        """How long a call takes at the endpoint."""
+        return 0.02 if len(self.had) % 10 else 0.3
+
     def platform(self, request):
         if request[2] == "/v2/finals":
             for line in request[4].splitlines():
@@ -150,6 +171,10 @@
     def settled(self):
         return all(id_ in self.done or id_ in self.ends for id_ in self.taken)
 
+    def logged(self):
+        """Whether the logs have each attempt of the messages that were called again."""
+        return all(len(self.deployment.attempts(id_)) >= self.had.count(id_) for id_ in self.called_again)
+
     def check(self, killed=False):
         """The rules; after a kill, calls that were out may have run, and payments among them fail."""
         assert self.settled(), [i for i in self.taken if i not in self.done and i not in self.ends]
@@ -159,18 +184,41 @@
             if not killed:
                 assert (id_ in self.done) != (id_ in self.ends), id_
             assert len(self.ends.get(id_, ())) <= 1
-        assert not self.twice_out or killed
+        if not killed:
+            assert not self.live_twice
+            assert self.logged()
+            for id_ in self.called_again:
+                self.check_one_at_a_time(id_)
         for ids in self.order.values():
             first = [i for n, i in enumerate(self.had) if i in set(ids) and i not in self.had[:n]]
             assert first == [i for i in ids if i in first]
 
+    def check_one_at_a_time(self, id_):
+        """Each attempt of a message timed out where it ran, connection and all, before the next began."""
+        attempts = self.deployment.attempts(id_)
+        for earlier, later in pairwise(attempts):
+            began_us = later["at_us"] - later["elapsed_us"]
+            assert earlier["at_us"] <= began_us + CLOCKS_APART_US, attempts
+            ended = Outcome[earlier["outcome"]]
+            assert (ended is Outcome.TIMEOUT and earlier["note"] != UNTOLD) or ended in NEVER_RAN, attempts
+
+
+class Endpoint(HttpStandIn):
+    """An endpoint that tells its ledger on which connection a call came."""
+
+    def __init__(self, ledger):
+        super().__init__()
+        self.ledger = ledger
+
+    def reply(self, request, connection, first):
+        return self.ledger.endpoint(request, connection)
+
 
 @asynccontextmanager
 async def deployed(folder, clients=6):
     ledger = Ledger()
-    endpoint = HttpStandIn(ledger.endpoint)
-    async with standing(endpoint) as address, standing(HttpStandIn(ledger.platform)) as platform:
-        made = Deployment(folder, address, platform)
+    async with standing(Endpoint(ledger)) as address, standing(HttpStandIn(ledger.platform)) as platform:
+        made = ledger.deployment = Deployment(folder, address, platform)
         try:
             await ready(made.start())
             async with anyio.create_task_group() as tasks:
@@ -179,6 +227,9 @@
                 yield made, ledger
                 ledger.stop = True
             await until(ledger.settled, 10)
+            with anyio.move_on_after(1):  # a process that was killed has not logged all of its attempts
+                while not ledger.logged():
+                    await anyio.sleep(0.01)
         finally:
             ledger.stop = True
             made.end()
@@ -204,6 +255,39 @@
     assert "handover_received" in events and "recovered" not in events and "handed_over" in events
 
 
+async def test_a_call_is_live_until_the_courier_closes_its_connection():
+    ledger = Ledger()
+    ledger.duration_s = lambda request: 0.2
+    request = b"POST /events HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nContent-Length: 0\r\n\r\n"
+    async with standing(Endpoint(ledger)) as address:
+        for id_, closed in ((b"kept", False), (b"closed", True)):
+            first, second = await sockets.dial(address), await sockets.dial(address)
+            await first.write(request % id_)
+            await until(lambda id_=id_: id_.decode() in ledger.had)
+            if closed:
+                first.close()
+            await second.write(request % id_)
+            assert (await second.read()).startswith(b"HTTP/1.1 200 ")
+            first.close()
+            second.close()
+    assert ledger.called_again == {"kept", "closed"} and ledger.live_twice == ["kept"]
+
+
+async def test_an_attempt_that_times_out_during_an_upgrade_is_over_before_the_next_one(tmp_path):
+    async with deployed(tmp_path, clients=0) as (made, ledger):
+        ledger.duration_s = lambda request: 0 if len(ledger.had) > 1 else 6  # longer than any time-out
+        assert await Client(made.address).enqueue("status-update", "m", for_ms=8000) == "+OK\r\n"
+        ledger.taken["m"] = "status-update", "0"
+        await until(lambda: ledger.had)
+        new = made.start()
+        await ready(new)
+        assert [e["in_flight"] for e in made.events(1) if e["event"] == "handover_received"] == [1]
+        await until(lambda: len(ledger.had) == 2)
+        assert ledger.called_again == {"m"} and ledger.running["m"]
+    ledger.check()
+    assert [event["outcome"] for event in made.attempts("m")] == ["TIMEOUT", "OK"]
+
+
 async def test_a_block_binds_both_processes_and_lasts(tmp_path):
     async with deployed(tmp_path, clients=0) as (made, ledger):
         old = made.processes[0]
