--- a/pinspread/hot_restart/link.py
+++ b/pinspread/hot_restart/link.py
@@ -141,6 +141,16 @@
             raise ConnectionResetError("the other process has ended the exchange")
         return fragment, descriptors
 
+    def has_unread(self) -> bool:
+        """Whether a packet, or the end of the exchange, is there to be received."""
+        try:
+            self.sock.recv(1, socket.MSG_PEEK)
+        except BlockingIOError:
+            return False
+        except OSError:
+            return True
+        return True
+
     def close(self) -> None:
         """Close the connection."""
         self.sock.close()
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -38,6 +38,7 @@
 
 BROKEN_S = 0.3  # after an exchange that broke: the old process has the lock back first
 REPORT_GRACE_US = 200_000  # past an attempt's time, for the report of its end
+UNREAD_POLL_S = 0.005  # between two questions whether all reports that have come are read
 
 
 class IdleEndpointConnection(NamedTuple):
@@ -246,7 +247,7 @@
     health_checks = list(engine.health_checks)
     async with anyio.create_task_group() as tasks:
         for key in in_flight:
-            tasks.start_soon(_time_out, engine, key, engine.attempts[key], clock)
+            tasks.start_soon(_time_out, link, engine, key, engine.attempts[key], clock)
         try:
             while True:
                 packet = await link.receive()
@@ -259,12 +260,18 @@
     link.close()
 
 
-async def _time_out(engine: DeliveryEngine, key: tuple[int, int], attempt: Attempt, clock: Clock) -> None:
+async def _time_out(
+    link: Link, engine: DeliveryEngine, key: tuple[int, int], attempt: Attempt, clock: Clock
+) -> None:
     """End an attempt of the old process that it has not reported in time.
 
     A process that hangs reports nothing, and without this a message would never have its final result.
     """
     await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / US_PER_S)
+    # If it was this process that stood still, the report may have come and not been read: a payment that was
+    # delivered would pass for one that failed.
+    while link.has_unread():
+        await anyio.sleep(UNREAD_POLL_S)
     engine.predecessor_attempt_ended(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -288,6 +288,31 @@
     assert [event["outcome"] for event in made.attempts("m")] == ["TIMEOUT", "OK"]
 
 
+@asynccontextmanager
+async def stopped(process):
+    """A process that does nothing while the block runs, as on a machine that has no time for it."""
+    process.send_signal(signal.SIGSTOP)
+    try:
+        yield
+    finally:
+        process.send_signal(signal.SIGCONT)
+
+
+async def test_the_end_that_the_old_process_reported_counts_though_the_new_one_reads_it_late(tmp_path):
+    async with deployed(tmp_path, clients=0) as (made, ledger):
+        ledger.duration_s = lambda request: 2.4
+        assert await Client(made.address).enqueue("payment", "m", for_ms=3000) == "+OK\r\n"
+        ledger.taken["m"] = "payment", "0"
+        await until(lambda: ledger.had)
+        new = made.start()
+        await ready(new, 2)
+        async with stopped(new):
+            await anyio.sleep(4)  # past the attempt's time, and that for its report
+        await until(lambda: made.attempts("m"))
+    ledger.check()
+    assert [event["outcome"] for event in made.attempts("m")] == ["OK"]
+
+
 async def test_a_block_binds_both_processes_and_lasts(tmp_path):
     async with deployed(tmp_path, clients=0) as (made, ledger):
         old = made.processes[0]
