--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -265,9 +265,10 @@
 ) -> None:
     """End an attempt of the old process that it has not reported in time.
 
-    A process that hangs reports nothing, and without this a message would never have its final result.
+    A process that hangs reports nothing, and without this a message would never have its final result. But it
+    does not end its calls either: as long as it has not ended itself, the message must not be sent again.
     """
-    await anyio.sleep(max(0, attempt.ends_us() + REPORT_GRACE_US - clock.now()) / US_PER_S)
+    await anyio.sleep(max(0, _last_end_us(engine, attempt, clock) + REPORT_GRACE_US - clock.now()) / US_PER_S)
     # If it was this process that stood still, the report may have come and not been read: a payment that was
     # delivered would pass for one that failed.
     while link.has_unread():
@@ -275,6 +276,13 @@
     engine.predecessor_attempt_ended(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
 
 
+def _last_end_us(engine: DeliveryEngine, attempt: Attempt, clock: Clock) -> int:
+    """Until when an attempt, or the message that could be sent again after it, may take; monotonic."""
+    if attempt.message.number not in engine.open_messages:
+        return attempt.ends_us()
+    return max(attempt.ends_us(), clock.monotonic(attempt.message.deadline_unix_us))
+
+
 async def _report(link: Link, engine: DeliveryEngine, kind: int, fields: list[Any]) -> None:
     """Do what one packet of the old process says."""
     if kind == PacketKind.ATTEMPT_COMPLETED:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -313,6 +313,33 @@
     assert [event["outcome"] for event in made.attempts("m")] == ["OK"]
 
 
+async def test_nothing_is_sent_again_while_an_old_process_that_hangs_may_still_be_sending(tmp_path):
+    async with deployed(tmp_path, clients=0) as (made, ledger):
+        ledger.duration_s = lambda request: 0 if len(ledger.had) > 1 else 6
+        assert await Client(made.address).enqueue("status-update", "m", for_ms=8000) == "+OK\r\n"
+        ledger.taken["m"] = "status-update", "0"
+        await until(lambda: ledger.had)
+        await ready(made.start(), 2)
+        async with stopped(made.processes[0]):
+            await anyio.sleep(4)  # past the attempt's time, and that for its report
+            assert ledger.had == ["m"]
+    ledger.check()
+    assert [event["outcome"] for event in made.attempts("m")] == ["TIMEOUT", "OK"]
+
+
+async def test_a_message_ends_at_its_deadline_though_the_old_process_hangs(tmp_path):
+    async with deployed(tmp_path, clients=0) as (made, ledger):
+        ledger.duration_s = lambda request: 60
+        assert await Client(made.address).enqueue("status-update", "m", for_ms=4500) == "+OK\r\n"
+        ledger.taken["m"] = "status-update", "0"
+        await until(lambda: ledger.had)
+        await ready(made.start(), 2)
+        async with stopped(made.processes[0]):
+            await until(ledger.settled, 10)
+    ledger.check()
+    assert ledger.had == ["m"] and "m" in ledger.ends
+
+
 async def test_a_block_binds_both_processes_and_lasts(tmp_path):
     async with deployed(tmp_path, clients=0) as (made, ledger):
         old = made.processes[0]
