--- a/pinspread/testbed/cluster_scenario.py
+++ b/pinspread/testbed/cluster_scenario.py
@@ -110,24 +110,35 @@
         Raises:
             ScenarioError: Its kind or one of its fields is unknown.
         """
+        fields = {FAULT_KEYS[key]: value for key, value in table.items() if key in FAULT_KEYS}
+        unknown = table.keys() - FAULT_KEYS.keys() - {"do"}
+        if unknown:
+            raise ScenarioError(f"fault {dict(table)!r}: unknown {', '.join(sorted(unknown))}")
+        if "s" not in table:
+            raise ScenarioError(f"fault {dict(table)!r}: s: is missing")
         try:
-            fields = {FAULT_KEYS.get(key, key): value for key, value in table.items()}
-            kind = FaultKind(fields.pop("kind"))
-            return cls(table=dict(table), kind=kind, **fields)
+            kind = FaultKind(table.get("do", ""))
         except ValueError:
-            raise ScenarioError(f"unknown fault {table['do']!r}") from None
-        except (KeyError, TypeError) as error:
-            raise ScenarioError(f"fault {dict(table)!r}: {error}") from None
+            raise ScenarioError(f"unknown fault {table.get('do', '')!r}") from None
+        return cls(table=dict(table), kind=kind, **fields)
 
 
-# The keys of a fault in a scenario, where the code has another word.
+# The keys of a fault in a scenario beside `do`, and the fields that they are.
 FAULT_KEYS = {
     "s": "at_s",
-    "do": "kind",
+    "who": "who",
     "from": "sources",
     "to": "targets",
+    "groups": "groups",
+    "share": "share",
+    "delay_s": "delay_s",
+    "jitter_s": "jitter_s",
+    "file": "file",
     "ms": "offset_ms",
     "rate": "clock_rate",
+    "seed": "seed",
+    "count": "count",
+    "port": "port",
 }
 
 
--- a/tests/test_testbed_history.py
+++ b/tests/test_testbed_history.py
@@ -1,5 +1,6 @@
 """The testbed reads, checks and configures as it did when the history in tests/data/testbed was recorded."""
 
+import asyncio
 import gzip
 import json
 import shutil
@@ -11,10 +12,12 @@
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation.model import FleetModel
 from pinspread.testbed import cluster, history_checker, lease_checker, plot
-from pinspread.testbed.cluster_scenario import load
+from pinspread.testbed.cluster_scenario import FaultEvent, FaultKind, ScenarioError, load
+from pinspread.testbed.member_process import parse_line
 from pinspread.testbed.platform_configuration import courier_configuration
 from pinspread.testbed.platform_run import PlatformRun
 from pinspread.testbed.platform_stand_in import PlatformStandIn
+from pinspread.testbed.proxy import LinkRules, Proxy
 from pinspread.testbed.replay import Replay
 
 ROOT = Path(__file__).parents[1]
@@ -161,3 +164,102 @@
     first, own = (run.addresses.courier(number).partition(":")[0] for number in range(2))
     text = json.dumps(found).replace(own + ":", "OWN:").replace(first + ":", "FIRST:")
     assert json.loads(text) == recorded("courier.json")
+
+
+@pytest.mark.parametrize(
+    ("change", "why"),
+    [
+        ({"at": [{"s": 1, "do": "burn"}]}, "unknown fault 'burn'"),
+        ({"at": [{"s": 1}]}, "unknown fault ''"),
+        ({"at": [{"do": "heal"}]}, "s: is missing"),
+        ({"at": [{"s": 1, "do": "kill", "whom": ["m1"]}]}, "whom"),
+        ({"traffic": {"rates": 1.0}}, "traffic: .*rates"),
+    ],
+)
+def test_a_scenario_that_cannot_be_decoded_is_a_scenario_error(change, why, tmp_path):
+    with pytest.raises(ScenarioError, match=why):
+        cluster.ClusterTestbed({"members": 2, "seconds": 1} | change, tmp_path)
+
+
+def test_a_fault_is_decoded_by_the_keys_of_scenarios():
+    table = {"s": 2, "do": "cut", "from": ["m0"], "to": ["m1"]}
+    assert FaultEvent.from_table(table) == FaultEvent(table, FaultKind.CUT, 2, (), ["m0"], ["m1"])
+    clock = FaultEvent.from_table({"s": 0, "do": "offset", "ms": 5, "rate": 1.1})
+    assert (clock.offset_ms, clock.clock_rate) == (5, 1.1)
+
+
+def test_a_fault_on_a_member_that_there_is_not_is_a_scenario_error(tmp_path):
+    testbed = cluster.ClusterTestbed({"members": 2, "seconds": 1}, tmp_path)
+    try:
+        with pytest.raises(ScenarioError, match="no member m7"):
+            asyncio.run(testbed.act({"s": 0, "do": "kill", "who": ["m7"]}))
+        asyncio.run(testbed.act({"s": 0, "do": "kill", "who": ["@leader"]}))  # nobody is known to lead
+    finally:
+        testbed.history.close()
+
+
+def test_an_unknown_expectation_is_a_scenario_error(history):
+    with pytest.raises(ScenarioError, match="unknown expectation 'joy': one of dead, never_dead"):
+        history_checker.check(history_checker.read(history), [{"kind": "joy"}])
+
+
+@pytest.mark.parametrize(
+    ("raw", "event"),
+    [
+        (b'{"event": "serving"}', {"event": "serving"}),
+        (b"words\n", {"event": "text", "text": "words"}),
+        (b"Traceback (most recent call last):", "fault"),
+        (b'{"event": "internal_error"}', "fault"),
+        (b"[1]", None),
+    ],
+)
+def test_a_line_of_a_couriers_output_is_an_event(raw, event):
+    found = parse_line(raw)
+    assert found == event or (found and found["event"] == event)
+
+
+class Receiver(asyncio.DatagramProtocol):
+    """Keeps what it receives."""
+
+    def __init__(self, received):
+        self.received = received
+
+    def datagram_received(self, data, source):
+        self.received.append(data)
+
+
+def test_datagrams_through_the_proxy_are_passed_lost_doubled_and_cut_by_the_rules():
+    prefix = "127.31.78"
+    real = {"a": (f"{prefix}.10", 7946), "b": (f"{prefix}.11", 7946)}
+    fronts = {"a": (f"{prefix}.100", 7946), "b": (f"{prefix}.101", 7946)}
+    received = []
+
+    async def play():
+        loop = asyncio.get_running_loop()
+        rules = LinkRules(real)
+        proxy = Proxy(rules, real, fronts)
+        await proxy.open()
+        sender, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, real["a"])
+        target, _ = await loop.create_datagram_endpoint(lambda: Receiver(received), real["b"])
+        stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, (f"{prefix}.12", 0))
+
+        async def send(data, transport=sender):
+            transport.sendto(data, fronts["b"])
+            await asyncio.sleep(0.1)
+
+        await send(b"passed")
+        rules.change(["a"], ["b"], duplicate=1.0, delay_s=0.01)
+        await send(b"doubled")
+        rules.change(["a"], ["b"], loss=1.0)
+        await send(b"lost")
+        rules.heal()
+        rules.split([["a"]])
+        await send(b"cut")
+        await send(b"strange", stranger)
+        for closing in (sender, target, stranger, proxy):
+            closing.close()
+        return proxy.counts
+
+    counts = asyncio.run(play())
+    assert received == [b"passed", b"doubled", b"doubled", b"strange"]
+    assert counts == {"passed": 3, "lost": 2, "doubled": 1, "strangers": 1}
