--- a/tests/test_replication_stage.py
+++ b/tests/test_replication_stage.py
@@ -163,7 +163,7 @@
             return any(li["who"] == "m3" and li.get("event") == event for li in testbed.history.lines())
 
         try:
-            await testbed.begin(set(late))
+            await testbed.begin()
             await testbed.act({"do": "start", "who": ["m3"]})
             # From here on it waits, however long the interpreter's start has taken.
             await until(lambda: has_logged("copies_up"), cluster.READY_TIMEOUT_S)
