--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -47,7 +47,7 @@
 
 
 @stage.command("run")
-def stage_run(file: File, out: Out = Path("found/stage")):
+def stage_run(file: File, out: Out = Path("found/stage")) -> None:
     """Play a scene; its history and verdicts go to OUT; exit code 1 if an expectation failed."""
     from pinspread.testbed import cluster
     from pinspread.testbed.cluster_scenario import ScenarioError, load
@@ -74,7 +74,7 @@
 
 
 @stage.command("check")
-def stage_check(file: File):
+def stage_check(file: File) -> None:
     """Name a scene's problem, or say that it can be played."""
     from pinspread.testbed.cluster_scenario import ScenarioError, load
 
--- a/pinspread/simulation/fit.py
+++ b/pinspread/simulation/fit.py
@@ -148,7 +148,7 @@
     by_destination: dict[int, list[AttemptRecord]] = {number: [] for number in sorted(set(destinations))}
     for attempt in attempts:
         by_destination[attempt.destination].append(attempt)
-    return [_fit_destination(number, found) for number, found in by_destination.items()]
+    return [_fit_destination(number, records) for number, records in by_destination.items()]
 
 
 def _fit_destination(number: int, attempts: list[AttemptRecord]) -> DestinationFit:
--- a/pinspread/simulation/losses.py
+++ b/pinspread/simulation/losses.py
@@ -90,7 +90,7 @@
     Raises:
         OSError: A log cannot be read.
     """
-    found: list[tuple[int, LogEvent]] = []
+    timed: list[tuple[int, LogEvent]] = []  # (microseconds, event)
     for path in sorted(Path(folder).glob("*.log")):
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
             if not line.strip():
@@ -98,12 +98,12 @@
             start = max(0, line.find(b"{"))
             try:
                 event = recorded(orjson.loads(line[start:]))
-                found.append((event["at_us"], LogEvent(path.stem, event)))
+                timed.append((event["at_us"], LogEvent(path.stem, event)))
             except (orjson.JSONDecodeError, KeyError, TypeError):
                 # The last line of a courier that was killed may be cut; what a runtime prints is no event.
-                found.append((0, LogEvent(path.stem, {"event": "unread", "line": number})))
-    found.sort(key=lambda row: row[0])
-    return [event for _, event in found]
+                timed.append((0, LogEvent(path.stem, {"event": "unread", "line": number})))
+    timed.sort(key=lambda row: row[0])
+    return [event for _, event in timed]
 
 
 class LossReport:
--- a/pinspread/simulation/runs.py
+++ b/pinspread/simulation/runs.py
@@ -34,10 +34,10 @@
     def measurements(self) -> dict[str, Any] | None:
         """What was measured; None where the run has not finished, or its file was cut."""
         try:
-            found: dict[str, Any] = orjson.loads(self.file.read_bytes())
+            measured: dict[str, Any] = orjson.loads(self.file.read_bytes())
         except (OSError, orjson.JSONDecodeError):
             return None
-        return found
+        return measured
 
 
 def run_point(point: ExperimentPoint, seed: int) -> dict[str, Any]:
@@ -55,7 +55,8 @@
     policy_seed = random_seed(seed, "variant", point.policy_seed) if point.policy_seed else seed
     with variants.ConstantOverrides(point.constants):
         try:
-            return simulate.Simulation(point.model, scenario, policy_seed, point.settings).run()
+            simulation = simulate.Simulation(point.model, scenario, policy_seed, point.settings)
+            return simulation.run()
         except SimulationStalledError as error:
             # A policy that never stops waking itself serves nobody: the run counts, as one that broke a rule.
             return {"service": 0.0, "service_unbroken": 0.0, "broken": {"stuck": 1}, "stuck": str(error)}
--- a/pinspread/simulation/trace_replay.py
+++ b/pinspread/simulation/trace_replay.py
@@ -23,7 +23,7 @@
 MS_PER_S = 1000
 NS_PER_US = 1000
 AFTER_LAST_NS = 2 * SECOND  # how long a scenario lasts after its last arrival
-MIN_PACE = 0.05  # of a destination, times the work of the classes
+MIN_WORK_FACTOR = 0.05  # of a destination, times the work of its messages' classes
 # How far above the recorded use the fitted capacities lie: what was not used at its most left no trace.
 CORES_HEADROOM = 1.5
 SLOTS_HEADROOM = 2.2
@@ -143,17 +143,17 @@
     def _destination_spec(self, fit: DestinationFit) -> DestinationSpec:
         """A destination whose latency, capacity and limit are as fitted."""
         number = self.numbers[fit.destination]
-        pace = self._pace(fit, number)
+        work_factor = self._work_factor(fit, number)
         endpoints = max(1, fit.endpoints)
         cores_needed = math.ceil(fit.max_in_flight * CORES_HEADROOM / endpoints)
         cores = max(self.model.partners.least_cores, cores_needed)
-        capacity_per_s = cores * endpoints / (self._usual_work_s(number) * pace)
+        capacity_per_s = cores * endpoints / (self._usual_work_s(number) * work_factor)
         limit_per_s = fit.limit.per_s
         spec = DestinationSpec(
             number,
             fit.calls / max(1, len(self.arrival_ns)),
             bool(limit_per_s),
-            pace,
+            work_factor,
             [cores] * endpoints,
             [max(2, int(QUEUE_S * capacity_per_s / endpoints))] * endpoints,
             [0] * endpoints,
@@ -166,15 +166,15 @@
             spec.tells = fit.retry_after_share
         return spec
 
-    def _pace(self, fit: DestinationFit, number: int) -> float:
+    def _work_factor(self, fit: DestinationFit, number: int) -> float:
         """How long a destination works on a message, times the mean work of its class."""
         latency = fit.latency
         mean_s = latency.mean_ms / MS_PER_S if latency.count else float(self.work_s.mean())
         network_s = 2 * sum(_bounds(self.model.network.delay_ms)) / (2 * MS_PER_S)
-        return max(MIN_PACE, (mean_s - network_s) / self._usual_work_s(number))
+        return max(MIN_WORK_FACTOR, (mean_s - network_s) / self._usual_work_s(number))
 
     def _usual_work_s(self, number: int) -> float:
-        """The mean work of a destination's messages at usual pace."""
+        """The mean work of a destination's messages where the work factor is 1."""
         mine = self.class_index[self.destination == number]
         return float(self.work_s[mine].mean()) if len(mine) else float(self.work_s.mean())
 
