--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -9,7 +9,7 @@
 import anyio
 import pytest
 from pamqp import commands
-from standins import AmqpClient, Broker, Client, HttpStandIn, engine, own_address, standing, until
+from standins import AmqpClient, Broker, Client, HttpStandIn, answering, engine, own_address, standing, until
 
 from pinspread.config.template import template
 from pinspread.policy.events import EndpointState
@@ -42,7 +42,7 @@
         assert len(seen) > 1 if tries is None else len(seen) == tries
 
 
-async def test_a_broker_that_stays_blocked_counts_as_retry_after_and_one_that_is_gone_does_not(tmp_path):
+async def test_a_broker_that_stays_blocked_counts_as_retry_after_and_one_that_is_down_does_not(tmp_path):
     broker = Broker()
     async with engine(tmp_path) as rig:
         async with standing(broker) as address:
@@ -62,7 +62,7 @@
         assert not rig.engine.retry_after_until_us
 
 
-async def test_a_broker_that_is_gone_is_forgotten_with_its_last_pending_publish(tmp_path):
+async def test_a_broker_that_is_removed_is_forgotten_with_its_last_pending_publish(tmp_path):
     broker = Broker(lambda broker, id_: "wait")
     async with standing(broker) as address, engine(tmp_path) as rig:
         transport = rig.engine.transports["amqp"]
@@ -125,12 +125,12 @@
 
     broker, platform = Broker(plan), HttpStandIn(lambda request: (204, [], b""))
     accepted, restarts = set(), 0
-    async with standing(broker) as address, standing(platform) as notices:
+    async with standing(broker) as address, standing(platform) as platform_address:
         endpoints = [(address, f"b{n}", n, "amqp") for n in range(DESTINATIONS)]
         while len(accepted) < PAYMENTS:
             restarts += 1
             upto = min(PAYMENTS, len(accepted) + moments.randrange(150, 450))
-            async with engine(tmp_path, notices, endpoints=endpoints) as rig:
+            async with engine(tmp_path, platform_address, endpoints=endpoints) as rig:
                 client = Client(rig.address)
                 while len(accepted) < upto:
                     id_, dest = f"p{len(accepted)}", len(accepted) % DESTINATIONS
@@ -143,7 +143,7 @@
                         kills += 1
                     await until(lambda rig=rig: len(rig.engine.open_messages) < 80, 20)
                 # the instance is killed here, with whatever is in flight or queued
-        async with engine(tmp_path, notices, endpoints=endpoints) as rig:
+        async with engine(tmp_path, platform_address, endpoints=endpoints) as rig:
             await until(lambda: not rig.engine.messages_by_id, 30)
     ended = {notice["id"] for notice in platform.lines}
     assert restarts > 5 and kills > 8 and breaks > 20
@@ -194,9 +194,9 @@
 class Application:
     """An instance in a process of its own, off the platform, whose only endpoint is a broker."""
 
-    def __init__(self, folder, broker, notices):
+    def __init__(self, folder, broker, platform_address):
         self.address = own_address()
-        text = template("pay").replace("127.0.0.1:8500", notices)
+        text = template("pay").replace("127.0.0.1:8500", platform_address)
         text = text.replace('amqp = "127.0.0.1:5672"', "").replace("127.0.0.1:6379", self.address)
         text = text.replace("127.0.0.1:9600", own_address())
         text = text.replace('"state"', f'"{folder}/state"').replace("partners.zone", f"{folder}/zone")
@@ -217,13 +217,8 @@
     async def client(self):
         """A client, once the instance answers."""
         client = Client(self.address)
-        with anyio.fail_after(10):
-            while True:
-                try:
-                    assert await client.say("PING") == "+PONG\r\n"
-                    return client
-                except OSError:
-                    await anyio.sleep(0.02)
+        await answering(client)
+        return client
 
     async def kill(self):
         self.process.send_signal(signal.SIGKILL)
@@ -235,16 +230,16 @@
     broker, platform = Broker(), HttpStandIn(lambda request: (204, [], b""))
     broker.plan = lambda _, id_: "kill" if chance.random() < 0.01 else "ack"
     accepted = set()
-    async with standing(broker) as address, standing(platform) as notices:
+    async with standing(broker) as address, standing(platform) as platform_address:
         for _ in range(4):
-            process = Application(tmp_path, address, notices)
+            process = Application(tmp_path, address, platform_address)
             client = await process.client()
             for _ in range(chance.randrange(60, 120)):
                 id_ = f"p{len(accepted)}"
                 answer = await client.say("ENQUEUE", "0", id_, "c=payment,t=all,d=20000,dest=1", "x")
                 accepted |= {id_} if answer.startswith("+OK") else set()
             await process.kill()
-        process = Application(tmp_path, address, notices)
+        process = Application(tmp_path, address, platform_address)
         ended = lambda: set(broker.effects) | {notice["id"] for notice in platform.lines}  # noqa: E731
         await until(lambda: accepted <= ended(), 20)
         await anyio.sleep(0.3)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -13,7 +13,7 @@
 from pinspread.core.journal import Journal
 from pinspread.core.messages import FinalResult, FinalState, Message
 from pinspread.errors import JournalFullError
-from pinspread.membership import codec as wire
+from pinspread.membership import codec
 from pinspread.membership.members import MemberState
 from pinspread.membership.messages import Update
 from pinspread.membership.service import MembershipConfig, MembershipService
@@ -104,7 +104,7 @@
         (None, 10, 1),
     ],
 )
-def test_whose_work_is_due_for_another(state, for_us, lost):
+def test_whose_work_is_due_for_takeover(state, for_us, lost):
     assert fleet.is_lost(state, for_us, 10) == bool(lost)
 
 
@@ -149,7 +149,7 @@
     assert found is said if isinstance(said, WriteTarget) else found.startswith(said)
 
 
-def test_a_new_generation_takes_the_old_ones_place_only_when_it_is_whole():
+def test_a_new_generation_takes_the_old_ones_place_only_when_it_is_complete():
     replica = Replica(
         "a", fencing_token=5, generation=7, size=10, takeover_token=3, takeover_candidates=["b"]
     )
@@ -242,7 +242,7 @@
     assert "id3" in journal.finished_ids and 3 not in journal.open_messages
 
 
-def test_what_is_taken_over_stays_within_the_journals_room(tmp_path):
+def test_what_is_taken_over_stays_within_the_journals_limit(tmp_path):
     journal = Journal(str(tmp_path), 3000)
     journal.recover()
     with pytest.raises(JournalFullError):
@@ -367,7 +367,7 @@
     ],
 )
 def test_a_message_that_is_not_well_formed_ends_its_stream(service, message):
-    with pytest.raises(wire.DatagramError):
+    with pytest.raises(codec.DatagramError):
         answer(service, message)
 
 
@@ -395,11 +395,11 @@
     ],
 )
 def test_an_answer_that_is_not_well_formed_is_refused(request_, message):
-    with pytest.raises(wire.DatagramError):
+    with pytest.raises(codec.DatagramError):
         protocol.decode_answer(request_, message)
 
 
-def test_waiting_for_replicas_is_bounded_and_promises_on_one_disk_only_where_allowed(service, monkeypatch):
+def test_waiting_for_replicas_is_bounded_and_one_disk_is_enough_only_where_allowed(service, monkeypatch):
     service.primary.replicas = ["a", "b"]
     service.primary.announced = {"a": ["a", "b"], "b": ["a", "c"]}
     service.primary.log.rewrite(b"x", 1)
@@ -426,18 +426,18 @@
 
 
 def test_the_commands_show_leases_and_copies_as_aligned_text(service):
-    from pinspread.admin import status_client as show
+    from pinspread.admin import status_client
 
     service.primary.replicas = ["a"]
     service.primary.log.rewrite(b"four", 9)
-    shown = show.FORMATTERS["copies"](service.view(), 0)
+    shown = status_client.FORMATTERS["copies"](service.view(), 0)
     assert shown[0].startswith("k: 0 records, 4 bytes, generation 9, 1 copies needed; ")
     assert shown[2].split() == ["a", "no", "0", "4", "0"]
     view = {"id": "k", "voter": True, "leader": "a", "term": 3, "tasks": [{"task": "t", "mine": 0}]}
     view["tasks"].append(
         {"task": "u", "mine": 7, "acts_for_ms": 1500, "holder": "k", "token": 7, "binds_for_ms": 2000}
     )
-    shown = show.FORMATTERS["leases"](view, 0)
+    shown = status_client.FORMATTERS["leases"](view, 0)
     assert shown[0] == "k: a voter, leader a, term 3"
     assert shown[2].split() == ["t", "-", "?", "?", "-"] and shown[3].split() == [
         "u",
