--- /dev/null
+++ b/pinspread/simulation/cli_testbed.py
@@ -0,0 +1,60 @@
+"""Sub-commands of the cluster's test bed: `pinspread stage …`."""
+
+from collections.abc import Iterable, Mapping, Sequence
+from pathlib import Path
+from typing import Any
+
+import orjson
+import typer
+
+from pinspread.simulation.cli_common import EXIT_FAILED, File, Out, fail
+
+SHOWN_CHARACTERS = 300  # of a verdict's details
+HIDDEN_KEYS = ("ok", "kind", "faults", "each_s")  # of a verdict; the first two are shown in front
+
+
+def run(file: File, out: Out = Path("found/stage")) -> None:
+    """Play a scene; its history and verdicts go to OUT; exit code 1 if an expectation failed."""
+    from pinspread.testbed import cluster
+    from pinspread.testbed.cluster_scenario import ScenarioError, load
+
+    try:
+        scenario = load(str(file))
+        print(f"playing {file}: {scenario['members']} members for {scenario['seconds']} s ...", flush=True)
+        verdicts = cluster.play(scenario, out)
+    except (ScenarioError, ValueError) as error:
+        fail(error)
+    _print_verdicts(verdicts)
+    (out / "verdicts.json").write_bytes(orjson.dumps(verdicts, option=orjson.OPT_INDENT_2))
+    _plot(scenario, out)
+    if not all(verdict["ok"] for verdict in verdicts):
+        raise typer.Exit(EXIT_FAILED)
+
+
+def check(file: File) -> None:
+    """Name a scene's problem, or say that it can be played."""
+    from pinspread.testbed.cluster_scenario import ScenarioError, load
+
+    try:
+        scenario = load(str(file))
+    except ScenarioError as error:
+        fail(error)
+    print(f"{file}: no problems; {scenario['members']} members, {len(scenario.get('at', []))} faults")
+
+
+def _print_verdicts(verdicts: Iterable[Mapping[str, Any]]) -> None:
+    for verdict in verdicts:
+        details = {key: value for key, value in verdict.items() if key not in HIDDEN_KEYS}
+        shown = orjson.dumps(details).decode()[:SHOWN_CHARACTERS]
+        print("ok  " if verdict["ok"] else "FAIL", verdict["kind"], shown)
+
+
+def _plot(scenario: Mapping[str, Any], folder: Path) -> None:
+    """Plot the members over time, with the faults marked, and print where the files are."""
+    from pinspread.testbed import history_checker, plot
+
+    history, picture = folder / "history.jsonl", folder / "members.png"
+    faults: Sequence[Mapping[str, Any]] = scenario.get("at", [])
+    marks = [(fault["s"], f"{fault['do']} {','.join(fault.get('who', []))}") for fault in faults]
+    plot.draw(history_checker.read_scenario(history), picture, marks)
+    print(f"history: {history}; picture: {picture}")
