--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -1,4 +1,4 @@
-"""Copies under load on the fault stage: `PYTHONPATH=. python benchmarks/copies.py [OUT] [TRIALS] [--seed N] [--no-costs]` (about 11 s a trial).
+"""Replication under load on the cluster testbed: `PYTHONPATH=. python benchmarks/copies.py [OUT] [TRIALS] [--seed N] [--no-costs]` (about 11 s a trial).
 
 Five couriers with traffic; again and again one, drawn at random, is killed and its folder removed at a random
 moment, its work is taken over, and it is started again. A fifth of the messages comes by AMQP. Prints the ledger over
@@ -16,7 +16,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from pinspread.admin import status_client as show
+from pinspread.admin import status_client
 from pinspread.testbed import cluster
 from pinspread.testbed import history_checker as judge
 from pinspread.testbed.ledger import ledger
@@ -42,6 +42,7 @@
 
 
 async def trials(folder, count, seed=1):
+    """Kill couriers and remove their folders, `count` times under load; the history's lines."""
     rng = random.Random(seed)
     load = {"rate": 8.0, "slow_s": 0.8, "for_s": 11.0 * count + 4, "deadline_s": 20.0, "amqp_share": 0.2}
     testbed = cluster.ClusterTestbed(SCENE | {"copies": {"count": 2, "need": 1}, "traffic": load}, folder)
@@ -65,7 +66,7 @@
 
 
 def flowing(lines):
-    """Microseconds from each kill to the first branch or end elsewhere of what the lost courier had taken.
+    """Microseconds from each kill to the first attempt or end elsewhere of what the lost courier had accepted.
 
     Only of kills after which something was taken over before the courier came back; the others are counted.
     """
@@ -99,7 +100,7 @@
 
 
 async def cost(folder, count, need, sync=False):
-    """Latency and throughput at the couriers' doors, with `count` copies kept (0: none) and `need` waited for."""
+    """Latency and throughput of the couriers, with `count` replicas (0: none) of which `need` must confirm."""
     load = {"rate": 60.0, "slow_s": 0.02, "for_s": 8.0, "deadline_s": 10.0}
     copies = {"copies": {"count": count, "need": need, "sync": sync}} if count else {}
     testbed = cluster.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
@@ -107,7 +108,7 @@
         await testbed.begin()
         await asyncio.sleep(12)
         views = [
-            await asyncio.to_thread(show.fetch, f"{c.real[0]}:9600", "copies")
+            await asyncio.to_thread(status_client.fetch, f"{c.real[0]}:9600", "copies")
             for c in testbed.members
             if count
         ]
@@ -164,10 +165,10 @@
 
 
 if __name__ == "__main__":
-    words = argparse.ArgumentParser(description="Copies under kills, and what they cost.")
-    words.add_argument("out", nargs="?", type=Path, default=Path("found/copies"))
-    words.add_argument("trials", nargs="?", type=int, default=100, help="kills; 0 leaves them out")
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--no-costs", dest="costs", action="store_false")
-    chosen = words.parse_args()
+    parser = argparse.ArgumentParser(description="Replication under kills, and what it costs.")
+    parser.add_argument("out", nargs="?", type=Path, default=Path("found/copies"))
+    parser.add_argument("trials", nargs="?", type=int, default=100, help="kills; 0 leaves them out")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--no-costs", dest="costs", action="store_false")
+    chosen = parser.parse_args()
     sys.exit(main(chosen.out, chosen.trials, chosen.seed, chosen.costs))
--- a/benchmarks/copies_chaos.py
+++ b/benchmarks/copies_chaos.py
@@ -1,4 +1,4 @@
-"""Copies under faults at random: `PYTHONPATH=. python benchmarks/copies_chaos.py [OUT] [SECONDS] [--seed N]`.
+"""Replication under faults at random: `PYTHONPATH=. python benchmarks/copies_chaos.py [OUT] [SECONDS] [--seed N]`.
 
 Five couriers with traffic on both fronts, R = 2, W = 1. One trouble after another, drawn at random: a courier lost
 with its disk (and then, for some, whoever took its work over killed too), killed, ended by SIGTERM, stopped; one-way
@@ -88,6 +88,7 @@
 
 
 def main(out, seconds, seed):
+    """Play and print the verdicts; 0 if all hold."""
     lines, counts = asyncio.run(play(out, seconds, seed))
     print("troubles:", sum(counts.values()), dict(counts))
     found = judge.judge(lines, [{"kind": "ledger", "least": 100}, {"kind": "one_holder"}])
@@ -98,7 +99,7 @@
 
 
 if __name__ == "__main__":
-    words = argparse.ArgumentParser(description="Copies under faults at random.")
+    words = argparse.ArgumentParser(description="Replication under faults at random.")
     words.add_argument("out", nargs="?", type=Path, default=Path("found/copies-chaos"))
     words.add_argument("seconds", nargs="?", type=float, default=300)
     words.add_argument("--seed", type=int, default=1)
--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -1,4 +1,4 @@
-"""The operators' door in a crowd and under load, and the time of an upgrade, on real processes on loopback.
+"""The admin server in a crowd and under load, and the time of an upgrade, on real processes on loopback.
 
     .venv/bin/python benchmarks/daily.py [--calls 200] [--silent 300] [--upgrades 3]
 
@@ -29,31 +29,32 @@
 class Processes:
     """A courier's processes one after the other, on one passed socket."""
 
-    def __init__(self, folder, partner, platform):
+    def __init__(self, folder, endpoint, platform):
         self.sock, self.address = listener()
         self.folder = Path(folder)
         (self.folder / "state").mkdir()
-        told = configuration(self.folder / "state")
-        told["known"]["hosts"] = [host("s-1", partner)]
-        self.told = told | {"listen": self.address, "discovery": platform}
+        configured = configuration(self.folder / "state")
+        configured["known"]["hosts"] = [host("s-1", endpoint)]
+        self.configuration = configured | {"listen": self.address, "discovery": platform}
         self.count = 0
 
     def start(self):
+        """Start another process; the address of its admin server, and the process."""
         self.count += 1
-        door = f"127.77.{os.getpid() % 250}.{self.count}:9600"
+        admin_address = f"127.77.{os.getpid() % 250}.{self.count}:9600"
         file = self.folder / "config.json"
-        file.write_bytes(orjson.dumps(self.told | {"admin_addr": door}))
+        file.write_bytes(orjson.dumps(self.configuration | {"admin_addr": admin_address}))
         env = os.environ | {"RELAY_CONFIG": str(file), "RELAY_PASSED_SOCKET": str(self.sock.fileno())}
         command = [sys.executable, "-m", "pinspread"]
         quiet = subprocess.DEVNULL
-        return door, subprocess.Popen(command, env=env, pass_fds=[self.sock.fileno()], stdout=quiet)
+        return admin_address, subprocess.Popen(command, env=env, pass_fds=[self.sock.fileno()], stdout=quiet)
 
 
-async def asked(door):
-    """Seconds until the door has answered `ready`, and its status; 0 without an answer."""
+async def ask_ready(admin_address):
+    """Seconds until the admin server has answered `ready`, and its status; 0 without an answer."""
     began = time.monotonic()
     try:
-        connection = await sockets.dial(door)
+        connection = await sockets.dial(admin_address)
         await connection.write(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         with anyio.fail_after(5):
             status = int((await connection.read()).split(b" ", 2)[1])
@@ -63,14 +64,16 @@
     return time.monotonic() - began, status
 
 
-async def ready(door):
+async def ready(admin_address):
+    """Wait until the admin server answers that the process is ready; seconds that took."""
     began = time.monotonic()
-    while (await asked(door))[1] != 200:
+    while (await ask_ready(admin_address))[1] != 200:
         await anyio.sleep(0.01)
     return time.monotonic() - began
 
 
 async def load(address, trouble, stop):
+    """Submit messages until `stop` is set; what met an error is added to `trouble`."""
     client, n = Client(address, again=True), 0
     while not stop.is_set():
         n += 1
@@ -84,19 +87,20 @@
 
 
 async def main(options):
+    """Measure the admin server under load and in a crowd, then the upgrades; print the figures."""
     stop, trouble = anyio.Event(), []
     platform = HttpStandIn(lambda request: (204 if request[2] == "/v2/finals" else 503, [], b""))
     with tempfile.TemporaryDirectory() as folder:
-        async with standing(HttpStandIn()) as partner, standing(platform) as where:
-            processes = Processes(folder, partner, where)
-            door, process = processes.start()
-            await ready(door)
+        async with standing(HttpStandIn()) as endpoint, standing(platform) as where:
+            processes = Processes(folder, endpoint, where)
+            admin_address, process = processes.start()
+            await ready(admin_address)
             async with anyio.create_task_group() as tasks:
                 for _ in range(8):
                     tasks.start_soon(load, processes.address, trouble, stop)
                 crowd = [await sockets.dial(processes.address) for _ in range(options.silent)]
-                crowd += [await sockets.dial(door) for _ in range(options.silent // 4)]
-                found = [await asked(door) for _ in range(options.calls)]
+                crowd += [await sockets.dial(admin_address) for _ in range(options.silent // 4)]
+                found = [await ask_ready(admin_address) for _ in range(options.calls)]
                 times = sorted(1000 * seconds for seconds, status in found if status == 200)
                 share = sum(t < 1000 for t in times) / options.calls
                 print(
@@ -105,8 +109,8 @@
                 for connection in crowd:
                     connection.close()
                 for n in range(options.upgrades):
-                    new_door, new = processes.start()
-                    took = await ready(new_door)
+                    new_admin_address, new = processes.start()
+                    took = await ready(new_admin_address)
                     process.send_signal(signal.SIGTERM)
                     await anyio.to_thread.run_sync(process.wait)
                     process = new
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,4 +1,4 @@
-"""Leases on the fault stage, for minutes: `python benchmarks/leases.py [OUT] [SECONDS]`; and the deeper check.
+"""Leases on the cluster testbed, for minutes: `python benchmarks/leases.py [OUT] [SECONDS]`; and the deeper check.
 
 Seven couriers, three of them voters, contend for three tasks while faults come at random: loss, one-way cuts, splits
 of the voters, a holder stopped past its lease, the leader or a holder killed, clocks fast and slow within the bound.
@@ -15,12 +15,11 @@
 from collections import Counter
 from pathlib import Path
 
-from pinspread.admin import status_client as show
+from pinspread.admin import status_client
 from pinspread.leases.lease_model import Bounds
 from pinspread.leases.model_checker import explore
-from pinspread.testbed import cluster
+from pinspread.testbed import cluster, lease_checker
 from pinspread.testbed import history_checker as judge
-from pinspread.testbed import lease_checker as judge_leases
 from pinspread.testbed.member_configuration import ClockError
 
 LEASES = {
@@ -81,19 +80,20 @@
 
 
 def report(lines):
+    """Print what became of holders and tokens; whether no rule was broken."""
     found = judge.judge(lines, [{"kind": "one_holder"}, {"kind": "tokens_grow"}])
     for verdict in found:
         print("ok  " if verdict["ok"] else "FAIL", verdict)
     begin = next(li["mono_us"] for li in lines if li.get("event") == "lease_held")
     end = next(li["mono_us"] for li in lines if li.get("event") == "ending")
     seconds = (end - begin) / 1e6
-    gaps = sorted(g for g in judge_leases.gaps(lines) if g is not None)
+    gaps = sorted(g for g in lease_checker.gaps(lines) if g is not None)
     if gaps:
         p99 = gaps[min(len(gaps) - 1, round(0.99 * (len(gaps) - 1)))]
         print(
             f"without a holder after a loss: median {statistics.median(gaps):.2f} s, p99 {p99:.2f} s, {len(gaps)} losses"
         )
-    shares = judge_leases.held_share(lines, begin, end)
+    shares = lease_checker.held_share(lines, begin, end)
     print("held:", {t: round(s, 3) for t, s in sorted(shares.items())}, f"of {seconds:.0f} s")
     count = {
         e: sum(li.get("event") == e for li in lines)
@@ -111,37 +111,40 @@
 async def cost(folder):
     """Messages of a calm fleet of three voters in 20 s, by kind, and the changes of leases that they carried."""
     testbed = cluster.ClusterTestbed(SCENE | {"members": 3}, folder)
-    told = []
+    totals = []
     try:
         await testbed.begin()
         await asyncio.sleep(6)
         for pause in (20, 0):
             views = [
-                await asyncio.to_thread(show.fetch, f"{c.real[0]}:9600", "leases") for c in testbed.members
+                await asyncio.to_thread(status_client.fetch, f"{c.real[0]}:9600", "leases")
+                for c in testbed.members
             ]
-            told.append(sum((Counter(v["sent"]) + Counter(v["counts"]) for v in views), Counter()))
+            totals.append(sum((Counter(v["sent"]) + Counter(v["counts"]) for v in views), Counter()))
             versions = max(sum(t["version"] for t in v["tasks"]) for v in views)
-            told[-1]["changes"] = versions
+            totals[-1]["changes"] = versions
             await asyncio.sleep(pause)
     finally:
         await asyncio.to_thread(testbed.finish)
-    spent = told[1] - told[0]
+    spent = totals[1] - totals[0]
     changes = spent.pop("changes")
     print(f"calm fleet of 3 voters, 20 s: {changes} grants and renewals; messages:", dict(spent))
     print("a change:", {k: round(spent[k] / changes, 2) for k in ("requests", "answers", "entries")})
 
 
 def check(depth):
+    """Run the exhaustive check to this depth and print its result; whether it found no violation."""
     found = explore(Bounds(depth=depth, states=20_000_000, seconds=600))
     print(f"exhaustive, depth {depth}:", {k: v for k, v in found._asdict().items() if k != "steps"})
     return not found.violation
 
 
-def main(words):
-    if words[:1] == ["--check"]:
-        return 0 if check(int(words[1])) else 1
-    out = Path(words[0] if words else "found/leases")
-    ok = report(asyncio.run(contend(out / "contend", float(words[1]) if len(words) > 1 else 300)))
+def main(arguments):
+    """Play, or check where `--check` says so; the exit code."""
+    if arguments[:1] == ["--check"]:
+        return 0 if check(int(arguments[1])) else 1
+    out = Path(arguments[0] if arguments else "found/leases")
+    ok = report(asyncio.run(contend(out / "contend", float(arguments[1]) if len(arguments) > 1 else 300)))
     asyncio.run(cost(out / "cost"))
     return 0 if ok else 1
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,4 +1,4 @@
-"""Membership on the fault stage with 16 couriers: `python benchmarks/members.py [OUT]` (about 10 minutes).
+"""Membership on the cluster testbed with 16 couriers: `python benchmarks/members.py [OUT]` (about 10 minutes).
 
 Prints, one block a measure: the time from SIGKILL to every other member saying dead (20 kills, each member
 started again and one table awaited before the next); false deaths per member-hour at 5% and 20% loss on all
@@ -21,6 +21,8 @@
 
 
 def one_table(testbed):
+    """A test of views: whether all members have the same table."""
+
     def test(views):
         return len(views) == N and judge.agreed(set(views), views, [c.id for c in testbed.members])
 
@@ -28,6 +30,8 @@
 
 
 def dead_to_all(victim):
+    """A test of views: whether all others say that the victim is dead or has left."""
+
     def test(views):
         others = [v for s, v in views.items() if s != victim]
         return all(v.get(victim) in ("dead", "left") for v in others)
@@ -36,6 +40,7 @@
 
 
 async def kills(folder, count=20, seed=1):
+    """Kill members one at a time; seconds until all say dead, and until one table again."""
     rng = random.Random(seed)
     testbed = cluster.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
     times, rejoins = [], []
@@ -56,6 +61,7 @@
 
 
 async def false_deaths(folder, loss=0.0, pauses=False, seed=2):
+    """Play loss or pauses; false deaths, all deaths, member-hours, and pauses."""
     rng = random.Random(seed)
     testbed = cluster.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
     paused = 0
@@ -83,6 +89,7 @@
 
 
 async def heals(folder, count=3):
+    """Split the members into halves and heal that; seconds until one table, each time."""
     testbed = cluster.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
     halves = [[c.id for c in testbed.members[: N // 2]], [c.id for c in testbed.members[N // 2 :]]]
     found = []
@@ -101,6 +108,7 @@
 
 
 def spread(values):
+    """Median, 99th percentile and largest of seconds; None stands for not in time."""
     got = sorted(v for v in values if v is not None)
     if not got:
         return "none"
@@ -109,6 +117,7 @@
 
 
 def main(out):
+    """Run and print each measure."""
     out = Path(out)
     print(f"{N} couriers, {TUNING}")
     times, rejoins = asyncio.run(kills(out / "kills"))
