--- a/examples/hand_in.py
+++ b/examples/hand_in.py
@@ -1,17 +1,41 @@
-"""Hand one message to the courier: hand_in.py CLASS DEST BODY [PORT]. Prints what the courier answers."""
+"""Submit one message to the courier of `booking.toml` and print its answer.
+
+    python examples/hand_in.py CLASS DESTINATION BODY [PORT]
+
+CLASS and DESTINATION are a class of messages and the number of a destination, both from `booking.toml`. The
+message may be delivered within 10 s. The courier listens on port 6379 if none is given.
+"""
 
 import secrets
 import socket
 import sys
 
+DEFAULT_PORT = 6379
+TIME_LIMIT_MS = 10_000
+NO_ORDERING_KEY = "0"
+
+
+def resp_command(*arguments: str) -> bytes:
+    """A command in RESP2: an array of bulk strings."""
+    encoded = [argument.encode() for argument in arguments]
+    bulk_strings = (b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in encoded)
+    return b"*%d\r\n" % len(encoded) + b"".join(bulk_strings)
+
+
+def enqueue_command(class_name: str, destination: str, body: str) -> bytes:
+    """The command that submits a message under a new id and a new idempotency key."""
+    message_id, idempotency_key = secrets.token_hex(8), secrets.token_hex(8)
+    options = f"c={class_name},t=all,d={TIME_LIMIT_MS},k={idempotency_key},dest={destination}"
+    return resp_command("ENQUEUE", NO_ORDERING_KEY, message_id, options, body)
+
 
-def main():
-    cls, dest, body, *port = sys.argv[1:]
-    options = f"c={cls},t=all,d=10000,k={secrets.token_hex(8)},dest={dest}"
-    words = [w.encode() for w in ("ENQUEUE", "0", secrets.token_hex(8), options, body)]
-    with socket.create_connection(("127.0.0.1", int(port[0]) if port else 6379)) as sock:
-        sock.sendall(b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(w), w) for w in words))
-        print(sock.recv(1024).decode().strip())
+def main() -> None:
+    """Submit the message of the command line."""
+    class_name, destination, body, *rest = sys.argv[1:]
+    port = int(rest[0]) if rest else DEFAULT_PORT
+    with socket.create_connection(("127.0.0.1", port)) as connection:
+        connection.sendall(enqueue_command(class_name, destination, body))
+        print(connection.recv(1024).decode().strip())
 
 
 if __name__ == "__main__":
