--- a/tests/stored.py
+++ b/tests/stored.py
@@ -18,7 +18,7 @@
 
 # --- adapter: stored names (left) and those of the code (right) -----------------------------------
 
-TRANSACTION = {
+MESSAGE_FIELDS = {
     "id": "id",
     "cls": "class_name",
     "tenant": "tenant",
@@ -29,13 +29,13 @@
     "front": "front",
     "reply": "reply",
 }
-PROGRESS = {  # told by records of other kinds than TAKEN
+PROGRESS_FIELDS = {  # in records of other kinds than TAKEN
     "attempts": "attempts",
     "may_have_run_unix_us": "may_have_run_unix_us",
     "out_since_unix_us": "in_flight_since_unix_us",
     "zone": "zone",
 }
-CLASS = {
+CLASS_FIELDS = {
     "aim_ns": "latency_objective_ns",
     "deadline_ns": "deadline_ns",
     "effect": "effect",
@@ -47,53 +47,53 @@
 }
 
 
-def rules(told):
+def rules(stored_rules):
     """The code's object for `{"cls": {...}, "max_attempts": n}`, or None."""
-    if told is None:
+    if stored_rules is None:
         return None
-    fields = {CLASS[name]: value for name, value in told["cls"].items()}
-    fields[CLASS["effect"]] = Idempotency(told["cls"]["effect"])
-    fields[CLASS["group"]] = DeduplicationScope(told["cls"]["group"])
-    return DeliveryRules(TrafficClass(**fields), told["max_attempts"])
+    fields = {CLASS_FIELDS[name]: value for name, value in stored_rules["cls"].items()}
+    fields[CLASS_FIELDS["effect"]] = Idempotency(stored_rules["cls"]["effect"])
+    fields[CLASS_FIELDS["group"]] = DeduplicationScope(stored_rules["cls"]["group"])
+    return DeliveryRules(TrafficClass(**fields), stored_rules["max_attempts"])
 
 
-def told_rules(found):
+def rules_as_stored(found):
     """The reverse."""
     if found is None:
         return None
-    fields = {name: getattr(found.traffic_class, at) for name, at in CLASS.items()}
+    fields = {name: getattr(found.traffic_class, at) for name, at in CLASS_FIELDS.items()}
     fields |= {"effect": fields["effect"].value, "group": fields["group"].value}
     return {"cls": fields, "max_attempts": found.max_attempts}
 
 
-def message(number, told, body="", of=None, **progress):
+def message(number, fields_as_stored, body="", of=None, **progress):
     """The code's object for what a TAKEN record holds, its body and what is known of its attempts."""
-    fields = {TRANSACTION[name]: value for name, value in told.items()}
-    fields |= {PROGRESS[name]: value for name, value in progress.items()}
+    fields = {MESSAGE_FIELDS[name]: value for name, value in fields_as_stored.items()}
+    fields |= {PROGRESS_FIELDS[name]: value for name, value in progress.items()}
     return Message(number, body=body.encode("latin-1"), rules=rules(of), **fields)
 
 
-def told_transaction(t):
+def message_as_stored(t):
     """The reverse, as the expected content has it."""
-    found = {"number": t.number, "body": t.body.decode("latin-1"), "rules": told_rules(t.rules)}
-    found["told"] = {name: getattr(t, at) for name, at in TRANSACTION.items()}
-    found |= {name: getattr(t, at) for name, at in PROGRESS.items()}
+    found = {"number": t.number, "body": t.body.decode("latin-1"), "rules": rules_as_stored(t.rules)}
+    found["told"] = {name: getattr(t, at) for name, at in MESSAGE_FIELDS.items()}
+    found |= {name: getattr(t, at) for name, at in PROGRESS_FIELDS.items()}
     return found | {"final": [int(t.final.state), t.final.retry_after_ms] if t.final else None}
 
 
 class Steps:
-    """The journal's operations, by names that stay; what was taken is named by its number."""
+    """The journal's operations, by names that stay; a message is named by its number."""
 
     def __init__(self, folder, limit_bytes=1 << 20):
         self.journal = Journal(str(folder), limit_bytes)
         self.known = {t.number: t for t in self.journal.recover()}
 
-    def taken(self, number, told, body, of):
-        self.known[number] = message(number, told, body, of)
+    def taken(self, number, fields_as_stored, body, of):
+        self.known[number] = message(number, fields_as_stored, body, of)
         self.journal.message_accepted(self.known[number])
 
-    def adopted(self, number, told, body, of, progress, final):
-        self.known[number] = t = message(number, told, body, of, **progress)
+    def adopted(self, number, fields_as_stored, body, of, progress, final):
+        self.known[number] = t = message(number, fields_as_stored, body, of, **progress)
         t.final = FinalResult(FinalState(final[0]), final[1]) if final else None
         self.journal.message_taken_over(t)
 
@@ -122,7 +122,7 @@
     journal = Journal(str(folder), 1 << 20)
     journal.read()
     return {
-        "open": [told_transaction(t) for t in journal.open_messages.values()],
+        "open": [message_as_stored(t) for t in journal.open_messages.values()],
         "over": list(journal.finished_ids),
         "bans": list(journal.blocked_endpoints),
     }
@@ -143,16 +143,16 @@
 
 def journals(folder):
     """Bytes of each of `JOURNAL_FILES`, as the present code writes them in an empty folder."""
-    told = json.loads((DATA / "journal.json").read_bytes())
-    found = {"appended": _write(folder, told["appended"]), "rewritten": _write(folder, [])}
-    found["continued"] = _write(folder, told["continued"])
-    found["torn"] = found["continued"][: -told["torn_by"]]
+    steps = json.loads((DATA / "journal.json").read_bytes())
+    found = {"appended": _write(folder, steps["appended"]), "rewritten": _write(folder, [])}
+    found["continued"] = _write(folder, steps["continued"])
+    found["torn"] = found["continued"][: -steps["torn_by"]]
     (Path(folder) / "journal").unlink()
-    return found | {"without-rules": _write(folder, told["without-rules"])}
+    return found | {"without-rules": _write(folder, steps["without-rules"])}
 
 
-def copied():
-    """Three pieces of journals, to be copied."""
+def replica_journals():
+    """Three pieces of journals, to be replicated."""
     rewritten, old = ((DATA / "journal" / name).read_bytes() for name in ("rewritten", "without-rules"))
     return rewritten, old, old[:30]
 
--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -57,7 +57,7 @@
     def tick(self, now):
         return self._on_wire(self.one.tick(now))
 
-    def heard(self, message, now):
+    def received(self, message, now):
         return self._on_wire(self.one.receive(message_codec.from_map(message), now))
 
     def leave(self):
@@ -85,7 +85,7 @@
 
 def lease_holder(id_, now):
     """A member's leases, with one task of the fleet."""
-    told = lease_service.LeaseConfig(
+    config = lease_service.LeaseConfig(
         "",
         ADDRESSES[id_],
         {"b": ADDRESSES["b"]},
@@ -94,7 +94,7 @@
         1.0,
         "",
     )
-    return lease_service.LeaseService(told, membership(id_, now), seed=1)
+    return lease_service.LeaseService(config, membership(id_, now), seed=1)
 
 
 class Agreed:
@@ -124,7 +124,7 @@
     return state_machine.LeaseRecord(*words)
 
 
-def told_row(found):
+def row_as_stored(found):
     return {
         "holder": found.holder,
         "token": found.token,
@@ -144,11 +144,11 @@
     return state_machine.Command(COMMANDS[kind], holder, arg, number)
 
 
-def copier(id_, folder, holds):
+def replication_service(id_, folder, holds):
     """A member's copies; `holds(task)` is the token that it holds."""
-    told = ReplicationConfig(ADDRESSES[id_], str(folder), check_interval_us=10_000)
-    told_leases = SimpleNamespace(fencing_token=holds)
-    found = ReplicationService(told, membership(id_, lambda: 0), told_leases)
+    config = ReplicationConfig(ADDRESSES[id_], str(folder), check_interval_us=10_000)
+    held_leases = SimpleNamespace(fencing_token=holds)
+    found = ReplicationService(config, membership(id_, lambda: 0), held_leases)
     found.stores.open()
     return found
 
@@ -206,11 +206,11 @@
     await found.peers.call_all(protocol.CompleteTakeover(owner, token))
 
 
-async def ask_fetch(found, other, owner, token):
+async def request_fetch(found, other, owner, token):
     await found.peers.call(other, protocol.FetchSnapshot(owner, token))
 
 
-async def ask_spare(found, other, owner):
+async def request_removal(found, other, owner):
     await found.peers.call(other, protocol.RequestRemoval(owner))
 
 
@@ -224,24 +224,24 @@
         yield
 
 
-def told_copy(folder, owner):
-    """What a keeper knows of a copy that lies in its folder, and the bytes."""
+def replica_as_stored(folder, owner):
+    """What a replica knows of the journal that lies in its folder, and the bytes."""
     found = ReplicaStore(Path(folder), owner)
     kept = found.replica
-    told = {"owner": kept.owner, "token": kept.fencing_token, "keepers": kept.replicas}
-    told |= {"tried": kept.takeover_candidates, "adopted": kept.takeover_token}
-    told |= {"generation": kept.generation, "size": kept.size}
-    return told | {"data": found.data().decode("latin-1")}
+    stored_fields = {"owner": kept.owner, "token": kept.fencing_token, "keepers": kept.replicas}
+    stored_fields |= {"tried": kept.takeover_candidates, "adopted": kept.takeover_token}
+    stored_fields |= {"generation": kept.generation, "size": kept.size}
+    return stored_fields | {"data": found.data().decode("latin-1")}
 
 
-def rewrite_copy(folder, owner):
+def rewrite_replica(folder, owner):
     """Write what is known of a copy again."""
     ReplicaStore(Path(folder), owner).save()
 
 
 def restore(folder, generation, data):
     """A start of a courier with its journal in the folder, and one copy of it elsewhere."""
-    a = copier("a", Path(folder) / "copies", lambda task: 7)
+    a = replication_service("a", Path(folder) / "copies", lambda task: 7)
     with_journal(a, Path(folder) / "journal")
     found = ReplicaSnapshot(generation, data, ["b"], [], 0)
 
@@ -252,7 +252,7 @@
 
 
 def voter(folder, voters=("a",), election_s=0.05, id_="a", rows=None):
-    """A voter's agreement; `rows` is told of each row."""
+    """A voter's agreement; `rows` is called with each row."""
     addresses = {v: ADDRESSES[v] for v in voters}
     config = raft.RaftConfig(id_, addresses[id_], addresses, KEY, Path(folder), election_s)
     return raft.RaftNode(config, rows or (lambda *_: None))
@@ -262,7 +262,7 @@
     return raft_log.RaftLog(path)
 
 
-def told_log(path):
+def log_as_stored(path):
     """What a voter's log is read to."""
     log = raft_log.RaftLog(path)
     found = {
@@ -311,7 +311,7 @@
             sent.append(message)
             if names[address] not in cut:
                 data = pack(message, KEY)
-                out += fleet[names[address]].heard(unpack_member(data, KEY), now)
+                out += fleet[names[address]].received(unpack_member(data, KEY), now)
         if now == 14_000_000:
             del fleet["b"]
         if now in (1_000_000, 8_000_000, 14_000_000, 19_000_000):
@@ -326,8 +326,8 @@
 async def lease_exchange():
     """A member asks a voter for a lease, keeps it, gives it back; another is refused."""
     clock, sent, tasks = SimpleNamespace(us=1_000_000), [], []
-    parties = {n: lease_holder(n, lambda: clock.us) for n in ADDRESSES}
-    voter_ = parties["b"]
+    members_by_id = {n: lease_holder(n, lambda: clock.us) for n in ADDRESSES}
+    voter_ = members_by_id["b"]
     voter_.handler.raft = Agreed()
     voter_.handler.raft.on_change = voter_.handler.record_applied
     voter_.handler.answer_tasks = SimpleNamespace(start_soon=lambda *call: tasks.append(call))
@@ -335,9 +335,9 @@
     async def sendto(data, host, port):
         sent.append((f"{host}:{port}", data))
 
-    for one in parties.values():
+    for one in members_by_id.values():
         one._socket.socket = SimpleNamespace(sendto=sendto)
-    taken = []
+    recorded = []
 
     async def settle():
         while sent or tasks:
@@ -347,8 +347,8 @@
             while sent:
                 address, data = sent.pop(0)
                 message = lease_codec.check_message(unpack(data, KEY, LEASES_MAGIC))
-                taken.append({"to": address, "message": message, "bytes": data.hex()})
-                party = next(p for n, p in parties.items() if ADDRESSES[n] == address)
+                recorded.append({"to": address, "message": message, "bytes": data.hex()})
+                party = next(p for n, p in members_by_id.items() if ADDRESSES[n] == address)
                 received = lease_codec.decode(data, KEY)
                 if message["t"] == "lease":
                     await party.handler.handle(*received)
@@ -358,13 +358,13 @@
     views = {}
     for name, us in (("a", 0), ("c", 100_000), ("a", 4_000_000)):
         clock.us = 1_000_000 + us
-        await parties[name]._update_claim("nightly")
+        await members_by_id[name]._update_claim("nightly")
         await settle()
-    views |= {"holder": parties["a"].view(), "voter": voter_.view()}
-    await parties["a"].withdraw("nightly")
+    views |= {"holder": members_by_id["a"].view(), "voter": voter_.view()}
+    await members_by_id["a"].withdraw("nightly")
     await settle()
     views["voter after"] = voter_.view()
-    return {"datagrams": taken, "views": views}
+    return {"datagrams": recorded, "views": views}
 
 
 # --- copies -----------------------------------------------------------------------------------------
@@ -373,8 +373,8 @@
 class Pipe:
     """Both ends of a stream between copies: each frame is taken down, and answered by the other side."""
 
-    def __init__(self, other, taken):
-        self.other, self.taken, self.answer = other, taken, None
+    def __init__(self, other, recorded):
+        self.other, self.recorded, self.answer = other, recorded, None
 
     async def __aenter__(self):
         return self
@@ -390,7 +390,7 @@
 
     def _seen(self, message):
         data = pack(message, KEY, COPIES_MAGIC)
-        self.taken.append(data.hex())
+        self.recorded.append(data.hex())
         return unpack(data, KEY, COPIES_MAGIC)
 
 
@@ -401,26 +401,26 @@
     }
 
 
-async def copy_exchange(folder, records):
-    """a sends its journal to b and rewrites it; c asks for the copy, takes over; a asks to be told."""
-    folder, taken, views = Path(folder), [], {}
+async def replication_exchange(folder, records):
+    """a sends its journal to b and rewrites it; c fetches the replica and takes over; a asks to remove it."""
+    folder, recorded, views = Path(folder), [], {}
     with standing_clock():
         token = [7, 0, 7, 0]
-        a = copier("a", folder / "a" / "copies", lambda task: token.pop(0) if token else 7)
-        b = copier("b", folder / "b" / "copies", lambda task: 0)
-        c = copier("c", folder / "c" / "copies", lambda task: 0)
+        a = replication_service("a", folder / "a" / "copies", lambda task: token.pop(0) if token else 7)
+        b = replication_service("b", folder / "b" / "copies", lambda task: 0)
+        c = replication_service("c", folder / "c" / "copies", lambda task: 0)
         with_journal(a, folder / "a" / "journal")
         with_journal(c, folder / "c" / "journal")
         chosen_to_copy(a, ["b"], 7)
         rewritten(a, records[0])
         appended(a, records[1])
-        await send_on(a, "b", Pipe(b, taken), 7)
+        await send_on(a, "b", Pipe(b, recorded), 7)
         views["owner"], views["keeper"] = a.view(), b.view()
         rewritten(a, records[1] + records[2])
-        await send_on(a, "b", Pipe(b, taken), 7)
+        await send_on(a, "b", Pipe(b, recorded), 7)
         generation = generation_of(a)
         half = {"t": "data", "from": "c", "to": "b", "owner": "c", "token": 3, "generation": 9, "at": 0}
-        frames = Pipe(b, taken)
+        frames = Pipe(b, recorded)
         for message in (
             half | {"t": "send", "keepers": ["b", "a"]},
             half | {"base": len(records[0]), "bytes": records[0][:20]},
@@ -429,20 +429,20 @@
             await frames.receive()
 
         async def dial(other):
-            pipe = Pipe({"a": a, "b": b}[other], taken)
+            pipe = Pipe({"a": a, "b": b}[other], recorded)
             return pipe, pipe
 
         dials(c, dial, ["b"])
         found = await fetch_all(c, "a", 8)
         await read_all(c, "a")
         await done_all(c, "a", 8)
-        await ask_fetch(c, "b", "a", 2)
-        await ask_spare(c, "a", "a")
+        await request_fetch(c, "b", "a", 2)
+        await request_removal(c, "a", "a")
         views["keeper after"] = b.view()
     kept = files(folder / "b" / "copies")
     generation_file = (folder / "a" / GENERATION_FILE).read_bytes()
     return {
-        "frames": taken,
+        "frames": recorded,
         "views": views,
         "files": kept,
         "generation": generation,
@@ -487,7 +487,7 @@
     """The files of the only voter after `STEPS`, and the rows that it made of them."""
     rows = []
     with no_wait():
-        q = voter(folder, rows=lambda task, found: rows.append([task, told_row(found)]))
+        q = voter(folder, rows=lambda task, found: rows.append([task, row_as_stored(found)]))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(q._run_library)
             await leads(q)
@@ -515,7 +515,7 @@
     """The rows that a voter makes of its folder."""
     rows = []
     with no_wait():
-        q = voter(folder, rows=lambda task, found: rows.append([task, told_row(found)]))
+        q = voter(folder, rows=lambda task, found: rows.append([task, row_as_stored(found)]))
         fresh = q.learner.is_learner
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(q._run_library)
@@ -542,7 +542,7 @@
     """What a voter reads of it: rows, and the library's two entries."""
     q = voter(folder)
     after, before, _ = q._read_dump(path)
-    rows = {task: told_row(found) for task, found in q.table.records.items()}
+    rows = {task: row_as_stored(found) for task, found in q.table.records.items()}
     q.sync_object.destroy()
     return {"rows": rows, "after": [after[0].hex(), *after[1:]], "before": [before[0].hex(), *before[1:]]}
 
@@ -558,7 +558,7 @@
     """Voter a hears b stand and lead: what b says, what a answers, and the rows that a has then."""
     Path(folder).mkdir(exist_ok=True)
     (Path(folder) / "votes").touch()
-    heard, said = [], []
+    received, sent_frames = [], []
     with mock.patch.dict(ADDRESSES, {"a": "127.0.0.1:0"}):
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
@@ -574,12 +574,12 @@
                 data += await stream.receive()
                 while len(data) >= 12 and len(data) >= 12 + int.from_bytes(data[4:8], "big"):
                     size = 12 + int.from_bytes(data[4:8], "big")
-                    heard.append(data[:size])
+                    received.append(data[:size])
                     data = data[size:]
 
     async def until(n):
         with anyio.fail_after(5):
-            while len(heard) < n:
+            while len(received) < n:
                 await anyio.sleep(0.005)
 
     entries = [[b"\x01", 2, 50], [change("nightly", "grant", "m", 0, 7), 3, 50]]
@@ -598,16 +598,16 @@
         await until(1)
         async with await anyio.connect_tcp("127.0.0.1", own_port) as stream:
             for n, one in enumerate(words):
-                said.append(pack(one, KEY, VOTERS_MAGIC))
-                await stream.send(said[-1])
+                sent_frames.append(pack(one, KEY, VOTERS_MAGIC))
+                await stream.send(sent_frames[-1])
                 await until(n + 1)
             with anyio.fail_after(5):
                 while not q.table.records:
                     await anyio.sleep(0.005)
-        rows = {task: told_row(found) for task, found in q.table.records.items()}
+        rows = {task: row_as_stored(found) for task, found in q.table.records.items()}
         tasks.cancel_scope.cancel()
     await listener.aclose()
-    return {"said": [d.hex() for d in said], "heard": [d.hex() for d in heard[:3]], "rows": rows}
+    return {"said": [d.hex() for d in sent_frames], "heard": [d.hex() for d in received[:3]], "rows": rows}
 
 
 def words_of(data: str):
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -41,21 +41,22 @@
 GOOD_FILE, LEFT_FILE = last_good.FILE_NAME, departures.FILE_NAME
 
 
-def keep_settings(state, raw):
-    """Keep the settings of a file, as a start does."""
-    told = settings.read(orjson.loads(raw), {})
-    told.state, told.raw = str(state), raw
-    last_good.save(told)
+def save_settings(state, raw):
+    """Save the settings of a file as the last good ones, as a start does."""
+    effective_settings = settings.read(orjson.loads(raw), {})
+    effective_settings.state, effective_settings.raw = str(state), raw
+    last_good.save(effective_settings)
 
 
-def kept_settings(state):
+def load_settings(state):
     """What a start finds where its file is broken: the bytes, and some of what they say."""
-    told = last_good.load_at_start({"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)})
-    return told.raw, {"name": told.name, "seed": told.seed, "disk_bytes": told.disk_bytes}
+    environment = {"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)}
+    loaded = last_good.load_at_start(environment)
+    return loaded.raw, {"name": loaded.name, "seed": loaded.seed, "disk_bytes": loaded.disk_bytes}
 
 
-def left(state):
-    """The endpoints that a list has told to leave, kept over restarts."""
+def departed_endpoints(state):
+    """The endpoints that an endpoint list has shown as draining or gone, kept over restarts."""
     return departures.DepartedEndpoints(str(state), 3_000_000)
 
 
@@ -66,8 +67,8 @@
 }
 
 
-def door(companions):
-    """The operators' door over these answers."""
+def admin_server_of(companions):
+    """An admin server with these background services, by name, and their views."""
 
     class EndpointAdmin:
         def ready(self):
@@ -88,7 +89,7 @@
 
 
 def members_view():
-    """A member's own view, as the door shows it, but for the time."""
+    """A member's own view, as the admin server shows it, but for the time."""
     plan = MembershipConfig("a", "127.0.0.1:7001", "127.0.0.1:7001", (), b"fleet-a", SwimConfig())
     found = MembershipService(plan, seed=1).view()
     for one in found["members"]:
@@ -146,13 +147,13 @@
 }
 
 
-def outcome(verdict, **told):
+def outcome(verdict, **stored_fields):
     """How an attempt ended: its words as the packet between processes has them."""
     words = {"FULL": Outcome.OVERLOADED, "OK": Outcome.OK}
-    return AttemptResult(words[verdict], **{RESULT[name]: value for name, value in told.items()})
+    return AttemptResult(words[verdict], **{RESULT[name]: value for name, value in stored_fields.items()})
 
 
-def told_outcome(packet):
+def outcome_as_stored(packet):
     found = packet_codec.result_from_json(packet)
     return {"verdict": int(found.outcome)} | {name: getattr(found, at) for name, at in RESULT.items()}
 
@@ -164,8 +165,8 @@
         return a, server.accept()[0]
 
 
-async def give(link_socket):
-    """What an old process hands over, but for the state's own bytes."""
+async def send_handover(link_socket):
+    """Send what an old process hands over, but for the state's own bytes."""
     a, b = connected()
     kept = sockets.IdleConnection(sockets.Connection(a), True, True, 2, b"unread", b"unsent")
     idle = target.IdleEndpointConnection("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
@@ -191,7 +192,7 @@
         one.close()
 
 
-async def take(link_socket, count):
+async def receive_handover(link_socket, count):
     """The same read by the code of a new process."""
     link, found = Link(link_socket), target.TransferredState()
     for _ in range(count):
@@ -200,24 +201,24 @@
             found.add(Packet(kind, data, fd))
         elif fd is not None:
             os.close(fd)
-    told = {"idle": [list(i[:3]) for i in found.idle_connections], "sockets": list(found.listeners)}
-    told["legs"] = [
+    connections = {"idle": [list(i[:3]) for i in found.idle_connections], "sockets": list(found.listeners)}
+    connections["legs"] = [
         [k.answered, k.submitted, k.errors, k.unread.decode(), k.unsent.decode()]
         for k in found.client_connections
     ]
     found.close()
-    return told
+    return connections
 
 
 # --- kept files -------------------------------------------------------------------------------------
 
-LEFT_TOLD = [{"s-1": "draining", "s-2": "gone", "s-ü": "gone"}, {"s-1": "ready", "s-3": "draining"}]
+DEPARTURES = [{"s-1": "draining", "s-2": "gone", "s-ü": "gone"}, {"s-1": "ready", "s-3": "draining"}]
 
 
-def write_left(folder):
+def write_departures(folder):
     """The bytes of the kept list after `LEFT_TOLD`."""
-    found = left(folder)
-    for one in LEFT_TOLD:
+    found = departed_endpoints(folder)
+    for one in DEPARTURES:
         found.record({id_: LEFT_STATES[state] for id_, state in one.items()})
     return (Path(folder) / LEFT_FILE).read_bytes()
 
@@ -239,7 +240,7 @@
     return [(p.name, p.read_bytes().splitlines()) for p in found]
 
 
-# --- the door ---------------------------------------------------------------------------------------
+# --- the admin server ---------------------------------------------------------------------------------------
 
 CALLS = [
     "GET /-/ready",
@@ -257,7 +258,7 @@
 
 
 async def calls(companions):
-    """What the door answers to each of `CALLS`."""
+    """What the admin server answers to each of `CALLS`."""
     found = {}
     for call in CALLS:
         said = bytearray()
@@ -272,7 +273,7 @@
             pass
 
         connection = SimpleNamespace(read=read, write=write, linger=part, close=lambda: None)
-        await door(companions).serve(connection, None)
+        await admin_server_of(companions).serve(connection, None)
         found[call] = said.decode()
     return found
 
@@ -283,7 +284,7 @@
 async def packets():
     """The packets of a hand-over, as they lie on the socket."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    await give(ours)
+    await send_handover(ours)
     theirs.setblocking(False)
     found = []
     while True:
@@ -304,8 +305,8 @@
 async def handed_over():
     """What the new process makes of them."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    await give(ours)
-    found = await take(theirs, 5)
+    await send_handover(ours)
+    found = await receive_handover(theirs, 5)
     ours.close()
     theirs.close()
     return found
@@ -318,19 +319,19 @@
 def process(folder, hosts, platform, log):
     """The program on the folder's `state`; ends as if killed."""
     folder = Path(folder)
-    told = configuration(folder / "state") | {"listen": own_address(), "discovery": platform}
-    told["known"]["hosts"] = hosts
-    (folder / "config.json").write_bytes(orjson.dumps(told))
+    raw_settings = configuration(folder / "state") | {"listen": own_address(), "discovery": platform}
+    raw_settings["known"]["hosts"] = hosts
+    (folder / "config.json").write_bytes(orjson.dumps(raw_settings))
     (folder / "state").mkdir(exist_ok=True)
-    door_ = own_address()
+    admin_address = own_address()
     more = {
         "RELAY_CONFIG": str(folder / "config.json"),
         "RELAY_STATE": str(folder / "state"),
-        "RELAY_ADMIN_ADDR": door_,
+        "RELAY_ADMIN_ADDR": admin_address,
     }
     with open(log, "wb") as out:
         running = subprocess.Popen([sys.executable, "-m", "pinspread"], env=os.environ | more, stdout=out)
-        running.listen, running.door = told["listen"], door_
+        running.listen, running.admin_address = raw_settings["listen"], admin_address
         try:
             yield running
         finally:
@@ -339,19 +340,19 @@
 
 
 async def listening(running):
-    """Wait until it answers at its door."""
+    """Wait until its admin server answers that it is ready."""
     with anyio.fail_after(10):
         while True:
             try:
-                if (await ask(running.door, "GET /-/ready")).startswith("HTTP/1.1 200"):
+                if (await call_admin(running.admin_address, "GET /-/ready")).startswith("HTTP/1.1 200"):
                     return
             except OSError:
                 pass
             await anyio.sleep(0.02)
 
 
-async def ask(address, call):
-    """One call at the door."""
+async def call_admin(address, call):
+    """One call to the admin server."""
     host_, port = address.split(":")
     async with await anyio.connect_tcp(host_, int(port)) as stream:
         await stream.send(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -359,7 +360,7 @@
 
 
 class Platform(HttpStandIn):
-    """Discovery that tells of one list, and an ear for ends that may be deaf."""
+    """Discovery with one endpoint list, and a receiver of notifications that may not answer."""
 
     def __init__(self, news, hears):
         super().__init__()
@@ -373,12 +374,12 @@
         return (204, [], b"") if self.hears else None
 
     def ends(self):
-        """Ids, states and come-back times of the ends that it was told of."""
+        """Ids, states and Retry-After times of the final results that it was notified of."""
         lines = [orjson.loads(x) for r in self.requests if r[2] == "/v2/finals" for x in r[4].splitlines()]
         return {(x["id"], x["state"], x.get("after_ms", 0)) for x in lines}
 
 
-# Endpoints and their destinations: s-2 is banned, s-3 is gone, s-4 cannot be reached, s-5 has a wait told.
+# Endpoints and their destinations. s-2 is blocked, s-3 is removed, s-4 is unreachable, s-5 sets Retry-After.
 HOSTS = {"s-1": 1, "s-2": 1, "s-3": 1, "s-4": 2, "s-5": 3}
 MESSAGES = {  # id -> class, key, destination
     "unreached": ("payment", "0", 2),
@@ -394,8 +395,8 @@
 }
 
 
-def partner(calls_, plan):
-    """An endpoint that takes down which ids came, and answers by the id as `plan` says."""
+def endpoint_stand_in(calls_, plan):
+    """An endpoint that records which ids came, and answers by the id as `plan` says."""
 
     def answer(request):
         id_ = request[3].get("request-id")
@@ -429,8 +430,8 @@
     gone = host("s-3", "127.0.0.1:3", 1, "gone")
     platform = Platform({"seq": 2, "whole": False, "hosts": [gone]}, False)
     async with (
-        standing(partner(had, plan)) as at,
-        standing(partner(elsewhere, plan)) as other,
+        standing(endpoint_stand_in(had, plan)) as at,
+        standing(endpoint_stand_in(elsewhere, plan)) as other,
         standing(platform) as platform_at,
     ):
         hosts = hosts_at({"s-1": at, "s-4": "127.0.0.1:1", "s-5": at}, other)
@@ -438,7 +439,7 @@
             await listening(running)
             state = Path(folder) / "state"
             await until(lambda: (state / "list.left").exists())
-            assert "200" in await ask(running.door, "PUT /-/endpoints/s-2/disable")
+            assert "200" in await call_admin(running.admin_address, "PUT /-/endpoints/s-2/disable")
             client = Client(running.listen)
             for n in range(8):  # calls that go well, for the log
                 assert await client.enqueue("status-update", f"well-{n}", for_ms=20_000) == "+OK\r\n"
@@ -486,7 +487,7 @@
 
 
 def come_back_ms(data):
-    """The come-back time of the one end that has one."""
+    """The Retry-After time of the one final result that has one."""
     found = {struct.unpack_from("<I", p, 10)[0] for p in payloads(data) if p[0] == 4}
     (retry_after_ms,) = found - {0}
     return retry_after_ms
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -52,20 +52,20 @@
 def test_stored_replicas_are_read_to_the_same_content(tmp_path):
     shutil.copytree(stored.DATA / "copies", tmp_path / "copies")
     for owner, told in expected("copies").items():
-        assert stored_cluster.told_copy(tmp_path / "copies", owner) == told
-        stored_cluster.rewrite_copy(tmp_path / "copies", owner)
+        assert stored_cluster.replica_as_stored(tmp_path / "copies", owner) == told
+        stored_cluster.rewrite_replica(tmp_path / "copies", owner)
     assert stored_cluster.files(tmp_path / "copies") == stored_cluster.files(stored.DATA / "copies")
 
 
 def test_replicas_are_written_byte_for_byte_as_before(tmp_path):
-    found = anyio.run(stored_cluster.copy_exchange, tmp_path, stored.copied())
+    found = anyio.run(stored_cluster.replication_exchange, tmp_path, stored.replica_journals())
     assert found["files"] == stored_cluster.files(stored.DATA / "copies")
     assert found["generation_file"] == (stored.DATA / "copies.generation").read_text()
 
 
 def test_a_generation_that_was_stored_is_the_one_that_a_restart_goes_by(tmp_path):
     """An older copy elsewhere must not take the place of the own journal, nor a newer one be passed over."""
-    own = stored.copied()[1]
+    own = stored.replica_journals()[1]
     stamp = int((stored.DATA / "copies.generation").read_text())
     for generation, restored in ((stamp - 1, False), (stamp, False), (stamp + 1, True)):
         (tmp_path / "journal").write_bytes(own)
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("name", ["appended", "rewritten"])
 def test_a_voters_log_is_read_to_the_same_content(tmp_path, name):
     shutil.copy(stored.DATA / "voters" / name, tmp_path / "log")
-    assert stored_cluster.told_log(tmp_path / "log") == expected("voters")[name]
+    assert stored_cluster.log_as_stored(tmp_path / "log") == expected("voters")[name]
 
 
 def test_a_voters_log_is_written_byte_for_byte_as_before(tmp_path):
@@ -112,15 +112,18 @@
 
 def test_the_departed_endpoints_are_read_and_written_as_before(tmp_path):
     kept = stored.DATA / "kept" / "list.left"
-    assert stored_courier.write_left(tmp_path) == kept.read_bytes()
-    assert stored_courier.left(stored.DATA / "kept").health == {
+    assert stored_courier.write_departures(tmp_path) == kept.read_bytes()
+    assert stored_courier.departed_endpoints(stored.DATA / "kept").health == {
         "s-2": "gone",
         "s-ü": "gone",
         "s-3": "draining",
     }
     hosts = [{"host": "s-1", "health": "ready"}, {"host": "s-2", "health": "ready"}]
     assert (
-        stored_courier.left(stored.DATA / "kept").apply_to({"hosts": hosts})["hosts"][1]["health"] == "gone"
+        stored_courier.departed_endpoints(stored.DATA / "kept").apply_to({"hosts": hosts})["hosts"][1][
+            "health"
+        ]
+        == "gone"
     )
 
 
@@ -128,11 +131,11 @@
     kept = stored.DATA / "kept" / "configuration.good"
     raw = zlib.decompress(kept.read_bytes())
     assert raw == stored_courier.SETTINGS
-    assert stored_courier.kept_settings(stored.DATA / "kept") == (
+    assert stored_courier.load_settings(stored.DATA / "kept") == (
         raw,
         {"name": "n0", "seed": 0x1F, "disk_bytes": 3_000_000},
     )
-    stored_courier.keep_settings(
+    stored_courier.save_settings(
         tmp_path, stored_courier.SETTINGS
     )  # its bytes differ with the library that packs them
     assert zlib.decompress((tmp_path / "configuration.good").read_bytes()) == raw
@@ -192,8 +195,8 @@
     had, elsewhere = [], []
     platform = stored_courier.Platform(None, True)
     async with AsyncExitStack() as stack:
-        at = await stack.enter_async_context(standing(stored_courier.partner(had, accept)))
-        other = await stack.enter_async_context(standing(stored_courier.partner(elsewhere, accept)))
+        at = await stack.enter_async_context(standing(stored_courier.endpoint_stand_in(had, accept)))
+        other = await stack.enter_async_context(standing(stored_courier.endpoint_stand_in(elsewhere, accept)))
         platform_at = await stack.enter_async_context(standing(platform))
         hosts = stored_courier.hosts_at({"s-1": at, "s-4": at, "s-5": at}, other)
         with stored_courier.process(folder, hosts, platform_at, folder / "log") as running:
@@ -208,7 +211,9 @@
                 assert await client.enqueue("status-update", f"new-{n}", for_ms=9_000) == "+OK\r\n"
             await until(lambda: len([i for i in had if i.startswith("new-")]) == 8)
             await anyio.sleep(0.3)
-            assert "404" not in await stored_courier.ask(running.door, "PUT /-/endpoints/s-2/enable")
+            assert "404" not in await stored_courier.call_admin(
+                running.admin_address, "PUT /-/endpoints/s-2/enable"
+            )
     assert sorted(i for i in had if not i.startswith("new-")) == sorted(SENT_AGAIN)  # each of them once
     assert had.index("out-keyed") < had.index("behind-keyed")
     assert elsewhere == []  # neither the endpoint that was banned, nor the one that has gone
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -52,7 +52,10 @@
 
 
 def test_replicas_are_sent_and_fetched_byte_for_byte_as_before(tmp_path):
-    found, before = anyio.run(stored_cluster.copy_exchange, tmp_path, stored.copied()), recorded("copies")
+    found, before = (
+        anyio.run(stored_cluster.replication_exchange, tmp_path, stored.replica_journals()),
+        recorded("copies"),
+    )
     assert [stored_cluster.words_of(f) for f in found["frames"]] == [
         stored_cluster.words_of(f) for f in before["frames"]
     ]
@@ -107,4 +110,4 @@
     assert anyio.run(stored_courier.handed_over) == before["handed_over"]
     reports = [json.loads(data) for kind, _, data, _ in before["packets"] if kind in (9, 11)]
     for report in reports:
-        assert stored_courier.told_outcome(dict(report[-1])) == report[-1]
+        assert stored_courier.outcome_as_stored(dict(report[-1])) == report[-1]
--- a/tools/stored_data.py
+++ b/tools/stored_data.py
@@ -45,25 +45,28 @@
 
 
 def members():
-    """Membership's datagrams, the door's table."""
+    """Membership's datagrams, and the table of the admin server."""
     put_json(stored.DATA / "wire" / "members.json", stored_cluster.members())
 
 
 def leases():
-    """The datagrams of leases, the door's view."""
+    """The datagrams of leases, and the view of the admin server."""
     put_json(stored.DATA / "wire" / "leases.json", anyio.run(stored_cluster.lease_exchange))
 
 
 def copies():
-    """The frames of copies, the door's view, and a keeper's files with what each is read to."""
+    """The frames of replication, the view of the admin server, and a replica's files with what each is read to."""
     with tempfile.TemporaryDirectory() as folder:
-        found = anyio.run(stored_cluster.copy_exchange, folder, stored.copied())
+        found = anyio.run(stored_cluster.replication_exchange, folder, stored.replica_journals())
         for name, data in found.pop("files").items():
             put(stored.DATA / "copies" / name, data)
         put(stored.DATA / "copies.generation", found.pop("generation_file").encode())
         put_json(stored.DATA / "wire" / "copies.json", found)
-        told = {owner: stored_cluster.told_copy(Path(folder) / "b" / "copies", owner) for owner in ("a", "c")}
-        put_json(stored.DATA / "copies.expected.json", told)
+        replicas = {
+            owner: stored_cluster.replica_as_stored(Path(folder) / "b" / "copies", owner)
+            for owner in ("a", "c")
+        }
+        put_json(stored.DATA / "copies.expected.json", replicas)
 
 
 def voters():
@@ -75,7 +78,7 @@
         for name, data in stored_cluster.log_file(folder / "log").items():
             put(stored.DATA / "voters" / name, data)
             (folder / "log").write_bytes(data)
-            expected[name] = stored_cluster.told_log(folder / "log")
+            expected[name] = stored_cluster.log_as_stored(folder / "log")
         data, expected["rows"] = anyio.run(stored_cluster.agreed_log, folder / "v")
         put(stored.DATA / "voters" / "agreed", data)
         put(stored.DATA / "voters" / "dump", anyio.run(stored_cluster.dump, folder / "w", folder / "dump"))
@@ -97,8 +100,8 @@
         put(stored.DATA / "logs" / "n0.log", log)
         put(stored.DATA / "logs" / "n1.log", PROBED % json.loads(log.splitlines()[-1])["at_us"])
         (work / "kept").mkdir()
-        put(stored.DATA / "kept" / "list.left", stored_courier.write_left(work / "kept"))
-        stored_courier.keep_settings(work / "kept", stored_courier.SETTINGS)
+        put(stored.DATA / "kept" / "list.left", stored_courier.write_departures(work / "kept"))
+        stored_courier.save_settings(work / "kept", stored_courier.SETTINGS)
         put(stored.DATA / "kept" / "configuration.good", (work / "kept" / "configuration.good").read_bytes())
         put_json(
             stored.DATA / "trace.expected.json",
@@ -109,7 +112,7 @@
 
 
 def door():
-    """The operators' door, `config check`, and packets between two processes."""
+    """The admin server, `config check`, and packets between two processes."""
     views = {
         "members": stored_courier.members_view(),
         "leases": {"tasks": []},
