--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -71,7 +71,7 @@
 
 
 async def load(address, trouble, stop):
-    client, n = Client(address, again=True), 0
+    client, n = Client(address, reconnect=True), 0
     while not stop.is_set():
         n += 1
         try:
@@ -79,7 +79,7 @@
                 await client.enqueue("status-update", f"{id(client):x}.{n}")
         except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
             trouble.append(repr(error))
-            client = Client(address, again=True)
+            client = Client(address, reconnect=True)
         await anyio.sleep(0.01)
 
 
--- a/pinspread/testbed/client_traffic.py
+++ b/pinspread/testbed/client_traffic.py
@@ -120,7 +120,9 @@
         run = self.run
         id_ = self._message_id(row)
         key = str(int(run.scenario.ordering_key[row]))
-        client = courier.idle_clients.pop() if courier.idle_clients else Client(courier.address, again=True)
+        client = (
+            courier.idle_clients.pop() if courier.idle_clients else Client(courier.address, reconnect=True)
+        )
         run.accepted[id_] = row  # it may be accepted though the answer is lost
         try:
             with anyio.fail_after(ANSWER_TIMEOUT_S):
--- a/pinspread/testbed/clients.py
+++ b/pinspread/testbed/clients.py
@@ -41,15 +41,15 @@
         stream: The connection, None while there is none.
     """
 
-    def __init__(self, address: str, again: bool = False) -> None:
+    def __init__(self, address: str, reconnect: bool = False) -> None:
         """Create a client.
 
         Args:
             address: Host and port of the courier.
-            again: Whether to connect again, once, where the courier has closed a kept connection.
+            reconnect: Whether to connect again, once, where the courier has closed a kept connection.
         """
         self.address = sockets.split_address(address)
-        self.again = again
+        self.reconnect = reconnect
         self.stream: anyio.abc.ByteStream | None = None
         self.submitted = 0
 
@@ -59,7 +59,7 @@
         try:
             return await self._call(words)
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            if not self.again or kept is None:
+            if not self.reconnect or kept is None:
                 raise
         await kept.aclose()
         self.stream = None
@@ -75,7 +75,7 @@
 
     async def enqueue(
         self,
-        cls: str = "payment",
+        class_name: str = "payment",
         id_: str | None = None,
         key: str = "0",
         for_ms: int = 5000,
@@ -83,7 +83,9 @@
     ) -> str:
         """Submit a message of the tenant `north` and return the answer."""
         self.submitted += 1
-        fields = f"c={cls},t=north,d={for_ms},k=ab12,dest={options.get('dest', 1)}{options.get('more', '')}"
+        fields = (
+            f"c={class_name},t=north,d={for_ms},k=ab12,dest={options.get('dest', 1)}{options.get('more', '')}"
+        )
         id_ = id_ or f"id{self.submitted}"
         return await self.say("ENQUEUE", key, id_, fields, options.get("body", b"x"))
 
@@ -137,14 +139,14 @@
     async def publish(
         self,
         id_: str,
-        cls: str = "payment",
+        class_name: str = "payment",
         body: bytes = b"x",
         for_ms: int | str = 5000,
         exchange: str = "",
         **headers: Any,
     ) -> None:
         """Publish a message without waiting for its confirm."""
-        fields: dict[str, Any] = {"class": cls, "tenant": "north", "dest": 1} | headers
+        fields: dict[str, Any] = {"class": class_name, "tenant": "north", "dest": 1} | headers
         properties = commands.Basic.Properties(
             headers=fields, message_id=id_, expiration=str(for_ms), reply_to=REPLY_QUEUE
         )
--- a/pinspread/testbed/cluster.py
+++ b/pinspread/testbed/cluster.py
@@ -23,6 +23,7 @@
 )
 from pinspread.testbed.member_process import MemberProcess
 from pinspread.testbed.proxy import LinkRules, Proxy
+from pinspread.testbed.replay import Views
 from pinspread.testbed.resource import Resource
 from pinspread.testbed.traffic import Traffic
 
@@ -31,8 +32,6 @@
 VIEW_POLL_S = 0.02
 HISTORY_FILE = "history.jsonl"
 
-Views = dict[str, dict[str, str]]  # {observer: {member: its state as the observer has it}}
-
 
 class ClusterTestbed:
     """A scenario on loopback.
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize(
     ("send", "code"),
     [
-        (lambda c: c.publish("m1", cls="nonsense"), ReplyCode.PRECONDITION_FAILED),
+        (lambda c: c.publish("m1", class_name="nonsense"), ReplyCode.PRECONDITION_FAILED),
         (lambda c: c.publish("m 1"), ReplyCode.PRECONDITION_FAILED),
         (lambda c: c.publish("m1", for_ms="soon"), ReplyCode.PRECONDITION_FAILED),
         (lambda c: c.publish("m1", dest="x"), ReplyCode.PRECONDITION_FAILED),
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -96,7 +96,7 @@
         ):
             tasks.start_soon(listener.serve, one_answer)
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
-            client = Client(f"127.0.0.1:{port}", again=True)
+            client = Client(f"127.0.0.1:{port}", reconnect=True)
             for _ in range(3):
                 assert await client.say("PING") == "+OK\r\n"
                 await anyio.sleep(0.02)  # the close comes in
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -112,14 +112,14 @@
 
 
 def test_a_killed_member_without_its_folder_and_five_joins_at_once(tmp_path):
-    scene_late = ["m5", "m6", "m7", "m8", "m9"]
+    late = ["m5", "m6", "m7", "m8", "m9"]
     scenario = {
         "members": 10,
-        "late": scene_late,
+        "late": late,
         "seconds": 16,
         "tuning": FAST,
         "at": [
-            {"s": 1, "do": "start", "who": scene_late},
+            {"s": 1, "do": "start", "who": late},
             {"s": 5, "do": "wipe", "who": ["m0"]},
             {"s": 10, "do": "start", "who": ["m0"]},
         ],
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -126,7 +126,7 @@
 
     async def client(self, address, name, fresh=False):
         """Hand messages in, one after the other, until told to stop."""
-        client, n = Client(address, again=True), 0
+        client, n = Client(address, reconnect=True), 0
         while not self.stop:
             n += 1
             id_, cls = f"{name}.{n}", ("payment", "booking-change", "status-update")[n % 3]
@@ -142,10 +142,10 @@
                     self.trouble.append((id_, answer))
             except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
                 self.trouble.append((id_, repr(error)))
-                client = Client(address, again=True)
+                client = Client(address, reconnect=True)
             if fresh and client.stream is not None:
                 await client.stream.aclose()
-                client = Client(address, again=True)
+                client = Client(address, reconnect=True)
             await anyio.sleep(0.005)
 
     def settled(self):
