--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door and the endpoints that they take out."""
+"""The admin server, and the endpoints that operators block through it."""
 
 import time
 from contextlib import asynccontextmanager
@@ -10,7 +10,7 @@
 from standins import Client, HttpStandIn, engine, listener, standing, until
 
 from pinspread import sockets
-from pinspread.admin import server as admin
+from pinspread.admin import server as admin_server
 from pinspread.core.endpoint_blocklist import EndpointBlocklist
 from pinspread.errors import JournalFullError
 from pinspread.policy.actions import Send
@@ -31,18 +31,17 @@
 
 @asynccontextmanager
 async def served(state, endpoints=(), **more):
-    """A courier with its door; gives it and the door's address."""
+    """A courier with its admin server; gives it and the admin server's address."""
     async with engine(state, endpoints=endpoints, **more) as rig:
         sock, address = listener()
-        door = admin.AdminServer(rig.engine)
-        rig.tasks.start_soon(door.run, sock)
+        rig.admin_server = admin_server.AdminServer(rig.engine)
+        rig.tasks.start_soon(rig.admin_server.run, sock)
         rig.engine.serving = True
-        rig.door = door
         yield rig, address
 
 
 async def call(address, said):
-    """What the door says to these bytes until it closes; empty if it says nothing."""
+    """What the admin server answers to these bytes until it closes; empty if nothing."""
     connection = await sockets.dial(address)
     heard = b""
     try:
@@ -83,13 +82,13 @@
         ("GET /-/ready HTTP/1.1\r\nHost: x\r\nX: " + "y" * 20_000, 400),
     ],
 )
-async def test_each_call_has_its_answer_and_one_that_cannot_be_read_hears_why(tmp_path, said, wanted):
+async def test_each_call_has_its_answer_and_a_malformed_one_is_told_why(tmp_path, said, wanted):
     async with served(tmp_path, [("127.0.0.1:1",)]) as (_, address):
         assert await status(address, said) == wanted
         assert await status(address, READY) == 200
 
 
-async def test_ready_says_no_before_callers_are_heard_and_when_leaving(tmp_path):
+async def test_readiness_is_refused_before_clients_are_served_and_during_shutdown(tmp_path):
     async with served(tmp_path) as (rig, address):
         rig.engine.serving = False
         assert await status(address, READY) == 503
@@ -97,8 +96,8 @@
         assert await status(address, READY) == 503
 
 
-async def test_callers_that_stay_silent_cost_only_themselves(tmp_path, monkeypatch):
-    monkeypatch.setattr(admin, "REQUEST_TIMEOUT_S", 0.6)
+async def test_silent_connections_are_closed_and_do_not_delay_other_clients(tmp_path, monkeypatch):
+    monkeypatch.setattr(admin_server, "REQUEST_TIMEOUT_S", 0.6)
     async with served(tmp_path) as (rig, address):
         silent = [await sockets.dial(address) for _ in range(200)]
         for connection in silent[::2]:
@@ -107,23 +106,23 @@
             began = time.monotonic()
             assert await status(address, READY) == 200
             assert time.monotonic() - began < 1
-            assert len(rig.door.limiter.connections) <= rig.door.limiter.max_connections
+            assert len(rig.admin_server.limiter.connections) <= rig.admin_server.limiter.max_connections
         assert (await call(address, READY[:20])).startswith(b"HTTP/1.1 408")
         for connection in silent:
             connection.close()
 
 
-async def test_nothing_goes_to_an_endpoint_that_is_out_until_it_is_called_back(tmp_path):
+async def test_nothing_is_sent_to_a_blocked_endpoint_until_it_is_unblocked(tmp_path):
     endpoint = HttpStandIn()
     async with (
         standing(endpoint) as where,
-        served(tmp_path, [(where,)], platform="127.0.0.1:1") as (rig, door),
+        served(tmp_path, [(where,)], platform="127.0.0.1:1") as (rig, admin_address),
     ):
         client = Client(rig.address)
         await client.enqueue()
         await until(lambda: not rig.engine.messages_by_id)
         for _ in range(2):  # twice out is out once
-            assert await status(door, PUT % "s-1/disable") == 200
+            assert await status(admin_address, PUT % "s-1/disable") == 200
         assert await client.enqueue(id_="held") == "+OK\r\n"
         for state, scope in (
             (EndpointState.READY, UpdateScope.FULL),
@@ -136,13 +135,13 @@
         rig.update_endpoints(where)
         await anyio.sleep(0.1)
         assert len(endpoint.requests) == 1 and "held" in rig.engine.messages_by_id
-        assert await status(door, PUT % "s-1/enable") == 200
+        assert await status(admin_address, PUT % "s-1/enable") == 200
         await until(lambda: not rig.engine.messages_by_id)
         assert len(endpoint.requests) == 2
-        assert await status(door, PUT % "s-1/enable") == 200  # back without out
+        assert await status(admin_address, PUT % "s-1/enable") == 200  # back without out
 
 
-async def test_a_call_that_was_decided_on_is_not_written_once_its_endpoint_is_out(tmp_path):
+async def test_a_call_that_was_decided_on_is_not_written_once_its_endpoint_is_blocked(tmp_path):
     endpoint = HttpStandIn()
     async with standing(endpoint) as where, served(tmp_path, [(where,)]) as (rig, _):
         transport = rig.engine.transports["http"]
@@ -158,7 +157,7 @@
         assert not endpoint.requests
 
 
-async def test_a_ban_outlasts_a_kill_and_the_rewriting_of_the_journal(tmp_path):
+async def test_a_block_outlasts_a_kill_and_the_rewriting_of_the_journal(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as rig:
         assert await rig.engine.disable("s-1") and await rig.engine.disable("s-2")
         assert await rig.engine.enable("s-2")
@@ -174,18 +173,18 @@
         assert not await rig.engine.enable("s-1")
 
 
-async def test_the_yes_follows_the_record(tmp_path):
-    async with served(tmp_path, [("127.0.0.1:1",)]) as (rig, door):
+async def test_a_block_is_confirmed_only_once_it_is_in_the_journal(tmp_path):
+    async with served(tmp_path, [("127.0.0.1:1",)]) as (rig, admin_address):
 
         def full(*_):
             raise JournalFullError("no room")
 
         rig.engine.journal.endpoint_blocked = full
-        assert await status(door, PUT % "s-1/disable") == 503
+        assert await status(admin_address, PUT % "s-1/disable") == 503
         assert rig.engine.endpoints["s-1"].usable
 
 
-def test_an_endpoint_that_is_back_gets_its_ramp_from_the_module():
+def test_an_unblocked_endpoint_gets_a_recovery_ramp_from_the_policy():
     settings = Settings(
         classes=[TrafficClass(10**9, 10**10)],
         kinds=[DestinationKind()],
@@ -214,7 +213,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.sampled_from("abc"))))
-def test_one_call_back_undoes_any_number_of_calls_out(calls):
+def test_one_unblock_undoes_any_number_of_blocks(calls):
     bans, out = EndpointBlocklist(), {}
     for off, id_ in calls:
         assert (bans.block(id_) if off else bans.unblock(id_)) is (out.get(id_, False) is not off)
