--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -74,7 +74,7 @@
 
 async def load(address, trouble, stop):
     """Submit messages until `stop` is set; what met an error is added to `trouble`."""
-    client, n = Client(address, again=True), 0
+    client, n = Client(address, reconnect=True), 0
     while not stop.is_set():
         n += 1
         try:
@@ -82,7 +82,7 @@
                 await client.enqueue("status-update", f"{id(client):x}.{n}")
         except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
             trouble.append(repr(error))
-            client = Client(address, again=True)
+            client = Client(address, reconnect=True)
         await anyio.sleep(0.01)
 
 
