--- a/pinspread/simulation/cli_experiments.py
+++ b/pinspread/simulation/cli_experiments.py
@@ -12,7 +12,8 @@
 
 def check(file: File) -> None:
     """Name every problem of an experiment file with its place."""
-    from pinspread.simulation.experiment import ExperimentError, load_experiment
+    from pinspread.simulation.experiment import load_experiment
+    from pinspread.simulation.experiment_file import ExperimentError
 
     try:
         experiment = load_experiment(str(file))
@@ -29,7 +30,8 @@
     report: Annotated[bool, typer.Option(help="write report.md and plots too")] = True,
 ) -> None:
     """Run an experiment; stop it with Ctrl-C and start it again, and it goes on where it was."""
-    from pinspread.simulation.experiment import ExperimentError, load_experiment
+    from pinspread.simulation.experiment import load_experiment
+    from pinspread.simulation.experiment_file import ExperimentError
     from pinspread.simulation.report import write_report
     from pinspread.simulation.runs import run_experiment
     from pinspread.simulation.trace import TraceError
--- a/pinspread/simulation/cli_loopback.py
+++ b/pinspread/simulation/cli_loopback.py
@@ -24,7 +24,8 @@
     variant: Annotated[str, typer.Option(help="whose world; the couriers are this checkout's")] = "",
 ) -> None:
     """Play one day of an experiment on real sockets, with real couriers among stand-ins."""
-    from pinspread.simulation.experiment import ExperimentError, load_experiment
+    from pinspread.simulation.experiment import load_experiment
+    from pinspread.simulation.experiment_file import ExperimentError
     from pinspread.simulation.scenario import draw_scenario
 
     try:
--- a/pinspread/simulation/experiment.py
+++ b/pinspread/simulation/experiment.py
@@ -11,7 +11,6 @@
 from pinspread.simulation.experiment_file import (
     ExperimentError,
     ExperimentFile,
-    RetryPaper,
     Sweep,
     Variant,
     field_problems,
@@ -26,15 +25,6 @@
     source_digest,
 )
 
-__all__ = [
-    "Experiment",
-    "ExperimentError",
-    "ExperimentFile",
-    "ExperimentPoint",
-    "RetryPaper",
-    "load_experiment",
-]
-
 
 @dataclass(frozen=True, slots=True)
 class ExperimentPoint:
--- a/pinspread/simulation/fit.py
+++ b/pinspread/simulation/fit.py
@@ -33,7 +33,7 @@
 }
 
 
-class AttemptRecord(NamedTuple):
+class RecordedAttempt(NamedTuple):
     """An attempt that was recorded, in the order of a trace file's columns.
 
     Attributes:
@@ -138,20 +138,22 @@
     outages: list[Outage]
 
 
-def fit_destinations(destinations: Iterable[int], attempts: Iterable[AttemptRecord]) -> list[DestinationFit]:
+def fit_destinations(
+    destinations: Iterable[int], attempts: Iterable[RecordedAttempt]
+) -> list[DestinationFit]:
     """Return a fit for each destination, in order of their numbers.
 
     Args:
         destinations: Numbers of all destinations, each once or more often.
         attempts: In order of their ends.
     """
-    by_destination: dict[int, list[AttemptRecord]] = {number: [] for number in sorted(set(destinations))}
+    by_destination: dict[int, list[RecordedAttempt]] = {number: [] for number in sorted(set(destinations))}
     for attempt in attempts:
         by_destination[attempt.destination].append(attempt)
     return [_fit_destination(number, records) for number, records in by_destination.items()]
 
 
-def _fit_destination(number: int, attempts: list[AttemptRecord]) -> DestinationFit:
+def _fit_destination(number: int, attempts: list[RecordedAttempt]) -> DestinationFit:
     succeeded = [attempt for attempt in attempts if attempt.outcome == SUCCESS]
     rejected = [attempt for attempt in attempts if attempt.outcome == REJECTED]
     latencies_ms = np.array([attempt.elapsed_us for attempt in succeeded], dtype=float) / 1000
@@ -201,7 +203,7 @@
     return LatencyFit(count, float(sample.mean()), sigma, distance, quality)
 
 
-def _max_in_flight(attempts: Iterable[AttemptRecord]) -> int:
+def _max_in_flight(attempts: Iterable[RecordedAttempt]) -> int:
     """The most attempts that were in flight at once."""
     starts = [(attempt.start_us, 1) for attempt in attempts]
     ends = [(attempt.end_us, -1) for attempt in attempts]
@@ -212,7 +214,7 @@
     return most
 
 
-def _fit_limit(succeeded: Sequence[AttemptRecord], rejected: Sequence[AttemptRecord]) -> LimitFit:
+def _fit_limit(succeeded: Sequence[RecordedAttempt], rejected: Sequence[RecordedAttempt]) -> LimitFit:
     """Take the calls that succeeded in the second before a rejection as the limit."""
     limited = [attempt for attempt in rejected if 0 < attempt.retry_after_us <= LONG_RETRY_AFTER_US]
     if len(limited) < MIN_FAILURES:
@@ -234,14 +236,14 @@
     return LimitFit(max(1.0, median), quality)
 
 
-def _find_outages(attempts: Iterable[AttemptRecord]) -> list[Outage]:
+def _find_outages(attempts: Iterable[RecordedAttempt]) -> list[Outage]:
     """Failures in a row, with no success between them; outages by fast errors are joined.
 
     Nothing tells when an outage began but that it lies between the last success and the first failure: the
     middle is taken, and of its end likewise.
     """
     outages: list[Outage] = []
-    failures: list[AttemptRecord] = []
+    failures: list[RecordedAttempt] = []
     last_success_us: int | None = None
     for attempt in attempts:
         if attempt.failed:
@@ -256,7 +258,7 @@
     return _join_outages(outages)
 
 
-def _outage(failures: Sequence[AttemptRecord], before_us: int | None, after_us: int | None) -> Outage:
+def _outage(failures: Sequence[RecordedAttempt], before_us: int | None, after_us: int | None) -> Outage:
     """The outage that failures in a row show, between the success before them and the one after them."""
     first_us, last_us = failures[0].start_us, failures[-1].end_us
     counts = Counter(attempt.outcome for attempt in failures)
--- a/pinspread/simulation/runs.py
+++ b/pinspread/simulation/runs.py
@@ -3,24 +3,26 @@
 import hashlib
 import multiprocessing
 import os
-import platform
 import time
-from collections.abc import Mapping
 from concurrent.futures import ProcessPoolExecutor, as_completed
 from concurrent.futures.process import BrokenProcessPool
 from dataclasses import dataclass, replace
-from importlib.metadata import version
 from pathlib import Path
 from typing import Any
 
 import orjson
 from tqdm import tqdm
 
-from pinspread.simulation import paper, variants
+from pinspread.simulation import variants
 from pinspread.simulation.experiment import Experiment, ExperimentPoint
-
-FORMAT = 1
-LIBRARIES = ("numpy", "scipy", "hdrhistogram", "orjson", "pydantic")
+from pinspread.simulation.result_files import (
+    FORMAT,
+    canonical_json,
+    days_result,
+    manifest,
+    paper_result,
+    written_model,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +67,7 @@
 def run_key(point: ExperimentPoint, seed: int) -> str:
     """A hash of all that a run depends on, by which a finished one is found."""
     depends_on = {
-        "world": _written_model(point),
+        "world": written_model(point),
         "settings": point.settings,
         "constants": point.constants,
         "module": point.policy_digest,
@@ -96,86 +98,20 @@
     (path / "runs").mkdir(parents=True, exist_ok=True)
     began = time.time()
     if experiment.kind == "paper":
-        result = _paper_result(experiment)
+        result = paper_result(experiment)
         runs_done = 0
     else:
         planned = _plan(experiment, path / "runs")
         missing = [run for run in planned if run.measurements() is None]
         runs_done = len(missing)
         _run_all(missing, processes or os.cpu_count() or 1, quiet)
-        result = _days_result(experiment, planned)
+        result = days_result(experiment, [run.measurements() for run in planned])
     _write_atomically(path / "result.json", canonical_json(result))
-    manifest = _manifest(experiment, result) | {
-        "runs_done_now": runs_done,
-        "took_s": round(time.time() - began, 2),
-    }
-    _write_atomically(path / "manifest.json", orjson.dumps(manifest, option=orjson.OPT_INDENT_2))
+    document = manifest(experiment, result, runs_done, time.time() - began)
+    _write_atomically(path / "manifest.json", orjson.dumps(document, option=orjson.OPT_INDENT_2))
     return result
 
 
-# --- the written forms ----------------------------------------------------------------------------
-
-
-def _paper_result(experiment: Experiment) -> dict[str, Any]:
-    return {
-        "format": FORMAT,
-        "experiment": experiment.name,
-        "kind": "paper",
-        "paper": paper.recompute_figures(experiment.file.paper, experiment.seeds),
-    }
-
-
-def _days_result(experiment: Experiment, planned: list[PlannedRun]) -> dict[str, Any]:
-    points = []
-    for number, point in enumerate(experiment.points):
-        first = number * len(experiment.seeds)
-        runs = planned[first : first + len(experiment.seeds)]
-        points.append(_written_point(point) | {"runs": [run.measurements() for run in runs]})
-    return {
-        "format": FORMAT,
-        "experiment": experiment.name,
-        "kind": "days",
-        "about": experiment.file.experiment.about,
-        "seeds": experiment.seeds,
-        "points": points,
-    }
-
-
-def _written_point(point: ExperimentPoint) -> dict[str, Any]:
-    return {
-        "variant": point.variant,
-        "value": point.value,
-        "settings": point.settings,
-        "constants": point.constants,
-        "module": point.policy_digest,
-        "world": _written_model(point),
-        "module_seed": point.policy_seed,
-    }
-
-
-def _written_model(point: ExperimentPoint) -> dict[str, Any]:
-    return point.model.model_dump(mode="json", by_alias=True, warnings=False)
-
-
-def _manifest(experiment: Experiment, result: Mapping[str, Any]) -> dict[str, Any]:
-    settings = canonical_json(experiment.file.model_dump(mode="json", by_alias=True))
-    versions = {name: version(name) for name in LIBRARIES} | {"python": platform.python_version()}
-    return {
-        "format": FORMAT,
-        "experiment": experiment.name,
-        "result_sha256": hashlib.sha256(canonical_json(result)).hexdigest(),
-        "settings_sha256": hashlib.sha256(settings).hexdigest(),
-        "seeds": experiment.seeds,
-        "modules": sorted({point.policy_digest for point in experiment.points}),
-        "versions": versions,
-    }
-
-
-def canonical_json(value: Any) -> bytes:
-    """The one text of a value: sorted names, no spaces, so that equal results are equal bytes."""
-    return orjson.dumps(value, option=orjson.OPT_SORT_KEYS | orjson.OPT_SERIALIZE_NUMPY)
-
-
 def _write_atomically(file: Path, data: bytes) -> None:
     """Write a file whole or not at all."""
     part = file.with_name(file.name + ".part")
--- a/pinspread/simulation/trace.py
+++ b/pinspread/simulation/trace.py
@@ -17,7 +17,7 @@
 import orjson
 
 from pinspread.errors import PinspreadError
-from pinspread.simulation.fit import AttemptRecord, DestinationFit, LatencyFit, LimitFit, Outage
+from pinspread.simulation.fit import DestinationFit, LatencyFit, LimitFit, Outage, RecordedAttempt
 
 MAGIC = b"PINTRACE"
 VERSION = 1
@@ -70,7 +70,7 @@
 }
 
 
-class EndpointListRecord(NamedTuple):
+class RecordedEndpointList(NamedTuple):
     """An update of the endpoint list at one courier: states by hash of the endpoint's name."""
 
     instance: int
@@ -97,8 +97,8 @@
     tenant_count: int
     instance_count: int
     arrivals: Arrivals
-    attempts: list[AttemptRecord]
-    endpoint_lists: list[EndpointListRecord]
+    attempts: list[RecordedAttempt]
+    endpoint_lists: list[RecordedEndpointList]
     skipped_lines: int
     fits: list[DestinationFit]
 
@@ -192,8 +192,8 @@
         tenant_count=document["teams"],
         instance_count=document["couriers"],
         arrivals=Arrivals(**columns),
-        attempts=[AttemptRecord(*row) for row in document["outcomes"]],
-        endpoint_lists=[EndpointListRecord(*row) for row in document["lists"]],
+        attempts=[RecordedAttempt(*row) for row in document["outcomes"]],
+        endpoint_lists=[RecordedEndpointList(*row) for row in document["lists"]],
         skipped_lines=document["skipped_lines"],
         fits=[_fit_from_document(fit) for fit in document["fits"]],
     )
--- a/pinspread/simulation/trace_recording.py
+++ b/pinspread/simulation/trace_recording.py
@@ -6,9 +6,9 @@
 import orjson
 from cryptography.hazmat.primitives import hashes, hmac
 
-from pinspread.simulation.fit import AttemptRecord, fit_destinations
+from pinspread.simulation.fit import RecordedAttempt, fit_destinations
 from pinspread.simulation.recorded_events import recorded
-from pinspread.simulation.trace import Arrivals, EndpointListRecord, Trace, TraceError
+from pinspread.simulation.trace import Arrivals, RecordedEndpointList, Trace, TraceError
 
 MIN_KEY_BYTES = 16
 
@@ -57,8 +57,8 @@
         self.classes: dict[str, int] = {}
         self.tenants: dict[str, int] = {}
         self.acceptances: list[_Acceptance] = []
-        self.attempts: list[AttemptRecord] = []
-        self.endpoint_lists: list[EndpointListRecord] = []
+        self.attempts: list[RecordedAttempt] = []
+        self.endpoint_lists: list[RecordedEndpointList] = []
         self.skipped_lines = 0
         self.without_deadline = 0  # messages of a version that did not log it
         self._number_of: dict[tuple[int, str], int] = {}  # of a message, by courier and id
@@ -79,7 +79,7 @@
             self._read_attempt(instance, at_us, event)
         elif kind == "list" and isinstance(event["hops"], dict):
             states = {self.hasher(endpoint): state for endpoint, state in event["hops"].items()}
-            self.endpoint_lists.append(EndpointListRecord(instance, at_us, states))
+            self.endpoint_lists.append(RecordedEndpointList(instance, at_us, states))
 
     def _read_acceptance(self, instance: int, at_us: int, event: dict[str, Any]) -> None:
         if "for_ms" not in event:
@@ -104,7 +104,7 @@
         if number is None:
             return
         self.attempts.append(
-            AttemptRecord(
+            RecordedAttempt(
                 message=number,
                 end_us=at_us,
                 destination=self.acceptances[number].destination,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,6 +18,7 @@
 from pinspread.simulation import (
     compare,
     experiment,
+    experiment_file,
     fit,
     paper,
     policy_sources,
@@ -119,10 +120,10 @@
     lines = ["[experiment]", 'name = "x"']
     file = tmp_path / "x.toml"
     file.write_text("\n".join(lines) + "\n")
-    one = experiment.ExperimentFile.model_validate(
+    one = experiment_file.ExperimentFile.model_validate(
         {"experiment": {"name": "x"}, "world": {"length_s": 15} | tables}
     )
-    with pytest.raises(experiment.ExperimentError) as caught:
+    with pytest.raises(experiment_file.ExperimentError) as caught:
         experiment.Experiment(one, tmp_path)
     assert place in str(caught.value)
 
@@ -546,7 +547,7 @@
 def test_a_bad_experiment_is_refused_with_its_place(old, new, place, tmp_path):
     file = tmp_path / "x.toml"
     file.write_text(SMALL.replace(old, new, 1))
-    with pytest.raises(experiment.ExperimentError) as caught:
+    with pytest.raises(experiment_file.ExperimentError) as caught:
         experiment.load_experiment(str(file))
     assert place in str(caught.value) and "x.toml" in str(caught.value)
 
@@ -599,7 +600,7 @@
 
 
 def test_the_papers_figures():
-    found = paper.recompute_figures(experiment.RetryPaper(), range(200))
+    found = paper.recompute_figures(experiment_file.RetryPaper(), range(200))
     for randomness, theirs in (("0.01", 35), ("0.5", 5)):
         low, high = found["randomness"][randomness]["last_retry_5_95"]
         assert low <= theirs <= high
@@ -720,7 +721,7 @@
 
 
 def attempts_of(rows):
-    return [fit.AttemptRecord(*row) for row in rows]
+    return [fit.RecordedAttempt(*row) for row in rows]
 
 
 def test_fits_find_an_outage_and_a_limit():
