--- a/pinspread/simulation/__init__.py
+++ b/pinspread/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The simulation of many nodes and destinations, driven by the delivery policy; no serving process loads it."""
+"""A simulation of many couriers and destinations under the delivery policy; no serving process loads it."""
