--- a/pinspread/simulation/fit.py
+++ b/pinspread/simulation/fit.py
@@ -6,6 +6,7 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import NamedTuple
 
 import numpy as np
@@ -19,6 +20,10 @@
 JOIN_US = 5_000_000  # outages by fast errors that are closer than this are one outage
 MIN_LATENCY_MS = 0.001  # what is shorter counts as this, since logarithms are taken
 DEFAULT_SIGMA = 0.5  # of the logarithms, where too few latencies were recorded
+LILLIEFORS_1_PERCENT = 1.031  # the bound of the distance, times the root of the sample's size
+MAX_ROUGH_DISTANCE = 0.15  # up to which a distribution holds roughly
+MAX_GOOD_SPREAD = 0.3  # quartile range of the calls at a limit, over their median, up to which it holds well
+MAX_ROUGH_SPREAD = 1.0  # the same for a limit that holds roughly
 
 SUCCESS = "OK"
 REJECTED = "FULL"
@@ -33,6 +38,16 @@
 }
 
 
+class FitQuality(StrEnum):
+    """How well a fit holds, in the words of trace files."""
+
+    WELL = "well"
+    ROUGHLY = "roughly"
+    BADLY = "badly"
+    TOO_FEW = "too few to tell"
+    NO_LIMIT = "no limit shows"
+
+
 class RecordedAttempt(NamedTuple):
     """An attempt that was recorded, in the order of a trace file's columns.
 
@@ -78,14 +93,14 @@
         mean_ms: Their mean; 0 where there were none.
         sigma: Standard deviation of their natural logarithms.
         distance: Kolmogorov-Smirnov distance from the fitted distribution; None where none was fitted.
-        quality: "well", "roughly", "badly" or "too few to tell".
+        quality: How well it holds; TOO_FEW where none was fitted.
     """
 
     count: int
     mean_ms: float
     sigma: float
     distance: float | None
-    quality: str
+    quality: FitQuality
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,11 +109,11 @@
 
     Attributes:
         per_s: Calls a second that went through where others were rejected; 0 where no limit shows.
-        quality: "well", "roughly", "badly" or "no limit shows".
+        quality: How well it holds; NO_LIMIT where none shows.
     """
 
     per_s: float
-    quality: str
+    quality: FitQuality
 
 
 @dataclass(frozen=True, slots=True)
@@ -188,18 +203,17 @@
             mean_ms=float(sample.mean()) if count else 0.0,
             sigma=DEFAULT_SIGMA,
             distance=None,
-            quality="too few to tell",
+            quality=FitQuality.TOO_FEW,
         )
     logarithms = np.log(np.maximum(sample, MIN_LATENCY_MS))
     mean, sigma = float(logarithms.mean()), float(logarithms.std(ddof=1))
     distance = float(stats.kstest(logarithms, stats.norm(mean, max(sigma, 1e-9)).cdf).statistic)
-    lilliefors_bound = 1.031 / np.sqrt(count)
-    if distance < lilliefors_bound:
-        quality = "well"
-    elif distance < 0.15:
-        quality = "roughly"
+    if distance < LILLIEFORS_1_PERCENT / np.sqrt(count):
+        quality = FitQuality.WELL
+    elif distance < MAX_ROUGH_DISTANCE:
+        quality = FitQuality.ROUGHLY
     else:
-        quality = "badly"
+        quality = FitQuality.BADLY
     return LatencyFit(count, float(sample.mean()), sigma, distance, quality)
 
 
@@ -218,7 +232,7 @@
     """Take the calls that succeeded in the second before a rejection as the limit."""
     limited = [attempt for attempt in rejected if 0 < attempt.retry_after_us <= LONG_RETRY_AFTER_US]
     if len(limited) < MIN_FAILURES:
-        return LimitFit(0.0, "no limit shows")
+        return LimitFit(0.0, FitQuality.NO_LIMIT)
     ends_us = np.array([attempt.end_us for attempt in succeeded], dtype=float)
     counts = [
         int(((ends_us > attempt.end_us - LIMIT_SPAN_US) & (ends_us <= attempt.end_us)).sum())
@@ -227,12 +241,12 @@
     median = float(np.median(counts))
     lower, upper = np.percentile(counts, (25, 75))
     spread = float(upper - lower)
-    if spread <= 0.3 * max(1.0, median):
-        quality = "well"
-    elif spread <= median:
-        quality = "roughly"
+    if spread <= MAX_GOOD_SPREAD * max(1.0, median):
+        quality = FitQuality.WELL
+    elif spread <= MAX_ROUGH_SPREAD * median:
+        quality = FitQuality.ROUGHLY
     else:
-        quality = "badly"
+        quality = FitQuality.BADLY
     return LimitFit(max(1.0, median), quality)
 
 
--- a/pinspread/simulation/trace.py
+++ b/pinspread/simulation/trace.py
@@ -17,7 +17,14 @@
 import orjson
 
 from pinspread.errors import PinspreadError
-from pinspread.simulation.fit import DestinationFit, LatencyFit, LimitFit, Outage, RecordedAttempt
+from pinspread.simulation.fit import (
+    DestinationFit,
+    FitQuality,
+    LatencyFit,
+    LimitFit,
+    Outage,
+    RecordedAttempt,
+)
 
 MAGIC = b"PINTRACE"
 VERSION = 1
@@ -129,7 +136,7 @@
         return from_document(orjson.loads(_unpacked(payload)))
     except TraceError as error:
         raise TraceError(f"{path}: {error}") from None
-    except (zlib.error, orjson.JSONDecodeError, KeyError, TypeError) as error:
+    except (zlib.error, KeyError, TypeError, ValueError) as error:
         raise TraceError(f"{path}: its content cannot be read: {error!r}") from None
 
 
@@ -183,6 +190,7 @@
         TraceError: The columns of the arrivals are not of one length.
         KeyError: A key is missing.
         TypeError: A value has another type than it should.
+        ValueError: A word for the quality of a fit is unknown.
     """
     columns = {name: document["arrivals"][key] for name, key in ARRIVAL_KEYS.items()}
     if len({len(column) for column in columns.values()}) != 1 or not isinstance(document["fits"], list):
@@ -210,10 +218,10 @@
             "mean_ms": fit.latency.mean_ms,
             "sigma": fit.latency.sigma,
             "distance": fit.latency.distance,
-            "holds": fit.latency.quality,
+            "holds": fit.latency.quality.value,
         },
         "limit_per_s": fit.limit.per_s,
-        "limit_holds": fit.limit.quality,
+        "limit_holds": fit.limit.quality.value,
         "tells": fit.retry_after_share,
         "refused": fit.rejected,
         "outages": [
@@ -240,9 +248,9 @@
             mean_ms=latency["mean_ms"],
             sigma=latency["sigma"],
             distance=latency["distance"],
-            quality=latency["holds"],
+            quality=FitQuality(latency["holds"]),
         ),
-        limit=LimitFit(document["limit_per_s"], document["limit_holds"]),
+        limit=LimitFit(document["limit_per_s"], FitQuality(document["limit_holds"])),
         retry_after_share=document["tells"],
         rejected=document["refused"],
         outages=[
