--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -70,7 +70,7 @@
     assert seen == sorted(seen) and len(seen) == len(delays) and engine.now == 100
 
 
-def test_what_wakes_itself_for_ever_is_stuck_and_does_not_hang():
+def test_an_event_that_plans_itself_for_ever_is_reported_as_stalled():
     engine = Engine()
 
     def again():
@@ -92,7 +92,7 @@
     assert not np.array_equal(a.arrival_ns, scenarios.draw_scenario(world(), 6).arrival_ns)
 
 
-def test_a_day_holds_to_the_figures_of_its_world():
+def test_a_day_holds_to_the_figures_of_its_model():
     one = world(length_s=300)
     drawn = scenarios.draw_scenario(one, 3)
     assert len(drawn.arrival_ns) == pytest.approx(31 * 300, rel=0.1)
@@ -116,7 +116,7 @@
         ({"trouble": [{"kind": "flood", "at_s": 1}]}, "trouble[0].kind"),
     ],
 )
-def test_a_bad_world_is_refused_with_its_place(tables, place, tmp_path):
+def test_a_malformed_model_is_refused_with_its_place(tables, place, tmp_path):
     lines = ["[experiment]", 'name = "x"']
     file = tmp_path / "x.toml"
     file.write_text("\n".join(lines) + "\n")
@@ -185,7 +185,7 @@
     assert late.got == [(Outcome.OK, 0)]
 
 
-def test_a_partner_comes_back_at_a_fifth_is_warm_in_9_s_and_falls_when_pushed():
+def test_a_destination_returns_at_a_fifth_is_warm_in_9_s_and_fails_when_overloaded():
     engine, one, endpoint = partner(per_s=4.0)
     one.start_outage(ServingState.CRASHED, 0)
     one.record_failure(7)
@@ -202,7 +202,7 @@
     assert endpoint.state is not ServingState.UP
 
 
-def test_an_outage_that_ends_inside_another_does_not_bring_the_partner_back():
+def test_an_outage_that_ends_inside_another_does_not_bring_the_destination_back():
     engine, one, endpoint = partner()
     one.start_outage(ServingState.CRASHED, 4 * SECOND)
     one.record_failure(7)
@@ -216,7 +216,7 @@
     assert endpoint.state is ServingState.UP and one.capacity_fraction() == pytest.approx(0.2)
 
 
-def test_who_did_not_know_is_not_blamed_for_a_fall():
+def test_a_sender_that_could_not_know_is_not_blamed_for_an_overload():
     engine, one, endpoint = partner(per_s=4.0)
     one.start_outage(ServingState.CRASHED, 0)
     one.end_outage()
@@ -225,7 +225,7 @@
     assert one.falls == 1 and one.observer.counts["cold"] == 0
 
 
-def test_what_was_in_work_is_lost_with_the_process_and_never_answered_as_done():
+def test_requests_in_progress_are_lost_with_the_process_and_never_answered_as_done():
     engine, one, endpoint = partner()
     call = Caller()
     one.arrive(endpoint, call, 100 * MS)
@@ -307,7 +307,7 @@
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_the_checker_catches_a_module_that_breaks(rule):
+def test_the_checker_catches_a_policy_that_breaks_a_rule(rule):
     busy = world(couriers={"count": 2}, **TROUBLED)
     if rule == "cold":
         busy = world(
@@ -321,7 +321,7 @@
     assert any(b["rule"] == rule and b["why"] and b["at_s"] > 0 for b in broke["breaks"])
 
 
-def test_the_checker_catches_a_payment_that_is_sent_again_after_a_restart():
+def test_the_checker_catches_a_payment_that_is_retried_after_a_restart():
     kills = [{"kind": "kill", "at_s": at, "length_s": 1, "share": 1.0, "batch": 1.0} for at in (3, 6, 9)]
     busy = world(trouble=kills)
     assert not play(busy, sender=DeliveryPolicy)["broken"].get("repeat")
@@ -339,13 +339,13 @@
     assert [c.restarts for c in fleet.instances] == [2, 2, 2] and all(c.up for c in fleet.instances)
 
 
-def test_the_module_as_it_is_keeps_the_rules_on_a_troubled_day():
+def test_the_policy_as_it_is_keeps_the_rules_on_a_day_with_faults():
     found = play(world(**TROUBLED), 1)
     assert not found["broken"] and found["payments_twice"] == 0
     assert 0.5 < found["service"] < 1 and found["delivered"] + found["failed"] == found["messages"]
 
 
-def test_a_restart_resumes_what_was_held_and_without_a_journal_it_is_lost():
+def test_a_restart_resumes_accepted_messages_and_without_a_journal_they_are_lost():
     kill = [{"kind": "kill", "at_s": 5, "length_s": 1, "share": 1.0, "batch": 1.0}]
     calm = {"traffic": {"clump_share": 0.0, "load": 0.3}}
     kept = play(world(trouble=kill, **calm))
@@ -359,7 +359,7 @@
 @pytest.mark.parametrize(
     ("age_s", "share"), [(-1, 0), (1, 1), (2, 1), (4, 0.5), (6, 0.3), (20, 0.3), (21, 0)], ids=str
 )
-def test_worth_falls_by_half_with_each_further_aim_to_its_least_and_to_nothing(age_s, share):
+def test_priority_weight_halves_with_each_further_objective_down_to_its_least_and_to_nothing(age_s, share):
     age = np.array([int(age_s * SECOND)])
     asked, earned = accounts.worth(world(), np.array([2]), np.array([True]), age)  # a payment: 2 s, 20 s, 30%
     assert asked[0] == 5 and earned[0] == pytest.approx(5 * share)
@@ -367,7 +367,7 @@
     assert over[0] == pytest.approx(earned[0] * 0.2)
 
 
-def test_service_weighs_whole_worst_class_and_team():
+def test_service_weighs_the_whole_the_worst_class_and_the_worst_tenant():
     at = np.arange(0, 30, 0.5) * SECOND
     n = len(at)
     cls, team = np.arange(n) % 3, np.arange(n) % 2
@@ -408,7 +408,7 @@
         ([0.1, 0.1, 0.1], "cannot tell", "too few"),
     ],
 )
-def test_verdicts_are_plain(shift, word, why):
+def test_verdicts_of_comparisons_are_plain(shift, word, why):
     base = [0.80 + n / 100 for n in range(len(shift))]
     found = compare.compare_variants(
         result("a", base), result("b", [b + s for b, s in zip(base, shift, strict=True)])
@@ -553,7 +553,7 @@
 
 
 @pytest.mark.parametrize("file", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda p: p.name)
-def test_the_experiments_are_well(file):
+def test_the_experiment_files_are_valid(file):
     text = file.read_text()
     if "revision" in text and subprocess.run(["git", "-C", ROOT, "cat-file", "-e", "360bbd6"]).returncode:
         pytest.skip("a checkout without its history")
@@ -636,7 +636,7 @@
 
 
 @pytest.mark.parametrize(("meets", "verdict"), [("busy", "overloaded"), ("refused", "connect_failed")])
-def test_a_connection_too_many_is_turned_away_as_the_world_says(meets, verdict):
+def test_a_connection_too_many_is_rejected_as_the_model_says(meets, verdict):
     tables = {"table": 0.5, "least_table": 2.0}
     traffic = {"load": 0.8, "clump_share": 0.3}
     world = FleetModel.model_validate(
@@ -648,7 +648,7 @@
 
 
 @pytest.mark.parametrize("seed", [21, 38])
-def test_many_couriers_do_not_push_over_what_returns_cold(seed):
+def test_many_couriers_do_not_overload_a_destination_that_warms_up(seed):
     # With a look at once at each endpoint by each courier, rule `cold` broke on these days with 8 of 8 seeds.
     down = {"kind": "crash", "at_s": 8, "length_s": 12, "share": 0.2}
     world = FleetModel.model_validate({"length_s": 34, "couriers": {"count": 6}, "trouble": [down]})
@@ -699,7 +699,7 @@
     ("data", "why"),
     [(b"", "no trace"), (b"PK\3\4 something else", "no trace"), (trace.MAGIC, "cut off in its head")],
 )
-def test_a_foreign_file_is_no_trace(data, why, tmp_path):
+def test_a_file_of_another_form_is_no_trace(data, why, tmp_path):
     (tmp_path / "x").write_bytes(data)
     with pytest.raises(trace.TraceError, match=why):
         trace.read_trace(str(tmp_path / "x"))
@@ -770,7 +770,7 @@
     return run.stdout.split()
 
 
-def test_the_serving_process_loads_none_of_it():
+def test_the_serving_process_loads_no_simulation_testbed_or_cluster():
     loaded = loaded_by("import pinspread.__main__, pinspread.service")
     heavy = (
         "numpy",
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -50,7 +50,7 @@
         await until(lambda: not rig.engine.messages_by_id)
 
 
-async def test_a_connection_whose_replies_wait_for_copies_is_closed_at_a_hand_over(tmp_path):
+async def test_a_connection_whose_replies_wait_for_replication_is_closed_at_a_hand_over(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
         copies = rig.engine.replication = ReplicationService()
         async with anyio.create_task_group() as tasks:
