--- a/pinspread/simulation/fit.py
+++ b/pinspread/simulation/fit.py
@@ -6,6 +6,7 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import NamedTuple
 
 import numpy as np
@@ -19,6 +20,10 @@
 JOIN_US = 5_000_000  # outages by fast errors that are closer than this are one outage
 MIN_LATENCY_MS = 0.001  # what is shorter counts as this, since logarithms are taken
 DEFAULT_SIGMA = 0.5  # of the logarithms, where too few latencies were recorded
+LILLIEFORS_1_PERCENT = 1.031  # the bound of the distance, times the root of the sample's size
+MAX_ROUGH_DISTANCE = 0.15  # up to which a distribution holds roughly
+MAX_GOOD_SPREAD = 0.3  # quartile range of the calls at a limit, over their median, up to which it holds well
+MAX_ROUGH_SPREAD = 1.0  # the same for a limit that holds roughly
 
 SUCCESS = "OK"
 REJECTED = "FULL"
@@ -33,7 +38,17 @@
 }
 
 
-class AttemptRecord(NamedTuple):
+class FitQuality(StrEnum):
+    """How well a fit holds, in the words of trace files."""
+
+    WELL = "well"
+    ROUGHLY = "roughly"
+    BADLY = "badly"
+    TOO_FEW = "too few to tell"
+    NO_LIMIT = "no limit shows"
+
+
+class RecordedAttempt(NamedTuple):
     """An attempt that was recorded, in the order of a trace file's columns.
 
     Attributes:
@@ -78,14 +93,14 @@
         mean_ms: Their mean; 0 where there were none.
         sigma: Standard deviation of their natural logarithms.
         distance: Kolmogorov-Smirnov distance from the fitted distribution; None where none was fitted.
-        quality: "well", "roughly", "badly" or "too few to tell".
+        quality: How well it holds; TOO_FEW where none was fitted.
     """
 
     count: int
     mean_ms: float
     sigma: float
     distance: float | None
-    quality: str
+    quality: FitQuality
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,11 +109,11 @@
 
     Attributes:
         per_s: Calls a second that went through where others were rejected; 0 where no limit shows.
-        quality: "well", "roughly", "badly" or "no limit shows".
+        quality: How well it holds; NO_LIMIT where none shows.
     """
 
     per_s: float
-    quality: str
+    quality: FitQuality
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,20 +153,22 @@
     outages: list[Outage]
 
 
-def fit_destinations(destinations: Iterable[int], attempts: Iterable[AttemptRecord]) -> list[DestinationFit]:
+def fit_destinations(
+    destinations: Iterable[int], attempts: Iterable[RecordedAttempt]
+) -> list[DestinationFit]:
     """Return a fit for each destination, in order of their numbers.
 
     Args:
         destinations: Numbers of all destinations, each once or more often.
         attempts: In order of their ends.
     """
-    by_destination: dict[int, list[AttemptRecord]] = {number: [] for number in sorted(set(destinations))}
+    by_destination: dict[int, list[RecordedAttempt]] = {number: [] for number in sorted(set(destinations))}
     for attempt in attempts:
         by_destination[attempt.destination].append(attempt)
-    return [_fit_destination(number, found) for number, found in by_destination.items()]
+    return [_fit_destination(number, records) for number, records in by_destination.items()]
 
 
-def _fit_destination(number: int, attempts: list[AttemptRecord]) -> DestinationFit:
+def _fit_destination(number: int, attempts: list[RecordedAttempt]) -> DestinationFit:
     succeeded = [attempt for attempt in attempts if attempt.outcome == SUCCESS]
     rejected = [attempt for attempt in attempts if attempt.outcome == REJECTED]
     latencies_ms = np.array([attempt.elapsed_us for attempt in succeeded], dtype=float) / 1000
@@ -186,22 +203,21 @@
             mean_ms=float(sample.mean()) if count else 0.0,
             sigma=DEFAULT_SIGMA,
             distance=None,
-            quality="too few to tell",
+            quality=FitQuality.TOO_FEW,
         )
     logarithms = np.log(np.maximum(sample, MIN_LATENCY_MS))
     mean, sigma = float(logarithms.mean()), float(logarithms.std(ddof=1))
     distance = float(stats.kstest(logarithms, stats.norm(mean, max(sigma, 1e-9)).cdf).statistic)
-    lilliefors_bound = 1.031 / np.sqrt(count)
-    if distance < lilliefors_bound:
-        quality = "well"
-    elif distance < 0.15:
-        quality = "roughly"
+    if distance < LILLIEFORS_1_PERCENT / np.sqrt(count):
+        quality = FitQuality.WELL
+    elif distance < MAX_ROUGH_DISTANCE:
+        quality = FitQuality.ROUGHLY
     else:
-        quality = "badly"
+        quality = FitQuality.BADLY
     return LatencyFit(count, float(sample.mean()), sigma, distance, quality)
 
 
-def _max_in_flight(attempts: Iterable[AttemptRecord]) -> int:
+def _max_in_flight(attempts: Iterable[RecordedAttempt]) -> int:
     """The most attempts that were in flight at once."""
     starts = [(attempt.start_us, 1) for attempt in attempts]
     ends = [(attempt.end_us, -1) for attempt in attempts]
@@ -212,11 +228,11 @@
     return most
 
 
-def _fit_limit(succeeded: Sequence[AttemptRecord], rejected: Sequence[AttemptRecord]) -> LimitFit:
+def _fit_limit(succeeded: Sequence[RecordedAttempt], rejected: Sequence[RecordedAttempt]) -> LimitFit:
     """Take the calls that succeeded in the second before a rejection as the limit."""
     limited = [attempt for attempt in rejected if 0 < attempt.retry_after_us <= LONG_RETRY_AFTER_US]
     if len(limited) < MIN_FAILURES:
-        return LimitFit(0.0, "no limit shows")
+        return LimitFit(0.0, FitQuality.NO_LIMIT)
     ends_us = np.array([attempt.end_us for attempt in succeeded], dtype=float)
     counts = [
         int(((ends_us > attempt.end_us - LIMIT_SPAN_US) & (ends_us <= attempt.end_us)).sum())
@@ -225,23 +241,23 @@
     median = float(np.median(counts))
     lower, upper = np.percentile(counts, (25, 75))
     spread = float(upper - lower)
-    if spread <= 0.3 * max(1.0, median):
-        quality = "well"
-    elif spread <= median:
-        quality = "roughly"
+    if spread <= MAX_GOOD_SPREAD * max(1.0, median):
+        quality = FitQuality.WELL
+    elif spread <= MAX_ROUGH_SPREAD * median:
+        quality = FitQuality.ROUGHLY
     else:
-        quality = "badly"
+        quality = FitQuality.BADLY
     return LimitFit(max(1.0, median), quality)
 
 
-def _find_outages(attempts: Iterable[AttemptRecord]) -> list[Outage]:
+def _find_outages(attempts: Iterable[RecordedAttempt]) -> list[Outage]:
     """Failures in a row, with no success between them; outages by fast errors are joined.
 
     Nothing tells when an outage began but that it lies between the last success and the first failure: the
     middle is taken, and of its end likewise.
     """
     outages: list[Outage] = []
-    failures: list[AttemptRecord] = []
+    failures: list[RecordedAttempt] = []
     last_success_us: int | None = None
     for attempt in attempts:
         if attempt.failed:
@@ -256,7 +272,7 @@
     return _join_outages(outages)
 
 
-def _outage(failures: Sequence[AttemptRecord], before_us: int | None, after_us: int | None) -> Outage:
+def _outage(failures: Sequence[RecordedAttempt], before_us: int | None, after_us: int | None) -> Outage:
     """The outage that failures in a row show, between the success before them and the one after them."""
     first_us, last_us = failures[0].start_us, failures[-1].end_us
     counts = Counter(attempt.outcome for attempt in failures)
