--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -35,18 +35,19 @@
     specs = {spec.number: spec for spec in drawn.destinations}
     for fit in recorded["fits"]:
         spec = specs[fit["dest"]]
-        if spec.span_ns and fit["refused"] >= IN_A_ROW:
-            true = spec.limit / (spec.span_ns / 1e9)
+        if spec.limit_window_ns and fit["refused"] >= IN_A_ROW:
+            true = spec.limit_calls / (spec.limit_window_ns / 1e9)
             if fit["limit_per_s"]:
                 seen["limit"].append(fit["limit_per_s"] / true - 1)
             else:
                 seen["limit missed"].append(true)
-        elif not spec.span_ns and fit["limit_per_s"]:
+        elif not spec.limit_window_ns and fit["limit_per_s"]:
             seen["limit made up"].append(fit["limit_per_s"])
         rows = np.flatnonzero(drawn.destination == spec.number)
         if fit["latency"]["distance"] is not None:
             alone = (
-                drawn.work_ns[rows, 0].mean() * spec.pace / 1e6 + 2 * drawn.delay_ns[spec.number - 1] / 1e6
+                drawn.work_ns[rows, 0].mean() * spec.work_factor / 1e6
+                + 2 * drawn.delay_ns[spec.number - 1] / 1e6
             )
             seen["latency"].append(fit["latency"]["mean_ms"] / alone - 1)
             seen["holds " + fit["latency"]["holds"]].append(1)
--- a/benchmarks/record_decisions.py
+++ b/benchmarks/record_decisions.py
@@ -109,18 +109,20 @@
                 event.recovered = True
                 event.max_attempts = event.attempts + 4
             if type(event) is AttemptCompleted and self.fleet.tells_limits:
-                event.limit_per_s = float(self.fleet.endpoints[event.endpoint].destination.spec.per_s)
+                event.limit_per_s = float(
+                    self.fleet.endpoints[event.endpoint].destination.spec.capacity_per_s
+                )
                 full = event.outcome is Outcome.OVERLOADED
                 event.limit_remaining = 0.0 if full else round(self.chance.random(), 3)
         self.first = False
         actions = self.recorder.handle(now_ns, events)
         if any(type(action) is Subscribe for action in actions):
-            self.fleet.engine.after(80 * MS, self.answer, self.fleet.couriers[self.courier].life)
+            self.fleet.engine.after(80 * MS, self.answer, self.fleet.instances[self.courier].incarnation)
         return actions
 
     def answer(self, life):
-        courier = self.fleet.couriers[self.courier]
-        if courier.life != life or not courier.up:
+        courier = self.fleet.instances[self.courier]
+        if courier.incarnation != life or not courier.up:
             return
         if self.chance.random() < 0.4:
             courier.update_endpoints(UpdateScope.FAILED, [])
@@ -137,10 +139,10 @@
         self.tells_limits = tells_limits
         self.recorders = []
 
-    def make_sender(self, courier, start):
+    def make_policy(self, courier, start):
         if courier not in self.chosen:
-            return super().make_sender(courier, start)
-        seed = random_seed(self.module_seed, "module", courier, start)
+            return super().make_policy(courier, start)
+        seed = random_seed(self.policy_seed, "module", courier, start)
         name = f"fleet-{self.name}-{courier}-{start}"
         self.recorders.append(Recorder(name, self.settings, seed, self.most_turns))
         return RecordedCourier(self, courier, self.recorders[-1], start)
--- a/benchmarks/replays.py
+++ b/benchmarks/replays.py
@@ -53,7 +53,7 @@
     one = world(scenario)
     drawn = scenarios.draw_scenario(one, scenario[2])
     rng = random_stream(seed, "replay")
-    drawn.chances[:, :, :2] = rng.random(drawn.chances.shape[:2] + (2,))
+    drawn.attempt_draws[:, :, :2] = rng.random(drawn.attempt_draws.shape[:2] + (2,))
     drawn.start_draws = rng.random(drawn.start_draws.shape)
     late = LATE_MS[0] + rng.exponential(LATE_MS[1], len(drawn.arrival_ns))
     drawn.submit_delay_ns = (late * 1e6).astype(np.int64)
--- a/pinspread/simulation/destination.py
+++ b/pinspread/simulation/destination.py
@@ -36,7 +36,7 @@
 class Endpoint:
     """One endpoint: calls in work, calls that wait, connections that it holds."""
 
-    __slots__ = ("busy", "calls", "connections", "cores", "id", "life", "destination", "connection_owners", "queue",
+    __slots__ = ("busy", "calls", "connections", "cores", "id", "incarnation", "destination", "connection_owners", "queue",
                  "queue_limit", "state", "connection_limit")  # fmt: skip
 
     def __init__(self, id_, destination, cores, queue_room, table):
@@ -50,7 +50,7 @@
         self.connections = 0
         self.connection_owners = []  # of those who hold connections to it
         self.state = ServingState.UP
-        self.life = 0  # grows when what is in work is lost
+        self.incarnation = 0  # grows when what is in work is lost
         self.calls = 0
 
 
@@ -69,9 +69,9 @@
         self.multiple, self.fall_ns, self.slack = p.fall_multiple, int(p.fall_s * SECOND), p.fall_slack
         self.endpoints = [
             Endpoint(first_id + n, self, *one)
-            for n, one in enumerate(zip(spec.cores, spec.queue, spec.table, strict=True))
+            for n, one in enumerate(zip(spec.cores, spec.queue_limits, spec.connection_limits, strict=True))
         ]
-        self.per_s = spec.per_s
+        self.capacity_per_s = spec.capacity_per_s
         self.reopens_ns = 0  # while shut: when it opens
         self.error_share = 0.0
         self.warming_since_ns = -1  # since when it is cold
@@ -105,7 +105,7 @@
                 self.discard_work(endpoint, reset=state is not ServingState.SILENT)
 
     def discard_work(self, endpoint, reset):
-        endpoint.life += 1
+        endpoint.incarnation += 1
         waiting, endpoint.queue, endpoint.busy = endpoint.queue, deque(), 0
         for pool in endpoint.connection_owners:
             pool.connection_lost(reset)
@@ -159,7 +159,7 @@
         if self.warming_since_ns < 0 or self.endpoints[0].state is not ServingState.UP:
             return
         # The budget is over the whole window, also right after the return: present capacity_fraction, a little slack.
-        budget = self.multiple * capacity_fraction * self.per_s * self.fall_ns / SECOND + self.slack
+        budget = self.multiple * capacity_fraction * self.capacity_per_s * self.fall_ns / SECOND + self.slack
         if len(lately) > budget:
             self.falls += 1
             self.collapses.append((now, self.outage_start_ns, self.warming_since_ns, [c for _, c in lately]))
@@ -192,15 +192,17 @@
             call.reset()
             return
         spec = self.spec
-        if spec.span_ns:
-            if now >= self.window_start_ns + spec.span_ns:
-                self.window_start_ns += (now - self.window_start_ns) // spec.span_ns * spec.span_ns
+        if spec.limit_window_ns:
+            if now >= self.window_start_ns + spec.limit_window_ns:
+                self.window_start_ns += (
+                    (now - self.window_start_ns) // spec.limit_window_ns * spec.limit_window_ns
+                )
                 self.window_calls = 0
-            if self.window_calls >= spec.limit:
-                if spec.refused_count:
+            if self.window_calls >= spec.limit_calls:
+                if spec.rejections_count:
                     self.window_calls += 1
                 self.rejected_over_limit += 1
-                self._refuse(call, self.window_start_ns + spec.span_ns - now)
+                self._refuse(call, self.window_start_ns + spec.limit_window_ns - now)
                 return
             self.window_calls += 1
         if endpoint.busy < endpoint.cores:
@@ -212,17 +214,17 @@
 
     def _refuse(self, call, wait_ns):
         self.rejected += 1
-        told = wait_ns if wait_ns > 0 and call.draws[3] < self.spec.tells else 0
+        told = wait_ns if wait_ns > 0 and call.draws[3] < self.spec.retry_after_share else 0
         call.respond(Outcome.OVERLOADED, told)
 
     def _work(self, endpoint, call, work_ns):
         endpoint.busy += 1
         call.work_started()
-        took = int(work_ns * self.spec.pace / self.capacity_fraction())
-        self.engine.after(took, self._done, endpoint, call, endpoint.life)
+        took = int(work_ns * self.spec.work_factor / self.capacity_fraction())
+        self.engine.after(took, self._done, endpoint, call, endpoint.incarnation)
 
-    def _done(self, endpoint, call, life):
-        if life != endpoint.life:
+    def _done(self, endpoint, call, incarnation):
+        if incarnation != endpoint.incarnation:
             return  # it was lost with the process
         endpoint.busy -= 1
         call.respond(Outcome.OK, 0)
--- a/pinspread/simulation/instance.py
+++ b/pinspread/simulation/instance.py
@@ -88,7 +88,7 @@
 class Call:
     """One branch, or a probe."""
 
-    __slots__ = ("attempt", "draws", "instance", "endpoint", "held", "home", "life", "over", "sent_ns",
+    __slots__ = ("attempt", "draws", "instance", "endpoint", "held", "home", "incarnation", "over", "sent_ns",
                  "started_ns", "timeout_ns", "turned_away", "fresh", "work_ns")  # fmt: skip
 
     def __init__(self, home, held, endpoint, timeout_ns):
@@ -99,7 +99,7 @@
         self.started_ns = home.engine.now
         self.sent_ns = 0
         self.timeout_ns = timeout_ns
-        self.life = home.life
+        self.incarnation = home.incarnation
         self.over = False
         self.fresh = False  # on a new connection
         self.turned_away = False  # on one that is closed after a 503, since the endpoint has too many
@@ -141,7 +141,7 @@
         self.jitter = model.network.jitter
         self.up = False
         self.stopping = self.lingered = False
-        self.life = 0
+        self.incarnation = 0
         self.sender = None
         self.open = {}  # number -> Held: the journal
         self.calls = {}  # (number, attempt) -> Call that is out
@@ -151,8 +151,8 @@
         self.serial = 0
         self.inbox = []
         self.turn_due = False
-        self.handshakes = self.probes = self.turns = 0
-        self.restarts = 0
+        self.handshakes = self.health_checks = self.turns = 0
+        self.starts = 0
 
     # --- its process ------------------------------------------------------------------------------
 
@@ -161,8 +161,8 @@
         fleet = self.fleet
         self.up, self.stopping, self.lingered = True, False, False
         self.told.clear()
-        self.sender = fleet.make_sender(self.number, self.restarts)
-        self.restarts += 1
+        self.sender = fleet.make_policy(self.number, self.starts)
+        self.starts += 1
         self.update_endpoints(UpdateScope.FULL, entries)
         fleet.checker.started(self.number, self.engine.now)
         for held in self.open.values():
@@ -171,26 +171,26 @@
     def stop(self):
         """SIGTERM: busy answers from now on; what is out may end."""
         self.stopping = True
-        self.engine.after(DRAIN_NS, self._gone, self.life)
-        self.engine.after(LINGER_NS, self._lingered, self.life)
+        self.engine.after(DRAIN_NS, self._gone, self.incarnation)
+        self.engine.after(LINGER_NS, self._lingered, self.incarnation)
 
-    def _lingered(self, life):
-        if life == self.life:
+    def _lingered(self, incarnation):
+        if incarnation == self.incarnation:
             self.lingered = True
             self._maybe_gone()
 
     def _maybe_gone(self):
         if self.stopping and self.lingered and self.up and not self.calls:
-            self._gone(self.life)
+            self._gone(self.incarnation)
 
-    def _gone(self, life):
-        if life == self.life and self.up:
+    def _gone(self, incarnation):
+        if incarnation == self.incarnation and self.up:
             self.kill()
 
     def kill(self):
         """The process ends; its connections are reset, what was out may have run."""
         self.up = False
-        self.life += 1
+        self.incarnation += 1
         for call in list(self.calls.values()):
             call.over = True
             if call.held is not None and call.held.live is call:
@@ -267,8 +267,8 @@
             self.turn_due = True
             self.engine.at(self.engine.now, self._turn)
 
-    def _timer(self, life, tag):
-        if life == self.life:
+    def _timer(self, incarnation, tag):
+        if incarnation == self.incarnation:
             self.post(TimerFired(tag))
 
     def _turn(self):
@@ -281,7 +281,7 @@
         for action in self.sender.handle(now, events):
             kind = type(action)
             if kind is SetTimer:
-                self.engine.after(max(1000, action.delay_ns), self._timer, self.life, action.tag)
+                self.engine.after(max(1000, action.delay_ns), self._timer, self.incarnation, action.tag)
             elif kind is Send:
                 self._send(action, now)
             elif kind is Reject or kind is Fail:
@@ -313,7 +313,7 @@
         call = Call(self, held, endpoint, action.timeout_ns)
         call.attempt = held.attempts
         draw = int(self.fleet.written[held.row]) % ATTEMPT_DRAWS
-        call.draws = self.fleet.scenario.chances[held.row, draw]
+        call.draws = self.fleet.scenario.attempt_draws[held.row, draw]
         call.work_ns = int(self.fleet.scenario.work_ns[held.row, draw])
         held.attempts += 1
         self.calls[held.number, call.attempt] = call
@@ -355,7 +355,7 @@
 
     def _write(self, call, pool):
         """Right before the first byte: whether it may still go."""
-        if call.over or call.life != self.life:
+        if call.over or call.incarnation != self.incarnation:
             return
         held, now = call.held, self.engine.now
         if not call.turned_away:
@@ -397,7 +397,7 @@
 
     def ended(self, call, verdict, wait_ns):
         """A branch or a probe has its outcome; whatever comes after it says nothing any more."""
-        if call.over or call.life != self.life:
+        if call.over or call.incarnation != self.incarnation:
             return
         call.over = True
         now, endpoint = self.engine.now, call.endpoint
@@ -443,7 +443,7 @@
         endpoint = self.fleet.endpoints[id_]
         if self.stopping:
             return
-        self.probes += 1
+        self.health_checks += 1
         self.fleet.checker.probed(self.number, now, id_, endpoint.destination.number)
         call = Call(self, None, endpoint, PROBE_NS)
         call.draws = PROBE_CHANCE
--- a/pinspread/simulation/load.py
+++ b/pinspread/simulation/load.py
@@ -100,13 +100,13 @@
     return partner, delivered
 
 
-def lowered(senders, limit=40.0, load=0.8, to=0.4, seed=1):
+def lowered_limit(senders, limit=40.0, load=0.8, to=0.4, seed=1):
     """The partner of a 30 s day whose limit falls to a part of itself from 10 s to 19 s."""
     rates = [load * limit / senders] * senders
     return play(senders, lambda s: to * limit if 10 <= s < 19 else limit, rates, 30, seed)[0]
 
 
-def clump(senders, limit=40.0, load=0.7, seed=2):
+def burst(senders, limit=40.0, load=0.7, seed=2):
     """Deliveries of each sender of a 10 s day on which the first is handed the whole limit's worth."""
     rates = [limit, *[load * limit / senders] * (senders - 1)]
     return play(senders, lambda s: limit, rates, 10, seed)[1]
--- a/pinspread/simulation/metrics.py
+++ b/pinspread/simulation/metrics.py
@@ -92,7 +92,7 @@
     useful = float(scenario.work_ns[delivered, 0].sum())
     wasted = max(0.0, fleet.work_done_ns - useful)
     handshakes = sum(c.handshakes for c in fleet.instances)
-    probes = sum(c.probes for c in fleet.instances)
+    probes = sum(c.health_checks for c in fleet.instances)
     refused = sum(p.rejected_over_limit for p in fleet.destinations.values())
     deductions = {
         "late_failures": LATE * float(late.sum()) / n,
@@ -103,7 +103,7 @@
     }
     broken = {rule: count for rule, count in fleet.checker.counts.items() if count}
     once = np.array([c.effect == "once" for c in model.classes])[scenario.class_index]
-    twice = int((fleet.effects[once] > 1).sum())
+    twice = int((fleet.executions[once] > 1).sum())
     if twice:  # the partners' ledger is a witness of its own
         broken["repeat"] = max(twice, broken.get("repeat", 0))
     broken |= dict(seen)
@@ -133,8 +133,8 @@
         "in_time": int((delivered & (age <= aim)).sum()),
         "failed": int(failed.sum()),
         "payments_twice": twice,
-        "branches": len(fleet.calls_at),
-        "retries": len(fleet.retries_at),
+        "branches": len(fleet.attempt_times_ns),
+        "retries": len(fleet.retry_times_ns),
         "busy": fleet.rejected,
         "unanswered": fleet.unanswered,
         "handshakes": handshakes,
@@ -151,8 +151,8 @@
             "asked": series(scenario.arrival_ns, asked),
             "earned": series(scenario.arrival_ns, earned),
             "first_tries": series(scenario.arrival_ns),
-            "branches": series(fleet.calls_at),
-            "retries": series(fleet.retries_at),
+            "branches": series(fleet.attempt_times_ns),
+            "retries": series(fleet.retry_times_ns),
             "in_seconds": int(seconds.max(initial=0)) + 1,
         },
         "troubles": [
--- a/pinspread/simulation/scenario.py
+++ b/pinspread/simulation/scenario.py
@@ -15,17 +15,17 @@
     """What a partner is, drawn once."""
 
     number: int
-    share: float  # of the traffic
-    big: bool
-    pace: float
+    traffic_share: float
+    large: bool
+    work_factor: float  # times the work of a class
     cores: list  # of each endpoint
-    queue: list
-    table: list  # connections that each endpoint takes; 0: any number
-    per_s: float  # messages a second that it can do, or that its limit lets through
-    span_ns: int = 0  # of the limit's count; 0: no limit but its capacity
-    limit: int = 0  # calls in a span
-    refused_count: bool = False
-    tells: float = 0.0  # share of its refusals that tell a wait
+    queue_limits: list
+    connection_limits: list  # connections that each endpoint takes; 0: any number
+    capacity_per_s: float  # messages a second that it can do, or that its limit lets through
+    limit_window_ns: int = 0  # of the limit's count; 0: no limit but its capacity
+    limit_calls: int = 0  # calls in a window
+    rejections_count: bool = False  # whether rejected calls use the limit up too
+    retry_after_share: float = 0.0  # share of its rejections that carry a Retry-After
     weight: float = 1.0  # as listed, calls a second
 
 
@@ -39,18 +39,18 @@
     kind: str
     at_ns: int
     until_ns: int
-    size: float
+    magnitude: float
     targets: list  # partners, couriers or endpoints, by kind
     batch: float = 0.0
     down_ns: int = 0
-    cold: bool = True
+    slow_start: bool = True
 
     @property
-    def leaves_cold(self) -> bool:
+    def ends_in_slow_start(self) -> bool:
         """Whether partners return cold: where most calls went through there was no outage."""
-        return self.cold and (self.kind != "errors" or self.size > 0.5)
+        return self.slow_start and (self.kind != "errors" or self.magnitude > 0.5)
 
-    def restarts(self, couriers: int):
+    def restart_times(self, couriers: int):
         """(courier, time) of each restart: a batch at a time, spread over the trouble."""
         groups = max(1, round(len(self.targets) / max(1, self.batch * couriers)))
         for n, number in enumerate(self.targets):
@@ -72,7 +72,7 @@
     ordering_key: np.ndarray  # int64; 0: none
     within_quota: np.ndarray  # bool: within its tenant's quota
     work_ns: np.ndarray  # [messages, DRAWS] at a partner of usual pace
-    chances: np.ndarray  # [messages, DRAWS, 4], uniform: net there, net back, error or loss, told wait
+    attempt_draws: np.ndarray  # [messages, DRAWS, 4], uniform: net there, net back, error or loss, told wait
     client_draws: np.ndarray  # [messages, 4], uniform: courier, heeds, backoff, spare
     instance_share: np.ndarray
     start_draws: np.ndarray  # [couriers, BOOTS], uniform: how long each start takes
@@ -95,7 +95,7 @@
     """The day of a world and a seed; the same for every variant."""
     rng = random_stream(seed, "world")
     partners = _partners(model, rng)
-    shares = np.array([p.share for p in partners])
+    shares = np.array([p.traffic_share for p in partners])
     troubles = _troubles(model, random_stream(seed, "troubles"), shares)
     traffic = model.traffic
     length = model.length_s
@@ -119,7 +119,7 @@
     full = traffic.rate_per_s / traffic.load
     rng = random_stream(seed, "slots")
     busy = full / model.couriers.count * float(np.mean(mean) / SECOND if n else 0.15)
-    pace = float(np.dot(shares, [p.pace for p in partners]))
+    pace = float(np.dot(shares, [p.work_factor for p in partners]))
     slots = max(model.couriers.least_slots, round(busy * pace * _draw(rng, model.couriers.slots)))
     held = max(
         model.couriers.least_held, round(full / model.couriers.count * _draw(rng, model.couriers.hold_s))
@@ -138,7 +138,7 @@
         ordering_key=key,
         within_quota=within,
         work_ns=work,
-        chances=random_stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
+        attempt_draws=random_stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
         client_draws=random_stream(seed, "habits").random((n, 4), dtype=np.float32),
         instance_share=weights / weights.sum(),
         start_draws=random_stream(seed, "boot").random((model.couriers.count, START_DRAWS)),
@@ -199,14 +199,14 @@
         )
         if big:
             span = _draw(rng, p.big_span_s)
-            spec.span_ns, spec.limit = int(span * SECOND), max(1, round(limit * span))
-            spec.per_s = min(per_s, spec.limit / span)
-            spec.tells, spec.refused_count = _draw(rng, p.big_tells), refused
+            spec.limit_window_ns, spec.limit_calls = int(span * SECOND), max(1, round(limit * span))
+            spec.capacity_per_s = min(per_s, spec.limit_calls / span)
+            spec.retry_after_share, spec.rejections_count = _draw(rng, p.big_tells), refused
         else:
-            spec.tells = _draw(rng, p.small_tells)
+            spec.retry_after_share = _draw(rng, p.small_tells)
             table = max(_draw(rng, p.least_table), cores * _draw(rng, p.table))
-            spec.table = [round(table)] * count
-        spec.weight = spec.per_s * float(rng.uniform(1 - p.weights, 1 + p.weights))
+            spec.connection_limits = [round(table)] * count
+        spec.weight = spec.capacity_per_s * float(rng.uniform(1 - p.weights, 1 + p.weights))
         found.append(spec)
     return found
 
@@ -220,21 +220,21 @@
     bursts = [t for t in troubles if t.kind == "burst"]
     most = 1 + swing
     for b in bursts:
-        most *= b.size
-    shares = np.array([p.share for p in partners])
+        most *= b.magnitude
+    shares = np.array([p.traffic_share for p in partners])
     rate = traffic.rate_per_s * (1 - clumps)
     count = rng.poisson(rate * most * length)
     at = np.sort(rng.uniform(0, length, count))
     level = 1 + swing * np.sin(phase + 2 * np.pi * turns * at / length)
     for b in bursts:
-        level = np.where((at >= b.at_ns / SECOND) & (at < b.until_ns / SECOND), level * b.size, level)
+        level = np.where((at >= b.at_ns / SECOND) & (at < b.until_ns / SECOND), level * b.magnitude, level)
     at = at[rng.random(count) * most < level]
     dest = rng.choice(len(partners), len(at), p=shares) + 1
     owed = traffic.rate_per_s * clumps * length
     times, dests = [at], [dest]
     while owed >= 1:
         partner = partners[rng.choice(len(partners), p=shares)]
-        size = max(1, round(partner.per_s * _draw(rng, traffic.clump_s)))
+        size = max(1, round(partner.capacity_per_s * _draw(rng, traffic.clump_s)))
         start = rng.uniform(0, length)
         inside = start + np.sort(rng.uniform(0, 0.3, size))
         times.append(inside[inside < length])
--- a/pinspread/simulation/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -30,12 +30,14 @@
 class Simulation:
     """Couriers, partners and clients in one virtual time."""
 
-    def __init__(self, model, scenario: Scenario, module_seed: int | None = None, settings=None, sender=None):
-        """`settings` replaces fields of the module's settings; `sender` is another class of sender."""
+    def __init__(
+        self, model, scenario: Scenario, policy_seed: int | None = None, settings=None, policy_class=None
+    ):
+        """`settings` replaces fields of the module's settings; `policy_class` is another class of policy."""
         self.model, self.scenario = model, scenario
         self.engine = Engine(model.couriers.count + len(scenario.destinations))
-        self.module_seed = scenario.seed if module_seed is None else module_seed
-        self.sender = sender or DeliveryPolicy
+        self.policy_seed = scenario.seed if policy_seed is None else policy_seed
+        self.policy_class = policy_class or DeliveryPolicy
         self.settings = policy_settings(model, scenario, settings or {})
         self.checker = RuleChecker(self.settings.classes, self.settings.max_attempts)
         self.destinations, self.endpoints = build_destinations(scenario, self.engine, model, self.checker)
@@ -48,22 +50,22 @@
         n = len(scenario.arrival_ns)
         self.delivered_ns = np.full(n, -1, dtype=np.int64)
         self.ended_ns = np.full(n, -1, dtype=np.int64)
-        self.effects = np.zeros(n, dtype=np.int16)
+        self.executions = np.zeros(n, dtype=np.int16)
         self.attempts = np.zeros(n, dtype=np.int16)
         self.written = np.zeros(n, dtype=np.int16)  # calls that left a courier: each has draws of its own
         self.rejected = self.unanswered = 0
         self.outcomes = {}
-        self.calls_at, self.retries_at = [], []  # times in ns
+        self.attempt_times_ns, self.retry_times_ns = [], []  # times in ns
         self.work_done_ns = 0
-        self.habits = ClientBehavior(model, scenario)
+        self.client_behavior = ClientBehavior(model, scenario)
 
     def _entry(self, endpoint, state=EndpointState.READY):
         spec = endpoint.destination.spec
-        return EndpointEntry(endpoint.id, spec.number, 0, 0 if spec.big else 1, state, spec.weight)
+        return EndpointEntry(endpoint.id, spec.number, 0, 0 if spec.large else 1, state, spec.weight)
 
-    def make_sender(self, courier, start):
+    def make_policy(self, courier, start):
         """The module of a courier that starts."""
-        return self.sender(self.settings, random_seed(self.module_seed, "module", courier, start))
+        return self.policy_class(self.settings, random_seed(self.policy_seed, "module", courier, start))
 
     def run(self):
         """Play the day; gives its accounts."""
@@ -101,11 +103,11 @@
     def hand_in(self, row):
         """A client hands a message in, for the first time or again."""
         engine = self.engine
-        deadline = self.habits.deadline_ns(row)
+        deadline = self.client_behavior.deadline_ns(row)
         if engine.now >= deadline:
             self.ended_ns[row] = engine.now
             return
-        chosen = self.habits.courier(row)
+        chosen = self.client_behavior.instance_of(row)
         for step in range(len(self.instances)):
             courier = self.instances[(chosen + step) % len(self.instances)]
             answer = courier.take(row, deadline, self)
@@ -120,7 +122,7 @@
 
     def _again(self, row, told_ns):
         """After a busy answer or a return: again, if the client's habits and the time allow it."""
-        wait = self.habits.again_ns(row, told_ns)
+        wait = self.client_behavior.retry_delay_ns(row, told_ns)
         if wait is None:
             self.ended_ns[row] = self.engine.now
         else:
@@ -143,14 +145,14 @@
     def sent(self, call):
         """A branch has been started."""
         row = call.held.row
-        self.calls_at.append(self.engine.now)
+        self.attempt_times_ns.append(self.engine.now)
         if self.attempts[row]:
-            self.retries_at.append(self.engine.now)
+            self.retry_times_ns.append(self.engine.now)
         self.attempts[row] += 1
 
     def effect(self, call):
         """An endpoint works on a message."""
-        self.effects[call.held.row] += 1
+        self.executions[call.held.row] += 1
         self.work_done_ns += call.work_ns
 
     def outcome(self, verdict):
@@ -164,10 +166,17 @@
         if t.kind in OUTAGE_STATES:
             for number in t.targets:
                 one = self.destinations[number]
-                engine.at(t.at_ns, one.start_outage, OUTAGE_STATES[t.kind], t.until_ns, t.size, t.leaves_cold)
+                engine.at(
+                    t.at_ns,
+                    one.start_outage,
+                    OUTAGE_STATES[t.kind],
+                    t.until_ns,
+                    t.magnitude,
+                    t.ends_in_slow_start,
+                )
                 engine.at(t.until_ns, one.end_outage)
         elif t.kind in ("restart", "kill"):
-            for number, at in t.restarts(len(self.instances)):
+            for number, at in t.restart_times(len(self.instances)):
                 engine.at(at, self._restart, self.instances[number], t.kind, t.down_ns)
         elif t.kind in ("drain", "replace"):
             for index in t.targets:
@@ -177,19 +186,19 @@
         if not courier.up or courier.stopping:
             return
         low, high = self.model.couriers.boot_s
-        drawn = float(self.scenario.start_draws[courier.number, courier.restarts % START_DRAWS])
+        drawn = float(self.scenario.start_draws[courier.number, courier.starts % START_DRAWS])
         down_ns += int((low + (high - low) * drawn) * SECOND)
         if kind == "kill":
             courier.kill()
             self.engine.after(down_ns, self._back, courier)
         else:
             courier.stop()
-            self._wait_for_end(courier, courier.life, self.engine.now + KILLED_NS, down_ns)
+            self._wait_for_end(courier, courier.incarnation, self.engine.now + KILLED_NS, down_ns)
 
-    def _wait_for_end(self, courier, life, killed_ns, down_ns):
+    def _wait_for_end(self, courier, incarnation, killed_ns, down_ns):
         """It ends by itself, or by SIGKILL; down time counts from then."""
-        if courier.life == life and self.engine.now < killed_ns:
-            self.engine.after(SECOND // 50, self._wait_for_end, courier, life, killed_ns, down_ns)
+        if courier.incarnation == incarnation and self.engine.now < killed_ns:
+            self.engine.after(SECOND // 50, self._wait_for_end, courier, incarnation, killed_ns, down_ns)
             return
         if courier.up:
             courier.kill()
--- a/pinspread/simulation/trace.py
+++ b/pinspread/simulation/trace.py
@@ -183,8 +183,8 @@
         spec = DestinationSpec(number, share, bool(one["limit_per_s"]), pace, [cores] * count, [max(2, int(2 * per_s / count))] * count,
                            [0] * count, per_s, weight=one["limit_per_s"] or per_s)  # fmt: skip
         if one["limit_per_s"]:
-            spec.span_ns, spec.limit = SECOND, max(1, round(one["limit_per_s"]))
-            spec.per_s, spec.tells = min(per_s, one["limit_per_s"]), one["tells"]
+            spec.limit_window_ns, spec.limit_calls = SECOND, max(1, round(one["limit_per_s"]))
+            spec.capacity_per_s, spec.retry_after_share = min(per_s, one["limit_per_s"]), one["tells"]
         partners.append(spec)
         sigma[number] = latency["sigma"] if latency["count"] else model.partners.work_spread
         for outage in one["outages"]:
@@ -208,7 +208,7 @@
         seed=seed, length_ns=length, destinations=partners, faults=troubles, arrival_ns=at, class_index=cls,
         tenant_index=np.array(a["team"], dtype=np.int16) % len(model.teams), destination=dest, ordering_key=np.array(a["key"], dtype=np.int64),
         within_quota=np.ones(n, dtype=bool), work_ns=(mean[:, None] * factor).astype(np.int64) + 1,
-        chances=random_stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
+        attempt_draws=random_stream(seed, "chance").random((n, ATTEMPT_DRAWS, 4), dtype=np.float32),
         client_draws=random_stream(seed, "habits").random((n, 4), dtype=np.float32), instance_share=shares / shares.sum(),
         max_concurrent_calls=slots, max_held_messages=max(model.couriers.least_held, round(full / couriers * 9)),
         delay_ns=random_stream(seed, "delay").uniform(net[0], net[1], len(partners)) * MS,
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -72,7 +72,7 @@
     def work_started(self):
         """It takes effect."""
         if self.row is not None:
-            self.stage.effects[self.row] += 1
+            self.stage.executions[self.row] += 1
             self.stage.work_done_ns += self.work_ns
 
     def respond(self, verdict, wait_ns):
@@ -162,9 +162,9 @@
             told = stage.told_at.get((self.courier, endpoint.id))
             if told is not None and stage.engine.now > told + DRAIN_GRACE_NS:
                 stage.past_drain += 1
-            tries = int(stage.attempts[row]) % stage.scenario.chances.shape[1]
+            tries = int(stage.attempts[row]) % stage.scenario.attempt_draws.shape[1]
             stage.attempts[row] += 1
-            work, chance = int(stage.scenario.work_ns[row, tries]), stage.scenario.chances[row, tries]
+            work, chance = int(stage.scenario.work_ns[row, tries]), stage.scenario.attempt_draws[row, tries]
         else:
             work, chance = 5_000_000, (0.5, 0.5, 0.5, 0.5)
         delay = stage.delays[endpoint.destination.number - 1] / SECOND
@@ -342,11 +342,11 @@
         self.delays = scenario.delay_ns.tolist()
         n = len(scenario.arrival_ns)
         self.delivered_ns, self.ended_ns = np.full(n, -1, dtype=np.int64), np.full(n, -1, dtype=np.int64)
-        self.effects = np.zeros(n, dtype=np.int16)
+        self.executions = np.zeros(n, dtype=np.int16)
         self.attempts = np.zeros(n, dtype=np.int16)
-        self.rejected = self.unanswered = self.handshakes = self.probes = self.work_done_ns = 0
+        self.rejected = self.unanswered = self.handshakes = self.health_checks = self.work_done_ns = 0
         self.turns = 0
-        self.outcomes, self.calls_at, self.retries_at = {}, [], []
+        self.outcomes, self.attempt_times_ns, self.retry_times_ns = {}, [], []
         self.taken, self.finals = {}, {}  # ids that were taken on -> row, and how they ended
         self.habits = ClientBehavior(model, scenario)
         self.processes, self.platforms = [], []
@@ -373,7 +373,7 @@
         spec = endpoint.destination.spec
         return {
             "host": f"e{endpoint.id}", "dial": self.address(courier, 10 + endpoint.id), "site": "local",
-            "class": "big" if spec.big else "small", "block": spec.number, "health": "ready",
+            "class": "big" if spec.large else "small", "block": spec.number, "health": "ready",
             "share": spec.weight, "born_ms": 0,
         }  # fmt: skip
 
@@ -429,7 +429,7 @@
         """Probes and branches that reached nobody are known to the couriers alone."""
         begun = time.time() - self.engine.now / SECOND
         failed = []  # (courier, partner, time) of what failed
-        self.calls_at, self.retries_at, self.probes = [], [], 0
+        self.attempt_times_ns, self.retry_times_ns, self.health_checks = [], [], 0
         for process in self.processes:
             for line in Path(process.log.name).read_bytes().splitlines():
                 try:
@@ -444,12 +444,12 @@
                     number = self.endpoints[int(event["hop"][1:])].destination.number
                     failed.append((process.number, number, int((event["at_us"] / 1e6 - begun) * SECOND)))
                 if event.get("event") == "probe":
-                    self.probes += 1
+                    self.health_checks += 1
                 elif event.get("event") == "branch" and event["verdict"] not in ("NOT_SENT", "MOOT"):
                     at = int(max(0, (event["at_us"] - event["took_us"]) / 1e6 - begun) * SECOND)
-                    self.calls_at.append(at)
+                    self.attempt_times_ns.append(at)
                     if event["n"]:
-                        self.retries_at.append(at)
+                        self.retry_times_ns.append(at)
         self._blame(failed)
 
     def _blame(self, failed):
@@ -472,11 +472,16 @@
                 for number in t.targets:
                     one = self.destinations[number]
                     self.engine.at(
-                        t.at_ns, one.start_outage, OUTAGE_STATES[t.kind], t.until_ns, t.size, t.leaves_cold
+                        t.at_ns,
+                        one.start_outage,
+                        OUTAGE_STATES[t.kind],
+                        t.until_ns,
+                        t.magnitude,
+                        t.ends_in_slow_start,
                     )
                     self.engine.at(t.until_ns, one.end_outage)
             elif t.kind in ("restart", "kill"):
-                for number, at in t.restarts(len(self.processes)):
+                for number, at in t.restart_times(len(self.processes)):
                     self.tasks.start_soon(self._restart, self.processes[number], at, t.kind, t.down_ns)
             elif t.kind in ("drain", "replace"):
                 for index in t.targets:
@@ -544,7 +549,7 @@
             if left <= 0:
                 self.ended_ns[row] = self.engine.now
                 return
-            chosen = self.habits.courier(row)
+            chosen = self.habits.instance_of(row)
             ready = [self.processes[(chosen + s) % len(self.processes)] for s in range(len(self.processes))]
             process = next((p for p in ready if p.ready), None)
             said = await self._say(process, row, left // 1_000_000) if process else ""
@@ -561,7 +566,7 @@
 
     async def _again(self, row, told_ms):
         """Wait as this client's habits say; false where it does not come again."""
-        wait = self.habits.again_ns(row, told_ms * 1_000_000)
+        wait = self.habits.retry_delay_ns(row, told_ms * 1_000_000)
         if wait is None:
             self.ended_ns[row] = self.engine.now
             return False
@@ -570,7 +575,7 @@
 
     async def _say(self, process, row, left_ms):
         scenario, model = self.scenario, self.model
-        id_ = f"{row:08x}{int(self.habits.tries[row]):02x}{random_seed(scenario.seed, 'id', row, self.unanswered) & 0xFFFFFF:06x}"
+        id_ = f"{row:08x}{int(self.habits.retries[row]):02x}{random_seed(scenario.seed, 'id', row, self.unanswered) & 0xFFFFFF:06x}"
         cls, team = (
             model.classes[scenario.class_index[row]].name,
             model.teams[scenario.tenant_index[row]].name,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -155,7 +155,12 @@
 @pytest.mark.parametrize("counts", [True, False])
 def test_a_limit_counts_in_spans_and_refused_calls_where_they_use_it_up(counts):
     engine, one, endpoint = partner(
-        span_ns=SECOND, limit=2, tells=1.0, refused_count=counts, queue=[99], cores=[50]
+        limit_window_ns=SECOND,
+        limit_calls=2,
+        retry_after_share=1.0,
+        rejections_count=counts,
+        queue_limits=[99],
+        cores=[50],
     )
     calls = [Caller() for _ in range(4)]
     engine.run(200 * MS)
@@ -171,7 +176,7 @@
 
 
 def test_a_partner_comes_back_at_a_fifth_is_warm_in_9_s_and_falls_when_pushed():
-    engine, one, endpoint = partner(per_s=4.0)
+    engine, one, endpoint = partner(capacity_per_s=4.0)
     one.start_outage(ServingState.CRASHED, 0)
     one.record_failure(7)
     one.end_outage()
@@ -202,7 +207,7 @@
 
 
 def test_who_did_not_know_is_not_blamed_for_a_fall():
-    engine, one, endpoint = partner(per_s=4.0)
+    engine, one, endpoint = partner(capacity_per_s=4.0)
     one.start_outage(ServingState.CRASHED, 0)
     one.end_outage()
     for _ in range(12):
@@ -299,7 +304,7 @@
             partners={"fall_slack": 1},
             trouble=[{"kind": "crash", "at_s": 3, "length_s": 4, "share": 0.9}],
         )
-    found = [play(busy, seed, sender=BROKEN[rule]) for seed in (1, 2, 3)]
+    found = [play(busy, seed, policy_class=BROKEN[rule]) for seed in (1, 2, 3)]
     assert any(one["broken"].get(rule) for one in found)
     broke = next(one for one in found if one["broken"].get(rule))
     assert broke["service"] == 0 < broke["service_unbroken"]
@@ -309,8 +314,8 @@
 def test_the_checker_catches_a_payment_that_is_sent_again_after_a_restart():
     kills = [{"kind": "kill", "at_s": at, "length_s": 1, "share": 1.0, "batch": 1.0} for at in (3, 6, 9)]
     busy = world(trouble=kills)
-    assert not play(busy, sender=DeliveryPolicy)["broken"].get("repeat")
-    found = play(busy, sender=Starts)
+    assert not play(busy, policy_class=DeliveryPolicy)["broken"].get("repeat")
+    found = play(busy, policy_class=Starts)
     assert any("may have run" in b["why"] for b in found["breaks"])  # the checker's word
     assert found["payments_twice"] and found["broken"]["repeat"]  # and the ledger's
 
@@ -321,7 +326,7 @@
     ]
     fleet = simulate.Simulation(world(trouble=kills), scenarios.draw_scenario(world(trouble=kills), 1))
     fleet.run()
-    assert [c.restarts for c in fleet.instances] == [2, 2, 2] and all(c.up for c in fleet.instances)
+    assert [c.starts for c in fleet.instances] == [2, 2, 2] and all(c.up for c in fleet.instances)
 
 
 def test_the_module_as_it_is_keeps_the_rules_on_a_troubled_day():
