--- a/pinspread/replication/log.py
+++ b/pinspread/replication/log.py
@@ -1,7 +1,7 @@
 """The primary's side of replication: decisions alone, with no I/O and no clock.
 
 A journal is bytes that only grow, until it is rewritten: then it is another *generation*, whose first part
-(the *base*) holds all that is owed. Offsets and sizes are in bytes, times in microseconds.
+(the *base*) holds all that is still needed. Offsets and sizes are in bytes, times in microseconds.
 """
 
 from array import array
@@ -57,9 +57,9 @@
     """Return up to which offset a replica of `size` bytes with these checksums is the same as the data."""
     if size > len(data) or len(checksums) != -(-size // CHECKSUM_RANGE_BYTES):
         size = 0
-    own_checksums = range_checksums(memoryview(data)[:size])
-    for index, (own, other) in enumerate(zip(own_checksums, checksums, strict=False)):
-        if own != other:
+    local_checksums = range_checksums(memoryview(data)[:size])
+    for index, (local, remote) in enumerate(zip(local_checksums, checksums, strict=False)):
+        if local != remote:
             return index * CHECKSUM_RANGE_BYTES
     return size
 
@@ -76,7 +76,7 @@
         required_acks: How many replicas a promise waits for.
         generation: Of the journal; 0 before it is first written.
         data: The bytes of this generation.
-        base: How many bytes at its start hold all that was owed when it was rewritten.
+        base: How many bytes at its start hold all that was still needed when it was rewritten.
         acknowledged: For each replica, the position up to which it has stored the journal.
         record_ends: The offset at which each record ends.
         record_times_us: When each record was written.
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -162,7 +162,7 @@
 def answering(service, own, journal_of_candidate):
     """The node "a" holds a replica of this node's journal, and has begun to take it over."""
 
-    async def call_all(request, but=()):
+    async def call_all(request, exclude=()):
         if request == FetchSnapshot("k", TOKEN):
             return {"a": own}
         assert request == ReadSnapshot("a")
@@ -215,14 +215,14 @@
 ):
     # Cut off from all others, this node takes them for dead and asks none; "a" has delivered both meanwhile.
     own = ReplicaSnapshot(7, journal_of(tmp_path / "k", 1, 2), ["a"], ["a"], 6)
-    older = ReplicaSnapshot(6, journal_of(tmp_path / "k6", 1), ["c"], [], 0)
+    older = ReplicaSnapshot(6, journal_of(tmp_path / "k6", 1), ["c", "a"], [], 0)
     holds_nothing = ReplicaSnapshot(0, b"", [], [], 0)
     answers = [{}, {"b": holds_nothing}, {"b": holds_nothing, "c": older}]
     blocked = []
     service.primary.log.generation = 7
     service.node.ownership.confirmed_fencing_token = TOKEN - 1
 
-    async def call_all(request, but=()):
+    async def call_all(request, exclude=()):
         blocked.append(service.blocked_reason())
         if request == FetchSnapshot("k", TOKEN):
             return answers.pop(0) if answers else {"a": own}
@@ -264,7 +264,7 @@
     own = ReplicaSnapshot(7, engine.journal.path.read_bytes(), ["a"], ["a"], 6)
     answers = [{}, {"a": own}]
 
-    async def call_all(request, but=()):
+    async def call_all(request, exclude=()):
         if request == FetchSnapshot("k", TOKEN):
             return answers.pop(0)
         return {"a": ReplicaSnapshot(4, journal_of(tmp_path / "a"), ["a"], [], 0)}
