--- a/pinspread/simulation/destination.py
+++ b/pinspread/simulation/destination.py
@@ -1,13 +1,22 @@
-"""Destinations: endpoints with cores, queues and connection tables; limits, outages, the cold return.
+"""Destinations: endpoints with cores, queues and connection limits; rate limits, outages and slow start.
 
-An endpoint answers a call by a function that the caller gives: `answer(verdict, wait_ns)`.
+A destination needs only `now` and `after` of its engine, and answers its callers through `IncomingCall`, so
+that the testbed can use it on real time and real sockets.
 """
 
 from collections import deque
+from collections.abc import Sequence
 from enum import Enum, auto
+from typing import NamedTuple, Protocol
 
 from pinspread.policy.events import Outcome
-from pinspread.simulation.engine import MS, SECOND
+from pinspread.simulation.engine import MS, SECOND, Scheduler
+from pinspread.simulation.model import FleetModel
+from pinspread.simulation.scenario import ERROR_DRAW, RETRY_AFTER_DRAW, DestinationSpec, Scenario
+
+FAST_ERROR_NS = 5 * MS  # how long a failing endpoint takes to answer with an error
+NEVER_NS = 1 << 62
+FULL_CAPACITY = 1.0
 
 
 class ServingState(Enum):
@@ -21,227 +30,422 @@
     COLLAPSED = auto()  # it was overloaded while it warmed up, and stays down
 
 
-FAST_ERROR_NS = 5 * MS
+WORK_LOST_IN = (ServingState.CRASHED, ServingState.SILENT, ServingState.COLLAPSED)
 
 
-def build_destinations(scenario, engine, model, watch):
-    """The partners of a day by number, and their endpoints by id."""
-    partners, endpoints = {}, {}
-    for spec in scenario.destinations:
-        one = partners[spec.number] = Destination(spec, engine, model, watch, len(endpoints) + 1)
-        endpoints.update((e.id, e) for e in one.endpoints)
-    return partners, endpoints
+class ConnectResult(Enum):
+    """What becomes of an attempt to open a connection."""
+
+    ACCEPTED = auto()
+    OVER_LIMIT = auto()  # accepted, and closed after a 503 to its first call
+    REFUSED = auto()
+    NO_ANSWER = auto()
+
+
+class IncomingCall(Protocol):
+    """A call as the destination sees it."""
+
+    @property
+    def instance(self) -> int:
+        """Number of the calling instance."""
+        ...
+
+    @property
+    def draws(self) -> Sequence[float]:
+        """The call's uniform random numbers, by the indices that `scenario` names."""
+        ...
+
+    def work_started(self) -> None:
+        """The endpoint begins to work on the call: from here on it takes effect."""
+        ...
+
+    def respond(self, outcome: Outcome, retry_after_ns: int) -> None:
+        """The endpoint answers; `retry_after_ns` is 0 where no Retry-After is given."""
+        ...
+
+    def reset(self) -> None:
+        """The connection is reset."""
+        ...
+
+
+class ConnectionOwner(Protocol):
+    """One that holds connections to an endpoint."""
+
+    def close_expired(self) -> None:
+        """Close the connections that have been idle for too long."""
+        ...
+
+    def connection_lost(self, reset: bool) -> None:
+        """The endpoint is gone; without a reset its connections stay open and silent."""
+        ...
+
+
+class CollapseObserver(Protocol):
+    """One that is told of destinations that collapse."""
+
+    def destination_collapsed(self, destination: int, now_ns: int, informed: int, total: int) -> None:
+        """A destination was overloaded while it warmed up.
+
+        Args:
+            destination: Its number.
+            now_ns: When.
+            informed: How many of the calls that overloaded it came from instances that knew of its outage.
+            total: How many calls that were.
+        """
+        ...
+
+
+class Outage(NamedTuple):
+    """An outage that is on."""
+
+    until_ns: int
+    state: ServingState
+    error_share: float
+    slow_start: bool  # whether the destination warms up after it
+
+
+class Collapse(NamedTuple):
+    """An overload of a destination that was warming up; `instances` sent the calls that caused it."""
+
+    at_ns: int
+    outage_start_ns: int
+    outage_end_ns: int
+    instances: list[int]
+
+
+class FixedWindowLimiter:
+    """Admits so many calls in each window of time.
+
+    Args:
+        window_ns: Length of a window.
+        max_calls: Calls that are admitted in each.
+        rejections_count: Whether rejected calls use the limit up too.
+
+    Attributes:
+        calls: Calls counted in the present window.
+    """
+
+    __slots__ = ("calls", "max_calls", "rejections_count", "window_ns", "window_start_ns")
+
+    def __init__(self, window_ns: int, max_calls: int, rejections_count: bool) -> None:
+        self.window_ns = window_ns
+        self.max_calls = max_calls
+        self.rejections_count = rejections_count
+        self.reset()
+
+    def reset(self) -> None:
+        """Forget all calls; windows start at 0 again."""
+        self.window_start_ns = 0
+        self.calls = 0
+
+    def acquire(self, now_ns: int) -> int:
+        """Count a call; return 0 if it is admitted, else the time until the window ends."""
+        if now_ns >= self.window_start_ns + self.window_ns:
+            self.window_start_ns += (now_ns - self.window_start_ns) // self.window_ns * self.window_ns
+            self.calls = 0
+        if self.calls < self.max_calls:
+            self.calls += 1
+            return 0
+        if self.rejections_count:
+            self.calls += 1
+        return self.window_start_ns + self.window_ns - now_ns
 
 
 class Endpoint:
-    """One endpoint: calls in work, calls that wait, connections that it holds."""
+    """One endpoint of a destination: its calls in work, its queue, its connections.
 
-    __slots__ = ("busy", "calls", "connections", "cores", "id", "incarnation", "destination", "connection_owners", "queue",
-                 "queue_limit", "state", "connection_limit")  # fmt: skip
+    Attributes:
+        busy: Cores in use.
+        connection_limit: Connections that it accepts; 0: any number.
+        connections: Connections that are open.
+        connection_owners: Those that hold them.
+        incarnation: Grows whenever what is in work is lost.
+    """
 
-    def __init__(self, id_, destination, cores, queue_room, table):
+    __slots__ = (
+        "busy",
+        "connection_limit",
+        "connection_owners",
+        "connections",
+        "cores",
+        "destination",
+        "id",
+        "incarnation",
+        "queue",
+        "queue_limit",
+        "state",
+    )
+
+    def __init__(
+        self, id_: int, destination: "Destination", cores: int, queue_limit: int, connection_limit: int
+    ) -> None:
         self.id = id_
         self.destination = destination
         self.cores = cores
-        self.queue_limit = queue_room
-        self.connection_limit = table  # connections that it takes; 0: any number
-        self.queue = deque()
+        self.queue_limit = queue_limit
+        self.connection_limit = connection_limit
+        self.queue: deque[tuple[IncomingCall, int]] = deque()
         self.busy = 0
         self.connections = 0
-        self.connection_owners = []  # of those who hold connections to it
+        self.connection_owners: list[ConnectionOwner] = []
         self.state = ServingState.UP
-        self.incarnation = 0  # grows when what is in work is lost
-        self.calls = 0
+        self.incarnation = 0
 
 
 class Destination:
-    """A partner: its limit, its outages, and what it can do at the moment."""
+    """One destination: its endpoints, its rate limit, its outages, and its capacity at the moment.
+
+    Args:
+        spec: What was drawn for it.
+        engine: Its time.
+        model: Supplies the figures of slow start and of full or silent endpoints.
+        observer: Is told when it collapses.
+        first_id: Id of its first endpoint; the others follow.
+
+    Attributes:
+        informed_instances: Instances that saw a call fail in the present or the latest outage.
+        collapses: Overloads while it warmed up, in order of time.
+        rejected: Calls that were rejected.
+        rejected_over_limit: Those of them that were over the rate limit.
+    """
 
-    def __init__(self, spec, engine, model, watch, first_id):
-        p = model.partners
+    def __init__(
+        self,
+        spec: DestinationSpec,
+        engine: Scheduler,
+        model: FleetModel,
+        observer: CollapseObserver,
+        first_id: int,
+    ) -> None:
+        figures = model.partners
         self.spec = spec
         self.number = spec.number
         self.engine = engine
-        self.observer = watch  # rules.Checker
-        self.accepts_while_silent = model.network.silent_accepts
-        self.full_table = model.network.full_table
-        self.slow_start_fraction, self.warm_ns = p.cold_from, int(p.warm_s * SECOND)
-        self.multiple, self.fall_ns, self.slack = p.fall_multiple, int(p.fall_s * SECOND), p.fall_slack
-        self.endpoints = [
-            Endpoint(first_id + n, self, *one)
-            for n, one in enumerate(zip(spec.cores, spec.queue_limits, spec.connection_limits, strict=True))
-        ]
-        self.capacity_per_s = spec.capacity_per_s
-        self.reopens_ns = 0  # while shut: when it opens
-        self.error_share = 0.0
-        self.warming_since_ns = -1  # since when it is cold
-        self.outages = []  # (until, state, size, whether it leaves cold), those that began since it was last up
-        self.informed_instances = set()  # couriers that saw it fail in the outage that is on, or was last
-        self.recent_arrivals = deque()  # (time, courier) of what reached it while cold
-        self.window_start_ns, self.window_calls = 0, 0
-        self.rejected = self.rejected_over_limit = self.falls = 0
-        self.outage_start_ns = 0  # when the outage that is on, or was last, began
-        self.collapses = []  # (time, begin and end of the outage, couriers of the calls that pushed it over)
-
-    # --- troubles ---------------------------------------------------------------------------------
-
-    def start_outage(self, state, until_ns, size=1.0, cold=True):
-        """An outage begins: what is in work is lost where the process or the machine goes."""
+        self.observer = observer
+        self._accepts_while_silent = model.network.silent_accepts
+        full_is_refused = model.network.full_table == "refused"
+        self._result_over_limit = ConnectResult.REFUSED if full_is_refused else ConnectResult.OVER_LIMIT
+        self._slow_start_fraction = figures.cold_from
+        self._slow_start_ns = int(figures.warm_s * SECOND)
+        self._collapse_multiple = figures.fall_multiple
+        self._collapse_window_ns = int(figures.fall_s * SECOND)
+        self._collapse_slack = figures.fall_slack
+        sizes = zip(spec.cores, spec.queue_limits, spec.connection_limits, strict=True)
+        self.endpoints = [Endpoint(id_, self, *size) for id_, size in enumerate(sizes, first_id)]
+        self.limiter: FixedWindowLimiter | None = None
+        if spec.limit_window_ns:
+            self.limiter = FixedWindowLimiter(spec.limit_window_ns, spec.limit_calls, spec.rejections_count)
+        self.informed_instances: set[int] = set()
+        self.collapses: list[Collapse] = []
+        self.rejected = 0
+        self.rejected_over_limit = 0
+        self._reopens_ns = 0  # while it rejects all: when it no longer does
+        self._error_share = 0.0
+        self._warming_since_ns = -1
+        self._outages: list[Outage] = []  # those that began since it was last up
+        self._outage_start_ns = 0  # of the present or the latest outage
+        self._recent_arrivals: deque[tuple[int, int]] = deque()  # (time, instance), while it warms up
+
+    # --- outages ----------------------------------------------------------------------------------
+
+    def start_outage(
+        self, state: ServingState, until_ns: int, error_share: float = 1.0, slow_start: bool = True
+    ) -> None:
+        """Begin an outage.
+
+        Args:
+            state: What its endpoints do meanwhile; in some states what is in work is lost.
+            until_ns: When it ends, if nothing else does; `end_outage` has to be called then.
+            error_share: Share of the calls that fail, while it is `FAILING`.
+            slow_start: Whether it warms up afterwards.
+        """
         if self.endpoints[0].state is ServingState.COLLAPSED:
             return
-        if not self.outages:
+        if not self._outages:
             self.informed_instances = set()
-            self.outage_start_ns = self.engine.now
-        self.outages.append((until_ns, state, size, cold))
-        self._enter(state, until_ns, size)
-
-    def _enter(self, state, until_ns, size):
-        self.reopens_ns = until_ns
-        self.error_share = size
-        self.warming_since_ns = -1
+            self._outage_start_ns = self.engine.now
+        outage = Outage(until_ns, state, error_share, slow_start)
+        self._outages.append(outage)
+        self._enter(outage)
+
+    def _enter(self, outage: Outage) -> None:
+        self._reopens_ns = outage.until_ns
+        self._error_share = outage.error_share
+        self._warming_since_ns = -1
         for endpoint in self.endpoints:
-            endpoint.state = state
-            if state in (ServingState.CRASHED, ServingState.SILENT, ServingState.COLLAPSED):
-                self.discard_work(endpoint, reset=state is not ServingState.SILENT)
+            endpoint.state = outage.state
+            if outage.state in WORK_LOST_IN:
+                self.discard_work(endpoint, reset=outage.state is not ServingState.SILENT)
 
-    def discard_work(self, endpoint, reset):
+    def discard_work(self, endpoint: Endpoint, reset: bool) -> None:
+        """Lose what an endpoint works on and queues; with a reset its connections end, too."""
         endpoint.incarnation += 1
-        waiting, endpoint.queue, endpoint.busy = endpoint.queue, deque(), 0
-        for pool in endpoint.connection_owners:
-            pool.connection_lost(reset)
+        queued, endpoint.queue, endpoint.busy = endpoint.queue, deque(), 0
+        for owner in endpoint.connection_owners:
+            owner.connection_lost(reset)
         if reset:
-            for call in waiting:
-                call[0].reset()
+            for call, _ in queued:
+                call.reset()
 
-    def end_outage(self):
-        """An outage is over: the partner comes back, unless another is on; cold, if any of them leaves it so."""
+    def end_outage(self) -> None:
+        """End an outage: the destination is up again, unless another outage is still on."""
         if self.endpoints[0].state is ServingState.COLLAPSED:
             return
-        # Danger: an outage that ends inside another must not bring the partner back in its middle.
-        on = [outage for outage in self.outages if outage[0] > self.engine.now]
-        if on:
-            until_ns, state, size, _ = on[-1]
-            self._enter(state, until_ns, size)
+        # An outage that ends inside another must not bring the destination up in the middle of that.
+        still_on = [outage for outage in self._outages if outage.until_ns > self.engine.now]
+        if still_on:
+            self._enter(still_on[-1])
             return
-        cold = any(outage[3] for outage in self.outages)
-        self.outages.clear()
+        slow_start = any(outage.slow_start for outage in self._outages)
+        self._outages.clear()
         for endpoint in self.endpoints:
             endpoint.state = ServingState.UP
-        self.warming_since_ns = self.engine.now if cold else -1
-        self.recent_arrivals.clear()
-        self.window_start_ns, self.window_calls = 0, 0
+        self._warming_since_ns = self.engine.now if slow_start else -1
+        self._recent_arrivals.clear()
+        if self.limiter is not None:
+            self.limiter.reset()
 
-    def record_failure(self, courier):
-        """A courier has seen a call or probe fail here, or be refused, while the outage lasts."""
+    def record_failure(self, instance: int) -> None:
+        """Note that an instance saw a call fail here; it counts only while an outage is on."""
         if self.endpoints[0].state is not ServingState.UP:
-            self.informed_instances.add(courier)
-
-    def capacity_fraction(self):
-        """Share of its capacity that it can do now."""
-        if self.warming_since_ns < 0:
-            return 1.0
-        since = self.engine.now - self.warming_since_ns
-        if since >= self.warm_ns:
-            self.warming_since_ns = -1
-            return 1.0
-        return self.slow_start_fraction + (1 - self.slow_start_fraction) * since / self.warm_ns
-
-    def _weigh(self, courier):
-        """Every call and probe that reaches a cold partner weighs; too much in a while, and it falls."""
-        if self.warming_since_ns < 0:
-            return
-        now = self.engine.now
-        capacity_fraction = self.capacity_fraction()
-        lately = self.recent_arrivals
-        lately.append((now, courier))
-        while lately[0][0] < now - self.fall_ns:
-            lately.popleft()
-        if self.warming_since_ns < 0 or self.endpoints[0].state is not ServingState.UP:
-            return
-        # The budget is over the whole window, also right after the return: present capacity_fraction, a little slack.
-        budget = self.multiple * capacity_fraction * self.capacity_per_s * self.fall_ns / SECOND + self.slack
-        if len(lately) > budget:
-            self.falls += 1
-            self.collapses.append((now, self.outage_start_ns, self.warming_since_ns, [c for _, c in lately]))
-            informed = sum(c in self.informed_instances for _, c in lately)
-            self.observer.destination_collapsed(self.number, now, informed, len(lately))
-            self.start_outage(ServingState.COLLAPSED, 1 << 62)
+            self.informed_instances.add(instance)
+
+    # --- slow start -------------------------------------------------------------------------------
+
+    def capacity_fraction(self) -> float:
+        """Share of its full capacity that the destination has now: it rises linearly while it warms up."""
+        if self._warming_since_ns < 0:
+            return FULL_CAPACITY
+        elapsed_ns = self.engine.now - self._warming_since_ns
+        if elapsed_ns >= self._slow_start_ns:
+            self._warming_since_ns = -1
+            return FULL_CAPACITY
+        start = self._slow_start_fraction
+        return start + (1 - start) * elapsed_ns / self._slow_start_ns
+
+    def _collapses_under(self, instance: int) -> bool:
+        """Count an arrival while the destination warms up; return whether it collapses under it.
+
+        Health checks count as calls do.
+        """
+        if self._warming_since_ns < 0:
+            return False
+        fraction = self.capacity_fraction()
+        recent = self._recent_arrivals
+        recent.append((self.engine.now, instance))
+        oldest_ns = self.engine.now - self._collapse_window_ns
+        while recent[0][0] < oldest_ns:
+            recent.popleft()
+        if self._warming_since_ns < 0 or self.endpoints[0].state is not ServingState.UP:
+            return False
+        # The budget is that of the whole window, also right after the outage.
+        rate_per_s = self._collapse_multiple * fraction * self.spec.capacity_per_s
+        budget = rate_per_s * self._collapse_window_ns / SECOND + self._collapse_slack
+        if len(recent) <= budget:
+            return False
+        self._collapse()
+        return True
+
+    def _collapse(self) -> None:
+        now_ns = self.engine.now
+        instances = [instance for _, instance in self._recent_arrivals]
+        self.collapses.append(Collapse(now_ns, self._outage_start_ns, self._warming_since_ns, instances))
+        informed = sum(instance in self.informed_instances for instance in instances)
+        self.observer.destination_collapsed(self.number, now_ns, informed, len(instances))
+        self.start_outage(ServingState.COLLAPSED, NEVER_NS)
 
     # --- calls ------------------------------------------------------------------------------------
 
-    def arrive(self, endpoint, call, work_ns, probe=False):
-        """A call's last byte has come. `call` has `instance`, `draws` and answers by `respond`."""
-        now = self.engine.now
+    def connect(self, endpoint: Endpoint) -> ConnectResult:
+        """Say what becomes of a new connection to an endpoint; the caller counts it."""
         state = endpoint.state
-        endpoint.calls += 1
-        if state is not ServingState.UP:
-            if state is ServingState.CRASHED or state is ServingState.COLLAPSED:
-                call.reset()
-                return
-            if state is ServingState.SILENT:
-                return
-            if state is ServingState.FAILING:
-                if call.draws[2] < self.error_share:
-                    self.engine.after(FAST_ERROR_NS, call.respond, Outcome.ERROR, 0)
-                    return
-            else:
-                self._refuse(call, self.reopens_ns - now)
-                return
-        self._weigh(call.instance)
-        if endpoint.state is not ServingState.UP and state is ServingState.UP:  # it fell over just now
+        if state is ServingState.SILENT and not self._accepts_while_silent:
+            return ConnectResult.NO_ANSWER
+        if state is ServingState.CRASHED or state is ServingState.COLLAPSED:
+            return ConnectResult.REFUSED
+        if self._is_full(endpoint):
+            for owner in endpoint.connection_owners:
+                owner.close_expired()
+            if self._is_full(endpoint):
+                return self._result_over_limit
+        return ConnectResult.ACCEPTED
+
+    @staticmethod
+    def _is_full(endpoint: Endpoint) -> bool:
+        return 0 < endpoint.connection_limit <= endpoint.connections
+
+    def arrive(self, endpoint: Endpoint, call: IncomingCall, work_ns: int) -> None:
+        """Take a call whose last byte has come.
+
+        Args:
+            endpoint: Where it arrives.
+            call: Is told what becomes of it, now or later.
+            work_ns: The work it makes at a destination of the usual speed and full capacity.
+        """
+        if endpoint.state is not ServingState.UP and self._answered_by_outage(endpoint.state, call):
+            return
+        if self._collapses_under(call.instance):
             call.reset()
             return
-        spec = self.spec
-        if spec.limit_window_ns:
-            if now >= self.window_start_ns + spec.limit_window_ns:
-                self.window_start_ns += (
-                    (now - self.window_start_ns) // spec.limit_window_ns * spec.limit_window_ns
-                )
-                self.window_calls = 0
-            if self.window_calls >= spec.limit_calls:
-                if spec.rejections_count:
-                    self.window_calls += 1
+        if self.limiter is not None:
+            wait_ns = self.limiter.acquire(self.engine.now)
+            if wait_ns:
                 self.rejected_over_limit += 1
-                self._refuse(call, self.window_start_ns + spec.limit_window_ns - now)
+                self._reject(call, wait_ns)
                 return
-            self.window_calls += 1
         if endpoint.busy < endpoint.cores:
-            self._work(endpoint, call, work_ns)
+            self._start_work(endpoint, call, work_ns)
         elif len(endpoint.queue) < endpoint.queue_limit:
             endpoint.queue.append((call, work_ns))
         else:
-            self._refuse(call, 0)
+            self._reject(call, 0)
+
+    def _answered_by_outage(self, state: ServingState, call: IncomingCall) -> bool:
+        """Treat a call as the outage has it; return whether that was all, as some errors spare a share."""
+        if state is ServingState.FAILING:
+            if call.draws[ERROR_DRAW] >= self._error_share:
+                return False
+            self.engine.after(FAST_ERROR_NS, call.respond, Outcome.ERROR, 0)
+        elif state is ServingState.REJECTING:
+            self._reject(call, self._reopens_ns - self.engine.now)
+        elif state is not ServingState.SILENT:
+            call.reset()
+        return True
 
-    def _refuse(self, call, wait_ns):
+    def _reject(self, call: IncomingCall, wait_ns: int) -> None:
+        """Reject a call; a share of the rejections say how long to stay away, where that is known."""
         self.rejected += 1
-        told = wait_ns if wait_ns > 0 and call.draws[3] < self.spec.retry_after_share else 0
-        call.respond(Outcome.OVERLOADED, told)
+        tells = wait_ns > 0 and call.draws[RETRY_AFTER_DRAW] < self.spec.retry_after_share
+        call.respond(Outcome.OVERLOADED, wait_ns if tells else 0)
 
-    def _work(self, endpoint, call, work_ns):
+    def _start_work(self, endpoint: Endpoint, call: IncomingCall, work_ns: int) -> None:
         endpoint.busy += 1
         call.work_started()
-        took = int(work_ns * self.spec.work_factor / self.capacity_fraction())
-        self.engine.after(took, self._done, endpoint, call, endpoint.incarnation)
+        duration_ns = int(work_ns * self.spec.work_factor / self.capacity_fraction())
+        self.engine.after(duration_ns, self._finish_work, endpoint, call, endpoint.incarnation)
 
-    def _done(self, endpoint, call, incarnation):
+    def _finish_work(self, endpoint: Endpoint, call: IncomingCall, incarnation: int) -> None:
         if incarnation != endpoint.incarnation:
             return  # it was lost with the process
         endpoint.busy -= 1
         call.respond(Outcome.OK, 0)
         while endpoint.queue and endpoint.busy < endpoint.cores:
-            waiting, work_ns = endpoint.queue.popleft()
-            self._work(endpoint, waiting, work_ns)
+            queued, work_ns = endpoint.queue.popleft()
+            self._start_work(endpoint, queued, work_ns)
 
-    def dial(self, endpoint):
-        """A connection is wanted: 'up', 'refused', 'silent', or 'busy' where its first call gets a 503 and a close."""
-        state = endpoint.state
-        if state is ServingState.SILENT and not self.accepts_while_silent:
-            return "silent"
-        if state in (ServingState.CRASHED, ServingState.COLLAPSED):
-            return "refused"
-        if endpoint.connection_limit and endpoint.connections >= endpoint.connection_limit:
-            for pool in endpoint.connection_owners:
-                pool.close_expired()
-            if endpoint.connections >= endpoint.connection_limit:
-                return self.full_table
-        return "up"
+
+def build_destinations(
+    scenario: Scenario, engine: Scheduler, model: FleetModel, observer: CollapseObserver
+) -> tuple[dict[int, Destination], dict[int, Endpoint]]:
+    """Build the destinations of a scenario.
+
+    Returns:
+        The destinations by number, and their endpoints by id; ids count from 1.
+    """
+    destinations: dict[int, Destination] = {}
+    endpoints: dict[int, Endpoint] = {}
+    for spec in scenario.destinations:
+        destination = Destination(spec, engine, model, observer, len(endpoints) + 1)
+        destinations[spec.number] = destination
+        endpoints.update((endpoint.id, endpoint) for endpoint in destination.endpoints)
+    return destinations, endpoints
--- a/pinspread/simulation/instance.py
+++ b/pinspread/simulation/instance.py
@@ -16,6 +16,7 @@
     TimerFired,
     UpdateScope,
 )
+from pinspread.simulation.destination import ConnectResult
 from pinspread.simulation.engine import MS, SECOND
 from pinspread.simulation.scenario import ATTEMPT_DRAWS
 
@@ -337,18 +338,18 @@
         return int(base * (1 + self.jitter * (2 * float(chance) - 1)))
 
     def _dial(self, call, pool):
-        found = call.endpoint.destination.dial(call.endpoint)
+        found = call.endpoint.destination.connect(call.endpoint)
         there_and_back = 2 * self.delay(call.endpoint, call.draws[0])
-        if found == "up":
+        if found is ConnectResult.ACCEPTED:
             self.handshakes += 1
             call.fresh = True
             call.endpoint.connections += 1
             pool.out[call] = True
             self.engine.after(there_and_back, self._write, call, pool)
-        elif found == "busy":
+        elif found is ConnectResult.OVER_LIMIT:
             call.fresh = call.turned_away = True
             self.engine.after(there_and_back, self._write, call, pool)
-        elif found == "refused":
+        elif found is ConnectResult.REFUSED:
             self.engine.after(there_and_back, self.ended, call, Outcome.CONNECT_FAILED, 0)
         else:
             self.engine.after(min(self.dial_ns, call.timeout_ns), self.ended, call, Outcome.CONNECT_FAILED, 0)
--- a/pinspread/simulation/metrics.py
+++ b/pinspread/simulation/metrics.py
@@ -141,7 +141,7 @@
         "probes": probes,
         "refused": sum(p.rejected for p in fleet.destinations.values()),
         "refused_limit": refused,
-        "falls": sum(p.falls for p in fleet.destinations.values()),
+        "falls": sum(len(p.collapses) for p in fleet.destinations.values()),
         "verdicts": {Outcome(v).name.lower(): c for v, c in sorted(fleet.outcomes.items())},
         "turns": sum(c.turns for c in fleet.instances),
         "events": fleet.engine.events,
--- a/pinspread/simulation/scenario.py
+++ b/pinspread/simulation/scenario.py
@@ -7,7 +7,9 @@
 from pinspread.simulation.engine import MS, SECOND
 from pinspread.simulation.random_streams import random_stream
 
-ATTEMPT_DRAWS = 8  # attempts of a message that have chance numbers of their own; later ones start over
+ATTEMPT_DRAWS = 8  # attempts of a message that have random numbers of their own; later ones start over
+# What the uniform random numbers of an attempt decide, in the last axis of `Scenario.attempt_draws`.
+OUTBOUND_DELAY_DRAW, RETURN_DELAY_DRAW, ERROR_DRAW, RETRY_AFTER_DRAW = range(4)
 
 
 @dataclass(slots=True)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -169,7 +169,7 @@
     for call in calls:
         one.arrive(endpoint, call, MS)
     assert [c.got for c in calls[2:]] == [[(Outcome.OVERLOADED, 800 * MS)]] * 2
-    assert one.window_calls == (4 if counts else 2)
+    assert one.limiter.calls == (4 if counts else 2)
     engine.run(SECOND)
     late = Caller()
     one.arrive(endpoint, late, MS)
@@ -190,7 +190,7 @@
     one.end_outage()  # cold anew
     for _ in range(12):
         one.arrive(endpoint, Caller(courier=7), MS)
-    assert one.falls == 1 and one.observer.counts["cold"] == 1
+    assert len(one.collapses) == 1 and one.observer.counts["cold"] == 1
     assert endpoint.state is not ServingState.UP
 
 
@@ -214,7 +214,7 @@
     one.end_outage()
     for _ in range(12):
         one.arrive(endpoint, Caller(courier=7), MS)
-    assert one.falls == 1 and one.observer.counts["cold"] == 0
+    assert len(one.collapses) == 1 and one.observer.counts["cold"] == 0
 
 
 def test_what_was_in_work_is_lost_with_the_process_and_never_answered_as_done():
