--- a/pinspread/simulation/model.py
+++ b/pinspread/simulation/model.py
@@ -1,9 +1,10 @@
-"""A world: what a day is drawn from. TOML, checked; the defaults are the published facts of addis-office.
+"""The model of a fleet: what scenarios are drawn from, as it stands in experiment files.
 
-A figure given as a list of two is a range that each seed draws from; one number is that number.
+The names of the fields are keys of those files and stay; the defaults are the published facts of the site
+addis-office. A figure given as a list of two is a range that each seed draws from; one number is that number.
 """
 
-from typing import Annotated, Literal
+from typing import TYPE_CHECKING, Annotated, Any, Literal, Self
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, model_validator
 
@@ -14,7 +15,7 @@
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
-def _range(value):
+def _range(value: float | list[float]) -> tuple[float, float]:
     low, high = value if isinstance(value, list) else (value, value)
     if low > high:
         raise ValueError(f"a range must rise, not fall from {low} to {high}")
@@ -24,29 +25,31 @@
 
 
 Number = Annotated[float, Field(allow_inf_nan=False)]
-Range = Annotated[Number | Annotated[list[Number], Field(min_length=2, max_length=2)], AfterValidator(_range)]
+if TYPE_CHECKING:
+    # What a validated model holds. Files give one number or a list of two.
+    Range = tuple[float, float]
+else:
+    Range = Annotated[
+        Number | Annotated[list[Number], Field(min_length=2, max_length=2)], AfterValidator(_range)
+    ]
 Fraction = Annotated[float, Field(ge=0, le=1)]
 PositiveFloat = Annotated[float, Field(gt=0, allow_inf_nan=False)]
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9_-]{0,62}$")]
 
 
 class TrafficModel(StrictModel):
-    """What clients hand in."""
+    """The messages that clients submit."""
 
     rate_per_s: PositiveFloat = 31.0  # first tries of all clients, in the mean
-    load: PositiveFloat = (
-        0.75  # what that is of full load, the yardstick of slots, places and partners' limits
-    )
+    # What that is of full load, from which call slots, places for messages and destinations' limits follow.
+    load: PositiveFloat = 0.75
     zipf: Range = (0.8, 1.15)  # exponent of the partners' shares of the traffic
     swing: Range = (0.2, 0.35)  # part of the rate that a slow wave adds and takes
     clump_share: Range = (0.05, 0.18)  # share of the messages that come in clumps for one partner
     clump_s: Range = (1.3, 2.9)  # a clump: as many as its partner takes in so long
     key_life_s: Range = (5.0, 15.0)
     key_gap_s: Range = (0.4, 2.0)  # between messages of one key
-    courier_skew: Range = (
-        0.2,
-        0.4,
-    )  # spread of the couriers' shares of the traffic (coefficient of variation)
+    courier_skew: Range = (0.2, 0.4)  # coefficient of variation of the instances' shares of the traffic
     retries: Annotated[int, Field(ge=0, le=10)] = 2  # times that a client comes again after a busy answer
     backoff_s: Range = (0.47, 1.4)  # and after how long, where nothing was told
     honour: Fraction = 0.64  # share of the clients that heed a told time
@@ -54,7 +57,7 @@
 
 
 class DestinationsModel(StrictModel):
-    """Those that messages go to."""
+    """The destinations that messages go to."""
 
     endpoints: Annotated[int, Field(ge=1, le=200_000)] = 25
     per_partner: Range = (1.0, 4.0)
@@ -84,7 +87,7 @@
 
 
 class InstancesModel(StrictModel):
-    """The couriers. Settings of the module that a variant may replace stand in `settings`."""
+    """The instances. Settings of the policy that a variant may replace stand in its `settings`."""
 
     count: Annotated[int, Field(ge=1, le=5000)] = 3
     slots: Range = (2.0, 2.4)  # times what its part of full load keeps busy
@@ -102,7 +105,7 @@
 
 
 class NetworkModel(StrictModel):
-    """Between couriers and partners, one way."""
+    """The network between instances and destinations, one way."""
 
     delay_ms: Range = (5.0, 15.0)
     jitter: Fraction = 0.2
@@ -115,6 +118,8 @@
 
 
 class TrafficClassModel(StrictModel):
+    """A class of messages."""
+
     name: Name
     share: Fraction
     work_ms: Range
@@ -128,6 +133,8 @@
 
 
 class TenantModel(StrictModel):
+    """A tenant and its part of the quotas and of the traffic."""
+
     name: Name
     share: PositiveFloat
     offers: Annotated[float, Field(ge=0)] | None = None  # its part of the traffic; its share if not given
@@ -146,14 +153,42 @@
     clear: Literal["warm", "cold"] = "cold"
 
 
-CLASSES = (
-    TrafficClassModel(name="booking-change", share=0.40, work_ms=[87.0, 150.0], aim_s=3.0, deadline_s=24.0, effect="by_key",
-          window_s=25.0, in_order=True, worth=1.0, late_share=0.5),
-    TrafficClassModel(name="status-update", share=0.31, work_ms=[87.0, 150.0], aim_s=4.0, deadline_s=16.0,
-          effect="repeatable", worth=2.0, late_share=0.5),
-    TrafficClassModel(name="payment", share=0.29, work_ms=[130.0, 230.0], aim_s=2.0, deadline_s=20.0, effect="once",
-          worth=5.0, late_share=0.3),
-)  # fmt: skip
+# As files give them.
+DEFAULT_CLASSES: tuple[dict[str, Any], ...] = (
+    {
+        "name": "booking-change",
+        "share": 0.40,
+        "work_ms": [87.0, 150.0],
+        "aim_s": 3.0,
+        "deadline_s": 24.0,
+        "effect": "by_key",
+        "window_s": 25.0,
+        "in_order": True,
+        "worth": 1.0,
+        "late_share": 0.5,
+    },
+    {
+        "name": "status-update",
+        "share": 0.31,
+        "work_ms": [87.0, 150.0],
+        "aim_s": 4.0,
+        "deadline_s": 16.0,
+        "effect": "repeatable",
+        "worth": 2.0,
+        "late_share": 0.5,
+    },
+    {
+        "name": "payment",
+        "share": 0.29,
+        "work_ms": [130.0, 230.0],
+        "aim_s": 2.0,
+        "deadline_s": 20.0,
+        "effect": "once",
+        "worth": 5.0,
+        "late_share": 0.3,
+    },
+)
+CLASSES = tuple(TrafficClassModel.model_validate(one) for one in DEFAULT_CLASSES)
 TEAMS = (
     TenantModel(name="north-circuit", share=0.45),
     TenantModel(name="south-valley", share=0.37),
@@ -162,9 +197,9 @@
 
 
 class FleetModel(StrictModel):
-    """All of it."""
+    """The whole model of a fleet."""
 
-    length_s: Annotated[float, Field(gt=1, le=86_400)] = 55.0  # accounts count from the first second on
+    length_s: Annotated[float, Field(gt=1, le=86_400)] = 55.0  # metrics count from the first second on
     traffic: TrafficModel = TrafficModel()
     partners: DestinationsModel = DestinationsModel()
     couriers: InstancesModel = InstancesModel()
@@ -177,20 +212,28 @@
     model_config = ConfigDict(extra="forbid", strict=False, frozen=True)
 
     @model_validator(mode="after")
-    def _together(self):
-        for what, items in (("class", self.classes), ("team", self.teams)):
+    def _check_consistency(self) -> Self:
+        self._check_shares()
+        self._check_classes()
+        for n, trouble in enumerate(self.troubles):
+            if trouble.at_s[0] >= self.length_s:
+                raise ValueError(f"trouble[{n}].at_s: the day is over by then")
+        return self
+
+    def _check_shares(self) -> None:
+        groups: tuple[tuple[str, tuple[TrafficClassModel | TenantModel, ...]], ...]
+        groups = (("class", self.classes), ("team", self.teams))
+        for what, items in groups:
             total = sum(item.share for item in items)
             if abs(total - 1) > 0.001:
                 raise ValueError(f"{what}: the shares sum to {total:g}, not to 1")
             names = [item.name for item in items]
             if len(set(names)) < len(names):
                 raise ValueError(f"{what}: a name stands twice")
+
+    def _check_classes(self) -> None:
         for n, one in enumerate(self.classes):
             if one.deadline_s < one.aim_s:
                 raise ValueError(f"class[{n}].deadline_s: is under aim_s")
             if one.effect == "by_key" and not one.window_s:
                 raise ValueError(f"class[{n}].window_s: effect by_key needs it above 0")
-        for n, trouble in enumerate(self.troubles):
-            if trouble.at_s[0] >= self.length_s:
-                raise ValueError(f"trouble[{n}].at_s: the day is over by then")
-        return self
