--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -15,8 +15,8 @@
 
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import trace
+from pinspread.simulation.fault_injection import OUTAGE_STATES
 from pinspread.simulation.fit import MIN_FAILURES
-from pinspread.simulation.simulate import OUTAGE_STATES
 
 KEY = b"a key that hides nothing"
 
--- a/benchmarks/record_decisions.py
+++ b/benchmarks/record_decisions.py
@@ -127,7 +127,7 @@
         if self.chance.random() < 0.4:
             courier.update_endpoints(UpdateScope.FAILED, [])
         else:
-            courier.update_endpoints(UpdateScope.FULL, list(self.fleet.entries.values()))
+            courier.update_endpoints(UpdateScope.FULL, list(self.fleet.directory.entries.values()))
 
 
 class RecordedFleet(simulate.Simulation):
--- /dev/null
+++ b/pinspread/simulation/connection_pool.py
@@ -0,0 +1,81 @@
+"""The connections of one instance to one endpoint."""
+
+from typing import TYPE_CHECKING
+
+from pinspread.simulation.destination import Endpoint
+from pinspread.simulation.engine import Engine
+
+if TYPE_CHECKING:
+    from pinspread.simulation.outgoing_call import OutgoingCall
+
+
+class ConnectionPool:
+    """Keeps idle connections for further calls, and knows the calls that have a connection.
+
+    Args:
+        engine: The simulation's time.
+        endpoint: Where the connections lead; it counts them.
+        idle_timeout_ns: Connections that were idle for so long are closed.
+    """
+
+    __slots__ = ("_calls", "_endpoint", "_engine", "_idle_since_ns", "_idle_timeout_ns")
+
+    def __init__(self, engine: Engine, endpoint: Endpoint, idle_timeout_ns: int) -> None:
+        self._engine = engine
+        self._endpoint = endpoint
+        self._idle_timeout_ns = idle_timeout_ns
+        self._idle_since_ns: list[int] = []  # of each idle connection, newest last
+        self._calls: dict[OutgoingCall, None] = {}  # that have a connection, in order of their start
+        endpoint.connection_owners.append(self)
+
+    def take_idle(self) -> bool:
+        """Take the idle connection that was used last; return whether there was one."""
+        self.close_expired()
+        if not self._idle_since_ns:
+            return False
+        self._idle_since_ns.pop()
+        return True
+
+    def open(self, call: "OutgoingCall") -> None:
+        """Open a connection for a call."""
+        self._endpoint.connections += 1
+        self._calls[call] = None
+
+    def use(self, call: "OutgoingCall") -> None:
+        """Note that a call has a connection."""
+        self._calls[call] = None
+
+    def release(self, call: "OutgoingCall", reusable: bool) -> None:
+        """End a call's use of its connection, if it has one; it is kept or closed."""
+        if call not in self._calls:
+            return
+        del self._calls[call]
+        if reusable:
+            self._idle_since_ns.append(self._engine.now)
+        else:
+            self._endpoint.connections -= 1
+
+    def close_expired(self) -> None:
+        """Close the connections that have been idle for too long."""
+        expired_ns = self._engine.now - self._idle_timeout_ns
+        while self._idle_since_ns and self._idle_since_ns[0] <= expired_ns:
+            del self._idle_since_ns[0]
+            self._endpoint.connections -= 1
+
+    def close_idle(self) -> None:
+        """Close all idle connections."""
+        self._endpoint.connections -= len(self._idle_since_ns)
+        self._idle_since_ns.clear()
+
+    def close(self) -> None:
+        """Close all connections, as the process of the instance ends."""
+        self._endpoint.connections -= len(self._idle_since_ns) + len(self._calls)
+        self._endpoint.connection_owners.remove(self)
+
+    def connection_lost(self, reset: bool) -> None:
+        """The endpoint is gone: with a reset all connections end, else they stay open and silent."""
+        if not reset:
+            return
+        self.close_idle()
+        for call in list(self._calls):
+            call.reset()
--- /dev/null
+++ b/pinspread/simulation/endpoint_directory.py
@@ -0,0 +1,62 @@
+"""The endpoint list of a run, and when the instances hear of its changes."""
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from pinspread.policy.events import EndpointEntry, EndpointState, UpdateScope
+from pinspread.simulation.destination import Endpoint
+from pinspread.simulation.engine import Engine
+
+if TYPE_CHECKING:
+    from pinspread.simulation.instance import Instance
+
+LARGE_KIND, SMALL_KIND = range(2)
+
+
+class EndpointDirectory:
+    """Lists endpoints, and tells each instance of changes, some time late.
+
+    Args:
+        engine: The simulation's time.
+        endpoints: All endpoints by id; new ones are added to it.
+        instances: Those that are told.
+        delays_ns: How late each of them is told.
+
+    Attributes:
+        entries: The present list, by endpoint id.
+    """
+
+    def __init__(
+        self,
+        engine: Engine,
+        endpoints: dict[int, Endpoint],
+        instances: Sequence["Instance"],
+        delays_ns: Sequence[int],
+    ) -> None:
+        self.endpoints = endpoints
+        self.entries = {id_: entry_of(endpoint) for id_, endpoint in endpoints.items()}
+        self._engine = engine
+        self._instances = instances
+        self._delays_ns = delays_ns
+
+    def announce(self, endpoint: Endpoint, state: EndpointState) -> None:
+        """Change the list, and have all instances told of it."""
+        entry = entry_of(endpoint, state)
+        if state is EndpointState.REMOVED:
+            self.entries.pop(endpoint.id, None)
+        else:
+            self.entries[endpoint.id] = entry
+        for instance, delay_ns in zip(self._instances, self._delays_ns, strict=True):
+            self._engine.after(delay_ns, self._tell, instance, entry)
+
+    @staticmethod
+    def _tell(instance: "Instance", entry: EndpointEntry) -> None:
+        if instance.up:
+            instance.update_endpoints(UpdateScope.DELTA, [entry])
+
+
+def entry_of(endpoint: Endpoint, state: EndpointState = EndpointState.READY) -> EndpointEntry:
+    """Return the list's entry of an endpoint."""
+    spec = endpoint.destination.spec
+    kind = LARGE_KIND if spec.large else SMALL_KIND
+    return EndpointEntry(endpoint.id, spec.number, 0, kind, state, spec.weight)
--- a/pinspread/simulation/instance.py
+++ b/pinspread/simulation/instance.py
@@ -1,457 +1,420 @@
-"""A courier in the model: a real `Sender`, with slots, kept connections, a journal and restarts round it.
+"""An instance of the model: a real delivery policy with connections, a journal and restarts around it.
 
-Its guards are those of the real one: right before a call is written, drains, told waits, time and a second
-live branch are checked again.
+Its checks are those of the real one: right before a call is written, draining, Retry-After times, the
+deadline and a second attempt that is still out are looked at again.
 """
 
+from typing import TYPE_CHECKING, Protocol, cast
+
 from pinspread.http.pool import MAX_IDLE_FRACTION
-from pinspread.policy.actions import CheckHealth, Disconnect, Fail, Reject, Send, SetTimer
+from pinspread.policy.actions import Action, CheckHealth, Disconnect, Fail, Reject, Send, SetTimer
 from pinspread.policy.events import (
     AttemptCompleted,
+    EndpointEntry,
+    EndpointId,
     EndpointsChanged,
     EndpointState,
+    Event,
     HealthCheckCompleted,
     MessageAccepted,
     Outcome,
     TimerFired,
     UpdateScope,
 )
-from pinspread.simulation.destination import ConnectResult
+from pinspread.simulation.connection_pool import ConnectionPool
+from pinspread.simulation.destination import ConnectResult, Endpoint
 from pinspread.simulation.engine import MS, SECOND
-from pinspread.simulation.scenario import ATTEMPT_DRAWS
+from pinspread.simulation.outgoing_call import AcceptedMessage, OutgoingCall
+from pinspread.simulation.rules import NEVER_RAN, AttemptReport, MessageRecord
+from pinspread.simulation.scenario import ATTEMPT_DRAWS, ERROR_DRAW, OUTBOUND_DELAY_DRAW
 
-Outcome = Outcome
-TELLS_OPENED = hasattr(AttemptCompleted, "opened")  # older versions of the module do not ask for it
-LINGER_NS = 500 * MS  # and newcomers hear busy answers at least so long
-DRAIN_NS = 3200 * MS  # after SIGTERM: what is out has so long to end
-NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-PROBE_NS = 1500 * MS
-PROBE_TELLS = "retry_after_ns" in HealthCheckCompleted.__dataclass_fields__  # older versions do not take it
-PROBE_WORK_NS = 5 * MS
-PROBE_CHANCE = (0.5, 0.5, 0.5, 0.5)
+if TYPE_CHECKING:
+    from pinspread.simulation.simulate import Simulation
 
+LINGER_NS = 500 * MS  # after SIGTERM, new messages are rejected for at least so long
+DRAIN_NS = 3200 * MS  # after SIGTERM, calls have so long to end
+JOURNAL_FULL_RETRY_NS = SECOND  # the Retry-After where no more messages may be held
+MIN_TIMER_NS = 1000
+HEALTH_CHECK_TIMEOUT_NS = 1500 * MS
+HEALTH_CHECK_WORK_NS = 5 * MS
+HEALTH_CHECK_DRAWS = (0.5, 0.5, 0.5, 0.5)
+BROKEN_CONNECTION = (Outcome.TIMEOUT, Outcome.RESET)  # outcomes after which a connection is of no further use
+NO_FAILURE = (Outcome.OK, Outcome.NOT_SENT)
 
-class AcceptedMessage:
-    """A message that is taken on: what the journal keeps of it, and who handed it in."""
 
-    __slots__ = ("attempts", "client", "deadline_ns", "live", "may_have_run_ns", "number", "row")
+class Policy(Protocol):
+    """What decides for an instance."""
 
-    def __init__(self, number, row, deadline_ns, client):
-        self.number = number
-        self.row = row
-        self.deadline_ns = deadline_ns
-        self.client = client
-        self.attempts = 0
-        self.may_have_run_ns = 0
-        self.live = None  # the call that is out and has been written
-
-
-class Pool:
-    """Kept connections of one courier to one endpoint: when each was last used, newest last."""
-
-    __slots__ = ("courier", "endpoint", "idle", "out")
-
-    def __init__(self, courier, endpoint):
-        self.courier = courier
-        self.endpoint = endpoint
-        self.idle = []
-        self.out = {}  # calls on connections
-        endpoint.connection_owners.append(self)
-
-    def take(self):
-        """A kept connection, or false."""
-        self.close_expired()
-        if self.idle:
-            self.idle.pop()
-            return True
-        return False
-
-    def close_expired(self):
-        """Close those idle for too long."""
-        least = self.courier.engine.now - self.courier.keepalive_ns
-        while self.idle and self.idle[0] <= least:
-            del self.idle[0]
-            self.endpoint.connections -= 1
-
-    def close_idle(self):
-        self.endpoint.connections -= len(self.idle)
-        self.idle.clear()
-
-    def connection_lost(self, reset):
-        """The other side is gone: with a reset all are closed at once, else they stay, silent."""
-        if not reset:
-            return
-        self.close_idle()
-        for call in list(self.out):
-            call.reset()
+    def handle(self, now_ns: int, batch: list[Event]) -> list[Action]:
+        """Take the events of one turn and return the actions, in order."""
+        ...
 
 
-class Call:
-    """One branch, or a probe."""
-
-    __slots__ = ("attempt", "draws", "instance", "endpoint", "held", "home", "incarnation", "over", "sent_ns",
-                 "started_ns", "timeout_ns", "turned_away", "fresh", "work_ns")  # fmt: skip
-
-    def __init__(self, home, held, endpoint, timeout_ns):
-        self.home = home
-        self.instance = home.number
-        self.held = held
-        self.endpoint = endpoint
-        self.started_ns = home.engine.now
-        self.sent_ns = 0
-        self.timeout_ns = timeout_ns
-        self.incarnation = home.incarnation
-        self.over = False
-        self.fresh = False  # on a new connection
-        self.turned_away = False  # on one that is closed after a 503, since the endpoint has too many
-        self.attempt = 0
-
-    def work_started(self):
-        """The endpoint begins to work on it: from here on it takes effect."""
-        if self.held is not None:
-            self.home.fleet.effect(self)
-
-    def respond(self, verdict, wait_ns):
-        """The endpoint answers; the answer takes its way back."""
-        home = self.home
-        chance = self.draws
-        delay = home.delay(self.endpoint, chance[1])
-        if self.held is not None and home.lost_share and chance[2] < home.lost_share:
-            return
-        home.engine.after(delay, home.ended, self, verdict, wait_ns)
+class Instance:
+    """One instance, over its restarts.
 
-    def reset(self):
-        """The connection is reset."""
-        self.home.engine.after(
-            self.home.delay(self.endpoint, self.draws[1]), self.home.ended, self, Outcome.RESET, 0
-        )
+    Args:
+        number: Its number, from 0.
+        simulation: The run that it is part of.
 
+    Attributes:
+        up: Whether its process runs.
+        stopping: Whether its process has had SIGTERM.
+        incarnation: Grows whenever its process ends.
+        messages: The accepted messages that have not ended, by number: the journal.
+        starts: How often it was started.
+    """
 
-class Instance:
-    """One courier, over its restarts."""
-
-    def __init__(self, number, fleet):
+    def __init__(self, number: int, simulation: "Simulation") -> None:
         self.number = number
-        self.fleet = fleet
-        self.engine = fleet.engine
-        model = fleet.model
-        self.keepalive_ns = int(model.couriers.keepalive_s * MAX_IDLE_FRACTION * SECOND)
-        self.dial_ns = int(model.couriers.dial_s * SECOND)
-        self.handshake_ns = int(model.network.handshake_ms * MS)
-        self.reset_share, self.lost_share = model.network.reset_share, model.network.lost_share
+        self.simulation = simulation
+        self.engine = simulation.engine
+        model = simulation.model
+        self.idle_timeout_ns = int(model.couriers.keepalive_s * MAX_IDLE_FRACTION * SECOND)
+        self.connect_timeout_ns = int(model.couriers.dial_s * SECOND)
+        self.handshake_work_ns = int(model.network.handshake_ms * MS)
+        self.reset_share = model.network.reset_share
+        self.lost_share = model.network.lost_share
         self.jitter = model.network.jitter
         self.up = False
-        self.stopping = self.lingered = False
+        self.stopping = False
         self.incarnation = 0
-        self.sender = None
-        self.open = {}  # number -> Held: the journal
-        self.calls = {}  # (number, attempt) -> Call that is out
-        self.pools = {}
-        self.told = {}  # dest -> until when
-        self.usable = {}  # endpoint -> whether the list lets it be called
-        self.serial = 0
-        self.inbox = []
-        self.turn_due = False
-        self.handshakes = self.health_checks = self.turns = 0
+        self.messages: dict[int, AcceptedMessage] = {}
+        self.handshakes = 0
+        self.health_checks = 0
+        self.turns = 0
         self.starts = 0
-
-    # --- its process ------------------------------------------------------------------------------
-
-    def start(self, entries):
-        """The process starts: with its last list, and all that the journal holds."""
-        fleet = self.fleet
-        self.up, self.stopping, self.lingered = True, False, False
-        self.told.clear()
-        self.sender = fleet.make_policy(self.number, self.starts)
+        self._lingered = False
+        self._policy: Policy
+        self._attempts: dict[tuple[int, int], OutgoingCall] = {}  # by message and attempt, while they are out
+        self._pools: dict[EndpointId, ConnectionPool] = {}
+        self._retry_after_until_ns: dict[int, int] = {}  # by destination
+        self._usable: dict[EndpointId, bool] = {}  # whether the endpoint list lets an endpoint be called
+        self._last_message = 0
+        self._events: list[Event] = []
+        self._turn_scheduled = False
+
+    # --- the process ------------------------------------------------------------------------------
+
+    def start(self, entries: list[EndpointEntry]) -> None:
+        """Start the process: with the endpoint list as it is, and all that the journal holds."""
+        self.up = True
+        self.stopping = False
+        self._lingered = False
+        self._retry_after_until_ns.clear()
+        self._policy = self.simulation.make_policy(self.number, self.starts)
         self.starts += 1
         self.update_endpoints(UpdateScope.FULL, entries)
-        fleet.checker.started(self.number, self.engine.now)
-        for held in self.open.values():
-            self.post(self._taken(held))
+        self.simulation.checker.instance_started(self.number, self.engine.now)
+        for message in self.messages.values():
+            self.post(self._accepted_event(message))
 
-    def stop(self):
-        """SIGTERM: busy answers from now on; what is out may end."""
+    def stop(self) -> None:
+        """Stop as after SIGTERM: new messages are rejected from now on, calls that are out may end."""
         self.stopping = True
-        self.engine.after(DRAIN_NS, self._gone, self.incarnation)
-        self.engine.after(LINGER_NS, self._lingered, self.incarnation)
+        self.engine.after(DRAIN_NS, self._drain_ended, self.incarnation)
+        self.engine.after(LINGER_NS, self._linger_ended, self.incarnation)
 
-    def _lingered(self, incarnation):
+    def _linger_ended(self, incarnation: int) -> None:
         if incarnation == self.incarnation:
-            self.lingered = True
-            self._maybe_gone()
-
-    def _maybe_gone(self):
-        if self.stopping and self.lingered and self.up and not self.calls:
-            self._gone(self.incarnation)
+            self._lingered = True
+            self._kill_if_drained()
 
-    def _gone(self, incarnation):
+    def _drain_ended(self, incarnation: int) -> None:
         if incarnation == self.incarnation and self.up:
             self.kill()
 
-    def kill(self):
-        """The process ends; its connections are reset, what was out may have run."""
+    def _kill_if_drained(self) -> None:
+        if self.stopping and self._lingered and self.up and not self._attempts:
+            self.kill()
+
+    def kill(self) -> None:
+        """End the process: its connections are reset, and attempts that are out may have taken effect."""
         self.up = False
         self.incarnation += 1
-        for call in list(self.calls.values()):
-            call.over = True
-            if call.held is not None and call.held.live is call:
-                call.held.may_have_run_ns = call.held.may_have_run_ns or call.sent_ns
-                call.held.live = None
-                self.fleet.checker.cut(self.number, call.held.number, call.sent_ns)
-        for pool in self.pools.values():
-            pool.endpoint.connections -= len(pool.idle) + len(pool.out)
-            pool.endpoint.connection_owners.remove(pool)
-        self.pools.clear()
-        self.calls.clear()
-        self.inbox.clear()
-        if not self.fleet.model.couriers.resume:
-            for held in self.open.values():
-                held.client.ended(held.row, "lost", 0)
-            self.open.clear()
+        for call in list(self._attempts.values()):
+            self._interrupt(call)
+        for pool in self._pools.values():
+            pool.close()
+        self._pools.clear()
+        self._attempts.clear()
+        self._events.clear()
+        if not self.simulation.model.couriers.resume:
+            for message in self.messages.values():
+                self.simulation.message_failed(message.row)
+            self.messages.clear()
+
+    def _interrupt(self, call: OutgoingCall) -> None:
+        call.completed = True
+        message = call.message
+        if message is not None and message.sent_call is call:
+            message.note_may_have_run(call.sent_ns)
+            message.sent_call = None
+            self.simulation.checker.attempt_interrupted(self.number, message.number, call.sent_ns)
 
     # --- what comes in ----------------------------------------------------------------------------
 
-    def take(self, row, deadline_ns, client):
-        """A client hands a message in: true, or how long to stay away (-1: the process does not answer)."""
-        if not self.up:
-            return -1
+    def accept(self, row: int, deadline_ns: int) -> int | None:
+        """Accept a message of the scenario; the process must be up.
+
+        Returns:
+            None if it was accepted, else the Retry-After in nanoseconds.
+        """
+        settings, scenario = self.simulation.settings, self.simulation.scenario
         if self.stopping:
-            return self.fleet.settings.max_retry_after_ns
-        if len(self.open) >= self.fleet.settings.max_held_messages:
-            return SECOND
-        self.serial += 1
-        held = self.open[self.serial] = AcceptedMessage(self.serial, row, deadline_ns, client)
-        scenario = self.fleet.scenario
-        self.fleet.checker.taken(
-            self.number,
-            held.number,
+            return settings.max_retry_after_ns
+        if len(self.messages) >= settings.max_held_messages:
+            return JOURNAL_FULL_RETRY_NS
+        self._last_message += 1
+        message = AcceptedMessage(self._last_message, row, deadline_ns)
+        self.messages[message.number] = message
+        record = MessageRecord(
             int(scenario.class_index[row]),
             int(scenario.destination[row]),
             int(scenario.ordering_key[row]),
             deadline_ns,
         )
-        self.post(self._taken(held))
-        return True
+        self.simulation.checker.message_accepted(self.number, message.number, record)
+        self.post(self._accepted_event(message))
+        return None
 
-    def _taken(self, held):
-        scenario, row = self.fleet.scenario, held.row
+    def _accepted_event(self, message: AcceptedMessage) -> MessageAccepted:
+        scenario, row = self.simulation.scenario, message.row
         return MessageAccepted(
-            held.number,
+            message.number,
             int(scenario.class_index[row]),
             int(scenario.destination[row]),
-            held.deadline_ns,
+            message.deadline_ns,
             int(scenario.ordering_key[row]),
             int(scenario.tenant_index[row]),
-            held.attempts,
-            held.may_have_run_ns,
+            message.attempts,
+            message.may_have_run_ns,
         )
 
-    def update_endpoints(self, scope, entries):
-        """News of the list."""
-        now, checker = self.engine.now, self.fleet.checker
+    def update_endpoints(self, scope: UpdateScope, entries: list[EndpointEntry]) -> None:
+        """Take an update of the endpoint list."""
         if scope is UpdateScope.FULL:
-            for id_ in self.usable.keys() - {e.endpoint for e in entries}:
-                self.usable[id_] = False
-                checker.listed(self.number, now, id_, False)
+            for id_ in self._usable.keys() - {entry.endpoint for entry in entries}:
+                self._set_usable(id_, False)
         for entry in entries:
             usable = entry.state is EndpointState.READY
-            self.usable[entry.endpoint] = usable
-            checker.listed(self.number, now, entry.endpoint, usable)
-            if not usable and entry.endpoint in self.pools:
-                self.pools[entry.endpoint].close_idle()
+            self._set_usable(entry.endpoint, usable)
+            if not usable and entry.endpoint in self._pools:
+                self._pools[entry.endpoint].close_idle()
         self.post(EndpointsChanged(scope, entries))
 
-    def post(self, event):
-        """Have the module told in the next turn."""
-        self.inbox.append(event)
-        if not self.turn_due:
-            self.turn_due = True
+    def _set_usable(self, endpoint: EndpointId, usable: bool) -> None:
+        self._usable[endpoint] = usable
+        self.simulation.checker.endpoint_listed(self.number, self.engine.now, endpoint, usable)
+
+    # --- turns of the policy ----------------------------------------------------------------------
+
+    def post(self, event: Event) -> None:
+        """Have the policy told of an event in the next turn."""
+        self._events.append(event)
+        if not self._turn_scheduled:
+            self._turn_scheduled = True
             self.engine.at(self.engine.now, self._turn)
 
-    def _timer(self, incarnation, tag):
+    def _timer_expired(self, incarnation: int, tag: int) -> None:
         if incarnation == self.incarnation:
             self.post(TimerFired(tag))
 
-    def _turn(self):
-        self.turn_due = False
-        if not self.up or not self.inbox:
+    def _turn(self) -> None:
+        self._turn_scheduled = False
+        if not self.up or not self._events:
             return
-        events, self.inbox = self.inbox, []
+        events, self._events = self._events, []
         self.turns += 1
-        now = self.engine.now
-        for action in self.sender.handle(now, events):
-            kind = type(action)
-            if kind is SetTimer:
-                self.engine.after(max(1000, action.delay_ns), self._timer, self.incarnation, action.tag)
-            elif kind is Send:
-                self._send(action, now)
-            elif kind is Reject or kind is Fail:
-                refused = kind is Reject
-                self.fleet.checker.final(self.number, now, action.request, refused)
-                held = self.open.pop(action.request, None)
-                if held is not None:
-                    held.client.ended(
-                        held.row, "returned" if refused else "failed", action.retry_after_ns if refused else 0
-                    )
-            elif kind is CheckHealth:
-                self._probe(action.endpoint, now)
-            elif kind is Disconnect:
-                if action.endpoint in self.pools:
-                    self.pools[action.endpoint].close_idle()
-        self._maybe_gone()
-
-    # --- branches ---------------------------------------------------------------------------------
-
-    def _send(self, action, now):
-        endpoint = self.fleet.endpoints[action.endpoint]
-        held = self.open.get(action.request)
-        if held is None or not self.stopping:
-            self.fleet.checker.sent(
-                self.number, now, action.request, action.endpoint, endpoint.destination.number
+        for action in self._policy.handle(self.engine.now, events):
+            self._perform(action)
+        self._kill_if_drained()
+
+    def _perform(self, action: Action) -> None:
+        if isinstance(action, SetTimer):
+            delay_ns = max(MIN_TIMER_NS, action.delay_ns)
+            self.engine.after(delay_ns, self._timer_expired, self.incarnation, action.tag)
+        elif isinstance(action, Send):
+            self._send(action)
+        elif isinstance(action, Reject):
+            message = self._end_message(action.request, rejected=True)
+            if message is not None:
+                self.simulation.message_rejected(message.row, action.retry_after_ns)
+        elif isinstance(action, Fail):
+            message = self._end_message(action.request, rejected=False)
+            if message is not None:
+                self.simulation.message_failed(message.row)
+        elif isinstance(action, CheckHealth):
+            self._check_health(self._endpoint(action.endpoint))
+        elif isinstance(action, Disconnect) and action.endpoint in self._pools:
+            self._pools[action.endpoint].close_idle()
+
+    def _end_message(self, number: int, rejected: bool) -> AcceptedMessage | None:
+        self.simulation.checker.message_ended(self.number, self.engine.now, number, rejected)
+        return self.messages.pop(number, None)
+
+    # --- calls ------------------------------------------------------------------------------------
+
+    def _send(self, action: Send) -> None:
+        simulation = self.simulation
+        endpoint = self._endpoint(action.endpoint)
+        message = self.messages.get(action.request)
+        if message is None or not self.stopping:
+            destination = endpoint.destination.number
+            simulation.checker.attempt_started(
+                self.number, self.engine.now, action.request, endpoint.id, destination
             )
-        if held is None or self.stopping:
+        if message is None or self.stopping:
             return  # what is not sent now stays in the journal for the next start
-        call = Call(self, held, endpoint, action.timeout_ns)
-        call.attempt = held.attempts
-        draw = int(self.fleet.written[held.row]) % ATTEMPT_DRAWS
-        call.draws = self.fleet.scenario.attempt_draws[held.row, draw]
-        call.work_ns = int(self.fleet.scenario.work_ns[held.row, draw])
-        held.attempts += 1
-        self.calls[held.number, call.attempt] = call
-        self.fleet.sent(call)
-        self.engine.after(action.timeout_ns, self._timed_out, call)
-        pool = self._pool(endpoint)
-        if pool.take():
+        call = OutgoingCall(self, message, endpoint, action.timeout_ns)
+        call.attempt = message.attempts
+        draw = int(simulation.written[message.row]) % ATTEMPT_DRAWS
+        call.draws = simulation.scenario.attempt_draws[message.row, draw]
+        call.work_ns = int(simulation.scenario.work_ns[message.row, draw])
+        message.attempts += 1
+        self._attempts[message.number, call.attempt] = call
+        simulation.attempt_started(message.row)
+        self._start(call)
+
+    def _check_health(self, endpoint: Endpoint) -> None:
+        if self.stopping:
+            return
+        self.health_checks += 1
+        destination = endpoint.destination.number
+        self.simulation.checker.health_check_started(self.number, self.engine.now, destination)
+        call = OutgoingCall(self, None, endpoint, HEALTH_CHECK_TIMEOUT_NS)
+        call.draws = HEALTH_CHECK_DRAWS
+        call.work_ns = HEALTH_CHECK_WORK_NS
+        self._start(call)
+
+    def _endpoint(self, id_: EndpointId) -> Endpoint:
+        return self.simulation.endpoints[cast("int", id_)]
+
+    def delay_ns(self, endpoint: Endpoint, draw: float) -> int:
+        """The network's delay between this instance and an endpoint, one way."""
+        base_ns = self.simulation.delays_ns[endpoint.destination.number - 1]
+        return int(base_ns * (1 + self.jitter * (2 * float(draw) - 1)))
+
+    def _start(self, call: OutgoingCall) -> None:
+        self.engine.after(call.timeout_ns, self._time_out, call)
+        pool = self._pools.get(call.endpoint.id)
+        if pool is None:
+            pool = ConnectionPool(self.engine, call.endpoint, self.idle_timeout_ns)
+            self._pools[call.endpoint.id] = pool
+        if pool.take_idle():
             self._write(call, pool)
         else:
-            self._dial(call, pool)
+            self._connect(call, pool)
 
-    def _pool(self, endpoint):
-        pool = self.pools.get(endpoint.id)
-        if pool is None:
-            pool = self.pools[endpoint.id] = Pool(self, endpoint)
-        return pool
-
-    def delay(self, endpoint, chance):
-        """One way between this courier and an endpoint."""
-        base = self.fleet.delays[endpoint.destination.number - 1]
-        return int(base * (1 + self.jitter * (2 * float(chance) - 1)))
-
-    def _dial(self, call, pool):
-        found = call.endpoint.destination.connect(call.endpoint)
-        there_and_back = 2 * self.delay(call.endpoint, call.draws[0])
-        if found is ConnectResult.ACCEPTED:
+    def _connect(self, call: OutgoingCall, pool: ConnectionPool) -> None:
+        result = call.endpoint.destination.connect(call.endpoint)
+        round_trip_ns = 2 * self.delay_ns(call.endpoint, call.draws[OUTBOUND_DELAY_DRAW])
+        if result is ConnectResult.ACCEPTED:
             self.handshakes += 1
-            call.fresh = True
-            call.endpoint.connections += 1
-            pool.out[call] = True
-            self.engine.after(there_and_back, self._write, call, pool)
-        elif found is ConnectResult.OVER_LIMIT:
-            call.fresh = call.turned_away = True
-            self.engine.after(there_and_back, self._write, call, pool)
-        elif found is ConnectResult.REFUSED:
-            self.engine.after(there_and_back, self.ended, call, Outcome.CONNECT_FAILED, 0)
+            call.opened = True
+            pool.open(call)
+            self.engine.after(round_trip_ns, self._write, call, pool)
+        elif result is ConnectResult.OVER_LIMIT:
+            call.opened = True
+            call.over_limit = True
+            self.engine.after(round_trip_ns, self._write, call, pool)
+        elif result is ConnectResult.REFUSED:
+            self.engine.after(round_trip_ns, self.complete, call, Outcome.CONNECT_FAILED, 0)
         else:
-            self.engine.after(min(self.dial_ns, call.timeout_ns), self.ended, call, Outcome.CONNECT_FAILED, 0)
+            timeout_ns = min(self.connect_timeout_ns, call.timeout_ns)
+            self.engine.after(timeout_ns, self.complete, call, Outcome.CONNECT_FAILED, 0)
 
-    def _write(self, call, pool):
-        """Right before the first byte: whether it may still go."""
-        if call.over or call.incarnation != self.incarnation:
+    def _write(self, call: OutgoingCall, pool: ConnectionPool) -> None:
+        """Write a call, unless it must not go any more."""
+        if call.completed or call.incarnation != self.incarnation:
             return
-        held, now = call.held, self.engine.now
-        if not call.turned_away:
-            pool.out[call] = True
-        dest = call.endpoint.destination.number
-        barred = (
-            not self.usable.get(call.endpoint.id)
-            or self.told.get(dest, 0) > now
-            or self.stopping
-            or (
-                held is not None
-                and (held.live is not None or held.number not in self.open or now >= held.deadline_ns)
-            )
-        )
-        if barred:
-            self.ended(call, Outcome.NOT_SENT, 0)
+        if not call.over_limit:
+            pool.use(call)
+        if not self._may_write(call):
+            self.complete(call, Outcome.NOT_SENT, 0)
             return
-        call.sent_ns = now
-        if held is not None:
-            held.live = call
-            self.fleet.written[held.row] += 1
-        if self.reset_share and not call.fresh and call.draws[2] > 1 - self.reset_share:
+        call.sent_ns = self.engine.now
+        if call.message is not None:
+            call.message.sent_call = call
+            self.simulation.written[call.message.row] += 1
+        if self.reset_share and not call.opened and call.draws[ERROR_DRAW] > 1 - self.reset_share:
             call.reset()
             return
-        work = call.work_ns + self.handshake_ns if call.fresh else call.work_ns
-        self.engine.after(self.delay(call.endpoint, call.draws[0]), self._arrive, call, work)
+        work_ns = call.work_ns + self.handshake_work_ns if call.opened else call.work_ns
+        delay_ns = self.delay_ns(call.endpoint, call.draws[OUTBOUND_DELAY_DRAW])
+        self.engine.after(delay_ns, self._arrive, call, work_ns)
+
+    def _may_write(self, call: OutgoingCall) -> bool:
+        now_ns = self.engine.now
+        if self.stopping or not self._usable.get(call.endpoint.id):
+            return False
+        if self._retry_after_until_ns.get(call.endpoint.destination.number, 0) > now_ns:
+            return False
+        message = call.message
+        if message is None:
+            return True
+        return message.sent_call is None and message.number in self.messages and now_ns < message.deadline_ns
 
-    def _arrive(self, call, work_ns):
-        if call.over and not call.sent_ns:
-            return
-        if call.turned_away:
+    @staticmethod
+    def _arrive(call: OutgoingCall, work_ns: int) -> None:
+        if call.over_limit:
             call.respond(Outcome.OVERLOADED, 0)
         else:
             call.endpoint.destination.arrive(call.endpoint, call, work_ns)
 
-    def _timed_out(self, call):
-        if not call.over:
-            self.ended(call, Outcome.TIMEOUT if call.sent_ns else Outcome.CONNECT_FAILED, 0)
+    def _time_out(self, call: OutgoingCall) -> None:
+        if not call.completed:
+            self.complete(call, Outcome.TIMEOUT if call.sent_ns else Outcome.CONNECT_FAILED, 0)
 
-    def ended(self, call, verdict, wait_ns):
-        """A branch or a probe has its outcome; whatever comes after it says nothing any more."""
-        if call.over or call.incarnation != self.incarnation:
+    def complete(self, call: OutgoingCall, outcome: Outcome, retry_after_ns: int) -> None:
+        """Give a call its outcome; any further one is ignored."""
+        if call.completed or call.incarnation != self.incarnation:
             return
-        call.over = True
-        now, endpoint = self.engine.now, call.endpoint
-        pool = self.pools.get(endpoint.id)
-        if pool is not None and call in pool.out:
-            del pool.out[call]
-            if verdict in (Outcome.TIMEOUT, Outcome.RESET):
-                endpoint.connections -= 1  # of no further use
-            else:
-                pool.idle.append(now)
-        dest = endpoint.destination.number
-        if wait_ns:
-            self.told[dest] = max(self.told.get(dest, 0), now + wait_ns)
-        if verdict not in (Outcome.OK, Outcome.NOT_SENT):
-            endpoint.destination.record_failure(self.number)
-        held = call.held
-        if held is None:
-            told = (wait_ns,) if PROBE_TELLS else ()
-            self.post(HealthCheckCompleted(endpoint.id, verdict, now - call.started_ns, *told))
+        call.completed = True
+        endpoint, destination = call.endpoint, call.endpoint.destination
+        pool = self._pools.get(endpoint.id)
+        if pool is not None:
+            pool.release(call, reusable=outcome not in BROKEN_CONNECTION)
+        if retry_after_ns:
+            until_ns = self.engine.now + retry_after_ns
+            known_ns = self._retry_after_until_ns.get(destination.number, 0)
+            self._retry_after_until_ns[destination.number] = max(known_ns, until_ns)
+        if outcome not in NO_FAILURE:
+            destination.record_failure(self.number)
+        if call.message is not None:
+            self._complete_attempt(call, call.message, outcome, retry_after_ns)
             return
-        del self.calls[held.number, call.attempt]
-        if held.live is call:
-            held.live = None
-            if verdict not in NEVER_RAN and not held.may_have_run_ns:
-                held.may_have_run_ns = call.sent_ns
-        checker = self.fleet.checker
-        was_open = held.number in self.open
-        done = verdict is Outcome.OK or not was_open
-        if was_open and verdict is Outcome.OK:
-            del self.open[held.number]
-            checker.delivered(self.number, now, held.number)
-            held.client.ended(held.row, "delivered", 0)
-        checker.outcome(self.number, now, held.number, verdict, call.sent_ns or now, wait_ns, dest, done)
-        self.fleet.outcome(verdict)
-        event = AttemptCompleted(
-            held.number, call.attempt, endpoint.id, verdict, now - call.started_ns, done, wait_ns
+        elapsed_ns = self.engine.now - call.started_ns
+        self.post(HealthCheckCompleted(endpoint.id, outcome, elapsed_ns, retry_after_ns))
+
+    def _complete_attempt(
+        self, call: OutgoingCall, message: AcceptedMessage, outcome: Outcome, retry_after_ns: int
+    ) -> None:
+        now_ns, number, checker = self.engine.now, message.number, self.simulation.checker
+        del self._attempts[number, call.attempt]
+        if message.sent_call is call:
+            message.sent_call = None
+            if outcome not in NEVER_RAN:
+                message.note_may_have_run(call.sent_ns)
+        was_open = number in self.messages
+        done = outcome is Outcome.OK or not was_open
+        if was_open and done:
+            del self.messages[number]
+            checker.message_delivered(self.number, now_ns, number)
+            self.simulation.message_delivered(message.row)
+        destination = call.endpoint.destination.number
+        report = AttemptReport(number, destination, outcome, call.sent_ns or now_ns, retry_after_ns, done)
+        checker.attempt_completed(self.number, now_ns, report)
+        self.simulation.attempt_completed(outcome)
+        self.post(
+            AttemptCompleted(
+                number,
+                call.attempt,
+                call.endpoint.id,
+                outcome,
+                now_ns - call.started_ns,
+                done,
+                retry_after_ns,
+                opened=call.opened,
+            )
         )
-        if TELLS_OPENED:
-            event.opened = call.fresh
-        self.post(event)
-
-    def _probe(self, id_, now):
-        endpoint = self.fleet.endpoints[id_]
-        if self.stopping:
-            return
-        self.health_checks += 1
-        self.fleet.checker.probed(self.number, now, id_, endpoint.destination.number)
-        call = Call(self, None, endpoint, PROBE_NS)
-        call.draws = PROBE_CHANCE
-        call.work_ns = PROBE_WORK_NS
-        self.engine.after(PROBE_NS, self._timed_out, call)
-        pool = self._pool(endpoint)
-        if pool.take():
-            self._write(call, pool)
-        else:
-            self._dial(call, pool)
--- a/pinspread/simulation/metrics.py
+++ b/pinspread/simulation/metrics.py
@@ -127,7 +127,7 @@
         "parts": found,
         "deductions": deductions,
         "broken": broken,
-        "breaks": fleet.checker.breaks[:20],
+        "breaks": fleet.checker.violations[:20],
         "messages": int(len(scenario.arrival_ns)),
         "delivered": int(delivered.sum()),
         "in_time": int((delivered & (age <= aim)).sum()),
--- a/pinspread/simulation/rules.py
+++ b/pinspread/simulation/rules.py
@@ -1,202 +1,288 @@
-"""The checker of the six rules. It watches decisions and answers, and shares no state with the module.
-
-| rule   | what it says                                                                              |
-| ------ | ----------------------------------------------------------------------------------------- |
-| final  | a message that was taken on has exactly one final answer in time                            |
-| repeat | what may have run is repeated only as its class permits; never two at once; at most 6        |
-| drain  | nothing to an endpoint 250 ms after it was told to drain or go, nor to another partner's     |
-| cold   | a returning partner is not pushed over by couriers that saw it fail                          |
-| wait   | nothing to a partner while a wait that it told this courier runs                             |
-| order  | messages of a key go one at a time, as they were taken                                       |
+"""Checks a run against the six rules, watching decisions and outcomes; it shares no state with the policy.
+
+| rule   | what it says                                                                                |
+| ------ | ------------------------------------------------------------------------------------------- |
+| final  | an accepted message has exactly one final result, in time                                    |
+| repeat | what may have run is repeated only as its class permits; one attempt at a time; at most 6    |
+| drain  | nothing to an endpoint 250 ms after it was listed as draining or removed, nor to another     |
+|        | destination's endpoint                                                                       |
+| cold   | a destination that warms up is not overloaded by instances that saw it fail                  |
+| wait   | nothing to a destination before the time that its Retry-After told this instance             |
+| order  | messages of an ordering key go one at a time, as they were accepted                          |
 """
 
-from pinspread.policy.events import Outcome
-from pinspread.policy.settings import Idempotency
+from collections.abc import Collection, Sequence
+from dataclasses import dataclass
+from typing import NamedTuple, TypedDict
+
+from pinspread.policy.events import EndpointId, Outcome
+from pinspread.policy.settings import Idempotency, TrafficClass
 from pinspread.simulation.engine import MS, SECOND
 
 RULES = ("final", "repeat", "drain", "cold", "wait", "order")
 ANSWER_SLACK_NS = 300 * MS
 READY_SLACK_NS = 1500 * MS
 DRAIN_GRACE_NS = 250 * MS
-BLAMED = 2 / 3  # share of what pushed a partner over that came from couriers that knew
-KEPT = 200  # breaks that are listed; all are counted
+BLAMED_SHARE = 2 / 3  # share of the calls of informed instances from which a collapse breaks a rule
+MAX_LISTED = 200  # violations that are listed; all are counted
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+NO_INSTANCE = -1
+
+
+class Violation(TypedDict):
+    """One violation, in the form of a result's `breaks`."""
+
+    rule: str
+    at_s: float
+    courier: int
+    why: str
+
+
+@dataclass(slots=True, eq=False)
+class MessageRecord:
+    """What the checker knows of a message at one instance.
+
+    Attributes:
+        ordering_key: 0: none.
+        attempts: How many were started.
+        attempt_out: Whether one of them has no outcome yet.
+        may_have_run_ns: When the first attempt was sent that may have taken effect; 0: none.
+        ended: Whether it has its final result.
+    """
 
+    class_index: int
+    destination: int
+    ordering_key: int
+    deadline_ns: int
+    attempts: int = 0
+    attempt_out: bool = False
+    may_have_run_ns: int = 0
+    ended: bool = False
 
-class Entry:
-    """What the checker knows of one message at one courier."""
 
-    __slots__ = ("cls", "deadline_ns", "dest", "ended", "key", "may_have_run_ns", "out", "sends")
+class AttemptReport(NamedTuple):
+    """The outcome of an attempt, as the policy hears of it; `done` says whether its message has ended."""
 
-    def __init__(self, cls, dest, key, deadline_ns):
-        self.cls, self.dest, self.key, self.deadline_ns = cls, dest, key, deadline_ns
-        self.sends = 0
-        self.out = False
-        self.may_have_run_ns = 0
-        self.ended = False
+    request: int
+    destination: int
+    outcome: Outcome
+    sent_ns: int
+    retry_after_ns: int
+    done: bool
 
 
 class RuleChecker:
-    """Notes each break with its rule, time and reason."""
+    """Notes each violation with its rule, time and reason.
 
-    def __init__(self, classes, max_attempts):
-        self.classes = classes  # interface.TrafficClass, in their order
+    Args:
+        classes: The traffic classes, in their order.
+        max_attempts: Attempts that are allowed for a message.
+
+    Attributes:
+        counts: Violations of each rule.
+        violations: The first `MAX_LISTED` of them.
+    """
+
+    def __init__(self, classes: Sequence[TrafficClass], max_attempts: int) -> None:
+        self.classes = classes
         self.max_attempts = max_attempts
         self.counts = dict.fromkeys(RULES, 0)
-        self.breaks = []
-        self.messages = {}  # (courier, request) -> Entry, those not over
-        self.keys = {}  # (courier, key) -> entries in the order taken, those not over
-        self.waits = {}  # (courier, dest) -> until when
-        self.drains = {}  # (courier, endpoint) -> since when it is not to be used
-        self.ready_ns = {}  # courier -> when it was last ready; absent: from the start
-
-    def broke(self, rule, now, courier, why):
-        """Note a break."""
+        self.violations: list[Violation] = []
+        # By (instance, ...): messages that are not over, those of a key in the order in which they were
+        # accepted, until when a destination must be left alone, since when an endpoint must not be used.
+        self._messages: dict[tuple[int, int], MessageRecord] = {}
+        self._keys: dict[tuple[int, int], list[MessageRecord]] = {}
+        self._retry_after_until_ns: dict[tuple[int, int], int] = {}
+        self._unusable_since_ns: dict[tuple[int, EndpointId], int] = {}
+        self._started_ns: dict[int, int] = {}  # when an instance was last started
+
+    def record_violation(self, rule: str, now_ns: int, instance: int, why: str) -> None:
+        """Note a violation."""
         self.counts[rule] += 1
-        if len(self.breaks) < KEPT:
-            self.breaks.append({"rule": rule, "at_s": round(now / SECOND, 3), "courier": courier, "why": why})
+        if len(self.violations) < MAX_LISTED:
+            at_s = round(now_ns / SECOND, 3)
+            self.violations.append({"rule": rule, "at_s": at_s, "courier": instance, "why": why})
 
-    # --- what happens ------------------------------------------------------------------------------
+    # --- what happens -----------------------------------------------------------------------------
 
-    def taken(self, courier, request, cls, dest, key, deadline_ns):
-        """A courier has taken a message on."""
-        key = key if self.classes[cls].in_order else 0
-        entry = self.messages[courier, request] = Entry(cls, dest, key, deadline_ns)
-        if key:
-            self.keys.setdefault((courier, key), []).append(entry)
+    def message_accepted(self, instance: int, request: int, message: MessageRecord) -> None:
+        """An instance has accepted a message."""
+        if not self.classes[message.class_index].in_order:
+            message.ordering_key = 0
+        self._messages[instance, request] = message
+        if message.ordering_key:
+            self._keys.setdefault((instance, message.ordering_key), []).append(message)
 
-    def listed(self, courier, now, endpoint, usable):
-        """A courier was told of an endpoint."""
+    def endpoint_listed(self, instance: int, now_ns: int, endpoint: EndpointId, usable: bool) -> None:
+        """An instance was told of an endpoint."""
         if usable:
-            self.drains.pop((courier, endpoint), None)
+            self._unusable_since_ns.pop((instance, endpoint), None)
         else:
-            self.drains.setdefault((courier, endpoint), now)
-
-    def cut(self, courier, request, sent_ns):
-        """A courier's process ended while this attempt was out and written: it may have run."""
-        entry = self.messages[courier, request]
-        entry.may_have_run_ns = entry.may_have_run_ns or sent_ns
-
-    def started(self, courier, now):
-        """A courier is ready again: told waits and attempts ended with its process."""
-        self.ready_ns[courier] = now
-        self.waits = {k: v for k, v in self.waits.items() if k[0] != courier}
-        for (who, _), entry in self.messages.items():
-            if who == courier:
-                entry.out = False
-
-    def sent(self, courier, now, request, endpoint, dest):
-        """The module sends a message to an endpoint of a partner; `dest` is that endpoint's."""
-        entry = self.messages.get((courier, request))
-        if entry is None:
-            self.broke("final", now, courier, f"sends message {request}, which is over")
+            self._unusable_since_ns.setdefault((instance, endpoint), now_ns)
+
+    def instance_started(self, instance: int, now_ns: int) -> None:
+        """An instance is ready again: Retry-After times and attempts ended with its process."""
+        self._started_ns[instance] = now_ns
+        self._retry_after_until_ns = {
+            key: until_ns for key, until_ns in self._retry_after_until_ns.items() if key[0] != instance
+        }
+        for (owner, _), message in self._messages.items():
+            if owner == instance:
+                message.attempt_out = False
+
+    def attempt_started(
+        self, instance: int, now_ns: int, request: int, endpoint: EndpointId, destination: int
+    ) -> None:
+        """The policy sends a message to an endpoint, which is one of `destination`."""
+        message = self._messages.get((instance, request))
+        if message is None:
+            self.record_violation("final", now_ns, instance, f"sends message {request}, which is over")
             return
-        rule = self.classes[entry.cls]
-        if entry.out:
-            self.broke("repeat", now, courier, f"a second live attempt for message {request}")
-        if entry.sends >= self.max_attempts:
-            self.broke("repeat", now, courier, f"attempt {entry.sends + 1} for message {request}")
-        if entry.may_have_run_ns and rule.effect is Idempotency.NOT_IDEMPOTENT:
-            self.broke("repeat", now, courier, f"message {request} may have run, and must not twice")
-        if (
-            entry.may_have_run_ns
-            and rule.effect is Idempotency.WITH_KEY
-            and now >= entry.may_have_run_ns + rule.deduplication_window_ns
-        ):
-            self.broke("repeat", now, courier, f"message {request} again after its window")
-        if dest != entry.dest:
-            self.broke("drain", now, courier, f"message {request} to an endpoint of partner {dest}")
-        since = self.drains.get((courier, endpoint))
-        if since is not None and now > since + DRAIN_GRACE_NS:
-            self.broke(
-                "drain",
-                now,
-                courier,
-                f"to endpoint {endpoint}, {(now - since) // MS} ms after its end was told",
-            )
-        if self.waits.get((courier, entry.dest), 0) > now:
-            self.broke("wait", now, courier, f"to partner {entry.dest} while its wait runs")
-        if entry.key:
-            for other in self.keys[courier, entry.key]:
-                if other is entry:
-                    break
-                if other.out or not other.ended:
-                    self.broke("order", now, courier, f"message {request} ahead of an earlier one of its key")
-                    break
-        entry.sends += 1
-        entry.out = True
-
-    def outcome(self, courier, now, request, verdict, sent_ns, wait_ns, dest, done):
-        """The module hears how an attempt ended."""
-        if wait_ns:
-            self.waits[courier, dest] = max(self.waits.get((courier, dest), 0), now + wait_ns)
-        entry = self.messages.get((courier, request))
-        if entry is None:
+        problems = [
+            *self._repeat_problems(message, now_ns, request),
+            *self._drain_problems(message, now_ns, request, (instance, endpoint), destination),
+        ]
+        if self._must_wait(instance, message.destination, now_ns):
+            problems.append(("wait", f"to partner {message.destination} while its wait runs"))
+        if self._is_ahead(instance, message):
+            problems.append(("order", f"message {request} ahead of an earlier one of its key"))
+        for rule, why in problems:
+            self.record_violation(rule, now_ns, instance, why)
+        message.attempts += 1
+        message.attempt_out = True
+
+    def attempt_interrupted(self, instance: int, request: int, sent_ns: int) -> None:
+        """An instance's process ended while an attempt was out and written: it may have run."""
+        message = self._messages[instance, request]
+        message.may_have_run_ns = message.may_have_run_ns or sent_ns
+
+    def attempt_completed(self, instance: int, now_ns: int, report: AttemptReport) -> None:
+        """The policy hears of the outcome of an attempt."""
+        if report.retry_after_ns:
+            key = (instance, report.destination)
+            until_ns = now_ns + report.retry_after_ns
+            self._retry_after_until_ns[key] = max(self._retry_after_until_ns.get(key, 0), until_ns)
+        message = self._messages.get((instance, report.request))
+        if message is None:
             return
-        entry.out = False
-        if verdict not in NEVER_RAN and not entry.may_have_run_ns:
-            entry.may_have_run_ns = sent_ns
-        if done or entry.ended:
-            self._over(courier, request, entry)
-
-    def probed(self, courier, now, endpoint, dest):
-        """The module sends a probe."""
-        if self.waits.get((courier, dest), 0) > now:
-            self.broke("wait", now, courier, f"a probe to partner {dest} while its wait runs")
-
-    def final(self, courier, now, request, refused):
-        """The module gives a final answer: refused or failed."""
-        entry = self.messages.get((courier, request))
-        if entry is None or entry.ended:
-            self.broke("final", now, courier, f"a second final answer for message {request}")
+        message.attempt_out = False
+        if report.outcome not in NEVER_RAN and not message.may_have_run_ns:
+            message.may_have_run_ns = report.sent_ns
+        if report.done or message.ended:
+            self._forget(instance, report.request, message)
+
+    def health_check_started(self, instance: int, now_ns: int, destination: int) -> None:
+        """The policy sends a health check to an endpoint of a destination."""
+        if self._must_wait(instance, destination, now_ns):
+            why = f"a probe to partner {destination} while its wait runs"
+            self.record_violation("wait", now_ns, instance, why)
+
+    def message_ended(self, instance: int, now_ns: int, request: int, rejected: bool) -> None:
+        """The policy gives a final result: rejected, or failed."""
+        message = self._messages.get((instance, request))
+        if message is None or message.ended:
+            why = f"a second final answer for message {request}"
+            self.record_violation("final", now_ns, instance, why)
+            return
+        if rejected and message.may_have_run_ns and self._effect(message) is Idempotency.NOT_IDEMPOTENT:
+            why = f"message {request} refused though it may have run"
+            self.record_violation("repeat", now_ns, instance, why)
+        message.ended = True
+        self._check_lateness(instance, now_ns, request, message)
+        if not message.attempt_out:
+            self._forget(instance, request, message)
+
+    def message_delivered(self, instance: int, now_ns: int, request: int) -> None:
+        """A message that has no final result was delivered."""
+        message = self._messages.get((instance, request))
+        if message is not None and not message.ended:
+            message.ended = True
+            self._check_lateness(instance, now_ns, request, message)
+
+    def destination_collapsed(self, destination: int, now_ns: int, informed: int, total: int) -> None:
+        """A destination that warmed up was overloaded; `informed` of `total` calls are to blame."""
+        if informed >= BLAMED_SHARE * total:
+            why = f"partner {destination} fell over: {informed} of {total} calls from couriers that knew"
+            self.record_violation("cold", now_ns, NO_INSTANCE, why)
+
+    def run_ended(self, now_ns: int, running: Collection[int]) -> None:
+        """The run is over: what is overdue at the `running` instances was lost."""
+        for (instance, request), message in sorted(self._messages.items(), key=lambda item: item[0]):
+            if message.ended or instance not in running:
+                continue
+            due_ns = max(message.deadline_ns, self._started_ns.get(instance, 0)) + READY_SLACK_NS
+            if now_ns > due_ns:
+                why = f"message {request} never had a final answer"
+                self.record_violation("final", message.deadline_ns, instance, why)
+
+    # --- what it means ----------------------------------------------------------------------------
+
+    def _effect(self, message: MessageRecord) -> Idempotency:
+        return self.classes[message.class_index].effect
+
+    def _must_wait(self, instance: int, destination: int, now_ns: int) -> bool:
+        return self._retry_after_until_ns.get((instance, destination), 0) > now_ns
+
+    def _repeat_problems(self, message: MessageRecord, now_ns: int, request: int) -> list[tuple[str, str]]:
+        problems = []
+        if message.attempt_out:
+            problems.append(f"a second live attempt for message {request}")
+        if message.attempts >= self.max_attempts:
+            problems.append(f"attempt {message.attempts + 1} for message {request}")
+        if message.may_have_run_ns:
+            effect = self._effect(message)
+            window_ns = self.classes[message.class_index].deduplication_window_ns
+            if effect is Idempotency.NOT_IDEMPOTENT:
+                problems.append(f"message {request} may have run, and must not twice")
+            elif effect is Idempotency.WITH_KEY and now_ns >= message.may_have_run_ns + window_ns:
+                problems.append(f"message {request} again after its window")
+        return [("repeat", why) for why in problems]
+
+    def _drain_problems(
+        self,
+        message: MessageRecord,
+        now_ns: int,
+        request: int,
+        place: tuple[int, EndpointId],
+        destination: int,
+    ) -> list[tuple[str, str]]:
+        """Problems of sending a message to the endpoint of a `place`: (instance, endpoint)."""
+        problems = []
+        if destination != message.destination:
+            problems.append(f"message {request} to an endpoint of partner {destination}")
+        since_ns = self._unusable_since_ns.get(place)
+        if since_ns is not None and now_ns > since_ns + DRAIN_GRACE_NS:
+            late_ms = (now_ns - since_ns) // MS
+            problems.append(f"to endpoint {place[1]}, {late_ms} ms after its end was told")
+        return [("drain", why) for why in problems]
+
+    def _is_ahead(self, instance: int, message: MessageRecord) -> bool:
+        """Whether an earlier message of the same key has not ended."""
+        if not message.ordering_key:
+            return False
+        for other in self._keys[instance, message.ordering_key]:
+            if other is message:
+                return False
+            if other.attempt_out or not other.ended:
+                return True
+        return False
+
+    def _check_lateness(self, instance: int, now_ns: int, request: int, message: MessageRecord) -> None:
+        due_ns = message.deadline_ns + ANSWER_SLACK_NS
+        started_ns = self._started_ns.get(instance)
+        if started_ns is not None:
+            due_ns = max(due_ns, started_ns + READY_SLACK_NS)
+        if now_ns > due_ns:
+            late_ms = (now_ns - message.deadline_ns) // MS
+            why = f"message {request} answered {late_ms} ms after its time"
+            self.record_violation("final", now_ns, instance, why)
+
+    def _forget(self, instance: int, request: int, message: MessageRecord) -> None:
+        message.ended = True
+        self._messages.pop((instance, request), None)
+        if not message.ordering_key:
             return
-        if refused and entry.may_have_run_ns and self.classes[entry.cls].effect is Idempotency.NOT_IDEMPOTENT:
-            self.broke("repeat", now, courier, f"message {request} refused though it may have run")
-        entry.ended = True
-        self._in_time(courier, now, request, entry)
-        if not entry.out:
-            self._over(courier, request, entry)
-
-    def delivered(self, courier, now, request):
-        """A 200 came for a message that is open."""
-        entry = self.messages.get((courier, request))
-        if entry is not None and not entry.ended:
-            entry.ended = True
-            self._in_time(courier, now, request, entry)
-
-    def destination_collapsed(self, dest, now, informed, all_):
-        """A cold partner was pushed over."""
-        if informed >= BLAMED * all_:
-            self.broke(
-                "cold",
-                now,
-                -1,
-                f"partner {dest} fell over: {informed} of {all_} calls from couriers that knew",
-            )
-
-    def close(self, now, up):
-        """The run is over: what is overdue was lost. `up` are the couriers that run."""
-        for (courier, request), entry in sorted(self.messages.items()):
-            ready = self.ready_ns.get(courier, 0)
-            if not entry.ended and courier in up and now > max(entry.deadline_ns, ready) + READY_SLACK_NS:
-                self.broke("final", entry.deadline_ns, courier, f"message {request} never had a final answer")
-
-    # --- what follows ------------------------------------------------------------------------------
-
-    def _in_time(self, courier, now, request, entry):
-        ready = self.ready_ns.get(courier)
-        due = entry.deadline_ns + ANSWER_SLACK_NS
-        if ready is not None:
-            due = max(due, ready + READY_SLACK_NS)
-        if now > due:
-            late = (now - entry.deadline_ns) // MS
-            self.broke("final", now, courier, f"message {request} answered {late} ms after its time")
-
-    def _over(self, courier, request, entry):
-        entry.ended = True
-        self.messages.pop((courier, request), None)
-        if entry.key:
-            line = self.keys[courier, entry.key]
-            line.remove(entry)
-            if not line:
-                del self.keys[courier, entry.key]
+        same_key = self._keys[instance, message.ordering_key]
+        same_key.remove(message)
+        if not same_key:
+            del self._keys[instance, message.ordering_key]
--- a/pinspread/simulation/variants.py
+++ b/pinspread/simulation/variants.py
@@ -16,7 +16,17 @@
 from pinspread.simulation.policy_sources import CONSTANT_KEYS, PolicySources, VariantError, is_legacy
 
 # Modules of the model that hold classes of the policy once they are loaded.
-POLICY_USERS = ("simulate", "instance", "destination", "rules", "metrics")
+POLICY_USERS = (
+    "simulate",
+    "instance",
+    "outgoing_call",
+    "endpoint_directory",
+    "fault_injection",
+    "policy_settings",
+    "destination",
+    "rules",
+    "metrics",
+)
 POLICY = "pinspread.policy"
 
 
--- a/pinspread/testbed/platform_faults.py
+++ b/pinspread/testbed/platform_faults.py
@@ -7,9 +7,9 @@
 
 from pinspread.simulation.destination import Endpoint, ServingState
 from pinspread.simulation.engine import SECOND
+from pinspread.simulation.fault_injection import OUTAGE_STATES, REPLACED_NS
 from pinspread.simulation.random_streams import random_stream
 from pinspread.simulation.scenario import ScheduledFault
-from pinspread.simulation.simulate import OUTAGE_STATES, REPLACED_NS
 from pinspread.testbed.courier_process import CourierProcess
 from pinspread.testbed.endpoint_stand_in import EndpointStandIn
 from pinspread.testbed.platform_run import PlatformRun
--- a/pinspread/testbed/platform_run.py
+++ b/pinspread/testbed/platform_run.py
@@ -13,9 +13,9 @@
 from pinspread.simulation.clients import ClientBehavior
 from pinspread.simulation.destination import build_destinations
 from pinspread.simulation.model import FleetModel
+from pinspread.simulation.policy_settings import policy_settings
 from pinspread.simulation.rules import RuleChecker
 from pinspread.simulation.scenario import Scenario
-from pinspread.simulation.simulate import policy_settings
 from pinspread.testbed.real_time import RealTimeEngine
 
 DELIVERED = "delivered"
