--- a/pinspread/simulation/load.py
+++ b/pinspread/simulation/load.py
@@ -1,33 +1,42 @@
-"""Many real senders against one partner in virtual time: what each does has to fit the sum of all.
+"""Many delivery policies against one destination in virtual time: what each does has to fit the sum of all.
 
-Smaller than the model's days, whose limits are fixed spans: here a refused call uses up the limit of any second
-that it lies in, as seen of partners whose limits jam.
+Simpler than a `Simulation`, whose rate limits are fixed windows: here a rejected call uses up the limit of
+any second that it lies in, as was seen of destinations whose limits jam.
 """
 
 import random
 from collections import deque
+from collections.abc import Callable
 from heapq import heappop, heappush
 from itertools import count
 
-from pinspread.policy.actions import Send, SetTimer
+from pinspread.policy.actions import Action, Send, SetTimer
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import (
     AttemptCompleted,
     EndpointEntry,
     EndpointsChanged,
+    Event,
     MessageAccepted,
     Outcome,
     TimerFired,
     UpdateScope,
 )
 from pinspread.policy.settings import DestinationKind, Settings, TrafficClass
-from pinspread.policy.state import MS, SECOND
+from pinspread.simulation.engine import MS, SECOND
 
 OK, FULL = Outcome.OK, Outcome.OVERLOADED
+ENDPOINT = "a"
+DESTINATION = 1
+DEADLINE_S = 12
+CALL_NS = 50 * MS
 
+# Calls a second that a destination admits, by the second of the run.
+Limit = Callable[[float], float]
 
-def settings(senders):
-    """What each of so many senders is told: one repeatable class, an exact listed rate."""
+
+def settings(senders: int) -> Settings:
+    """Return the settings of each of so many senders: one idempotent class, an exact listed rate."""
     return Settings(
         classes=[TrafficClass(4 * SECOND, 20 * SECOND, late_value_share=0.3)],
         kinds=[DestinationKind()],
@@ -46,67 +55,109 @@
     )
 
 
-class Partner:
-    """Takes `limit(s)` calls in any second; refused calls use that up too, and no wait is told."""
+class LimitedDestination:
+    """Admits so many calls in any second; rejected calls count, too, and carry no Retry-After.
+
+    Attributes:
+        outcomes: Each call's time and outcome.
+    """
 
-    def __init__(self, limit):
+    def __init__(self, limit: Limit) -> None:
         self.limit = limit
-        self.lately = deque()
-        self.answers = []  # (at, verdict)
-
-    def call(self, now):
-        while self.lately and self.lately[0] <= now - SECOND:
-            self.lately.popleft()
-        verdict = FULL if len(self.lately) >= self.limit(now / SECOND) else OK
-        self.lately.append(now)
-        self.answers.append((now, verdict))
-        return verdict
-
-    def between(self, start, end, verdict):
-        return sum(v is verdict and start * SECOND <= at < end * SECOND for at, v in self.answers)
-
-
-def play(senders, limit, rates, span, seed=1):
-    """Poisson traffic of `rates` messages a second at each sender for `span` s; (partner, delivered)."""
-    chance = random.Random(seed)
-    partner = Partner(limit)
-    told = settings(senders)
-    entry = EndpointEntry("a", 1, weight=limit(0))
-    fleet = [DeliveryPolicy(told, seed=seed * 1000 + n) for n in range(senders)]
-    heap, order, ids, attempts = [], count(), count(1), {}
-    delivered = [0] * senders
-
-    def at(when, n, event):
-        heappush(heap, (int(when), next(order), n, event))
-
-    for n, rate in enumerate(rates):
-        at(0, n, EndpointsChanged(UpdateScope.CACHED, [entry]))
-        when = chance.expovariate(rate)
-        while when < span:
-            at(when * SECOND, n, MessageAccepted(next(ids), 0, 1, int((when + 12) * SECOND)))
-            when += chance.expovariate(rate)
-    while heap and heap[0][0] < (span + 12) * SECOND:
-        now, _, n, event = heappop(heap)
-        for action in fleet[n].handle(now, [event]):
-            if type(action) is SetTimer:
-                at(now + action.delay_ns, n, TimerFired(action.tag))
-            elif type(action) is Send:
-                number = attempts[action.request] = attempts.get(action.request, -1) + 1
-                verdict = partner.call(now)
-                delivered[n] += verdict is OK
-                took = 50 * MS
-                ended = AttemptCompleted(action.request, number, "a", verdict, took, verdict is OK)
-                at(now + took, n, ended)
-    return partner, delivered
-
-
-def lowered_limit(senders, limit=40.0, load=0.8, to=0.4, seed=1):
-    """The partner of a 30 s day whose limit falls to a part of itself from 10 s to 19 s."""
-    rates = [load * limit / senders] * senders
-    return play(senders, lambda s: to * limit if 10 <= s < 19 else limit, rates, 30, seed)[0]
-
-
-def burst(senders, limit=40.0, load=0.7, seed=2):
-    """Deliveries of each sender of a 10 s day on which the first is handed the whole limit's worth."""
-    rates = [limit, *[load * limit / senders] * (senders - 1)]
-    return play(senders, lambda s: limit, rates, 10, seed)[1]
+        self.outcomes: list[tuple[int, Outcome]] = []
+        self._last_second: deque[int] = deque()
+
+    def call(self, now_ns: int) -> Outcome:
+        """Take a call."""
+        while self._last_second and self._last_second[0] <= now_ns - SECOND:
+            self._last_second.popleft()
+        outcome = FULL if len(self._last_second) >= self.limit(now_ns / SECOND) else OK
+        self._last_second.append(now_ns)
+        self.outcomes.append((now_ns, outcome))
+        return outcome
+
+    def between(self, start_s: float, end_s: float, outcome: Outcome) -> int:
+        """Return how many calls of a time had an outcome."""
+        return sum(o is outcome and start_s * SECOND <= at < end_s * SECOND for at, o in self.outcomes)
+
+
+class LoadRun:
+    """A run of several senders against one destination.
+
+    Attributes:
+        delivered: How many messages each sender delivered.
+    """
+
+    def __init__(self, senders: int, limit: Limit, seed: int) -> None:
+        self.destination = LimitedDestination(limit)
+        self.delivered = [0] * senders
+        shared = settings(senders)
+        self._policies = [DeliveryPolicy(shared, seed=seed * 1000 + n) for n in range(senders)]
+        self._heap: list[tuple[int, int, int, Event]] = []
+        self._serials = count()
+        self._requests = count(1)
+        self._attempts: dict[int, int] = {}
+
+    def schedule(self, when_ns: float, sender: int, event: Event) -> None:
+        """Have a sender told of an event at a time."""
+        heappush(self._heap, (int(when_ns), next(self._serials), sender, event))
+
+    def schedule_messages(self, sender: int, rate_per_s: float, length_s: float, rng: random.Random) -> None:
+        """Have messages come to a sender at random times, at a mean rate."""
+        entry = EndpointEntry(ENDPOINT, DESTINATION, weight=self.destination.limit(0))
+        self.schedule(0, sender, EndpointsChanged(UpdateScope.CACHED, [entry]))
+        at_s = rng.expovariate(rate_per_s)
+        while at_s < length_s:
+            deadline_ns = int((at_s + DEADLINE_S) * SECOND)
+            message = MessageAccepted(next(self._requests), 0, DESTINATION, deadline_ns)
+            self.schedule(at_s * SECOND, sender, message)
+            at_s += rng.expovariate(rate_per_s)
+
+    def run(self, until_ns: float) -> None:
+        """Give the senders all events up to a time."""
+        while self._heap and self._heap[0][0] < until_ns:
+            now_ns, _, sender, event = heappop(self._heap)
+            for action in self._policies[sender].handle(now_ns, [event]):
+                self._perform(now_ns, sender, action)
+
+    def _perform(self, now_ns: int, sender: int, action: Action) -> None:
+        if isinstance(action, SetTimer):
+            self.schedule(now_ns + action.delay_ns, sender, TimerFired(action.tag))
+        elif isinstance(action, Send):
+            request = action.request
+            attempt = self._attempts[request] = self._attempts.get(request, -1) + 1
+            outcome = self.destination.call(now_ns)
+            self.delivered[sender] += outcome is OK
+            done = outcome is OK
+            completed = AttemptCompleted(request, attempt, ENDPOINT, outcome, CALL_NS, done)
+            self.schedule(now_ns + CALL_NS, sender, completed)
+
+
+def play(
+    limit: Limit, rates_per_s: list[float], length_s: float, seed: int = 1
+) -> tuple[LimitedDestination, list[int]]:
+    """Run Poisson traffic, at a rate for each sender.
+
+    Returns:
+        The destination, and how many messages each sender delivered.
+    """
+    rng = random.Random(seed)
+    run = LoadRun(len(rates_per_s), limit, seed)
+    for sender, rate_per_s in enumerate(rates_per_s):
+        run.schedule_messages(sender, rate_per_s, length_s, rng)
+    run.run((length_s + DEADLINE_S) * SECOND)
+    return run.destination, run.delivered
+
+
+def lowered_limit(
+    senders: int, limit: float = 40.0, load: float = 0.8, to: float = 0.4, seed: int = 1
+) -> LimitedDestination:
+    """Return the destination of a run of 30 s, whose limit falls to a part of itself from 10 s to 19 s."""
+    rates_per_s = [load * limit / senders] * senders
+    return play(lambda at_s: to * limit if 10 <= at_s < 19 else limit, rates_per_s, 30, seed)[0]
+
+
+def burst(senders: int, limit: float = 40.0, load: float = 0.7, seed: int = 2) -> list[int]:
+    """Return each sender's deliveries in 10 s, the first of whom gets messages for the whole limit."""
+    rates_per_s = [limit, *[load * limit / senders] * (senders - 1)]
+    return play(lambda at_s: limit, rates_per_s, 10, seed)[1]
--- a/pinspread/simulation/metrics.py
+++ b/pinspread/simulation/metrics.py
@@ -1,9 +1,9 @@
 """Measures a run, as the operators count it. The keys of the results are those of result files, and stay.
 
-Service: 30% the whole run, 40% its worst 10 s, 20% the worst-served class, 10% the worst-served tenant within
-its quota. Deductions, in points of service in 100: 2.8 for all failing only after their latency objective, 2.4
-for as much work wasted as was asked for, 2 for a new connection a message, 1.4 for a health check a message, 3
-for a call rejected over a limit a message. A run that breaks a rule counts as 0.
+Service: 30% the whole run, 40% its worst 10 s, 20% the worst-served class, 10% the worst-served tenant
+within its quota. Deductions, in points of service in 100: 2.8 for all failing only after their latency
+objective, 2.4 for as much work wasted as was asked for, 2 for a new connection a message, 1.4 for a health
+check a message, 3 for a call rejected over a limit a message. A run that breaks a rule counts as 0.
 """
 
 from collections.abc import Mapping, Sequence
