--- a/pinspread/simulation/clients.py
+++ b/pinspread/simulation/clients.py
@@ -42,7 +42,8 @@
 
     def deadline_ns(self, row: int) -> int:
         """Return until when a message may be delivered."""
-        return int(self.scenario.arrival_ns[row]) + self._deadlines_ns[self.scenario.class_index[row]]
+        allowed_ns = self._deadlines_ns[int(self.scenario.class_index[row])]
+        return int(self.scenario.arrival_ns[row]) + allowed_ns
 
     def retry_delay_ns(self, row: int, retry_after_ns: int) -> int | None:
         """Count a retry of a rejected message, and return how long its client waits before it.
--- a/pinspread/simulation/connection_pool.py
+++ b/pinspread/simulation/connection_pool.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from pinspread.simulation.destination import Endpoint
+from pinspread.simulation.endpoint import Endpoint
 from pinspread.simulation.engine import Engine
 
 if TYPE_CHECKING:
--- a/pinspread/simulation/destination.py
+++ b/pinspread/simulation/destination.py
@@ -5,81 +5,24 @@
 """
 
 from collections import deque
-from collections.abc import Sequence
-from enum import Enum, auto
 from typing import NamedTuple, Protocol
 
 from pinspread.policy.events import Outcome
+from pinspread.simulation.endpoint import ConnectResult, Endpoint, IncomingCall, ServingState
 from pinspread.simulation.engine import MS, SECOND, Scheduler
 from pinspread.simulation.model import FleetModel
 from pinspread.simulation.scenario import ERROR_DRAW, RETRY_AFTER_DRAW, DestinationSpec, Scenario
 
+__all__ = ["Collapse", "CollapseObserver", "Destination", "Endpoint", "ServingState", "build_destinations"]
+
 FAST_ERROR_NS = 5 * MS  # how long a failing endpoint takes to answer with an error
 NEVER_NS = 1 << 62
 FULL_CAPACITY = 1.0
 
 
-class ServingState(Enum):
-    """How an endpoint treats what reaches it."""
-
-    UP = auto()
-    CRASHED = auto()  # its process is down: connections are refused
-    SILENT = auto()  # it never answers
-    FAILING = auto()  # it answers with errors at once, all or a share
-    REJECTING = auto()  # it rejects all, and may say until when
-    COLLAPSED = auto()  # it was overloaded while it warmed up, and stays down
-
-
 WORK_LOST_IN = (ServingState.CRASHED, ServingState.SILENT, ServingState.COLLAPSED)
 
 
-class ConnectResult(Enum):
-    """What becomes of an attempt to open a connection."""
-
-    ACCEPTED = auto()
-    OVER_LIMIT = auto()  # accepted, and closed after a 503 to its first call
-    REFUSED = auto()
-    NO_ANSWER = auto()
-
-
-class IncomingCall(Protocol):
-    """A call as the destination sees it."""
-
-    @property
-    def instance(self) -> int:
-        """Number of the calling instance."""
-        ...
-
-    @property
-    def draws(self) -> Sequence[float]:
-        """The call's uniform random numbers, by the indices that `scenario` names."""
-        ...
-
-    def work_started(self) -> None:
-        """The endpoint begins to work on the call: from here on it takes effect."""
-        ...
-
-    def respond(self, outcome: Outcome, retry_after_ns: int) -> None:
-        """The endpoint answers; `retry_after_ns` is 0 where no Retry-After is given."""
-        ...
-
-    def reset(self) -> None:
-        """The connection is reset."""
-        ...
-
-
-class ConnectionOwner(Protocol):
-    """One that holds connections to an endpoint."""
-
-    def close_expired(self) -> None:
-        """Close the connections that have been idle for too long."""
-        ...
-
-    def connection_lost(self, reset: bool) -> None:
-        """The endpoint is gone; without a reset its connections stay open and silent."""
-        ...
-
-
 class CollapseObserver(Protocol):
     """One that is told of destinations that collapse."""
 
@@ -151,47 +94,6 @@
         return self.window_start_ns + self.window_ns - now_ns
 
 
-class Endpoint:
-    """One endpoint of a destination: its calls in work, its queue, its connections.
-
-    Attributes:
-        busy: Cores in use.
-        connection_limit: Connections that it accepts; 0: any number.
-        connections: Connections that are open.
-        connection_owners: Those that hold them.
-        incarnation: Grows whenever what is in work is lost.
-    """
-
-    __slots__ = (
-        "busy",
-        "connection_limit",
-        "connection_owners",
-        "connections",
-        "cores",
-        "destination",
-        "id",
-        "incarnation",
-        "queue",
-        "queue_limit",
-        "state",
-    )
-
-    def __init__(
-        self, id_: int, destination: "Destination", cores: int, queue_limit: int, connection_limit: int
-    ) -> None:
-        self.id = id_
-        self.destination = destination
-        self.cores = cores
-        self.queue_limit = queue_limit
-        self.connection_limit = connection_limit
-        self.queue: deque[tuple[IncomingCall, int]] = deque()
-        self.busy = 0
-        self.connections = 0
-        self.connection_owners: list[ConnectionOwner] = []
-        self.state = ServingState.UP
-        self.incarnation = 0
-
-
 class Destination:
     """One destination: its endpoints, its rate limit, its outages, and its capacity at the moment.
 
--- a/pinspread/simulation/endpoint_directory.py
+++ b/pinspread/simulation/endpoint_directory.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from pinspread.policy.events import EndpointEntry, EndpointState, UpdateScope
-from pinspread.simulation.destination import Endpoint
+from pinspread.simulation.endpoint import Endpoint
 from pinspread.simulation.engine import Engine
 
 if TYPE_CHECKING:
--- a/pinspread/simulation/fault_injection.py
+++ b/pinspread/simulation/fault_injection.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from pinspread.policy.events import EndpointState
-from pinspread.simulation.destination import Endpoint, ServingState
+from pinspread.simulation.endpoint import Endpoint, ServingState
 from pinspread.simulation.engine import MS, SECOND
 from pinspread.simulation.instance import Instance
 from pinspread.simulation.scenario import START_DRAWS, ScheduledFault
--- a/pinspread/simulation/instance.py
+++ b/pinspread/simulation/instance.py
@@ -16,16 +16,15 @@
     EndpointState,
     Event,
     HealthCheckCompleted,
-    MessageAccepted,
     Outcome,
     TimerFired,
     UpdateScope,
 )
 from pinspread.simulation.connection_pool import ConnectionPool
-from pinspread.simulation.destination import ConnectResult, Endpoint
+from pinspread.simulation.endpoint import ConnectResult, Endpoint
 from pinspread.simulation.engine import MS, SECOND
 from pinspread.simulation.outgoing_call import AcceptedMessage, OutgoingCall
-from pinspread.simulation.rules import NEVER_RAN, AttemptReport, MessageRecord
+from pinspread.simulation.rules import NEVER_RAN, AttemptReport
 from pinspread.simulation.scenario import ATTEMPT_DRAWS, ERROR_DRAW, OUTBOUND_DELAY_DRAW
 
 if TYPE_CHECKING:
@@ -107,7 +106,7 @@
         self.update_endpoints(UpdateScope.FULL, entries)
         self.simulation.checker.instance_started(self.number, self.engine.now)
         for message in self.messages.values():
-            self.post(self._accepted_event(message))
+            self.post(message.accepted_event(self.simulation.scenario))
 
     def stop(self) -> None:
         """Stop as after SIGTERM: new messages are rejected from now on, calls that are out may end."""
@@ -168,29 +167,10 @@
         self._last_message += 1
         message = AcceptedMessage(self._last_message, row, deadline_ns)
         self.messages[message.number] = message
-        record = MessageRecord(
-            int(scenario.class_index[row]),
-            int(scenario.destination[row]),
-            int(scenario.ordering_key[row]),
-            deadline_ns,
-        )
-        self.simulation.checker.message_accepted(self.number, message.number, record)
-        self.post(self._accepted_event(message))
+        self.simulation.checker.message_accepted(self.number, message.number, message.record(scenario))
+        self.post(message.accepted_event(scenario))
         return None
 
-    def _accepted_event(self, message: AcceptedMessage) -> MessageAccepted:
-        scenario, row = self.simulation.scenario, message.row
-        return MessageAccepted(
-            message.number,
-            int(scenario.class_index[row]),
-            int(scenario.destination[row]),
-            message.deadline_ns,
-            int(scenario.ordering_key[row]),
-            int(scenario.tenant_index[row]),
-            message.attempts,
-            message.may_have_run_ns,
-        )
-
     def update_endpoints(self, scope: UpdateScope, entries: list[EndpointEntry]) -> None:
         """Take an update of the endpoint list."""
         if scope is UpdateScope.FULL:
--- a/pinspread/simulation/outgoing_call.py
+++ b/pinspread/simulation/outgoing_call.py
@@ -3,9 +3,10 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from pinspread.policy.events import Outcome
-from pinspread.simulation.destination import Endpoint
-from pinspread.simulation.scenario import ERROR_DRAW, RETURN_DELAY_DRAW
+from pinspread.policy.events import MessageAccepted, Outcome
+from pinspread.simulation.endpoint import Endpoint
+from pinspread.simulation.rules import MessageRecord
+from pinspread.simulation.scenario import ERROR_DRAW, RETURN_DELAY_DRAW, Scenario
 
 if TYPE_CHECKING:
     from pinspread.simulation.instance import Instance
@@ -32,6 +33,28 @@
         self.may_have_run_ns = 0
         self.sent_call: OutgoingCall | None = None
 
+    def record(self, scenario: Scenario) -> MessageRecord:
+        """Return what the rule checker has to know of it."""
+        return MessageRecord(
+            int(scenario.class_index[self.row]),
+            int(scenario.destination[self.row]),
+            int(scenario.ordering_key[self.row]),
+            self.deadline_ns,
+        )
+
+    def accepted_event(self, scenario: Scenario) -> MessageAccepted:
+        """Return the event that tells a policy of it, also after a restart."""
+        return MessageAccepted(
+            self.number,
+            int(scenario.class_index[self.row]),
+            int(scenario.destination[self.row]),
+            self.deadline_ns,
+            int(scenario.ordering_key[self.row]),
+            int(scenario.tenant_index[self.row]),
+            self.attempts,
+            self.may_have_run_ns,
+        )
+
     def note_may_have_run(self, sent_ns: int) -> None:
         """Note that the attempt sent at a time may have taken effect; the first such time is kept."""
         self.may_have_run_ns = self.may_have_run_ns or sent_ns
--- a/pinspread/simulation/variants.py
+++ b/pinspread/simulation/variants.py
@@ -24,6 +24,7 @@
     "fault_injection",
     "policy_settings",
     "destination",
+    "endpoint",
     "rules",
     "metrics",
 )
