--- a/benchmarks/copies.py
+++ b/benchmarks/copies.py
@@ -1,4 +1,4 @@
-"""Copies under load on the fault stage: `PYTHONPATH=. python benchmarks/copies.py [OUT] [TRIALS] [--seed N] [--no-costs]` (about 11 s a trial).
+"""Replication under load on the cluster testbed: `PYTHONPATH=. python benchmarks/copies.py [OUT] [TRIALS] [--seed N] [--no-costs]` (about 11 s a trial).
 
 Five couriers with traffic; again and again one, drawn at random, is killed and its folder removed at a random
 moment, its work is taken over, and it is started again. A fifth of the messages comes by AMQP. Prints the ledger over
@@ -16,10 +16,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from pinspread.admin import status_client as show
-from pinspread.testbed import history_checker as judge
-from pinspread.testbed import processes as cast
-from pinspread.testbed import traffic
+from pinspread.admin import status_client
+from pinspread.testbed import cluster, history_checker
+from pinspread.testbed.ledger import ledger
 
 LEASES = {"lease_s": 2.0, "renew_s": 0.6, "retry_s": 0.2, "drift_s": 0.1, "margin_s": 0.1, "election_s": 0.3}
 SCENE = {
@@ -42,30 +41,31 @@
 
 
 async def trials(folder, count, seed=1):
+    """Kill couriers and remove their folders, `count` times under load; the history's lines."""
     rng = random.Random(seed)
     load = {"rate": 8.0, "slow_s": 0.8, "for_s": 11.0 * count + 4, "deadline_s": 20.0, "amqp_share": 0.2}
-    stage = cast.ClusterTestbed(SCENE | {"copies": {"count": 2, "need": 1}, "traffic": load}, folder)
+    testbed = cluster.ClusterTestbed(SCENE | {"copies": {"count": 2, "need": 1}, "traffic": load}, folder)
     try:
-        await stage.begin()
+        await testbed.begin()
         ends = time.monotonic() + load["for_s"] + load["deadline_s"] + 2  # when the last message's time is up
         await asyncio.sleep(3)
         for n in range(count):
-            victim = rng.choice(stage.cast)
+            victim = rng.choice(testbed.members)
             await asyncio.sleep(rng.uniform(0, 1))
-            await stage.act({"s": 0, "do": "wipe", "who": [victim.id]})
+            await testbed.act({"s": 0, "do": "wipe", "who": [victim.id]})
             await asyncio.sleep(5)
-            await stage.act({"s": 0, "do": "start", "who": [victim.id]})
+            await testbed.act({"s": 0, "do": "start", "who": [victim.id]})
             await asyncio.sleep(5)
             print(f"  trial {n + 1}: {victim.id}", flush=True)
         await asyncio.sleep(max(0, ends - time.monotonic()))
     finally:
-        await stage.hush()
-        await asyncio.to_thread(stage.finish)
-    return judge.read_scene(Path(folder) / "history.jsonl")
+        await testbed.stop_traffic()
+        await asyncio.to_thread(testbed.finish)
+    return history_checker.read_scenario(Path(folder) / "history.jsonl")
 
 
 def flowing(lines):
-    """Microseconds from each kill to the first branch or end elsewhere of what the lost courier had taken.
+    """Microseconds from each kill to the first attempt or end elsewhere of what the lost courier had accepted.
 
     Only of kills after which something was taken over before the courier came back; the others are counted.
     """
@@ -99,20 +99,22 @@
 
 
 async def cost(folder, count, need, sync=False):
-    """Latency and throughput at the couriers' doors, with `count` copies kept (0: none) and `need` waited for."""
+    """Latency and throughput of the couriers, with `count` replicas (0: none) of which `need` must confirm."""
     load = {"rate": 60.0, "slow_s": 0.02, "for_s": 8.0, "deadline_s": 10.0}
     copies = {"copies": {"count": count, "need": need, "sync": sync}} if count else {}
-    stage = cast.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
+    testbed = cluster.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
     try:
-        await stage.begin()
+        await testbed.begin()
         await asyncio.sleep(12)
         views = [
-            await asyncio.to_thread(show.fetch, f"{c.real[0]}:9600", "copies") for c in stage.cast if count
+            await asyncio.to_thread(status_client.fetch, f"{c.real[0]}:9600", "copies")
+            for c in testbed.members
+            if count
         ]
     finally:
-        await stage.hush()
-        await asyncio.to_thread(stage.finish)
-    lines = judge.read_scene(Path(folder) / "history.jsonl")
+        await testbed.stop_traffic()
+        await asyncio.to_thread(testbed.finish)
+    lines = history_checker.read_scenario(Path(folder) / "history.jsonl")
     took = [li["took_us"] for li in lines if li.get("event") == "acked"]
     sent = sum(v["sent_bytes"] for v in views)
     print(f"R={count}, W={need}{', synced' * sync}: ms to +OK: {spread(took)}; {len(took) / 8:.0f} messages a second in all;"
@@ -124,14 +126,14 @@
     load = {"loops": 32, "at": ["m0"], "slow_s": 0.0, "busy_share": 0.0, "limit": 5000}
     load |= {"for_s": 8.0, "deadline_s": 10.0}
     copies = {"copies": {"count": count, "need": need, "sync": sync}} if count else {}
-    stage = cast.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
+    testbed = cluster.ClusterTestbed(SCENE | copies | {"traffic": load}, folder)
     try:
-        await stage.begin()
+        await testbed.begin()
         await asyncio.sleep(9)
     finally:
-        await stage.hush()
-        await asyncio.to_thread(stage.finish)
-    lines = judge.read_scene(Path(folder) / "history.jsonl")
+        await testbed.stop_traffic()
+        await asyncio.to_thread(testbed.finish)
+    lines = history_checker.read_scenario(Path(folder) / "history.jsonl")
     took = [li["took_us"] for li in lines if li.get("event") == "acked"]
     busy = sum(li.get("event") == "turned_away" for li in lines)
     print(f"R={count}, W={need}{', synced' * sync}: {len(took) / 8:.0f} messages a second at one courier, ms to +OK:"
@@ -151,21 +153,21 @@
 def played(out, count, seed):
     """The trials and what became of all; 1 if anything was lost or done twice."""
     lines = asyncio.run(trials(out / "trials", count, seed))
-    found = traffic.ledger(lines)
-    print("ledger:", {k: v if isinstance(v, int) else len(v) for k, v in found.items()})
+    found = ledger(lines)
+    print("ledger:", {k: v if isinstance(v, int) else len(v) for k, v in found.to_dict().items()})
     flows, others = flowing(lines)
     print(f"seconds from the kill until work flows again: {spread(flows, 1e6)}; nothing taken over: {others}")
     waits = [li for li in lines if li.get("event") in ("copies_awaited", "copies_unsure")]
     print("takeovers that waited for a copy:", len(waits))
     print("taken over:", sum(li.get("event") == "copies_taken_over" for li in lines))
-    return 1 if any(found[k] for k in ("lost", "two_finals", "payments_twice", "disordered")) else 0
+    return 0 if found.clean else 1
 
 
 if __name__ == "__main__":
-    words = argparse.ArgumentParser(description="Copies under kills, and what they cost.")
-    words.add_argument("out", nargs="?", type=Path, default=Path("found/copies"))
-    words.add_argument("trials", nargs="?", type=int, default=100, help="kills; 0 leaves them out")
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--no-costs", dest="costs", action="store_false")
-    chosen = words.parse_args()
+    parser = argparse.ArgumentParser(description="Replication under kills, and what it costs.")
+    parser.add_argument("out", nargs="?", type=Path, default=Path("found/copies"))
+    parser.add_argument("trials", nargs="?", type=int, default=100, help="kills; 0 leaves them out")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--no-costs", dest="costs", action="store_false")
+    chosen = parser.parse_args()
     sys.exit(main(chosen.out, chosen.trials, chosen.seed, chosen.costs))
--- a/benchmarks/copies_chaos.py
+++ b/benchmarks/copies_chaos.py
@@ -1,4 +1,4 @@
-"""Copies under faults at random: `PYTHONPATH=. python benchmarks/copies_chaos.py [OUT] [SECONDS] [--seed N]`.
+"""Replication under faults at random: `PYTHONPATH=. python benchmarks/copies_chaos.py [OUT] [SECONDS] [--seed N]`.
 
 Five couriers with traffic on both fronts, R = 2, W = 1. One trouble after another, drawn at random: a courier lost
 with its disk (and then, for some, whoever took its work over killed too), killed, ended by SIGTERM, stopped; one-way
@@ -15,8 +15,7 @@
 from collections import Counter
 from pathlib import Path
 
-from pinspread.testbed import history_checker as judge
-from pinspread.testbed import processes as cast
+from pinspread.testbed import cluster, history_checker
 
 LEASES = {"lease_s": 2.0, "renew_s": 0.6, "retry_s": 0.2, "drift_s": 0.1, "margin_s": 0.1, "election_s": 0.3}
 LIFE_S = 25.0
@@ -68,29 +67,30 @@
     """Play for so long; the history's lines, and how often each trouble came."""
     rng, counts = random.Random(seed), Counter()
     load = {"rate": 6.0, "slow_s": 0.6, "for_s": seconds, "deadline_s": LIFE_S, "amqp_share": 0.25}
-    stage = cast.ClusterTestbed(SCENE | {"traffic": load, "seed": seed}, folder)
+    testbed = cluster.ClusterTestbed(SCENE | {"traffic": load, "seed": seed}, folder)
     try:
-        await stage.begin()
+        await testbed.begin()
         began = time.monotonic()
         await asyncio.sleep(3)
         while time.monotonic() - began < seconds - 20:
-            name, steps = faults(rng, [c.id for c in stage.cast])
+            name, steps = faults(rng, [c.id for c in testbed.members])
             counts[name] += 1
             for wait_s, event in steps:
                 await asyncio.sleep(wait_s)
-                await stage.act({"s": 0, **event})
+                await testbed.act({"s": 0, **event})
             await asyncio.sleep(rng.uniform(4, 9))
         await asyncio.sleep(max(0, began + seconds + LIFE_S + 2 - time.monotonic()))
     finally:
-        await stage.hush()
-        await asyncio.to_thread(stage.finish)
-    return judge.read_scene(Path(folder) / "history.jsonl"), counts
+        await testbed.stop_traffic()
+        await asyncio.to_thread(testbed.finish)
+    return history_checker.read_scenario(Path(folder) / "history.jsonl"), counts
 
 
 def main(out, seconds, seed):
+    """Play and print the verdicts; 0 if all hold."""
     lines, counts = asyncio.run(play(out, seconds, seed))
     print("troubles:", sum(counts.values()), dict(counts))
-    found = judge.judge(lines, [{"kind": "ledger", "least": 100}, {"kind": "one_holder"}])
+    found = history_checker.check(lines, [{"kind": "ledger", "least": 100}, {"kind": "one_holder"}])
     for verdict in found:
         print("ok  " if verdict["ok"] else "FAIL", verdict)
     print("taken over:", sum(li.get("event") == "copies_taken_over" for li in lines))
@@ -98,7 +98,7 @@
 
 
 if __name__ == "__main__":
-    words = argparse.ArgumentParser(description="Copies under faults at random.")
+    words = argparse.ArgumentParser(description="Replication under faults at random.")
     words.add_argument("out", nargs="?", type=Path, default=Path("found/copies-chaos"))
     words.add_argument("seconds", nargs="?", type=float, default=300)
     words.add_argument("--seed", type=int, default=1)
--- a/pinspread/testbed/client_traffic.py
+++ b/pinspread/testbed/client_traffic.py
@@ -59,19 +59,25 @@
         """Submit a message until it is accepted, its time is up, or its client gives up."""
         run = self.run
         deadline_ns = run.clients.deadline_ns(row)
+        courier = None  # the one that has not answered yet
         while True:
             left_ns = deadline_ns - run.engine.now
             if left_ns <= 0:
                 run.ended_ns[row] = run.engine.now
                 return
-            courier = self._courier(row)
-            answer = await self._enqueue(courier, row, left_ns // MS) if courier else ""
+            # It may have been accepted though the answer is lost. Under another id, or at another courier, it
+            # would be another message, and a payment would run twice by its client's fault.
+            courier = courier or self._courier(row)
+            if self._message_id(row) in run.finals:
+                return  # it was accepted, and ended before the answer came
+            answer = await self._enqueue(courier, row, left_ns // MS) if courier and courier.ready else ""
             if answer.startswith("+"):
                 return
             if not answer.startswith("-BUSY"):
                 run.unanswered += 1
                 await anyio.sleep(RETRY_INTERVAL_S)
                 continue
+            courier = None
             run.rejected += 1
             words = answer.split()
             if not await self._wait_to_come_again(row, int(words[1]) if len(words) > 1 else 0):
@@ -97,10 +103,10 @@
         return next((courier for courier in in_turn if courier.ready), None)
 
     def _message_id(self, row: int) -> str:
-        """An id for one submission of a message, which begins with its row."""
+        """The id of a message, which begins with its row; another each time that its client comes again."""
         run = self.run
         tries = int(run.clients.retries[row])
-        nonce = random_seed(run.scenario.seed, "id", row, run.unanswered) & 0xFFFFFF
+        nonce = random_seed(run.scenario.seed, "id", row) & 0xFFFFFF
         return f"{row:08x}{tries:02x}{nonce:06x}"
 
     def _options(self, row: int, left_ms: int) -> str:
@@ -114,7 +120,9 @@
         run = self.run
         id_ = self._message_id(row)
         key = str(int(run.scenario.ordering_key[row]))
-        client = courier.idle_clients.pop() if courier.idle_clients else Client(courier.address, again=True)
+        client = (
+            courier.idle_clients.pop() if courier.idle_clients else Client(courier.address, reconnect=True)
+        )
         run.accepted[id_] = row  # it may be accepted though the answer is lost
         try:
             with anyio.fail_after(ANSWER_TIMEOUT_S):
--- a/pinspread/testbed/endpoint_stand_in.py
+++ b/pinspread/testbed/endpoint_stand_in.py
@@ -34,13 +34,13 @@
     """
 
     def __init__(
-        self, run: PlatformRun, courier: int, row: int | None, work_ns: int, chance: Sequence[float]
+        self, run: PlatformRun, instance: int, row: int | None, work_ns: int, draws: Sequence[float]
     ) -> None:
         self.run = run
-        self.instance = courier
+        self.instance = instance
         self.row = row
         self.work_ns = work_ns
-        self.draws = chance
+        self.draws = draws
         self.abandoned = False
         self.result: asyncio.Future[tuple[Outcome, int]] = asyncio.get_running_loop().create_future()
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,20 @@
 from pinspread.policy import retry_budget
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointsChanged, EndpointState, Outcome, UpdateScope
-from pinspread.simulation import compare, experiment, fit, paper, policy_sources, runs, simulate, trace
+from pinspread.simulation import (
+    compare,
+    experiment,
+    experiment_file,
+    fit,
+    paper,
+    policy_sources,
+    results,
+    runs,
+    simulate,
+    trace,
+    trace_recording,
+    trace_replay,
+)
 from pinspread.simulation import metrics as accounts
 from pinspread.simulation import scenario as scenarios
 from pinspread.simulation.destination import Destination, ServingState
@@ -57,7 +70,7 @@
     assert seen == sorted(seen) and len(seen) == len(delays) and engine.now == 100
 
 
-def test_what_wakes_itself_for_ever_is_stuck_and_does_not_hang():
+def test_an_event_that_plans_itself_for_ever_is_reported_as_stalled():
     engine = Engine()
 
     def again():
@@ -79,7 +92,7 @@
     assert not np.array_equal(a.arrival_ns, scenarios.draw_scenario(world(), 6).arrival_ns)
 
 
-def test_a_day_holds_to_the_figures_of_its_world():
+def test_a_day_holds_to_the_figures_of_its_model():
     one = world(length_s=300)
     drawn = scenarios.draw_scenario(one, 3)
     assert len(drawn.arrival_ns) == pytest.approx(31 * 300, rel=0.1)
@@ -103,14 +116,14 @@
         ({"trouble": [{"kind": "flood", "at_s": 1}]}, "trouble[0].kind"),
     ],
 )
-def test_a_bad_world_is_refused_with_its_place(tables, place, tmp_path):
+def test_a_malformed_model_is_refused_with_its_place(tables, place, tmp_path):
     lines = ["[experiment]", 'name = "x"']
     file = tmp_path / "x.toml"
     file.write_text("\n".join(lines) + "\n")
-    one = experiment.ExperimentFile.model_validate(
+    one = experiment_file.ExperimentFile.model_validate(
         {"experiment": {"name": "x"}, "world": {"length_s": 15} | tables}
     )
-    with pytest.raises(experiment.ExperimentError) as caught:
+    with pytest.raises(experiment_file.ExperimentError) as caught:
         experiment.Experiment(one, tmp_path)
     assert place in str(caught.value)
 
@@ -177,7 +190,7 @@
     assert late.got == [(Outcome.OK, 0)]
 
 
-def test_a_partner_comes_back_at_a_fifth_is_warm_in_9_s_and_falls_when_pushed():
+def test_a_destination_returns_at_a_fifth_is_warm_in_9_s_and_fails_when_overloaded():
     engine, one, endpoint = partner(capacity_per_s=4.0)
     one.start_outage(ServingState.CRASHED, 0)
     one.record_failure(7)
@@ -194,7 +207,7 @@
     assert endpoint.state is not ServingState.UP
 
 
-def test_an_outage_that_ends_inside_another_does_not_bring_the_partner_back():
+def test_an_outage_that_ends_inside_another_does_not_bring_the_destination_back():
     engine, one, endpoint = partner()
     one.start_outage(ServingState.CRASHED, 4 * SECOND)
     one.record_failure(7)
@@ -208,7 +221,7 @@
     assert endpoint.state is ServingState.UP and one.capacity_fraction() == pytest.approx(0.2)
 
 
-def test_who_did_not_know_is_not_blamed_for_a_fall():
+def test_a_sender_that_could_not_know_is_not_blamed_for_an_overload():
     engine, one, endpoint = partner(capacity_per_s=4.0)
     one.start_outage(ServingState.CRASHED, 0)
     one.end_outage()
@@ -217,7 +230,7 @@
     assert len(one.collapses) == 1 and one.observer.counts["cold"] == 0
 
 
-def test_what_was_in_work_is_lost_with_the_process_and_never_answered_as_done():
+def test_requests_in_progress_are_lost_with_the_process_and_never_answered_as_done():
     engine, one, endpoint = partner()
     call = Caller()
     one.arrive(endpoint, call, 100 * MS)
@@ -299,7 +312,7 @@
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_the_checker_catches_a_module_that_breaks(rule):
+def test_the_checker_catches_a_policy_that_breaks_a_rule(rule):
     busy = world(couriers={"count": 2}, **TROUBLED)
     if rule == "cold":
         busy = world(
@@ -313,7 +326,7 @@
     assert any(b["rule"] == rule and b["why"] and b["at_s"] > 0 for b in broke["breaks"])
 
 
-def test_the_checker_catches_a_payment_that_is_sent_again_after_a_restart():
+def test_the_checker_catches_a_payment_that_is_retried_after_a_restart():
     kills = [{"kind": "kill", "at_s": at, "length_s": 1, "share": 1.0, "batch": 1.0} for at in (3, 6, 9)]
     busy = world(trouble=kills)
     assert not play(busy, policy_class=DeliveryPolicy)["broken"].get("repeat")
@@ -331,13 +344,13 @@
     assert [c.starts for c in fleet.instances] == [2, 2, 2] and all(c.up for c in fleet.instances)
 
 
-def test_the_module_as_it_is_keeps_the_rules_on_a_troubled_day():
+def test_the_policy_as_it_is_keeps_the_rules_on_a_day_with_faults():
     found = play(world(**TROUBLED), 1)
     assert not found["broken"] and found["payments_twice"] == 0
     assert 0.5 < found["service"] < 1 and found["delivered"] + found["failed"] == found["messages"]
 
 
-def test_a_restart_resumes_what_was_held_and_without_a_journal_it_is_lost():
+def test_a_restart_resumes_accepted_messages_and_without_a_journal_they_are_lost():
     kill = [{"kind": "kill", "at_s": 5, "length_s": 1, "share": 1.0, "batch": 1.0}]
     calm = {"traffic": {"clump_share": 0.0, "load": 0.3}}
     kept = play(world(trouble=kill, **calm))
@@ -355,7 +368,7 @@
 @pytest.mark.parametrize(
     ("age_s", "share"), [(-1, 0), (1, 1), (2, 1), (4, 0.5), (6, 0.3), (20, 0.3), (21, 0)], ids=str
 )
-def test_worth_falls_by_half_with_each_further_aim_to_its_least_and_to_nothing(age_s, share):
+def test_priority_weight_halves_with_each_further_objective_down_to_its_least_and_to_nothing(age_s, share):
     age = np.array([int(age_s * SECOND)])
     asked, earned = accounts.message_values(world(), one_payment(age, True))  # 2 s, 20 s, 30%
     assert asked[0] == 5 and earned[0] == pytest.approx(5 * share)
@@ -363,7 +376,7 @@
     assert over[0] == pytest.approx(earned[0] * 0.2)
 
 
-def test_service_weighs_whole_worst_class_and_team():
+def test_service_weighs_the_whole_the_worst_class_and_the_worst_tenant():
     at = np.arange(0, 30, 0.5) * SECOND
     n = len(at)
     cls, team = np.arange(n) % 3, np.arange(n) % 2
@@ -389,8 +402,8 @@
 
 def result(name, services):
     one = play(world(length_s=4))
-    return {"variant": name, "seeds": list(range(len(services))),
-            "runs": [one | {"service": s, "service_unbroken": s} for s in services]}  # fmt: skip
+    runs = [one | {"service": s, "service_unbroken": s} for s in services]
+    return results.PointResult.from_record({"variant": name, "runs": runs}, range(len(services)))
 
 
 @pytest.mark.parametrize(
@@ -403,13 +416,15 @@
         ([0.1, 0.1, 0.1], "cannot tell", "too few"),
     ],
 )
-def test_verdicts_are_plain(shift, word, why):
+def test_verdicts_of_comparisons_are_plain(shift, word, why):
     base = [0.80 + n / 100 for n in range(len(shift))]
     found = compare.compare_variants(
         result("a", base), result("b", [b + s for b, s in zip(base, shift, strict=True)])
     )
-    assert found["verdict"] == word and why in found["why"]
-    assert found["why"] in compare.format_comparison(found)
+    assert found.verdict.word == word and why in found.verdict.reason
+    assert found.verdict.reason in compare.format_comparison(found)
+    shown = found.to_document()
+    assert (shown["verdict"], shown["why"]) == found.verdict and len(shown["figures"]) == len(compare.FIGURES)
 
 
 @pytest.mark.parametrize(
@@ -427,10 +442,11 @@
     for name, broke in (("a", a_broke), ("b", b_broke)):
         side = result(name, services)
         for n in broke:
-            side["runs"][n] = side["runs"][n] | {"service": 0.0, "broken": {"cold": 1}}
+            record = side.runs[n].record | {"service": 0.0, "broken": {"cold": 1}}
+            side.runs[n] = results.RunResult(record)
         sides.append(side)
     found = compare.compare_variants(*sides)
-    assert found["verdict"] == word and why in found["why"]
+    assert found.verdict.word == word and why in found.verdict.reason
     assert compare.format_comparison(found).count("service counts as 0") == len(a_broke) + len(b_broke)
 
 
@@ -539,13 +555,13 @@
 def test_a_bad_experiment_is_refused_with_its_place(old, new, place, tmp_path):
     file = tmp_path / "x.toml"
     file.write_text(SMALL.replace(old, new, 1))
-    with pytest.raises(experiment.ExperimentError) as caught:
+    with pytest.raises(experiment_file.ExperimentError) as caught:
         experiment.load_experiment(str(file))
     assert place in str(caught.value) and "x.toml" in str(caught.value)
 
 
 @pytest.mark.parametrize("file", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda p: p.name)
-def test_the_experiments_are_well(file):
+def test_the_experiment_files_are_valid(file):
     text = file.read_text()
     if "revision" in text and subprocess.run(["git", "-C", ROOT, "cat-file", "-e", "360bbd6"]).returncode:
         pytest.skip("a checkout without its history")
@@ -579,6 +595,7 @@
         (["fleet", "run", "experiments/smoke.toml"], 2, "--out"),
         (["fleet", "inspect", "README.md"], 2, "no trace"),
         (["fleet", "compare", "README.md", "README.md"], 2, "no result"),
+        (["fleet", "loopback", "experiments/smoke.toml", "--out", "x", "--variant", "x"], 2, "no variant"),
         (["fleet", "walk"], 2, "walk"),
         (["demo", "--seconds", "soon"], 2, "--seconds"),
     ],
@@ -591,7 +608,7 @@
 
 
 def test_the_papers_figures():
-    found = paper.recompute_figures(experiment.RetryPaper(), range(200))
+    found = paper.recompute_figures(experiment_file.RetryPaper(), range(200))
     for randomness, theirs in (("0.01", 35), ("0.5", 5)):
         low, high = found["randomness"][randomness]["last_retry_5_95"]
         assert low <= theirs <= high
@@ -613,21 +630,21 @@
 
 
 def test_a_log_becomes_a_trace_that_can_be_played_and_holds_no_names(tmp_path):
-    found = trace.record_trace([("a", [*log_lines(), b"not json", b"{}"])], KEY)
+    found = trace_recording.record_trace([("a", [*log_lines(), b"not json", b"{}"])], KEY)
     trace.write_trace(found, str(tmp_path / "t"))
     back = trace.read_trace(str(tmp_path / "t"))
-    assert back == orjson.loads(orjson.dumps(found)) and back["skipped_lines"] == 2
-    text = orjson.dumps(back)
+    assert back == found and back.skipped_lines == 2
+    text = orjson.dumps(trace.to_document(back))
     assert b"north-circuit" not in text and b"id7" not in text and b"s-1" not in text
-    other = trace.record_trace([("a", log_lines())], KEY + b"!")
-    assert other["arrivals"]["id"] != found["arrivals"]["id"]
-    played = simulate.Simulation(world(), trace.replay_trace(str(tmp_path / "t"), world(), 1)).run()
+    other = trace_recording.record_trace([("a", log_lines())], KEY + b"!")
+    assert other.arrivals.id != found.arrivals.id
+    played = simulate.Simulation(world(), trace_replay.replay_trace(str(tmp_path / "t"), world(), 1)).run()
     assert played["messages"] == 60 and played["delivered"] == 60
     assert played["latency_all"]["ms"]["50"] == pytest.approx(125, rel=0.5)
 
 
 @pytest.mark.parametrize(("meets", "verdict"), [("busy", "overloaded"), ("refused", "connect_failed")])
-def test_a_connection_too_many_is_turned_away_as_the_world_says(meets, verdict):
+def test_a_connection_too_many_is_rejected_as_the_model_says(meets, verdict):
     tables = {"table": 0.5, "least_table": 2.0}
     traffic = {"load": 0.8, "clump_share": 0.3}
     world = FleetModel.model_validate(
@@ -639,7 +656,7 @@
 
 
 @pytest.mark.parametrize("seed", [21, 38])
-def test_many_couriers_do_not_push_over_what_returns_cold(seed):
+def test_many_couriers_do_not_overload_a_destination_that_warms_up(seed):
     # With a look at once at each endpoint by each courier, rule `cold` broke on these days with 8 of 8 seeds.
     down = {"kind": "crash", "at_s": 8, "length_s": 12, "share": 0.2}
     world = FleetModel.model_validate({"length_s": 34, "couriers": {"count": 6}, "trouble": [down]})
@@ -657,7 +674,7 @@
 def test_a_run_is_not_found_again_by_its_traces_name_when_what_is_in_it_has_changed(tmp_path):
     keys = []
     for count in (20, 30):
-        trace.write_trace(trace.record_trace([("a", log_lines(count))], KEY), str(tmp_path / "t"))
+        trace.write_trace(trace_recording.record_trace([("a", log_lines(count))], KEY), str(tmp_path / "t"))
         (tmp_path / "x.toml").write_text('trace = "t"\n' + SMALL)
         keys.append(runs.run_key(experiment.load_experiment(str(tmp_path / "x.toml")).points[0], 1))
     assert keys[0] != keys[1]
@@ -666,7 +683,7 @@
 @pytest.fixture(scope="module")
 def written(tmp_path_factory):
     path = tmp_path_factory.mktemp("trace") / "t"
-    trace.write_trace(trace.record_trace([("a", log_lines())], KEY), str(path))
+    trace.write_trace(trace_recording.record_trace([("a", log_lines())], KEY), str(path))
     return path
 
 
@@ -690,7 +707,7 @@
     ("data", "why"),
     [(b"", "no trace"), (b"PK\3\4 something else", "no trace"), (trace.MAGIC, "cut off in its head")],
 )
-def test_a_foreign_file_is_no_trace(data, why, tmp_path):
+def test_a_file_of_another_form_is_no_trace(data, why, tmp_path):
     (tmp_path / "x").write_bytes(data)
     with pytest.raises(trace.TraceError, match=why):
         trace.read_trace(str(tmp_path / "x"))
@@ -698,29 +715,32 @@
 
 def test_a_short_key_and_an_empty_log_are_refused():
     with pytest.raises(trace.TraceError, match="16"):
-        trace.record_trace([("a", log_lines())], b"short")
+        trace_recording.record_trace([("a", log_lines())], b"short")
     with pytest.raises(trace.TraceError, match="no message"):
-        trace.record_trace([("a", [])], KEY)
+        trace_recording.record_trace([("a", [])], KEY)
 
 
 def test_fits_say_how_well_they_hold():
     rng = np.random.default_rng(1)
     good = fit.fit_latency(rng.lognormal(5, 0.4, 400))
-    assert good["holds"] == "well" and good["sigma"] == pytest.approx(0.4, rel=0.1)
+    assert good.quality == "well" and good.sigma == pytest.approx(0.4, rel=0.1)
     bad = fit.fit_latency(np.concatenate([np.full(200, 10.0), np.full(200, 900.0)]))
-    assert bad["holds"] == "badly" and fit.fit_latency([1.0] * 3)["holds"] == "too few to tell"
+    assert bad.quality == "badly" and fit.fit_latency([1.0] * 3).quality == "too few to tell"
+
+
+def attempts_of(rows):
+    return [fit.RecordedAttempt(*row) for row in rows]
 
 
 def test_fits_find_an_outage_and_a_limit():
-    columns = {"dest": [1]}
     outcomes = [[0, n * 100_000, 1, "h", "OK", 50_000, 0, 0] for n in range(20)]
     outcomes += [[0, 2_000_000 + n * 300_000, 1, "h", "TIMEOUT", 250_000, 0, 0] for n in range(5)]
     outcomes += [[0, 4_000_000 + n * 100_000, 1, "h", "OK", 50_000, 0, 0] for n in range(20)]
     outcomes += [[0, 5_000_000 + n * 100_000, 1, "h", "FULL", 5_000, 400_000, 0] for n in range(4)]
-    (found,) = fit.fit_destinations(columns, sorted(outcomes, key=lambda o: o[1]))
-    (outage,) = found["outages"]
-    assert outage["kind"] == "silent" and outage["failures"] == 5
-    assert found["limit_per_s"] == pytest.approx(9, abs=2) and found["tells"] == 1
+    (found,) = fit.fit_destinations([1], attempts_of(sorted(outcomes, key=lambda o: o[1])))
+    (outage,) = found.outages
+    assert outage.kind == "silent" and outage.failures == 5
+    assert found.limit.per_s == pytest.approx(9, abs=2) and found.retry_after_share == 1
 
 
 @pytest.mark.parametrize(
@@ -738,8 +758,8 @@
     rows = [[0, n * 100_000, 1, "h", "OK", 10_000, 0, 0] for n in range(11)]
     rows += [[0, at * 1000, 1, "h", verdict, 10_000, wait * 1000, 0] for at, verdict, wait in failures]
     rows += [[0, 9_010_000, 1, "h", "OK", 10_000, 0, 0]]
-    (found,) = fit.fit_destinations({"dest": [1]}, rows)
-    told = [(o["kind"], round(o["from_us"] / 1000), round(o["until_us"] / 1000)) for o in found["outages"]]
+    (found,) = fit.fit_destinations([1], attempts_of(rows))
+    told = [(o.kind, round(o.from_us / 1000), round(o.until_us / 1000)) for o in found.outages]
     assert told == ([expected] if expected else [])
 
 
@@ -758,7 +778,7 @@
     return run.stdout.split()
 
 
-def test_the_serving_process_loads_none_of_it():
+def test_the_serving_process_loads_no_simulation_testbed_or_cluster():
     loaded = loaded_by("import pinspread.__main__, pinspread.service")
     heavy = (
         "numpy",
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -21,8 +21,8 @@
 
 @pytest.fixture
 def policy(tmp_path):
-    told = settings.read(configuration(tmp_path), {})
-    return DeliveryPolicy(told.policy_settings, told.seed)
+    effective_settings = settings.read(configuration(tmp_path), {})
+    return DeliveryPolicy(effective_settings.policy_settings, effective_settings.seed)
 
 
 def test_another_process_of_this_version_has_the_same_shape(policy):
@@ -137,6 +137,6 @@
         pickle.dumps(print),
     ],
 )
-def test_what_is_no_state_is_refused(data):
+def test_what_is_no_state_is_rejected(data):
     with pytest.raises(HandoverFormatError):
         state_codec.read_state(data)
--- a/tests/test_stage.py
+++ b/tests/test_stage.py
@@ -1,18 +1,17 @@
-"""The fault stage with real couriers: membership under pauses, kills, one-way cuts and strange datagrams."""
+"""Real couriers of a cluster: membership under pauses, kills, one-way cuts and strange datagrams."""
 
 import pytest
 
-from pinspread.testbed import history_checker as judge
-from pinspread.testbed import processes as cast
-from pinspread.testbed.faults import Rules
+from pinspread.testbed import cluster, history_checker
+from pinspread.testbed.proxy import LinkRules
 
 pytestmark = pytest.mark.stage
 FAST = {"period_s": 0.2, "timeout_s": 0.08}
 
 
 def verdicts(tmp_path, at, expect, members=5, seconds=12):
-    scene = {"members": members, "seconds": seconds, "tuning": FAST, "at": at, "expect": expect}
-    found = cast.play(scene, tmp_path)
+    scenario = {"members": members, "seconds": seconds, "tuning": FAST, "at": at, "expect": expect}
+    found = cluster.play(scenario, tmp_path)
     return {v["kind"] + str(v.get("of", "")): v for v in found}
 
 
@@ -32,7 +31,7 @@
         ],
     )
     assert all(v["ok"] for v in found.values()), found
-    lines = judge.read(tmp_path / "history.jsonl")
+    lines = history_checker.read(tmp_path / "history.jsonl")
     dropped = [li for li in lines if li.get("event") == "member_dropped"]
     assert {li["who"] for li in dropped} == {"m1", "m2"} and len(dropped) >= 60
 
@@ -48,15 +47,15 @@
 
 
 def test_rules_cut_one_way_and_split_into_groups():
-    rules = Rules(["a", "b", "c"])
+    rules = LinkRules(["a", "b", "c"])
     rules.change(["a"], ["b"], cut=True)
-    assert rules.of("a", "b").cut and not rules.of("b", "a").cut
+    assert rules.between("a", "b").cut and not rules.between("b", "a").cut
     rules.heal()
     rules.split([["a"]])
-    assert rules.of("a", "b").cut and rules.of("c", "a").cut and not rules.of("b", "c").cut
+    assert rules.between("a", "b").cut and rules.between("c", "a").cut and not rules.between("b", "c").cut
 
 
-def test_the_judge_fails_a_history_with_a_false_death():
+def test_the_checker_fails_a_history_with_a_false_death():
     lines = [
         {"mono_us": 0, "who": "stage", "event": "stage_began"},
         {"mono_us": 1, "who": "m0", "event": "started"},
@@ -65,9 +64,9 @@
         {"mono_us": 9, "who": "m0", "event": "member", "id": "m1", "state": "dead"},
         {"mono_us": 10, "who": "stage", "event": "ending"},
     ]
-    found = judge.judge(lines, [{"kind": "never_dead"}, {"kind": "one_table", "within_s": 1}])
+    found = history_checker.check(lines, [{"kind": "never_dead"}, {"kind": "one_table", "within_s": 1}])
     assert [v["ok"] for v in found] == [False, False, True]
-    assert judge.false_deaths(lines)[0] == 1
+    assert history_checker.false_deaths(lines)[0] == 1
 
 
 def test_a_long_pause_is_dead_then_back_with_a_higher_incarnation_under_duplicates(tmp_path):
@@ -88,7 +87,7 @@
         seconds=15,
     )
     assert all(v["ok"] for v in found.values()), found
-    lines = judge.read(tmp_path / "history.jsonl")
+    lines = history_checker.read(tmp_path / "history.jsonl")
     back = [li for li in lines if li.get("event") == "member" and li["id"] == "m3" and li["state"] == "alive"]
     assert back[-1]["incarnation"] >= 1
 
@@ -113,14 +112,14 @@
 
 
 def test_a_killed_member_without_its_folder_and_five_joins_at_once(tmp_path):
-    scene_late = ["m5", "m6", "m7", "m8", "m9"]
-    scene = {
+    late = ["m5", "m6", "m7", "m8", "m9"]
+    scenario = {
         "members": 10,
-        "late": scene_late,
+        "late": late,
         "seconds": 16,
         "tuning": FAST,
         "at": [
-            {"s": 1, "do": "start", "who": scene_late},
+            {"s": 1, "do": "start", "who": late},
             {"s": 5, "do": "wipe", "who": ["m0"]},
             {"s": 10, "do": "start", "who": ["m0"]},
         ],
@@ -130,40 +129,40 @@
             {"kind": "one_table", "after_s": 10, "within_s": 5},
         ],
     }
-    found = cast.play(scene, tmp_path)
+    found = cluster.play(scenario, tmp_path)
     assert all(v["ok"] for v in found), found
 
 
 def test_members_find_their_seeds_by_dns_sd(tmp_path):
-    scene = {
+    scenario = {
         "members": 3,
         "seconds": 4,
         "tuning": FAST,
         "service": "_pinspread-swim._udp",
         "expect": [{"kind": "one_table", "within_s": 3}],
     }
-    found = cast.play(scene, tmp_path)
+    found = cluster.play(scenario, tmp_path)
     assert all(v["ok"] for v in found), found
 
 
 def accusations(tmp_path, most_health):
     """Suspicions raised by a member whose every datagram comes 0.25 s late, beyond the period of 0.2 s."""
-    scene = {
+    scenario = {
         "members": 4,
         "seconds": 8,
         "tuning": FAST | {"most_health": most_health},
         "at": [{"s": 0, "do": "delay", "to": ["m2"], "delay_s": 0.25}],
         "expect": [{"kind": "never_dead", "of": ["m0", "m1", "m3"]}],
     }
-    found = cast.play(scene, tmp_path)
-    lines = judge.read(tmp_path / "history.jsonl")
+    found = cluster.play(scenario, tmp_path)
+    lines = history_checker.read(tmp_path / "history.jsonl")
     raised = [
         li for li in lines if li.get("event") == "member" and li["who"] == "m2" and li["state"] == "suspect"
     ]
     return found, len([li for li in raised if li["by"] == "m2"])
 
 
-def test_a_slow_member_judges_slower_by_its_own_health(tmp_path):
+def test_a_slow_member_suspects_later_by_its_own_health(tmp_path):
     found, with_health = accusations(tmp_path / "with", 8)
     assert all(v["ok"] for v in found), found
     _, without = accusations(tmp_path / "without", 0)
@@ -184,7 +183,7 @@
         seconds=18,
     )
     assert all(v["ok"] for v in found.values()), found
-    lines = judge.read(tmp_path / "history.jsonl")
+    lines = history_checker.read(tmp_path / "history.jsonl")
     ending = next(li for li in lines if li.get("event") == "ending")
     assert ending["proxy"]["lost"] > 100  # the faults were there
 
@@ -195,14 +194,14 @@
     from pinspread.__main__ import main
 
     async def look():
-        stage = cast.ClusterTestbed({"members": 2, "seconds": 0, "tuning": FAST}, tmp_path)
+        testbed = cluster.ClusterTestbed({"members": 2, "seconds": 0, "tuning": FAST}, tmp_path)
         try:
-            await stage.begin()
-            assert await stage.until(lambda views: all(len(v) == 1 for v in views.values()), 10) is not None
-            door = f"{stage.cast[1].real[0]}:9600"
+            await testbed.begin()
+            assert await testbed.until(lambda views: all(len(v) == 1 for v in views.values()), 10) is not None
+            door = f"{testbed.members[1].real[0]}:9600"
             return await asyncio.to_thread(main, ["members", door])
         finally:
-            await asyncio.to_thread(stage.finish)
+            await asyncio.to_thread(testbed.finish)
 
     assert asyncio.run(look()) == 0
     shown = capsys.readouterr().out.splitlines()
@@ -212,8 +211,8 @@
     assert main(["members", "127.0.0.1:1"]) == 1
 
 
-def test_the_picture_counts_who_sees_whom_alive():
-    from pinspread.testbed import picture
+def test_the_plot_counts_who_sees_whom_alive():
+    from pinspread.testbed import plot
 
     lines = [
         {"mono_us": 0, "who": "stage", "event": "stage_began"},
@@ -224,14 +223,14 @@
         {"mono_us": 3_000_000, "who": "stage", "event": "ending"},
         {"mono_us": 4_000_000, "who": "m0", "event": "member", "id": "m1", "state": "alive"},
     ]
-    assert picture.counts(lines)["m1"] == [(0.0, 0), (1.0, 1), (2.0, 0)]
+    assert plot.alive_counts(lines)["m1"] == [(0.0, 0), (1.0, 1), (2.0, 0)]
 
 
 def test_streams_through_the_proxy_are_held_cut_and_refused_by_the_rules():
     import asyncio
     import time
 
-    from pinspread.testbed.faults import Proxy
+    from pinspread.testbed.proxy import Proxy
 
     prefix = "127.31.77"
     real = {"a": (f"{prefix}.10", 7947), "b": (f"{prefix}.11", 7947)}
@@ -255,7 +254,7 @@
 
     async def play():
         server = await asyncio.start_server(echo, *real["b"])
-        rules = Rules(["a", "b"])
+        rules = LinkRules(["a", "b"])
         proxy = Proxy(rules, real, front)
         await proxy.open_streams([7947])
         try:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades: one process takes over from the one before, under load; real processes, stand-in partners."""
+"""Upgrades: one process takes over from the one before, under load; real processes, stand-in endpoints."""
 
 import os
 import signal
@@ -8,6 +8,7 @@
 import time
 from collections import Counter
 from contextlib import asynccontextmanager, suppress
+from itertools import pairwise
 
 import anyio
 import orjson
@@ -16,44 +17,48 @@
 
 from pinspread import sockets
 from pinspread.core import journal_records
+from pinspread.core.messages import NEVER_RAN
 from pinspread.hot_restart.link import SOCKET_NAME, Link, PacketKind
+from pinspread.policy.events import Outcome
 
 pytestmark = pytest.mark.anyio
 
+CLOCKS_APART_US = 10_000  # at most, between the Unix times of two processes' logs: each sets its own at start
+UNTOLD = "its process did not tell"  # the note of an attempt that the new process gave up for the old one
+
 
 class Deployment:
     """A courier whose clients' socket the platform holds, and its processes one after the other."""
 
-    def __init__(self, folder, partner, platform):
+    def __init__(self, folder, endpoint, platform):
         self.sock, self.address = listener()
         self.folder = folder
         (folder / "state").mkdir(exist_ok=True)
         self.file = folder / "config.json"
-        told = configuration(folder / "state", callsOut=64)
-        told["known"]["hosts"] = [host("s-1", partner), host("s-2", partner, 2)]
-        told |= {"listen": self.address, "discovery": platform}
-        self.told = told
+        self.configuration = configuration(folder / "state", callsOut=64)
+        self.configuration["known"]["hosts"] = [host("s-1", endpoint), host("s-2", endpoint, 2)]
+        self.configuration |= {"listen": self.address, "discovery": platform}
         self.processes = []
 
     def start(self, **more):
-        """Another process, with a door of its own."""
-        self.file.write_bytes(orjson.dumps(self.told))
-        door = own_address()
+        """Another process, with an admin server of its own."""
+        self.file.write_bytes(orjson.dumps(self.configuration))
+        admin_address = own_address()
         env = os.environ | {
             "RELAY_CONFIG": str(self.file),
             "RELAY_STATE": str(self.folder / "state"),
             "RELAY_PASSED_SOCKET": str(self.sock.fileno()),
-            "RELAY_ADMIN_ADDR": door,
+            "RELAY_ADMIN_ADDR": admin_address,
         }
-        log = open(self.folder / f"log{len(self.processes)}", "wb")
-        process = subprocess.Popen(
-            [sys.executable, "-m", "pinspread"],
-            env=env | more,
-            pass_fds=[self.sock.fileno()],
-            stdout=log,
-            stderr=log,
-        )
-        process.door = door
+        with open(self.folder / f"log{len(self.processes)}", "wb") as log:
+            process = subprocess.Popen(
+                [sys.executable, "-m", "pinspread"],
+                env=env | more,
+                pass_fds=[self.sock.fileno()],
+                stdout=log,
+                stderr=log,
+            )
+        process.admin_address = admin_address
         self.processes.append(process)
         return process
 
@@ -67,9 +72,15 @@
         lines = (self.folder / f"log{n}").read_bytes().splitlines()
         return [orjson.loads(line) for line in lines if line.startswith(b"{")]
 
+    def attempts(self, id_):
+        """The ends of a message's attempts as the processes logged them, in the attempts' order."""
+        events = [event for n in range(len(self.processes)) for event in self.events(n)]
+        found = [event for event in events if event["event"] == "attempt" and event["id"] == id_]
+        return sorted(found, key=lambda event: event["number"])
+
 
 async def call(address, said="GET /-/ready"):
-    """The status that a door answers; 0 if nobody does."""
+    """The status that an admin server answers; 0 if nobody does."""
     try:
         connection = await sockets.dial(address)
         await connection.write(f"{said} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -82,51 +93,60 @@
 
 
 async def ready(process, seconds=6.0):
-    """Until its door says yes; how long it took."""
+    """Until its admin server answers that it is ready; how long it took."""
     began = time.monotonic()
-    while await call(process.door) != 200:
+    while await call(process.admin_address) != 200:
         assert time.monotonic() - began < seconds and process.poll() is None
         await anyio.sleep(0.02)
     return time.monotonic() - began
 
 
 class Ledger:
-    """What was handed in, what partners have had, and what was told of ends."""
+    """What was submitted, what endpoints received, and which final results were notified."""
 
     def __init__(self):
         self.taken = {}  # id -> (class, key)
         self.order = {}  # key -> ids in the order handed in
         self.had = []  # ids, in the order in which calls came whole
         self.done = Counter()  # 200 written
-        self.out = Counter()
-        self.twice_out = 0
+        self.running = {}  # id -> connections of the calls that the endpoint has not answered
+        self.live_twice = []  # ids of calls that came while the courier kept an earlier one's connection open
+        self.called_again = set()  # ids of calls that came while an earlier one ran, which it had closed
         self.ends = {}
         self.trouble = []
         self.stop = False
 
-    async def partner(self, request):
+    async def endpoint(self, request, connection):
         id_ = request[3].get("request-id")
         if id_ is None:
             return 200, [], b""
         self.had.append(id_)
-        self.twice_out += self.out[id_] > 0
-        self.out[id_] += 1
-        await anyio.sleep(0.02 if len(self.had) % 10 else 0.3)
-        self.out[id_] -= 1
+        running = self.running.setdefault(id_, [])
+        if running:
+            # An endpoint runs on after its caller has timed out; the call is over once its connection is.
+            self.called_again.add(id_)
+            self.live_twice += [id_ for earlier in running if not earlier.is_finished()]
+        running.append(connection)
+        await anyio.sleep(self.duration_s(request))
+        running.remove(connection)
         self.done[id_] += 1
         return 200, [], b""
 
+    def duration_s(self, request):
+        """How long a call takes at the endpoint."""
+        return 0.02 if len(self.had) % 10 else 0.3
+
     def platform(self, request):
         if request[2] == "/v2/finals":
             for line in request[4].splitlines():
-                told = orjson.loads(line)
-                self.ends.setdefault(told["id"], set()).add(told["state"])
+                notification = orjson.loads(line)
+                self.ends.setdefault(notification["id"], set()).add(notification["state"])
             return 204, [], b""
         return 503, [], b""
 
     async def client(self, address, name, fresh=False):
-        """Hand messages in, one after the other, until told to stop."""
-        client, n = Client(address, again=True), 0
+        """Submit messages, one after the other, until `stop` is set."""
+        client, n = Client(address, reconnect=True), 0
         while not self.stop:
             n += 1
             id_, cls = f"{name}.{n}", ("payment", "booking-change", "status-update")[n % 3]
@@ -142,15 +162,19 @@
                     self.trouble.append((id_, answer))
             except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
                 self.trouble.append((id_, repr(error)))
-                client = Client(address, again=True)
+                client = Client(address, reconnect=True)
             if fresh and client.stream is not None:
                 await client.stream.aclose()
-                client = Client(address, again=True)
+                client = Client(address, reconnect=True)
             await anyio.sleep(0.005)
 
     def settled(self):
         return all(id_ in self.done or id_ in self.ends for id_ in self.taken)
 
+    def logged(self):
+        """Whether the logs have each attempt of the messages that were called again."""
+        return all(len(self.deployment.attempts(id_)) >= self.had.count(id_) for id_ in self.called_again)
+
     def check(self, killed=False):
         """The rules; after a kill, calls that were out may have run, and payments among them fail."""
         assert self.settled(), [i for i in self.taken if i not in self.done and i not in self.ends]
@@ -160,18 +184,41 @@
             if not killed:
                 assert (id_ in self.done) != (id_ in self.ends), id_
             assert len(self.ends.get(id_, ())) <= 1
-        assert not self.twice_out or killed
+        if not killed:
+            assert not self.live_twice
+            assert self.logged()
+            for id_ in self.called_again:
+                self.check_one_at_a_time(id_)
         for ids in self.order.values():
             first = [i for n, i in enumerate(self.had) if i in set(ids) and i not in self.had[:n]]
             assert first == [i for i in ids if i in first]
 
+    def check_one_at_a_time(self, id_):
+        """Each attempt of a message timed out where it ran, connection and all, before the next began."""
+        attempts = self.deployment.attempts(id_)
+        for earlier, later in pairwise(attempts):
+            began_us = later["at_us"] - later["elapsed_us"]
+            assert earlier["at_us"] <= began_us + CLOCKS_APART_US, attempts
+            ended = Outcome[earlier["outcome"]]
+            assert (ended is Outcome.TIMEOUT and earlier["note"] != UNTOLD) or ended in NEVER_RAN, attempts
+
+
+class Endpoint(HttpStandIn):
+    """An endpoint that tells its ledger on which connection a call came."""
+
+    def __init__(self, ledger):
+        super().__init__()
+        self.ledger = ledger
+
+    def reply(self, request, connection, first):
+        return self.ledger.endpoint(request, connection)
+
 
 @asynccontextmanager
 async def deployed(folder, clients=6):
     ledger = Ledger()
-    partner = HttpStandIn(ledger.partner)
-    async with standing(partner) as address, standing(HttpStandIn(ledger.platform)) as platform:
-        made = Deployment(folder, address, platform)
+    async with standing(Endpoint(ledger)) as address, standing(HttpStandIn(ledger.platform)) as platform:
+        made = ledger.deployment = Deployment(folder, address, platform)
         try:
             await ready(made.start())
             async with anyio.create_task_group() as tasks:
@@ -180,6 +227,9 @@
                 yield made, ledger
                 ledger.stop = True
             await until(ledger.settled, 10)
+            with anyio.move_on_after(1):  # a process that was killed has not logged all of its attempts
+                while not ledger.logged():
+                    await anyio.sleep(0.01)
         finally:
             ledger.stop = True
             made.end()
@@ -192,7 +242,7 @@
             old = made.processes[-1]
             new = made.start()
             await ready(new)
-            assert await call(old.door) != 200
+            assert await call(old.admin_address) != 200
             old.send_signal(signal.SIGTERM)
             with anyio.fail_after(3.7):
                 while old.poll() is None:
@@ -205,22 +255,55 @@
     assert "handover_received" in events and "recovered" not in events and "handed_over" in events
 
 
-async def test_a_ban_binds_both_processes_and_lasts(tmp_path):
+async def test_a_call_is_live_until_the_courier_closes_its_connection():
+    ledger = Ledger()
+    ledger.duration_s = lambda request: 0.2
+    request = b"POST /events HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nContent-Length: 0\r\n\r\n"
+    async with standing(Endpoint(ledger)) as address:
+        for id_, closed in ((b"kept", False), (b"closed", True)):
+            first, second = await sockets.dial(address), await sockets.dial(address)
+            await first.write(request % id_)
+            await until(lambda id_=id_: id_.decode() in ledger.had)
+            if closed:
+                first.close()
+            await second.write(request % id_)
+            assert (await second.read()).startswith(b"HTTP/1.1 200 ")
+            first.close()
+            second.close()
+    assert ledger.called_again == {"kept", "closed"} and ledger.live_twice == ["kept"]
+
+
+async def test_an_attempt_that_times_out_during_an_upgrade_is_over_before_the_next_one(tmp_path):
+    async with deployed(tmp_path, clients=0) as (made, ledger):
+        ledger.duration_s = lambda request: 0 if len(ledger.had) > 1 else 6  # longer than any time-out
+        assert await Client(made.address).enqueue("status-update", "m", for_ms=8000) == "+OK\r\n"
+        ledger.taken["m"] = "status-update", "0"
+        await until(lambda: ledger.had)
+        new = made.start()
+        await ready(new)
+        assert [e["in_flight"] for e in made.events(1) if e["event"] == "handover_received"] == [1]
+        await until(lambda: len(ledger.had) == 2)
+        assert ledger.called_again == {"m"} and ledger.running["m"]
+    ledger.check()
+    assert [event["outcome"] for event in made.attempts("m")] == ["TIMEOUT", "OK"]
+
+
+async def test_a_block_binds_both_processes_and_lasts(tmp_path):
     async with deployed(tmp_path, clients=0) as (made, ledger):
         old = made.processes[0]
-        assert await call(old.door, "PUT /-/endpoints/s-1/disable") == 200
+        assert await call(old.admin_address, "PUT /-/endpoints/s-1/disable") == 200
         new = made.start()
         await ready(new)
-        assert await call(old.door, "PUT /-/endpoints/s-2/disable") == 200  # asked at the old one's door
+        assert await call(old.admin_address, "PUT /-/endpoints/s-2/disable") == 200  # via the old one
         client = Client(made.address)
         for n in range(2):
             assert await client.enqueue("status-update", f"m{n}", dest=1 + n) == "+OK\r\n"
             ledger.taken[f"m{n}"] = "status-update", "0"
         await anyio.sleep(0.4)
         assert not ledger.had
-        assert await call(new.door, "PUT /-/endpoints/s-1/enable") == 200
-        assert await call(old.door, "PUT /-/endpoints/s-2/enable") == 200
-        assert await call(old.door, "PUT /-/endpoints/s-7/enable") == 404
+        assert await call(new.admin_address, "PUT /-/endpoints/s-1/enable") == 200
+        assert await call(old.admin_address, "PUT /-/endpoints/s-2/enable") == 200
+        assert await call(old.admin_address, "PUT /-/endpoints/s-7/enable") == 404
         await until(ledger.settled)
     ledger.check()
 
@@ -326,9 +409,9 @@
     async with deployed(tmp_path, clients=0) as (made, _):
         old, new = made.processes[0], made.start()
         await ready(new)
-        lanes = made.told["settings"]["lanes"]
-        made.told["settings"]["lanes"] = [*lanes, lanes[-1] | {"name": "refund"}]
-        made.file.write_bytes(orjson.dumps(made.told))
+        lanes = made.configuration["settings"]["lanes"]
+        made.configuration["settings"]["lanes"] = [*lanes, lanes[-1] | {"name": "refund"}]
+        made.file.write_bytes(orjson.dumps(made.configuration))
         for process in (old, new, old):
             process.send_signal(signal.SIGHUP)
         client = Client(made.address)
