--- a/benchmarks/decisions/fleets.py
+++ b/benchmarks/decisions/fleets.py
@@ -34,25 +34,27 @@
                 event.recovered = True
                 event.max_attempts = event.attempts + 4
             if isinstance(event, AttemptCompleted) and self.fleet.reports_limits:
-                event.limit_per_s = float(self.fleet.endpoints[event.endpoint].destination.spec.per_s)
+                event.limit_per_s = float(
+                    self.fleet.endpoints[event.endpoint].destination.spec.capacity_per_s
+                )
                 full = event.outcome is Outcome.OVERLOADED
                 event.limit_remaining = 0.0 if full else round(self.chance.random(), 3)
         self.is_first_turn = False
         actions = self.recorder.handle(now_ns, events)
         if any(isinstance(action, Subscribe) for action in actions):
-            incarnation = self.fleet.couriers[self.courier].life
+            incarnation = self.fleet.instances[self.courier].incarnation
             self.fleet.engine.after(80 * MS, self.answer_poll, incarnation)
         return actions
 
     def answer_poll(self, incarnation):
         """Discovery answers a poll, unless the courier that polled has ended."""
-        courier = self.fleet.couriers[self.courier]
-        if courier.life != incarnation or not courier.up:
+        courier = self.fleet.instances[self.courier]
+        if courier.incarnation != incarnation or not courier.up:
             return
         if self.chance.random() < 0.4:
             courier.update_endpoints(UpdateScope.FAILED, [])
         else:
-            courier.update_endpoints(UpdateScope.FULL, list(self.fleet.entries.values()))
+            courier.update_endpoints(UpdateScope.FULL, list(self.fleet.directory.entries.values()))
 
 
 class RecordedFleet(simulate.Simulation):
@@ -64,11 +66,11 @@
         self.reports_limits = day.reports_limits
         self.recorders = []
 
-    def make_sender(self, courier, start):
+    def make_policy(self, courier, start):
         """The policy of a courier's process number `start`."""
         if courier not in self.day.recorded:
-            return super().make_sender(courier, start)
-        seed = random_seed(self.module_seed, "module", courier, start)
+            return super().make_policy(courier, start)
+        seed = random_seed(self.policy_seed, "module", courier, start)
         name = f"fleet-{self.day.name}-{courier}-{start}"
         self.recorders.append(Recorder(name, self.settings, seed, MAX_TURNS))
         return RecordedCourier(self, courier, self.recorders[-1], start)
--- a/pinspread/simulation/trace_replay.py
+++ b/pinspread/simulation/trace_replay.py
@@ -98,7 +98,7 @@
             ordering_key=np.array(arrivals.ordering_key, dtype=np.int64),
             within_quota=np.ones(count, dtype=bool),
             work_ns=self._work_ns(mean_work_ns),
-            chances=random_stream(seed, "chance").random((count, ATTEMPT_DRAWS, 4), dtype=np.float32),
+            attempt_draws=random_stream(seed, "chance").random((count, ATTEMPT_DRAWS, 4), dtype=np.float32),
             client_draws=random_stream(seed, "habits").random((count, 4), dtype=np.float32),
             instance_share=self._instance_share(),
             max_concurrent_calls=max(model.couriers.least_slots, round(busy * SLOTS_HEADROOM)),
@@ -161,9 +161,9 @@
             weight=limit_per_s or capacity_per_s,
         )
         if limit_per_s:
-            spec.span_ns, spec.limit = SECOND, max(1, round(limit_per_s))
-            spec.per_s = min(capacity_per_s, limit_per_s)
-            spec.tells = fit.retry_after_share
+            spec.limit_window_ns, spec.limit_calls = SECOND, max(1, round(limit_per_s))
+            spec.capacity_per_s = min(capacity_per_s, limit_per_s)
+            spec.retry_after_share = fit.retry_after_share
         return spec
 
     def _work_factor(self, fit: DestinationFit, number: int) -> float:
--- a/pinspread/testbed/client_traffic.py
+++ b/pinspread/testbed/client_traffic.py
@@ -89,7 +89,7 @@
 
     async def _wait_to_come_again(self, row: int, retry_after_ms: int) -> bool:
         """Wait as the message's client does; false where it does not come again."""
-        wait_ns = self.run.clients.again_ns(row, retry_after_ms * MS)
+        wait_ns = self.run.clients.retry_delay_ns(row, retry_after_ms * MS)
         if wait_ns is None:
             self.run.ended_ns[row] = self.run.engine.now
             return False
@@ -98,14 +98,14 @@
 
     def _courier(self, row: int) -> CourierProcess | None:
         """The courier of a message's client, or the next one that is ready."""
-        chosen = self.run.clients.courier(row)
+        chosen = self.run.clients.instance_of(row)
         in_turn = [*self.couriers[chosen:], *self.couriers[:chosen]]
         return next((courier for courier in in_turn if courier.ready), None)
 
     def _message_id(self, row: int) -> str:
         """The id of a message, which begins with its row; another each time that its client comes again."""
         run = self.run
-        tries = int(run.clients.tries[row])
+        tries = int(run.clients.retries[row])
         nonce = random_seed(run.scenario.seed, "id", row) & 0xFFFFFF
         return f"{row:08x}{tries:02x}{nonce:06x}"
 
--- a/pinspread/testbed/courier_logs.py
+++ b/pinspread/testbed/courier_logs.py
@@ -33,7 +33,7 @@
         logs: Each courier's number and log.
     """
     began_s = time.time() - run.engine.now / SECOND
-    run.calls_at, run.retries_at, run.probes = [], [], 0
+    run.attempt_times_ns, run.retry_times_ns, run.health_checks = [], [], 0
     failures = []
     for courier, path in logs:
         for event in read_events(path):
@@ -45,7 +45,7 @@
                 at_ns = int((event["at_us"] / MICROSECONDS - began_s) * SECOND)
                 failures.append(ObservedFailure(courier, number, at_ns))
             if kind == "probe":
-                run.probes += 1
+                run.health_checks += 1
             elif outcome not in UNSENT_OUTCOMES:
                 _record_attempt(run, event, began_s)
     check_overloads(run, failures)
@@ -66,9 +66,9 @@
     """An attempt that was sent."""
     started_s = (event["at_us"] - event["took_us"]) / MICROSECONDS - began_s
     at_ns = int(max(0, started_s) * SECOND)
-    run.calls_at.append(at_ns)
+    run.attempt_times_ns.append(at_ns)
     if event["n"]:
-        run.retries_at.append(at_ns)
+        run.retry_times_ns.append(at_ns)
 
 
 def check_overloads(run: PlatformRun, failures: list[ObservedFailure]) -> None:
--- a/pinspread/testbed/endpoint_stand_in.py
+++ b/pinspread/testbed/endpoint_stand_in.py
@@ -47,7 +47,7 @@
     def work_started(self) -> None:
         """The call takes effect."""
         if self.row is not None:
-            self.run.effects[self.row] += 1
+            self.run.executions[self.row] += 1
             self.run.work_done_ns += self.work_ns
 
     def respond(self, outcome: Outcome, retry_after_ns: int) -> None:
@@ -178,9 +178,9 @@
         drained_ns = run.draining_since.get((self.courier, self.endpoint.id))
         if drained_ns is not None and run.engine.now > drained_ns + DRAIN_GRACE_NS:
             run.calls_after_drain += 1
-        draw = int(run.attempts[row]) % scenario.chances.shape[1]
+        draw = int(run.attempts[row]) % scenario.attempt_draws.shape[1]
         run.attempts[row] += 1
-        return _Work(row, int(scenario.work_ns[row, draw]), scenario.chances[row, draw])
+        return _Work(row, int(scenario.work_ns[row, draw]), scenario.attempt_draws[row, draw])
 
     def _delays_s(self, work: _Work) -> tuple[float, float]:
         """The network's delays there and back, in seconds."""
--- a/pinspread/testbed/platform_faults.py
+++ b/pinspread/testbed/platform_faults.py
@@ -7,9 +7,9 @@
 
 from pinspread.simulation.destination import Endpoint, ServingState
 from pinspread.simulation.engine import SECOND
+from pinspread.simulation.fault_injection import OUTAGE_STATES, REPLACED_NS
 from pinspread.simulation.random_streams import random_stream
 from pinspread.simulation.scenario import ScheduledFault
-from pinspread.simulation.simulate import OUTAGE_STATES, REPLACED_NS
 from pinspread.testbed.courier_process import CourierProcess
 from pinspread.testbed.endpoint_stand_in import EndpointStandIn
 from pinspread.testbed.platform_run import PlatformRun
@@ -44,7 +44,7 @@
             if fault.kind in OUTAGE_STATES:
                 self._schedule_outages(fault)
             elif fault.kind in RESTARTS:
-                for number, at_ns in fault.restarts(len(self.couriers)):
+                for number, at_ns in fault.restart_times(len(self.couriers)):
                     self.tasks.start_soon(self._restart, self.couriers[number], at_ns, fault)
             elif fault.kind in ENDPOINT_CHANGES:
                 for index in fault.targets:
@@ -54,7 +54,7 @@
         for number in fault.targets:
             destination = self.run.destinations[number]
             state = OUTAGE_STATES[fault.kind]
-            outage = (state, fault.until_ns, fault.size, fault.leaves_cold)
+            outage = (state, fault.until_ns, fault.magnitude, fault.ends_in_slow_start)
             self.run.engine.at(fault.at_ns, destination.start_outage, *outage)
             self.run.engine.at(fault.until_ns, destination.end_outage)
 
--- a/pinspread/testbed/platform_run.py
+++ b/pinspread/testbed/platform_run.py
@@ -13,9 +13,9 @@
 from pinspread.simulation.clients import ClientBehavior
 from pinspread.simulation.destination import build_destinations
 from pinspread.simulation.model import FleetModel
+from pinspread.simulation.policy_settings import policy_settings
 from pinspread.simulation.rules import RuleChecker
 from pinspread.simulation.scenario import Scenario
-from pinspread.simulation.simulate import policy_settings
 from pinspread.testbed.real_time import RealTimeEngine
 
 DELIVERED = "delivered"
@@ -64,14 +64,15 @@
     Attributes:
         delivered_ns: When each message was first delivered; -1 before.
         ended_ns: When each message ended, delivered or not; -1 before.
-        effects: How often each message took effect.
+        executions: How often each message took effect.
         attempts: How many attempts of each message reached an endpoint.
         accepted: Ids that a courier may have accepted, with the message's row.
         finals: How each id ended.
         unheard: Calls that took effect, and whose courier was gone when they were answered.
         calls_after_drain: Calls to an endpoint after the grace from its courier's notification.
         draining_since: When a courier was notified that an endpoint drains or goes, by (courier, endpoint).
-        calls_at: When the couriers' attempts began; those of `retries_at` are not the first of their message.
+        attempt_times_ns: When the couriers' attempts began.
+        retry_times_ns: The same, of those that are not the first of their message.
     """
 
     def __init__(self, model: FleetModel, scenario: Scenario) -> None:
@@ -90,13 +91,13 @@
         messages = len(scenario.arrival_ns)
         self.delivered_ns: npt.NDArray[np.int64] = np.full(messages, -1, dtype=np.int64)
         self.ended_ns: npt.NDArray[np.int64] = np.full(messages, -1, dtype=np.int64)
-        self.effects: npt.NDArray[np.int16] = np.zeros(messages, dtype=np.int16)
+        self.executions: npt.NDArray[np.int16] = np.zeros(messages, dtype=np.int16)
         self.attempts: npt.NDArray[np.int16] = np.zeros(messages, dtype=np.int16)
-        self.rejected = self.unanswered = self.handshakes = self.probes = self.work_done_ns = 0
+        self.rejected = self.unanswered = self.handshakes = self.health_checks = self.work_done_ns = 0
         self.turns = 0
         self.outcomes: dict[Outcome, int] = {}
-        self.calls_at: list[int] = []
-        self.retries_at: list[int] = []
+        self.attempt_times_ns: list[int] = []
+        self.retry_times_ns: list[int] = []
         self.accepted: dict[str, int] = {}
         self.finals: dict[str, str] = {}
         self.unheard = 0
--- a/pinspread/testbed/platform_stand_in.py
+++ b/pinspread/testbed/platform_stand_in.py
@@ -60,7 +60,7 @@
             "host": f"e{endpoint.id}",
             "dial": self.run_state.addresses.endpoint(self.courier, endpoint.id),
             "site": "local",
-            "class": "big" if spec.big else "small",
+            "class": "big" if spec.large else "small",
             "block": spec.number,
             "health": READY,
             "share": spec.weight,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -170,14 +170,19 @@
 @pytest.mark.parametrize("counts", [True, False])
 def test_a_limit_counts_in_spans_and_refused_calls_where_they_use_it_up(counts):
     engine, one, endpoint = partner(
-        span_ns=SECOND, limit=2, tells=1.0, refused_count=counts, queue=[99], cores=[50]
+        limit_window_ns=SECOND,
+        limit_calls=2,
+        retry_after_share=1.0,
+        rejections_count=counts,
+        queue_limits=[99],
+        cores=[50],
     )
     calls = [Caller() for _ in range(4)]
     engine.run(200 * MS)
     for call in calls:
         one.arrive(endpoint, call, MS)
     assert [c.got for c in calls[2:]] == [[(Outcome.OVERLOADED, 800 * MS)]] * 2
-    assert one.window_calls == (4 if counts else 2)
+    assert one.limiter.calls == (4 if counts else 2)
     engine.run(SECOND)
     late = Caller()
     one.arrive(endpoint, late, MS)
@@ -186,7 +191,7 @@
 
 
 def test_a_destination_returns_at_a_fifth_is_warm_in_9_s_and_fails_when_overloaded():
-    engine, one, endpoint = partner(per_s=4.0)
+    engine, one, endpoint = partner(capacity_per_s=4.0)
     one.start_outage(ServingState.CRASHED, 0)
     one.record_failure(7)
     one.end_outage()
@@ -198,7 +203,7 @@
     one.end_outage()  # cold anew
     for _ in range(12):
         one.arrive(endpoint, Caller(courier=7), MS)
-    assert one.falls == 1 and one.observer.counts["cold"] == 1
+    assert len(one.collapses) == 1 and one.observer.counts["cold"] == 1
     assert endpoint.state is not ServingState.UP
 
 
@@ -217,12 +222,12 @@
 
 
 def test_a_sender_that_could_not_know_is_not_blamed_for_an_overload():
-    engine, one, endpoint = partner(per_s=4.0)
+    engine, one, endpoint = partner(capacity_per_s=4.0)
     one.start_outage(ServingState.CRASHED, 0)
     one.end_outage()
     for _ in range(12):
         one.arrive(endpoint, Caller(courier=7), MS)
-    assert one.falls == 1 and one.observer.counts["cold"] == 0
+    assert len(one.collapses) == 1 and one.observer.counts["cold"] == 0
 
 
 def test_requests_in_progress_are_lost_with_the_process_and_never_answered_as_done():
@@ -314,7 +319,7 @@
             partners={"fall_slack": 1},
             trouble=[{"kind": "crash", "at_s": 3, "length_s": 4, "share": 0.9}],
         )
-    found = [play(busy, seed, sender=BROKEN[rule]) for seed in (1, 2, 3)]
+    found = [play(busy, seed, policy_class=BROKEN[rule]) for seed in (1, 2, 3)]
     assert any(one["broken"].get(rule) for one in found)
     broke = next(one for one in found if one["broken"].get(rule))
     assert broke["service"] == 0 < broke["service_unbroken"]
@@ -324,8 +329,8 @@
 def test_the_checker_catches_a_payment_that_is_retried_after_a_restart():
     kills = [{"kind": "kill", "at_s": at, "length_s": 1, "share": 1.0, "batch": 1.0} for at in (3, 6, 9)]
     busy = world(trouble=kills)
-    assert not play(busy, sender=DeliveryPolicy)["broken"].get("repeat")
-    found = play(busy, sender=Starts)
+    assert not play(busy, policy_class=DeliveryPolicy)["broken"].get("repeat")
+    found = play(busy, policy_class=Starts)
     assert any("may have run" in b["why"] for b in found["breaks"])  # the checker's word
     assert found["payments_twice"] and found["broken"]["repeat"]  # and the ledger's
 
@@ -336,7 +341,7 @@
     ]
     fleet = simulate.Simulation(world(trouble=kills), scenarios.draw_scenario(world(trouble=kills), 1))
     fleet.run()
-    assert [c.restarts for c in fleet.instances] == [2, 2, 2] and all(c.up for c in fleet.instances)
+    assert [c.starts for c in fleet.instances] == [2, 2, 2] and all(c.up for c in fleet.instances)
 
 
 def test_the_policy_as_it_is_keeps_the_rules_on_a_day_with_faults():
@@ -356,14 +361,18 @@
 # --- accounts -------------------------------------------------------------------------------------
 
 
+def one_payment(age, within_quota):
+    return accounts.MessageTable(np.array([0]), np.array([2]), np.array([0]), np.array([within_quota]), age)
+
+
 @pytest.mark.parametrize(
     ("age_s", "share"), [(-1, 0), (1, 1), (2, 1), (4, 0.5), (6, 0.3), (20, 0.3), (21, 0)], ids=str
 )
 def test_priority_weight_halves_with_each_further_objective_down_to_its_least_and_to_nothing(age_s, share):
     age = np.array([int(age_s * SECOND)])
-    asked, earned = accounts.worth(world(), np.array([2]), np.array([True]), age)  # a payment: 2 s, 20 s, 30%
+    asked, earned = accounts.message_values(world(), one_payment(age, True))  # 2 s, 20 s, 30%
     assert asked[0] == 5 and earned[0] == pytest.approx(5 * share)
-    _, over = accounts.worth(world(), np.array([2]), np.array([False]), age)
+    _, over = accounts.message_values(world(), one_payment(age, False))
     assert over[0] == pytest.approx(earned[0] * 0.2)
 
 
@@ -372,9 +381,8 @@
     n = len(at)
     cls, team = np.arange(n) % 3, np.arange(n) % 2
     age = np.where((at >= 10 * SECOND) & (at < 20 * SECOND), -1, SECOND)
-    found = accounts.service(
-        world(), at.astype(np.int64), cls, team, np.ones(n, dtype=bool), age, 30 * SECOND
-    )
+    table = accounts.MessageTable(at.astype(np.int64), cls, team, np.ones(n, dtype=bool), age)
+    found = accounts.service_parts(world(), table, 30 * SECOND)
     assert found["worst_10s"] == 0
     total = 0.3 * found["whole"] + 0.2 * found["worst_class"] + 0.1 * found["worst_team"]
     assert found["total"] == pytest.approx(total)
