--- a/Makefile
+++ b/Makefile
@@ -7,7 +7,7 @@
 
 test: build
 	$(PYTHON) -m pytest -n 4 -m "not stage"
-	$(PYTHON) -m pytest -n 3 -m stage
+	$(PYTHON) -m pytest -n 2 -m stage
 
 lint: build
 	.venv/bin/ruff check .
