--- a/benchmarks/coverage.py
+++ b/benchmarks/coverage.py
@@ -11,12 +11,12 @@
 
 import numpy as np
 
-from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
 from pinspread.simulation.compare import compare_points, interval
 from pinspread.simulation.model import FleetModel
 from pinspread.simulation.random_streams import random_seed
 from pinspread.simulation.results import RunResult
+from pinspread.simulation.scenario import draw_scenario
 
 WORLD = {
     "length_s": 15,
@@ -27,7 +27,7 @@
 def pair(seed):
     """The accounts of one day with two seeds of the module's chance."""
     world = FleetModel.model_validate(WORLD)
-    drawn = scenarios.draw_scenario(world, seed)
+    drawn = draw_scenario(world, seed)
     return [brief(simulate.Simulation(world, drawn, random_seed(seed, name)).run()) for name in "ab"]
 
 
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -13,10 +13,10 @@
 import numpy as np
 from replays import SCENARIOS, place_of, world
 
-from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import trace_recording
 from pinspread.simulation.fault_injection import OUTAGE_STATES
 from pinspread.simulation.fit import MIN_FAILURES
+from pinspread.simulation.scenario import draw_scenario
 
 KEY = b"a key that hides nothing"
 
@@ -77,7 +77,7 @@
         if not files:
             continue
         days += 1
-        drawn = scenarios.draw_scenario(world((name, tables, seed)), seed + chosen.shift)
+        drawn = draw_scenario(world((name, tables, seed)), seed + chosen.shift)
         logs = [(file.name, file.read_bytes().splitlines()) for file in files]
         compare(drawn, trace_recording.record_trace(logs, KEY), seen, chosen.near)
     print(f"{days} days")
--- a/benchmarks/replays.py
+++ b/benchmarks/replays.py
@@ -15,10 +15,10 @@
 import numpy as np
 import orjson
 
-from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
 from pinspread.simulation.model import FleetModel
 from pinspread.simulation.random_streams import random_stream
+from pinspread.simulation.scenario import draw_scenario
 
 # On loopback the day begins when all couriers are ready.
 BASE = {"length_s": 20.0, "network": {"silent_accepts": True}, "couriers": {"start_spread_s": 0.0}}
@@ -51,7 +51,7 @@
 def model(scenario, seed):
     """One run of the model: the module's chance, jitter, the time of starts and clients' timing drawn anew."""
     one = world(scenario)
-    drawn = scenarios.draw_scenario(one, scenario[2])
+    drawn = draw_scenario(one, scenario[2])
     rng = random_stream(seed, "replay")
     drawn.attempt_draws[:, :, :2] = rng.random(drawn.attempt_draws.shape[:2] + (2,))
     drawn.start_draws = rng.random(drawn.start_draws.shape)
@@ -90,7 +90,7 @@
         from pinspread.testbed import platform
 
         scenario = next(s for s in SCENARIOS if s[0] == chosen.one)
-        found = platform.play(world(scenario), scenarios.draw_scenario(world(scenario), scenario[2]), folder)
+        found = platform.play(world(scenario), draw_scenario(world(scenario), scenario[2]), folder)
         (folder / "accounts.json").write_bytes(orjson.dumps(found))
         return
     folder.mkdir(parents=True, exist_ok=True)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -14,9 +14,9 @@
 import sys
 import time
 
-from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate
 from pinspread.simulation.model import FleetModel
+from pinspread.simulation.scenario import DestinationSpec, draw_scenario
 
 SIZES = {  # couriers, endpoints, simulated seconds
     "3x25": (3, 25, 55.0),
@@ -35,7 +35,7 @@
         {"length_s": length, "traffic": {"rate_per_s": rate}, "couriers": {"count": couriers, "start_spread_s": 0.1},
          "partners": {"endpoints": endpoints}}
     )  # fmt: skip
-    drawn = scenarios.draw_scenario(world, 1)
+    drawn = draw_scenario(world, 1)
     if "idle" in name:
         add_idle(drawn, int(name.split("+")[1].split()[0]))
     fleet = simulate.Simulation(world, drawn)
@@ -68,7 +68,7 @@
 
     for n in range(count):
         drawn.destinations.append(
-            scenarios.DestinationSpec(first + n + 1, 0.0, False, 1.0, [2], [4], [0], 10.0, weight=10.0)
+            DestinationSpec(first + n + 1, 0.0, False, 1.0, [2], [4], [0], 10.0, weight=10.0)
         )
     drawn.delay_ns = np.concatenate([drawn.delay_ns, np.full(count, 10e6)])
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,6 +20,7 @@
     experiment,
     experiment_file,
     fit,
+    metrics,
     paper,
     policy_sources,
     results,
@@ -29,12 +30,11 @@
     trace_recording,
     trace_replay,
 )
-from pinspread.simulation import metrics as accounts
-from pinspread.simulation import scenario as scenarios
 from pinspread.simulation.destination import Destination, ServingState
 from pinspread.simulation.engine import MS, SECOND, Engine, SimulationStalledError
 from pinspread.simulation.model import FleetModel
 from pinspread.simulation.rules import RULES, RuleChecker
+from pinspread.simulation.scenario import DestinationSpec, draw_scenario
 
 ROOT = Path(__file__).parents[1]
 KEY = b"a secret of sixteen or more"
@@ -45,7 +45,7 @@
 
 
 def play(one, seed=1, **more):
-    return simulate.Simulation(one, scenarios.draw_scenario(one, seed), **more).run()
+    return simulate.Simulation(one, draw_scenario(one, seed), **more).run()
 
 
 TROUBLED = {
@@ -82,19 +82,19 @@
 
 
 def test_a_day_is_the_same_for_a_seed_whatever_is_changed_that_it_does_not_depend_on():
-    a = scenarios.draw_scenario(world(), 5)
-    b = scenarios.draw_scenario(world(couriers={"probes": False}), 5)
+    a = draw_scenario(world(), 5)
+    b = draw_scenario(world(couriers={"probes": False}), 5)
     assert (
         (a.arrival_ns == b.arrival_ns).all()
         and (a.work_ns == b.work_ns).all()
         and a.destinations == b.destinations
     )
-    assert not np.array_equal(a.arrival_ns, scenarios.draw_scenario(world(), 6).arrival_ns)
+    assert not np.array_equal(a.arrival_ns, draw_scenario(world(), 6).arrival_ns)
 
 
 def test_a_day_holds_to_the_figures_of_its_model():
     one = world(length_s=300)
-    drawn = scenarios.draw_scenario(one, 3)
+    drawn = draw_scenario(one, 3)
     assert len(drawn.arrival_ns) == pytest.approx(31 * 300, rel=0.1)
     shares = np.bincount(drawn.class_index, minlength=3) / len(drawn.class_index)
     assert shares == pytest.approx([0.40, 0.31, 0.29], abs=0.03)
@@ -147,7 +147,7 @@
 
 def partner(**fields):
     engine, one = Engine(), world()
-    spec = scenarios.DestinationSpec(1, 1.0, False, 1.0, [2], [3], [0], 20.0)
+    spec = DestinationSpec(1, 1.0, False, 1.0, [2], [3], [0], 20.0)
     for name, value in fields.items():
         setattr(spec, name, value)
     found = Destination(spec, engine, one, RuleChecker([], 6), 1)
@@ -339,7 +339,7 @@
     kills = [
         {"kind": kind, "at_s": 3, "length_s": 1, "share": 1.0, "batch": 1.0} for kind in ("kill", "restart")
     ]
-    fleet = simulate.Simulation(world(trouble=kills), scenarios.draw_scenario(world(trouble=kills), 1))
+    fleet = simulate.Simulation(world(trouble=kills), draw_scenario(world(trouble=kills), 1))
     fleet.run()
     assert [c.starts for c in fleet.instances] == [2, 2, 2] and all(c.up for c in fleet.instances)
 
@@ -358,11 +358,11 @@
     assert kept["failed"] < gone["failed"]
 
 
-# --- accounts -------------------------------------------------------------------------------------
+# --- metrics --------------------------------------------------------------------------------------
 
 
 def one_payment(age, within_quota):
-    return accounts.MessageTable(np.array([0]), np.array([2]), np.array([0]), np.array([within_quota]), age)
+    return metrics.MessageTable(np.array([0]), np.array([2]), np.array([0]), np.array([within_quota]), age)
 
 
 @pytest.mark.parametrize(
@@ -370,9 +370,9 @@
 )
 def test_priority_weight_halves_with_each_further_objective_down_to_its_least_and_to_nothing(age_s, share):
     age = np.array([int(age_s * SECOND)])
-    asked, earned = accounts.message_values(world(), one_payment(age, True))  # 2 s, 20 s, 30%
+    asked, earned = metrics.message_values(world(), one_payment(age, True))  # 2 s, 20 s, 30%
     assert asked[0] == 5 and earned[0] == pytest.approx(5 * share)
-    _, over = accounts.message_values(world(), one_payment(age, False))
+    _, over = metrics.message_values(world(), one_payment(age, False))
     assert over[0] == pytest.approx(earned[0] * 0.2)
 
 
@@ -381,8 +381,8 @@
     n = len(at)
     cls, team = np.arange(n) % 3, np.arange(n) % 2
     age = np.where((at >= 10 * SECOND) & (at < 20 * SECOND), -1, SECOND)
-    table = accounts.MessageTable(at.astype(np.int64), cls, team, np.ones(n, dtype=bool), age)
-    found = accounts.service_parts(world(), table, 30 * SECOND)
+    table = metrics.MessageTable(at.astype(np.int64), cls, team, np.ones(n, dtype=bool), age)
+    found = metrics.service_parts(world(), table, 30 * SECOND)
     assert found["worst_10s"] == 0
     total = 0.3 * found["whole"] + 0.2 * found["worst_class"] + 0.1 * found["worst_team"]
     assert found["total"] == pytest.approx(total)
@@ -541,7 +541,7 @@
     ("old", "new", "place"),
     [
         ("seeds = 2", "seeds = 0", "experiment.seeds"),
-        ("calls_out", "calls_outt", "variant[1], settings.calls_outt".split(",")[0]),
+        ("calls_out", "calls_outt", ["variant[1]", " settings.calls_outt"][0]),
         ("settings = {", "constants = { NOPE = 1 }\nsettings = {", "constants.NOPE"),
         ('name = "few slots"', 'name = "as is"', "variant[1].name"),
         ("settings = {", 'revision = "no-such"\nsettings = {', "variant[1].revision"),
@@ -650,7 +650,7 @@
     world = FleetModel.model_validate(
         {"length_s": 10, "network": {"full_table": meets}, "traffic": traffic, "partners": tables}
     )
-    found = simulate.Simulation(world, scenarios.draw_scenario(world, 5)).run()
+    found = simulate.Simulation(world, draw_scenario(world, 5)).run()
     assert found["verdicts"].get(verdict, 0) > 20 and not found["broken"]
     assert (verdict == "connect_failed") == (found["verdicts"].get("connect_failed", 0) > 0)
 
@@ -660,7 +660,7 @@
     # With a look at once at each endpoint by each courier, rule `cold` broke on these days with 8 of 8 seeds.
     down = {"kind": "crash", "at_s": 8, "length_s": 12, "share": 0.2}
     world = FleetModel.model_validate({"length_s": 34, "couriers": {"count": 6}, "trouble": [down]})
-    found = [simulate.Simulation(world, scenarios.draw_scenario(world, seed), n).run() for n in range(3)]
+    found = [simulate.Simulation(world, draw_scenario(world, seed), n).run() for n in range(3)]
     assert sum(bool(one["broken"]) for one in found) <= 1
 
 
@@ -668,7 +668,7 @@
     with pytest.raises(ValueError, match="greater than 1"):
         FleetModel.model_validate({"length_s": 1.0})
     short = FleetModel.model_validate({"length_s": 1.2})
-    assert simulate.Simulation(short, scenarios.draw_scenario(short, 1)).run()["service"] > 0
+    assert simulate.Simulation(short, draw_scenario(short, 1)).run()["service"] > 0
 
 
 def test_a_run_is_not_found_again_by_its_traces_name_when_what_is_in_it_has_changed(tmp_path):
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -11,10 +11,10 @@
 import pytest
 
 from pinspread.config import settings
-from pinspread.simulation import scenario as scenarios
 from pinspread.simulation import simulate, trace, trace_recording, trace_replay
 from pinspread.simulation.destination import ServingState
 from pinspread.simulation.model import FleetModel
+from pinspread.simulation.scenario import draw_scenario
 from pinspread.testbed import platform
 from pinspread.testbed.client_traffic import ClientTraffic
 from pinspread.testbed.clients import Client
@@ -31,7 +31,7 @@
 
 def test_a_day_on_sockets_goes_as_the_model_says_and_its_logs_can_be_replayed(tmp_path):
     world = FleetModel.model_validate(CALM | {"couriers": {"count": 2}})
-    drawn = scenarios.draw_scenario(world, 4)
+    drawn = draw_scenario(world, 4)
     found = platform.play(world, drawn, tmp_path)
     said = simulate.Simulation(world, drawn).run()
     assert not found["broken"] and found["lost"] == 0
@@ -60,7 +60,7 @@
             ],
         }
     )
-    found = platform.play(world, scenarios.draw_scenario(world, 2), tmp_path)
+    found = platform.play(world, draw_scenario(world, 2), tmp_path)
     assert not found["broken"] and found["lost"] == 0 and found["payments_twice"] == 0
     assert found["delivered"] > 0.8 * found["messages"]
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("weights", [0.0, 0.3])
 def test_couriers_on_sockets_are_told_what_the_models_are(weights, tmp_path):
     world = FleetModel.model_validate(CALM | {"partners": {"weights": weights}})
-    run = PlatformRun(world, scenarios.draw_scenario(world, 3))
+    run = PlatformRun(world, draw_scenario(world, 3))
     endpoints = PlatformStandIn(run, 0, lambda notification: None).endpoint_list()
     told = orjson.loads(orjson.dumps(courier_configuration(run, 0, endpoints, str(tmp_path))))
     assert settings.read(told, {}).policy_settings == run.settings
@@ -111,7 +111,7 @@
 
     async def scene():
         world = FleetModel.model_validate(CALM)
-        run = PlatformRun(world, scenarios.draw_scenario(world, 3))
+        run = PlatformRun(world, draw_scenario(world, 3))
 
         def courier(number):
             async def answer(stream):
@@ -145,7 +145,7 @@
 def test_a_silent_partner_does_not_keep_the_places_of_callers_that_are_gone():
     async def scene():
         world = FleetModel.model_validate(CALM)
-        run = PlatformRun(world, scenarios.draw_scenario(world, 3))
+        run = PlatformRun(world, draw_scenario(world, 3))
         endpoint = run.endpoints[1]
         endpoint.connection_limit = 2
         hop = EndpointStandIn(run, endpoint, 0)
@@ -171,7 +171,7 @@
 @pytest.mark.parametrize(("failed_at_s", "broken"), [(6.0, True), (1.0, False), (10.0, False)])
 def test_who_was_refused_a_connection_is_read_from_the_logs(failed_at_s, broken):
     world = FleetModel.model_validate(CALM)
-    run = PlatformRun(world, scenarios.draw_scenario(world, 3))
+    run = PlatformRun(world, draw_scenario(world, 3))
     # Down from 5 to 9 s, pushed over at 11 s; what failed after its return is no outage.
     run.destinations[1].collapses.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
     seen = [ObservedFailure(0, 1, int(failed_at_s * 1e9)), ObservedFailure(1, 2, int(6e9))]
--- a/tests/test_testbed_history.py
+++ b/tests/test_testbed_history.py
@@ -9,8 +9,8 @@
 import pytest
 
 from pinspread.__main__ import main
-from pinspread.simulation import scenario as scenarios
 from pinspread.simulation.model import FleetModel
+from pinspread.simulation.scenario import draw_scenario
 from pinspread.testbed import cluster, history_checker, lease_checker, plot
 from pinspread.testbed.cluster_scenario import FaultEvent, FaultKind, ScenarioError, load
 from pinspread.testbed.member_process import parse_line
@@ -157,7 +157,7 @@
 
 def test_couriers_of_the_model_are_configured_as_recorded():
     model = FleetModel.model_validate({"length_s": 5, "traffic": {"load": 0.5}, "couriers": {"count": 2}})
-    run = PlatformRun(model, scenarios.draw_scenario(model, 4))
+    run = PlatformRun(model, draw_scenario(model, 4))
     endpoints = PlatformStandIn(run, 1, lambda notification: None).endpoint_list()
     found = courier_configuration(run, 1, endpoints, "STATE")
     assert found.pop("seed")
