--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -133,8 +133,9 @@
             return  # closed before it asked for anything
         self.asked.append(request.split()[1].decode())
         self.watches.append(connection)
-        while await connection.read():
-            pass
+        with suppress(OSError):  # the courier may close a watch over bytes that it has not read: a reset
+            while await connection.read():
+                pass
 
     def say(self, n, text=b"", head=False):
         """Write to watch n at once, as one segment."""
