--- a/pinspread/core/notifications.py
+++ b/pinspread/core/notifications.py
@@ -67,13 +67,19 @@
             # A successor that finds no result in its replica, or has taken the work over, would give another.
             while context.replication.blocked_reason() or not await context.replication.wait_replicated():
                 await anyio.sleep(POLL_S)
-            if self._messages.by_id.get(message.id) is not message:
-                return  # released meanwhile: the node that has taken it over notifies
+            if self._is_released(message):
+                return  # the node that has taken it over notifies
         await front.notify(message, final)
+        if self._is_released(message):
+            return  # while the notification was under way; `release` has done what is left to do here
         if front.ordered_by_notice:
             self._acknowledged(message.key)
         self.end(message)
 
+    def _is_released(self, message: Message) -> bool:
+        """Return whether another node has taken the message over since its result was decided."""
+        return self._messages.by_id.get(message.id) is not message
+
     def _acknowledged(self, key: int) -> None:
         self.pending[key] -= 1
         if not self.pending[key]:
--- a/tests/test_leases_stage.py
+++ b/tests/test_leases_stage.py
@@ -23,9 +23,17 @@
 ALWAYS = [{"kind": "one_holder"}, {"kind": "tokens_grow"}]
 
 
+def print_errors(folder):
+    """Print what members wrote that is no event, as a traceback is, for whoever reads of a failed test."""
+    for line in history_checker.read(folder / "history.jsonl"):
+        if "text" in line:
+            print(line["mono_us"], line["who"], line["text"])
+
+
 def play(tmp_path, at, expect=(), seconds=12, **more):
     scenario = {"members": 5, "seconds": seconds, "tuning": FAST, "leases": LEASES, "at": at} | more
     found = cluster.play(scenario | {"expect": [*ALWAYS, *expect]}, tmp_path)
+    print_errors(tmp_path)
     assert all(v["ok"] for v in found), found
     return history_checker.read_scenario(tmp_path / "history.jsonl")
 
--- a/tests/test_replication_stage.py
+++ b/tests/test_replication_stage.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from test_leases_stage import FAST, LEASES
+from test_leases_stage import FAST, LEASES, print_errors
 
 from pinspread.testbed import cluster, history_checker
 from pinspread.testbed.loopback import until
@@ -22,6 +22,7 @@
         "expect": ALWAYS,
     } | more
     found = cluster.play(scenario, tmp_path)
+    print_errors(tmp_path)
     assert all(v["ok"] for v in found), found
     lines = history_checker.read_scenario(tmp_path / "history.jsonl")
     began = next(li["mono_us"] for li in lines if li.get("event") == "stage_began")
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -126,6 +126,28 @@
         assert set(rig.engine.journal.finished_ids) >= {"gone"} and not rig.engine.messages_by_id
 
 
+async def test_what_is_taken_over_while_its_notification_is_under_way_ends_nothing(tmp_path):
+    answered = anyio.Event()
+
+    async def answer_late(_request):
+        await answered.wait()
+        return 204, [], b""
+
+    platform = HttpStandIn(answer_late)
+    async with standing(platform) as heard, engine(tmp_path, platform=heard) as rig:
+        copies = rig.engine.replication = ReplicationService()
+        copies.open.set()
+        client = Client(rig.address)
+        assert await client.enqueue(id_="gone", for_ms=100) == "+OK\r\n"
+        await until(lambda: platform.requests)
+        assert rig.engine.release({"gone"}) == 1
+        answered.set()
+        assert await client.enqueue(id_="next", for_ms=100) == "+OK\r\n"
+        await until(lambda: len(platform.lines) == 2)
+        await until(lambda: not rig.engine.messages_by_id)
+        assert rig.engine.pending_notifications == {}
+
+
 async def test_a_confirm_waits_for_replication_and_never_comes_without_it(tmp_path):
     async with engine(tmp_path) as rig:
         copies = rig.engine.replication = ReplicationService()
