--- a/pinspread/hot_restart/source.py
+++ b/pinspread/hot_restart/source.py
@@ -19,7 +19,15 @@
 from pinspread.core.log import log
 from pinspread.core.messages import AttemptResult
 from pinspread.hot_restart import packet_codec
-from pinspread.hot_restart.link import RETRY_S, STEP_S, Link, PacketKind, socket_path
+from pinspread.hot_restart.link import (
+    RETRY_S,
+    STEP_S,
+    HandoverFormatError,
+    Link,
+    PacketKind,
+    socket_path,
+)
+from pinspread.hot_restart.packet_codec import EndpointDisabledAnswer
 from pinspread.hot_restart.state_codec import shape
 from pinspread.hot_restart.target import IdleEndpointConnection
 from pinspread.sockets import IdleConnection
@@ -126,17 +134,26 @@
                 self.queue.popleft()
 
     async def _read_answers(self, scope: anyio.CancelScope) -> None:
-        try:
-            while True:
+        """Read until the new process has ended: if the link ended earlier, this one would seem to have."""
+        while True:
+            try:
                 packet = await self.link.receive()
                 packet.discard_descriptor()
                 if packet.kind == PacketKind.ENDPOINT_DISABLED:
-                    number, known = orjson.loads(packet.data)
-                    self._questions[number].answer(known)
-        except (OSError, ValueError, KeyError) as error:
-            log("successor_gone", why=str(error) or type(error).__name__)
+                    self._answer(packet_codec.decode_endpoint_disabled(packet.data))
+            except HandoverFormatError as error:
+                log("successor_answer_malformed", error=str(error))
+            except OSError as error:
+                log("successor_gone", why=str(error) or type(error).__name__)
+                break
         scope.cancel()
 
+    def _answer(self, answer: EndpointDisabledAnswer) -> None:
+        question = self._questions.get(answer.request_number)
+        if question is None:
+            raise HandoverFormatError("an answer to no request")
+        question.answer(answer.known)
+
 
 class _Question:
     """An operator's request that was passed on, and whether the next process knows the endpoint."""
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -5,6 +5,7 @@
 
 import os
 import socket
+from collections.abc import Collection
 from contextlib import ExitStack, suppress
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
@@ -12,6 +13,7 @@
 import anyio
 import orjson
 
+from pinspread.core.attempts import AttemptId
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
@@ -20,7 +22,7 @@
 from pinspread.core.log import log
 from pinspread.core.messages import Attempt, AttemptResult
 from pinspread.core.time_units import US_PER_S
-from pinspread.errors import JournalFormatError
+from pinspread.errors import JournalFormatError, JournalFullError, RejectedError
 from pinspread.hot_restart import packet_codec
 from pinspread.hot_restart.link import (
     RETRY_S,
@@ -31,6 +33,14 @@
     PacketKind,
     connect,
 )
+from pinspread.hot_restart.packet_codec import (
+    AttemptReport,
+    EndpointDisabledAnswer,
+    HealthCheckReport,
+    Report,
+    RetryAfterReport,
+    SetEndpointDisabledRequest,
+)
 from pinspread.hot_restart.state_codec import read_state, shape
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import Outcome
@@ -248,18 +258,33 @@
     async with anyio.create_task_group() as tasks:
         for key in in_flight:
             tasks.start_soon(_time_out, link, engine, key, engine.attempts[key], clock)
-        try:
-            while True:
-                packet = await link.receive()
-                packet.discard_descriptor()
-                await _report(link, engine, packet.kind, orjson.loads(packet.data))
-        except (OSError, ValueError, KeyError, TypeError) as error:
-            log("predecessor_gone", why=str(error) or type(error).__name__)
-            engine.predecessor_lost(in_flight, health_checks)
+        await _follow_reports(link, engine, frozenset(in_flight))
+        engine.predecessor_lost(in_flight, health_checks)
         tasks.cancel_scope.cancel()
     link.close()
 
 
+async def _follow_reports(link: Link, engine: DeliveryEngine, in_flight: Collection[AttemptId]) -> None:
+    """Take in the old process's reports until it has ended.
+
+    Only the end of the link is the end of that process and of its calls. A report that cannot be read says
+    nothing of the kind: it is dropped, and what it was about is left to `_time_out`, as with a process that
+    hangs.
+    """
+    while True:
+        try:
+            packet = await link.receive()
+            packet.discard_descriptor()
+            report = packet_codec.decode_report(packet.kind, packet.data)
+        except HandoverFormatError as error:
+            log("predecessor_report_malformed", error=str(error))
+        except OSError as error:
+            log("predecessor_gone", why=str(error) or type(error).__name__)
+            return
+        else:
+            await _apply_report(link, engine, report, in_flight)
+
+
 async def _time_out(
     link: Link, engine: DeliveryEngine, key: tuple[int, int], attempt: Attempt, clock: Clock
 ) -> None:
@@ -283,21 +308,33 @@
     return max(attempt.ends_us(), clock.monotonic(attempt.message.deadline_unix_us))
 
 
-async def _report(link: Link, engine: DeliveryEngine, kind: int, fields: list[Any]) -> None:
-    """Do what one packet of the old process says."""
-    if kind == PacketKind.ATTEMPT_COMPLETED:
-        message_number, attempt_number, result = fields
-        engine.predecessor_attempt_ended(
-            message_number, attempt_number, packet_codec.result_from_json(result)
-        )
-    elif kind == PacketKind.RETRY_AFTER:
-        engine.predecessor_retry_after(*fields)
-    elif kind == PacketKind.HEALTH_CHECK_COMPLETED:
-        endpoint_id, result = fields
-        engine.predecessor_health_check_ended(endpoint_id, packet_codec.result_from_json(result))
-    elif kind == PacketKind.SET_ENDPOINT_DISABLED:
-        endpoint_id, disabled, question = fields
-        known = await (engine.disable(endpoint_id) if disabled else engine.enable(endpoint_id))
-        await link.send(PacketKind.ENDPOINT_DISABLED, orjson.dumps([question, known]))
-    else:
-        raise _out_of_place(kind)
+async def _apply_report(
+    link: Link, engine: DeliveryEngine, report: Report, in_flight: Collection[AttemptId]
+) -> None:
+    """Do what a report of the old process, which had these attempts in flight, says."""
+    match report:
+        case AttemptReport(message_number, attempt_number, result):
+            if (message_number, attempt_number) in in_flight:
+                engine.predecessor_attempt_ended(message_number, attempt_number, result)
+            else:  # it may be one of this process, which still runs
+                log("predecessor_report_malformed", error="no attempt of that process")
+        case RetryAfterReport(endpoint_id, retry_after_us):
+            engine.predecessor_retry_after(endpoint_id, retry_after_us)
+        case HealthCheckReport(endpoint_id, result):
+            engine.predecessor_health_check_ended(endpoint_id, result)
+        case SetEndpointDisabledRequest():
+            await _set_endpoint_disabled(link, engine, report)
+
+
+async def _set_endpoint_disabled(
+    link: Link, engine: DeliveryEngine, request: SetEndpointDisabledRequest
+) -> None:
+    """Do what an operator asked the old process, and answer; without an answer, it tells them so."""
+    change = engine.disable if request.disabled else engine.enable
+    try:
+        known = await change(request.endpoint_id)
+        answer = EndpointDisabledAnswer(request.request_number, known)
+        await link.send(PacketKind.ENDPOINT_DISABLED, packet_codec.encode_endpoint_disabled(answer))
+    except (OSError, JournalFullError, RejectedError) as error:
+        # If the old process has ended, the reports that it sent before are still there to be read.
+        log("endpoint_change_unanswered", error=str(error) or type(error).__name__)
--- /dev/null
+++ b/tests/test_predecessor_reports.py
@@ -0,0 +1,195 @@
+"""What a new process makes of the old one's reports: two engines and their real link in one process."""
+
+import socket
+from collections import Counter
+from contextlib import asynccontextmanager
+
+import anyio
+import orjson
+import pytest
+from standins import Client, HttpStandIn, engine, standing, until
+
+from pinspread.core.engine import DeliveryEngine
+from pinspread.hot_restart import source, state_codec, target
+from pinspread.hot_restart.link import Link, PacketKind
+
+pytestmark = pytest.mark.anyio
+
+SETTLE_S = 0.3  # a message that may be sent again goes out well within it
+RUNNING = "running"  # the message whose call goes on in the old process
+ANSWERED = "answered"  # the message whose call the endpoint answers at once after the hand-over
+
+MALFORMED_REPORTS = {
+    "not JSON": (PacketKind.ATTEMPT_COMPLETED, b"[1, 0, {"),
+    "not UTF-8": (PacketKind.ATTEMPT_COMPLETED, b"\xff"),
+    "empty": (PacketKind.ATTEMPT_COMPLETED, b""),
+    "no list": (PacketKind.ATTEMPT_COMPLETED, b"7"),
+    "a map": (PacketKind.ATTEMPT_COMPLETED, b'{"a": 1, "b": 2, "c": 3}'),
+    "too few fields": (PacketKind.ATTEMPT_COMPLETED, b"[1, 0]"),
+    "too many fields": (PacketKind.ATTEMPT_COMPLETED, b'[1, 0, {"verdict": 0}, 4]'),
+    "numbers of another type": (PacketKind.ATTEMPT_COMPLETED, b'[[1], "0", {"verdict": 0}]'),
+    "a truth value for a number": (PacketKind.ATTEMPT_COMPLETED, b'[true, false, {"verdict": 0}]'),
+    "a result that is no map": (PacketKind.ATTEMPT_COMPLETED, b"[1, 0, 253]"),
+    "a result without an outcome": (PacketKind.ATTEMPT_COMPLETED, b"[1, 0, {}]"),
+    "an unknown outcome": (PacketKind.ATTEMPT_COMPLETED, b'[1, 0, {"verdict": 7}]'),
+    "an unknown field": (PacketKind.ATTEMPT_COMPLETED, b'[1, 0, {"verdict": 0, "of": 1}]'),
+    "a time of another type": (PacketKind.ATTEMPT_COMPLETED, b'[1, 0, {"verdict": 253, "wait_us": "x"}]'),
+    "a limit of another type": (PacketKind.ATTEMPT_COMPLETED, b'[1, 0, {"verdict": 253, "limit": []}]'),
+    "an unknown attempt": (PacketKind.ATTEMPT_COMPLETED, b'[99, 0, {"verdict": 253}]'),
+    "a Retry-After of another type": (PacketKind.RETRY_AFTER, b'["s-1", "soon"]'),
+    "a Retry-After for no name": (PacketKind.RETRY_AFTER, b"[{}, 1000]"),
+    "a health check without a result": (PacketKind.HEALTH_CHECK_COMPLETED, b'["s-1"]'),
+    "a question without a number": (PacketKind.SET_ENDPOINT_DISABLED, b'["s-1", true]'),
+    "a question of another type": (PacketKind.SET_ENDPOINT_DISABLED, b'["s-1", "yes", 0]'),
+    "a kind out of place": (PacketKind.STATE, b"[]"),
+    "an unknown kind": (99, b"[]"),
+}
+
+
+class Endpoint(HttpStandIn):
+    """Answers the first call of each message when the test says so, and all others at once."""
+
+    def __init__(self):
+        super().__init__(self.answer)
+        self.calls = Counter()
+        self.released = {RUNNING: anyio.Event(), ANSWERED: anyio.Event()}
+
+    async def answer(self, request):
+        id_ = request[3].get("request-id")
+        if id_ is not None:
+            self.calls[id_] += 1
+            if self.calls[id_] == 1:
+                await self.released[id_].wait()
+        return 200, [], b""
+
+
+class Upgrade:
+    """An old and a new engine, the old one's calls still in flight; the test sends its reports by hand."""
+
+    def __init__(self, endpoint, new, successor):
+        self.endpoint = endpoint
+        self.new = new
+        self.successor = successor
+        self.link = successor.link
+
+    async def report_queued(self):
+        """Send the reports that the old engine has made."""
+        while self.successor.queue:
+            await self.link.send(*self.successor.queue.popleft())
+
+    async def end_call(self, id_):
+        """Have the endpoint answer, and the old engine's report of that sent."""
+        self.endpoint.released[id_].set()
+        await until(lambda: self.successor.queue)
+        await self.report_queued()
+
+    def delivered(self, id_):
+        return id_ not in self.new.engine.messages_by_id
+
+
+@asynccontextmanager
+async def upgraded(folder, monkeypatch, ids=(RUNNING, ANSWERED), class_name="status-update", **message):
+    """A hand-over with a call of each of these messages in flight in the old engine."""
+    endpoint = Endpoint()
+    ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    platform = HttpStandIn(lambda request: (204 if request[2] == "/v2/finals" else 503, [], b""))
+    async with (
+        standing(endpoint) as address,
+        standing(platform) as platform_address,
+        engine(folder, endpoints=[(address,)]) as old,
+    ):
+        client = Client(old.address)
+        for id_ in ids:
+            assert await client.enqueue(class_name, id_, **message) == "+OK\r\n"
+            await until(lambda id_=id_: endpoint.calls[id_])
+        successor = source.Successor(Link(ours))
+        packed = state_codec.pack_state(dict(old.engine.pause_for_handover(successor)))
+        monkeypatch.setattr(old.engine.journal, "close", lambda: None)  # the hand-over has closed it
+
+        def resume(new_engine):
+            new_engine.journal.read()
+            new_engine.resume_from_handover(state_codec.read_state(packed))
+
+        monkeypatch.setattr(DeliveryEngine, "recover", resume)
+        async with engine(folder, platform_address) as new:
+            new.tasks.start_soon(target.follow_predecessor, Link(theirs), new.engine, new.engine.clock)
+            yield Upgrade(endpoint, new, successor)
+        ours.close()
+
+
+@pytest.mark.parametrize("name", MALFORMED_REPORTS)
+async def test_a_malformed_report_sends_nothing_again_and_those_behind_it_count(tmp_path, monkeypatch, name):
+    async with upgraded(tmp_path, monkeypatch) as upgrade:
+        await upgrade.link.send(*MALFORMED_REPORTS[name])
+        await anyio.sleep(SETTLE_S)
+        assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
+        await upgrade.end_call(ANSWERED)
+        await until(lambda: upgrade.delivered(ANSWERED))
+        assert not upgrade.delivered(RUNNING)
+        upgrade.link.close()  # the end of the old process, and only that
+        await until(lambda: upgrade.delivered(RUNNING))
+        assert upgrade.endpoint.calls == {RUNNING: 2, ANSWERED: 1}
+
+
+@pytest.mark.parametrize("fragment", [b"\x09", b"\x09\x02[]", b"\x09\x01[1,"])
+async def test_a_malformed_fragment_sends_nothing_again(tmp_path, monkeypatch, fragment):
+    async with upgraded(tmp_path, monkeypatch) as upgrade:
+        upgrade.link.sock.send(fragment)
+        upgrade.link.sock.send(b"\x0a\x00[]")  # of another kind than a fragment that is to be continued
+        await anyio.sleep(SETTLE_S)
+        await upgrade.end_call(ANSWERED)
+        await until(lambda: upgrade.delivered(ANSWERED))
+        assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
+
+
+async def test_a_payment_with_a_malformed_report_goes_once_and_its_own_report_counts(tmp_path, monkeypatch):
+    async with upgraded(tmp_path, monkeypatch, (RUNNING,), "payment") as upgrade:
+        await upgrade.link.send(PacketKind.ATTEMPT_COMPLETED, b"[1, 0]")
+        await anyio.sleep(SETTLE_S)
+        message = upgrade.new.engine.messages_by_id[RUNNING]
+        assert message.final is None and upgrade.endpoint.calls == {RUNNING: 1}
+        await upgrade.end_call(RUNNING)
+        await until(lambda: upgrade.delivered(RUNNING))
+        assert message.final is None and upgrade.endpoint.calls == {RUNNING: 1}
+
+
+async def test_a_report_ends_no_attempt_of_the_new_process(tmp_path, monkeypatch):
+    async with upgraded(tmp_path, monkeypatch, (ANSWERED,)) as upgrade:
+        await Client(upgrade.new.address).enqueue("status-update", RUNNING)
+        await until(lambda: upgrade.endpoint.calls[RUNNING])
+        number = upgrade.new.engine.messages_by_id[RUNNING].number
+        await upgrade.link.send(PacketKind.ATTEMPT_COMPLETED, orjson.dumps([number, 0, {"verdict": 251}]))
+        await anyio.sleep(SETTLE_S)
+        assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
+        upgrade.endpoint.released[RUNNING].set()
+        await until(lambda: upgrade.delivered(RUNNING))
+
+
+async def test_an_operators_request_that_fails_is_no_end_of_the_old_process(tmp_path, monkeypatch):
+    async with upgraded(tmp_path, monkeypatch) as upgrade:
+
+        async def without_answer(id_):
+            raise TimeoutError  # as when this process hands over itself, and the next one hangs
+
+        monkeypatch.setattr(upgrade.new.engine, "disable", without_answer)
+        await upgrade.link.send(PacketKind.SET_ENDPOINT_DISABLED, b'["s-1", true, 0]')
+        await anyio.sleep(SETTLE_S)
+        await upgrade.end_call(ANSWERED)
+        await until(lambda: upgrade.delivered(ANSWERED))
+        assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
+
+
+@pytest.mark.parametrize("data", [b"", b"[", b"7", b"[0]", b"[9, true]", b"[[], true]", b'[0, "yes"]'])
+async def test_a_malformed_answer_does_not_end_the_old_processs_reports(data):
+    here, there = (Link(one) for one in socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET))
+    successor = source.Successor(here)
+    async with anyio.create_task_group() as tasks:
+        tasks.start_soon(successor.run)
+        await there.send(PacketKind.ENDPOINT_DISABLED, data)
+        await anyio.sleep(0.05)
+        successor.apply_retry_after("s-1", 7)
+        with anyio.fail_after(1):
+            assert (await there.receive()).kind == PacketKind.RETRY_AFTER
+        tasks.cancel_scope.cancel()
+    here.close()
+    there.close()
