--- a/pinspread/hot_restart/link.py
+++ b/pinspread/hot_restart/link.py
@@ -135,6 +135,10 @@
                 break
             except BlockingIOError:
                 await anyio.wait_readable(self.sock)
+            except ConnectionResetError:
+                # The other process has ended with packets of ours unread. The kernel says so once, and first;
+                # what that process had sent before is still there, and then comes its end.
+                continue
         descriptors = _descriptors(ancillary)
         if not fragment:
             _close_all(descriptors)
--- a/tests/test_predecessor_reports.py
+++ b/tests/test_predecessor_reports.py
@@ -66,9 +66,10 @@
 class Upgrade:
     """An old and a new engine, the old one's calls still in flight; the test sends its reports by hand."""
 
-    def __init__(self, endpoint, new, successor):
+    def __init__(self, endpoint, new, new_link, successor):
         self.endpoint = endpoint
         self.new = new
+        self.new_link = new_link
         self.successor = successor
         self.link = successor.link
 
@@ -83,7 +84,8 @@
         await until(lambda: self.successor.queue)
         await self.report_queued()
 
-    def delivered(self, id_):
+    def is_over(self, id_):
+        """Whether nothing is owed for a message any more."""
         return id_ not in self.new.engine.messages_by_id
 
 
@@ -112,8 +114,9 @@
 
         monkeypatch.setattr(DeliveryEngine, "recover", resume)
         async with engine(folder, platform_address) as new:
-            new.tasks.start_soon(target.follow_predecessor, Link(theirs), new.engine, new.engine.clock)
-            yield Upgrade(endpoint, new, successor)
+            link = Link(theirs)
+            new.tasks.start_soon(target.follow_predecessor, link, new.engine, new.engine.clock)
+            yield Upgrade(endpoint, new, link, successor)
         ours.close()
 
 
@@ -124,10 +127,10 @@
         await anyio.sleep(SETTLE_S)
         assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
         await upgrade.end_call(ANSWERED)
-        await until(lambda: upgrade.delivered(ANSWERED))
-        assert not upgrade.delivered(RUNNING)
+        await until(lambda: upgrade.is_over(ANSWERED))
+        assert not upgrade.is_over(RUNNING)
         upgrade.link.close()  # the end of the old process, and only that
-        await until(lambda: upgrade.delivered(RUNNING))
+        await until(lambda: upgrade.is_over(RUNNING))
         assert upgrade.endpoint.calls == {RUNNING: 2, ANSWERED: 1}
 
 
@@ -138,7 +141,7 @@
         upgrade.link.sock.send(b"\x0a\x00[]")  # of another kind than a fragment that is to be continued
         await anyio.sleep(SETTLE_S)
         await upgrade.end_call(ANSWERED)
-        await until(lambda: upgrade.delivered(ANSWERED))
+        await until(lambda: upgrade.is_over(ANSWERED))
         assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
 
 
@@ -149,7 +152,7 @@
         message = upgrade.new.engine.messages_by_id[RUNNING]
         assert message.final is None and upgrade.endpoint.calls == {RUNNING: 1}
         await upgrade.end_call(RUNNING)
-        await until(lambda: upgrade.delivered(RUNNING))
+        await until(lambda: upgrade.is_over(RUNNING))
         assert message.final is None and upgrade.endpoint.calls == {RUNNING: 1}
 
 
@@ -162,7 +165,7 @@
         await anyio.sleep(SETTLE_S)
         assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
         upgrade.endpoint.released[RUNNING].set()
-        await until(lambda: upgrade.delivered(RUNNING))
+        await until(lambda: upgrade.is_over(RUNNING))
 
 
 async def test_an_operators_request_that_fails_is_no_end_of_the_old_process(tmp_path, monkeypatch):
@@ -175,7 +178,7 @@
         await upgrade.link.send(PacketKind.SET_ENDPOINT_DISABLED, b'["s-1", true, 0]')
         await anyio.sleep(SETTLE_S)
         await upgrade.end_call(ANSWERED)
-        await until(lambda: upgrade.delivered(ANSWERED))
+        await until(lambda: upgrade.is_over(ANSWERED))
         assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
 
 
@@ -193,3 +196,17 @@
         tasks.cancel_scope.cancel()
     here.close()
     there.close()
+
+
+async def test_reports_count_though_the_old_process_ended_with_an_answer_unread(tmp_path, monkeypatch):
+    async with upgraded(tmp_path, monkeypatch, (ANSWERED,), "payment") as upgrade:
+        upgrade.endpoint.released[ANSWERED].set()
+        await until(lambda: upgrade.successor.queue)
+        upgrade.new_link.sock.send(
+            b"\x0d\x00[0,true]"
+        )  # before the reports, so that they lie behind the reset
+        await upgrade.report_queued()
+        upgrade.link.close()
+        message = upgrade.new.engine.messages_by_id[ANSWERED]
+        await until(lambda: upgrade.is_over(ANSWERED))
+        assert message.final is None and upgrade.endpoint.calls == {ANSWERED: 1}
