--- a/pinspread/core/acceptance.py
+++ b/pinspread/core/acceptance.py
@@ -87,7 +87,11 @@
         known = self._messages.by_id.get(message.id)
         if known is not None and known.final is not None and known.final.state is FinalState.RETURNED:
             raise RejectedError(REJECTED_RETRY_MS, "it was returned, and that has not been heard yet")
-        return known is not None or message.id in self._context.journal.finished_ids
+        if known is not None or message.id in self._context.journal.finished_ids:
+            return True
+        if self._messages.may_still_run(message.id):
+            raise RejectedError(REJECTED_RETRY_MS, "it was returned, and an attempt of it may still run")
+        return False
 
     def _check_capacity(self) -> None:
         settings = self._context.settings
--- a/pinspread/core/attempts.py
+++ b/pinspread/core/attempts.py
@@ -8,6 +8,7 @@
 from pinspread.core.context import POLL_S, EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
 from pinspread.core.log import log
+from pinspread.core.message_table import AttemptId
 from pinspread.core.messages import NEVER_RAN, Attempt, AttemptResult, Endpoint, FinalResult, FinalState
 from pinspread.core.notifications import Notifications
 from pinspread.core.time_units import NS_PER_US
@@ -19,8 +20,6 @@
 NOTIFICATION_POLL_S = 0.005  # between two questions whether an attempt still waits for its key
 BUNDLING_SCHEME = "http"  # the one scheme whose calls carry several messages
 
-AttemptId = tuple[int, int]  # the number of the message, and of the attempt within it
-
 
 class AttemptRunner:
     """Runs attempts, each in a task of its own or with others in one call, and handles what becomes of them.
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -7,7 +7,7 @@
 from anyio.abc import TaskGroup
 
 from pinspread.core.acceptance import Acceptance
-from pinspread.core.attempts import AttemptId, AttemptRunner
+from pinspread.core.attempts import AttemptRunner
 from pinspread.core.clock import Clock
 from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_blocklist import EndpointBlocklist
@@ -16,6 +16,7 @@
 from pinspread.core.health_checks import HealthChecks
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
+from pinspread.core.message_table import AttemptId
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint, FinalResult, FinalState, Message
 from pinspread.core.notifications import Notifications
 from pinspread.core.ownership import EngineState, Ownership
@@ -280,6 +281,10 @@
         """Handle the end of an attempt that the process before had in flight."""
         self.ownership.predecessor_attempt_ended(number, attempt_number, result)
 
+    def predecessor_attempt_unreported(self, number: int, attempt_number: int) -> None:
+        """Handle that the process before has not reported the end of an attempt in time."""
+        self.ownership.predecessor_attempt_unreported(number, attempt_number)
+
     def predecessor_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
         """Apply a Retry-After that an endpoint gave the process before."""
         self.ownership.predecessor_retry_after(endpoint_id, retry_after_us)
--- a/pinspread/core/ownership.py
+++ b/pinspread/core/ownership.py
@@ -4,11 +4,12 @@
 from typing import TypedDict
 
 from pinspread.core.acceptance import Acceptance
-from pinspread.core.attempts import AttemptId, AttemptRunner
+from pinspread.core.attempts import AttemptRunner
 from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry, RetryAfterScope
 from pinspread.core.health_checks import HealthChecks
 from pinspread.core.log import log
+from pinspread.core.message_table import AttemptId
 from pinspread.core.messages import Attempt, AttemptResult, Endpoint, Message
 from pinspread.core.ports import Successor
 from pinspread.policy.delivery_policy import DeliveryPolicy
@@ -144,10 +145,22 @@
 
     def predecessor_attempt_ended(self, number: int, attempt_number: int, result: AttemptResult) -> None:
         """Handle the end of an attempt that the process before had in flight."""
+        self._messages.unreported_attempts.pop((number, attempt_number), None)
         attempt = self._attempts.in_flight.get((number, attempt_number))
         if attempt is not None:
             self._attempts.complete(attempt, result)
 
+    def predecessor_attempt_unreported(self, number: int, attempt_number: int) -> None:
+        """Handle that the process before has not reported the end of an attempt in time.
+
+        It ends here, but may go on there. Its message is not sent again, as its time is over, and must not be
+        accepted again under its id either before the attempt is reported, or that process has ended.
+        """
+        attempt = self._attempts.in_flight.get((number, attempt_number))
+        if attempt is not None:
+            self._messages.unreported_attempts[number, attempt_number] = attempt.message.id
+            self._attempts.complete(attempt, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
+
     def predecessor_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
         """Apply a Retry-After that an endpoint gave the process before."""
         if endpoint_id in self._registry.endpoints:
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -13,14 +13,14 @@
 import anyio
 import orjson
 
-from pinspread.core.attempts import AttemptId
 from pinspread.core.clock import Clock
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.handover import HandoverStep, HandoverTarget, TargetState
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
-from pinspread.core.messages import Attempt, AttemptResult
+from pinspread.core.message_table import AttemptId
+from pinspread.core.messages import Attempt
 from pinspread.core.time_units import US_PER_S
 from pinspread.errors import JournalFormatError, JournalFullError, RejectedError
 from pinspread.hot_restart import packet_codec
@@ -43,7 +43,6 @@
 )
 from pinspread.hot_restart.state_codec import read_state, shape
 from pinspread.policy.delivery_policy import DeliveryPolicy
-from pinspread.policy.events import Outcome
 from pinspread.sockets import Connection, IdleConnection
 
 BROKEN_S = 0.3  # after an exchange that broke: the old process has the lock back first
@@ -298,7 +297,7 @@
     # delivered would pass for one that failed.
     while link.has_unread():
         await anyio.sleep(UNREAD_POLL_S)
-    engine.predecessor_attempt_ended(*key, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
+    engine.predecessor_attempt_unreported(*key)
 
 
 def _last_end_us(engine: DeliveryEngine, attempt: Attempt, clock: Clock) -> int:
--- a/tests/test_predecessor_reports.py
+++ b/tests/test_predecessor_reports.py
@@ -210,3 +210,31 @@
         message = upgrade.new.engine.messages_by_id[ANSWERED]
         await until(lambda: upgrade.is_over(ANSWERED))
         assert message.final is None and upgrade.endpoint.calls == {ANSWERED: 1}
+
+
+@pytest.mark.parametrize("end", ["its report", "the end of its process"])
+async def test_a_returned_message_is_not_accepted_again_while_its_call_may_go_on(tmp_path, monkeypatch, end):
+    async with upgraded(tmp_path, monkeypatch, (RUNNING,), for_ms=400) as upgrade:
+        await until(lambda: upgrade.is_over(RUNNING))  # returned, and the client has heard it
+        client = Client(upgrade.new.address)
+        assert (await client.enqueue("status-update", RUNNING)).startswith("-BUSY")
+        assert await client.enqueue("status-update", ANSWERED) == "+OK\r\n"
+        if end == "its report":
+            await upgrade.report_queued()
+        else:
+            upgrade.link.close()
+        await until(lambda: not upgrade.new.engine.context.messages.unreported_attempts)
+        assert upgrade.endpoint.calls[RUNNING] == 1
+        assert await client.enqueue("status-update", RUNNING) == "+OK\r\n"
+        await until(lambda: upgrade.endpoint.calls[RUNNING] == 2)
+
+
+async def test_a_payment_that_failed_behind_a_process_that_hangs_is_known_when_it_comes_again(
+    tmp_path, monkeypatch
+):
+    async with upgraded(tmp_path, monkeypatch, (RUNNING,), "payment", for_ms=400) as upgrade:
+        await until(lambda: upgrade.is_over(RUNNING))
+        assert RUNNING in upgrade.new.engine.journal.finished_ids
+        assert await Client(upgrade.new.address).enqueue("payment", RUNNING) == "+OK\r\n"
+        await anyio.sleep(SETTLE_S)
+        assert upgrade.endpoint.calls == {RUNNING: 1}
