--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,6 @@
 """Fixtures that several test files share."""
 
+import policy_helpers
 import pytest
 
 
@@ -7,3 +8,11 @@
 def anyio_backend():
     """Tests marked `anyio` run on asyncio, the event loop that the program itself uses."""
     return "asyncio"
+
+
+@pytest.fixture(params=["first", "second"])
+def policy_shape(request, monkeypatch):
+    """Runs a test of the delivery policy with the settings of each of the two deployments."""
+    monkeypatch.setattr(
+        policy_helpers, "SHAPE", policy_helpers.SECOND_SHAPE if request.param == "second" else {}
+    )
