--- /dev/null
+++ b/tests/simulation_helpers.py
@@ -0,0 +1,34 @@
+"""Helpers for the tests of the simulation: small models, a run of one day, and a small experiment file."""
+
+from pathlib import Path
+
+from pinspread.simulation.model import FleetModel
+from pinspread.simulation.scenario import draw_scenario
+from pinspread.simulation.simulate import Simulation
+
+ROOT = Path(__file__).parents[1]
+
+
+def world(**tables):
+    return FleetModel.model_validate({"length_s": 15} | tables)
+
+
+def play(one, seed=1, **more):
+    return Simulation(one, draw_scenario(one, seed), **more).run()
+
+
+SMALL = """
+[experiment]
+name = "small"
+seeds = 2
+
+[world]
+length_s = 4
+
+[[variant]]
+name = "as is"
+
+[[variant]]
+name = "few slots"
+settings = { calls_out = 2 }
+"""
