--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -8,8 +8,8 @@
 
 import anyio
 import pytest
+from platform_helpers import Process
 from standins import AmqpClient, HttpStandIn, own_address, standing, until
-from test_platform import Process
 
 pytestmark = pytest.mark.anyio
 SLOTS = 3
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
+from platform_helpers import HEARD, Process, platform
 from standins import Client, HttpStandIn, configuration, engine, standing, until
-from test_platform import HEARD, Process, platform
 
 from pinspread.__main__ import main
 from pinspread.config import settings
