--- /dev/null
+++ b/tests/amqp_front_sessions.py
@@ -0,0 +1,298 @@
+"""AMQP sessions of clients of the front: each function plays the client; `test_amqp_bytes.py` runs them."""
+
+from contextlib import asynccontextmanager
+
+import anyio
+from amqp_dialogue import FRAME_MAX, GREETING, message, method, publish
+from pamqp import body, commands, header
+from standins import engine, until
+
+from pinspread.core.messages import FinalResult, FinalState
+
+
+@asynccontextmanager
+async def client(dialogue, rig):
+    """A connection of its own to the front."""
+    host, port = rig.amqp.split(":")
+    async with await anyio.connect_tcp(host, int(port)) as dialogue.stream:
+        yield dialogue
+
+
+async def opened(dialogue, channels=(1,), confirms=True):
+    """Open the connection and channels."""
+    await dialogue.exchange(GREETING)
+    await dialogue.exchange(method(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"), 0))
+    await dialogue.say(method(commands.Connection.TuneOk(8, FRAME_MAX, 0), 0))
+    await dialogue.exchange(method(commands.Connection.Open("/"), 0))
+    for channel in channels:
+        await dialogue.exchange(method(commands.Channel.Open(), channel))
+        if confirms:
+            await dialogue.exchange(method(commands.Confirm.Select(), channel))
+
+
+async def ended(dialogue):
+    """Close the connection as a client does."""
+    await dialogue.exchange(method(commands.Connection.Close(200, "bye", 0, 0), 0))
+    await dialogue.closed()
+
+
+async def front_greetings(dialogue, folder):
+    """Other protocols and what is agreed on before the connection is open."""
+    early = [
+        [commands.Connection.TuneOk(8, 1024, 0)],
+        [commands.Connection.TuneOk(8, 100_000, 0)],
+        [commands.Connection.TuneOk(8, 0, 0), commands.Connection.Open("other")],
+        [commands.Connection.Open("/")],
+    ]
+    async with engine(folder) as rig:
+        async with client(dialogue, rig):
+            await dialogue.exchange(b"AMQP\0\1\0\0")
+            await dialogue.closed()
+        async with client(dialogue, rig):
+            await dialogue.exchange(GREETING)
+            await dialogue.exchange(method(commands.Channel.Open(), 0))
+            await dialogue.say(method(commands.Connection.CloseOk(), 0))
+            await dialogue.closed()
+        for methods in early:
+            async with client(dialogue, rig):
+                await dialogue.exchange(GREETING)
+                await dialogue.exchange(
+                    method(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"), 0)
+                )
+                await dialogue.exchange(*(method(m, 0) for m in methods))
+                await dialogue.say(method(commands.Connection.CloseOk(), 0))
+                await dialogue.closed()
+
+
+async def front_publishing(dialogue, folder):
+    """A publisher whose messages are accepted, and rejected with when to come back."""
+    async with engine(folder) as rig, client(dialogue, rig):
+        await opened(dialogue, channels=(1, 3))
+        await dialogue.exchange(publish())
+        await dialogue.exchange(publish())  # the same id once more: it is accepted already
+        headers = {"key": "5c0f", "idempotency-key": "k1", "class": "booking-change"}
+        await dialogue.exchange(publish(b"y" * 9000, channel=3, properties={"message_id": "m2"}, **headers))
+        rig.engine.stopping = True
+        await dialogue.exchange(publish(b"any\0body", properties={"message_id": "m3"}))
+        await dialogue.exchange(
+            publish(b"z" * 9000, channel=3, properties={"message_id": "m4"}, key="booking-7")
+        )
+        await dialogue.exchange(publish(b"", properties={"message_id": "m5", "content_type": "text/plain"}))
+        parts = publish(b"in parts", properties={"message_id": "m6"})
+        for at in range(0, len(parts), 16):
+            await dialogue.say(parts[at : at + 16])
+        await dialogue.hear()
+        await dialogue.exchange(publish())  # accepted before
+        await dialogue.exchange(method(commands.Channel.Flow(True)))
+        await dialogue.exchange(method(commands.Channel.Flow(False), 3))
+        await dialogue.exchange(method(commands.Basic.Qos(0, 7)))
+        await dialogue.exchange(method(commands.Confirm.Select(), 3))
+        await dialogue.say(method(commands.Confirm.Select(nowait=True), 3))
+        await dialogue.exchange(method(commands.Channel.Close(200, "done", 0, 0)))
+        await dialogue.exchange(method(commands.Channel.Open()))
+        await ended(dialogue)
+
+
+async def front_queues(dialogue, folder):
+    """Declaring queues and subscribing to them."""
+    async with engine(folder) as rig, client(dialogue, rig):
+        await opened(dialogue, confirms=False)
+        await dialogue.exchange(method(commands.Queue.Declare(0, "q")))
+        await dialogue.exchange(method(commands.Queue.Declare(0, "")))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "q", "c1")))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "q", "")))
+        await dialogue.say(method(commands.Basic.Consume(0, "q", "c3", nowait=True)))
+        await dialogue.say(method(commands.Queue.Declare(0, "q2", nowait=True)))
+        await dialogue.exchange(method(commands.Queue.Declare(0, "q", passive=True)))
+        await dialogue.exchange(method(commands.Basic.Cancel("c1")))
+        await dialogue.say(method(commands.Basic.Cancel("c3", nowait=True)))
+        await dialogue.exchange(method(commands.Basic.Cancel("unknown")))
+        await dialogue.exchange(method(commands.Queue.Declare(0, "q", passive=True)))
+        await ended(dialogue)
+
+
+def soft_errors():
+    """What ends a channel: its reply code is under 500."""
+    consume = commands.Basic.Consume
+    return [
+        publish(**{"class": "nonsense"}),
+        publish(tenant="nobody"),
+        publish(dest="x"),
+        publish(dest=70_000),
+        publish(properties={"message_id": "m 1"}),
+        publish(properties={"message_id": ""}),
+        publish(properties={"reply_to": ""}),
+        publish(properties={"expiration": "soon"}),
+        publish(properties={"expiration": "99999999999"}),
+        publish(properties={"headers": {}}),
+        publish(properties={"headers": {"class": "payment", "tenant": "north"}}),
+        publish(properties={"headers": {"dest": 1}}),
+        publish(properties={"message_id": "x" * 65}),
+        publish(key="\u00e9" * 20, properties={"reply_to": ""}),
+        publish(**{"idempotency-key": "a b"}),
+        publish(exchange="none"),
+        publish(b"x" * 65_537),
+        method(consume(0, "q", "t", no_ack=True)),
+        method(commands.Basic.Ack(7)),
+        method(commands.Basic.Nack(7)),
+        method(commands.Basic.Reject(7)),
+        method(commands.Basic.Ack(7, True)),
+        method(commands.Queue.Declare(0, "q" * 200, passive=True)),
+    ]
+
+
+async def front_soft_errors(dialogue, folder):
+    """Malformed messages and requests that cannot be met end their channel; the connection goes on."""
+    async with engine(folder) as rig, client(dialogue, rig):
+        await opened(dialogue, confirms=False)
+        reopen = method(commands.Channel.CloseOk()) + method(commands.Channel.Open())
+        await dialogue.exchange(publish())  # confirms are not selected
+        for wrong in soft_errors():
+            await dialogue.exchange(reopen)
+            await dialogue.exchange(method(commands.Confirm.Select()))
+            # What crosses the close is not answered.
+            await dialogue.exchange(wrong, method(commands.Basic.Qos(0, 1)))
+        await dialogue.exchange(method(commands.Channel.Close(200, "crossing", 0, 0)))
+        await dialogue.exchange(method(commands.Channel.Open()))
+        await ended(dialogue)
+
+
+def hard_errors():
+    """What ends the connection."""
+    start = method(commands.Basic.Publish(0, "", "partner", False))
+    size_1 = method(header.ContentHeader(0, 1, commands.Basic.Properties(message_id="m")))
+    one = method(body.ContentBody(b"x"))
+    return [
+        method(commands.Tx.Select()),
+        method(commands.Basic.Get(0, "q")),
+        method(commands.Basic.Ack(1), 5),
+        method(commands.Channel.Open()),
+        method(commands.Channel.Open(), 65),
+        method(commands.Channel.Open(), 0),
+        b"\x01\0\1\0\0\0\4\0\0\0\0\xce",
+        b"\x01\0\1\0\0\0\4\0\x0a\0\x0b\xce",
+        b"\x09\0\1\0\0\0\0\xce",
+        b"\x01\0\1\x0f\0\0\0",
+        b"\x03\0\1\0\0\0\1xx",
+        one,
+        size_1,
+        start + one,
+        start + size_1 + size_1,
+        start + start,
+        start + size_1 + method(body.ContentBody(b"xy")),
+        method(commands.Basic.Consume(0, "q", "t", nowait=True))
+        + method(commands.Basic.Consume(0, "q", "t")),
+    ]
+
+
+async def front_hard_errors(dialogue, folder):
+    """Breaches of the protocol end the connection, by Close and CloseOk."""
+    async with engine(folder) as rig:
+        for wrong in hard_errors():
+            async with client(dialogue, rig):
+                await opened(dialogue)
+                await dialogue.exchange(wrong)
+                # Nothing is answered behind the Close.
+                await dialogue.say(method(commands.Basic.Qos(0, 1)), method(commands.Connection.CloseOk(), 0))
+                await dialogue.closed()
+    (folder / "small").mkdir()
+    async with engine(folder / "small", max_unread_bytes=10_000) as rig, client(dialogue, rig):
+        await opened(dialogue)
+        await dialogue.exchange(publish(b"x" * 60_000)[:-100])
+        await dialogue.say(method(commands.Connection.CloseOk(), 0))
+        await dialogue.closed()
+
+
+class Results:
+    """Final results that the front is to deliver, and which of them have been acknowledged."""
+
+    def __init__(self, dialogue, front, tasks):
+        self.dialogue = dialogue
+        self.front = front
+        self.tasks = tasks
+        self.acknowledged_ids = []
+
+    def put(self, id_, state, after_ms=0):
+        self.tasks.start_soon(self._notify, id_, FinalResult(state, after_ms))
+
+    async def _notify(self, id_, final):
+        await self.front.notify(message(id_), final)
+        self.acknowledged_ids.append(id_)
+
+    async def acknowledged(self, *ids):
+        """These are, and no others."""
+        await until(lambda: len(self.acknowledged_ids) >= len(ids))
+        self.dialogue.step("acknowledged", *self.acknowledged_ids)
+        assert set(self.acknowledged_ids) == set(ids)
+        self.acknowledged_ids = []
+
+
+@asynccontextmanager
+async def results(dialogue, rig):
+    async with anyio.create_task_group() as tasks:
+        yield Results(dialogue, rig.engine.fronts["amqp"], tasks)
+        tasks.cancel_scope.cancel()
+
+
+async def front_deliveries(dialogue, folder):
+    """Final results of each kind are delivered until they are acknowledged."""
+    states = FinalState
+    async with engine(folder) as rig, client(dialogue, rig), results(dialogue, rig) as queue:
+        await opened(dialogue, channels=(1, 2), confirms=False)
+        queue.put("m1", states.DELIVERED)
+        queue.put("m2", states.FAILED)
+        await anyio.sleep(0.02)
+        await dialogue.exchange(method(commands.Queue.Declare(0, "ends", passive=True)))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
+        queue.put("m3", states.RETURNED, 1500)
+        await dialogue.hear()
+        queue.put("m4", states.RETURNED)
+        await dialogue.hear()
+        await dialogue.say(method(commands.Basic.Ack(2)))
+        await queue.acknowledged("m2")
+        await dialogue.exchange(method(commands.Basic.Nack(3, False, True)))  # m3 comes again
+        await dialogue.exchange(method(commands.Basic.Reject(1, True)))  # m1 comes again
+        await dialogue.say(method(commands.Basic.Nack(4, False, False)))  # m4 is not wanted
+        await queue.acknowledged("m4")
+        await dialogue.exchange(method(commands.Basic.Nack(6, True, True)))  # m1 and m3
+        await dialogue.say(method(commands.Basic.Ack(0, True)))
+        await queue.acknowledged("m1", "m3")
+        await dialogue.say(method(commands.Basic.Ack(0, True)))  # nothing is out: not an error
+        await dialogue.exchange(method(commands.Basic.Cancel("c")))
+        # Prefetch, two consumers in turns, and what a closed channel had not acknowledged.
+        await dialogue.exchange(method(commands.Basic.Qos(0, 1)), method(commands.Basic.Qos(0, 1), 2))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "d")))
+        await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "e"), 2))
+        for number in range(5, 9):
+            queue.put(f"m{number}", states.DELIVERED)
+        await dialogue.hear()
+        await dialogue.exchange(method(commands.Basic.Ack(1), 2))
+        await queue.acknowledged("m6")
+        await dialogue.exchange(method(commands.Channel.Close(200, "done", 0, 0)))
+        await dialogue.exchange(method(commands.Basic.Ack(2), 2))
+        await queue.acknowledged("m7")
+        await dialogue.exchange(method(commands.Basic.Ack(3, True), 2))
+        await queue.acknowledged("m5")
+        await dialogue.say(method(commands.Basic.Reject(4, False), 2))
+        await queue.acknowledged("m8")
+        await ended(dialogue)
+
+
+async def front_redelivery(dialogue, folder):
+    """What a lost consumer had not acknowledged goes to the next one; at the end the process says so."""
+    async with engine(folder) as rig, results(dialogue, rig) as queue:
+        async with client(dialogue, rig):
+            await opened(dialogue, confirms=False)
+            await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
+            queue.put("m1", FinalState.FAILED)
+            await dialogue.hear()
+        await anyio.sleep(0.05)
+        async with client(dialogue, rig):
+            await opened(dialogue, confirms=False)
+            await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
+            await dialogue.say(method(commands.Basic.Ack(1)))
+            await queue.acknowledged("m1")
+            await queue.front.close()
+            await dialogue.hear()
+            await dialogue.say(method(commands.Connection.CloseOk(), 0))
+            await dialogue.closed()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,6 +3,9 @@
 import policy_helpers
 import pytest
 
+# Modules of helpers whose assertions pytest explains when they fail, as it does those of test files.
+pytest.register_assert_rewrite("amqp_dialogue", "amqp_front_sessions")
+
 
 @pytest.fixture
 def anyio_backend():
