--- a/tests/test_amqp_bytes.py
+++ b/tests/test_amqp_bytes.py
@@ -1,9 +1,9 @@
 """What AMQP clients and brokers see on the wire, byte for byte as recorded before the code was renamed.
 
-Each session is a script that plays one side on a real socket: those of clients are in `amqp_front_sessions.py`,
-those of brokers in `amqp_broker_sessions.py`. `tests/data/amqp/SESSION.json` holds the bytes of both sides in
-their order, in hexadecimal, and what the program made of them. Running this file as a program with names of
-sessions records these: that is for new sessions only.
+Each session is a script that plays one side on a real socket: `amqp_front_sessions.py` has those of
+clients and `amqp_broker_sessions.py` those of brokers. `tests/data/amqp/SESSION.json` holds the bytes
+of both sides in their order, in hexadecimal, and what the program made of them. Running this file as a
+program with names of sessions records these: that is for new sessions only.
 """
 
 import json
