--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -9,7 +9,7 @@
 
 import anyio
 import pytest
-from test_replication import message
+from replication_helpers import message
 
 from pinspread.core.engine import DeliveryEngine
 from pinspread.core.journal import Journal
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -6,8 +6,8 @@
 
 import anyio
 import pytest
+from replication_helpers import message
 from standins import until
-from test_replication import message
 
 from pinspread.core.journal import Journal
 from pinspread.membership.framing import ConnectionClosedError
