--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 import pytest
 
 # Modules of helpers whose assertions pytest explains when they fail, as it does those of test files.
-pytest.register_assert_rewrite("amqp_dialogue", "amqp_front_sessions")
+pytest.register_assert_rewrite("amqp_dialogue", "amqp_front_sessions", "upgrade_deployment")
 
 
 @pytest.fixture
