--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -109,6 +109,28 @@
     assert ledger.had == ["m"] and "m" in ledger.ends
 
 
+async def test_a_returned_message_comes_again_only_once_the_call_in_a_process_that_hangs_is_over(tmp_path):
+    async with deployed(tmp_path, clients=0) as (made, ledger):
+        ledger.duration_s = lambda request: 60 if len(ledger.had) < 2 else 0
+        client = Client(made.address)
+        assert await client.enqueue("status-update", "m", for_ms=3500) == "+OK\r\n"
+        ledger.taken["m"] = "status-update", "0"
+        await until(lambda: ledger.had)
+        await ready(made.start(), 2)
+        client = Client(made.address)
+        async with stopped(made.processes[0]):
+            await until(ledger.settled, 10)
+            assert ledger.ends["m"] == {"returned"}
+            for _ in range(5):  # the first may come before the notification counts as acknowledged
+                assert await client.enqueue("status-update", "m", for_ms=3500) == "-BUSY 1000\r\n"
+                await anyio.sleep(0.1)
+        with anyio.fail_after(5):
+            while await client.enqueue("status-update", "m", for_ms=3500) != "+OK\r\n":
+                await anyio.sleep(0.05)
+        await until(lambda: len(ledger.had) == 2)
+    assert not ledger.live_twice
+
+
 async def test_a_block_binds_both_processes_and_lasts(tmp_path):
     async with deployed(tmp_path, clients=0) as (made, ledger):
         old = made.processes[0]
