--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -1,11 +1,11 @@
-"""The new process's side: it takes everything over from the owner of the folder, and follows its reports.
+"""The new process's side: it takes everything over from the owner of the folder.
 
-`core/handover.py` (`HandoverTarget`) decides what an exchange leads to; this carries it out.
+`core/handover.py` (`HandoverTarget`) decides what an exchange leads to; this carries it out. What it follows
+of the old process afterwards is in `predecessor.py`.
 """
 
 import os
 import socket
-from collections.abc import Collection
 from contextlib import ExitStack, suppress
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
@@ -13,16 +13,11 @@
 import anyio
 import orjson
 
-from pinspread.core.clock import Clock
-from pinspread.core.engine import DeliveryEngine
 from pinspread.core.folder_lock import FolderLock
 from pinspread.core.handover import HandoverStep, HandoverTarget, TargetState
 from pinspread.core.journal import Journal
 from pinspread.core.log import log
-from pinspread.core.message_table import AttemptId
-from pinspread.core.messages import Attempt
-from pinspread.core.time_units import US_PER_S
-from pinspread.errors import JournalFormatError, JournalFullError, RejectedError
+from pinspread.errors import JournalFormatError
 from pinspread.hot_restart import packet_codec
 from pinspread.hot_restart.link import (
     RETRY_S,
@@ -33,21 +28,11 @@
     PacketKind,
     connect,
 )
-from pinspread.hot_restart.packet_codec import (
-    AttemptReport,
-    EndpointDisabledAnswer,
-    HealthCheckReport,
-    Report,
-    RetryAfterReport,
-    SetEndpointDisabledRequest,
-)
 from pinspread.hot_restart.state_codec import read_state, shape
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.sockets import Connection, IdleConnection
 
 BROKEN_S = 0.3  # after an exchange that broke: the old process has the lock back first
-REPORT_GRACE_US = 200_000  # past an attempt's time, for the report of its end
-UNREAD_POLL_S = 0.005  # between two questions whether all reports that have come are read
 
 
 class IdleEndpointConnection(NamedTuple):
@@ -248,92 +233,3 @@
         link.close()
     except (OSError, TimeoutError) as error:
         log("handover_broke", error=str(error), state="asking it to leave")
-
-
-async def follow_predecessor(link: Link, engine: DeliveryEngine, clock: Clock) -> None:
-    """Take in how the old process's attempts end, and what its admin server is asked, until it has ended."""
-    in_flight = list(engine.attempts)
-    health_checks = list(engine.health_checks)
-    async with anyio.create_task_group() as tasks:
-        for key in in_flight:
-            tasks.start_soon(_time_out, link, engine, key, engine.attempts[key], clock)
-        await _follow_reports(link, engine, frozenset(in_flight))
-        engine.predecessor_lost(in_flight, health_checks)
-        tasks.cancel_scope.cancel()
-    link.close()
-
-
-async def _follow_reports(link: Link, engine: DeliveryEngine, in_flight: Collection[AttemptId]) -> None:
-    """Take in the old process's reports until it has ended.
-
-    Only the end of the link is the end of that process and of its calls. A report that cannot be read says
-    nothing of the kind: it is dropped, and what it was about is left to `_time_out`, as with a process that
-    hangs.
-    """
-    while True:
-        try:
-            packet = await link.receive()
-            packet.discard_descriptor()
-            report = packet_codec.decode_report(packet.kind, packet.data)
-        except HandoverFormatError as error:
-            log("predecessor_report_malformed", error=str(error))
-        except OSError as error:
-            log("predecessor_gone", why=str(error) or type(error).__name__)
-            return
-        else:
-            await _apply_report(link, engine, report, in_flight)
-
-
-async def _time_out(
-    link: Link, engine: DeliveryEngine, key: tuple[int, int], attempt: Attempt, clock: Clock
-) -> None:
-    """End an attempt of the old process that it has not reported in time.
-
-    A process that hangs reports nothing, and without this a message would never have its final result. But it
-    does not end its calls either: as long as it has not ended itself, the message must not be sent again.
-    """
-    await anyio.sleep(max(0, _last_end_us(engine, attempt, clock) + REPORT_GRACE_US - clock.now()) / US_PER_S)
-    # If it was this process that stood still, the report may have come and not been read: a payment that was
-    # delivered would pass for one that failed.
-    while link.has_unread():
-        await anyio.sleep(UNREAD_POLL_S)
-    engine.predecessor_attempt_unreported(*key)
-
-
-def _last_end_us(engine: DeliveryEngine, attempt: Attempt, clock: Clock) -> int:
-    """Until when an attempt, or the message that could be sent again after it, may take; monotonic."""
-    if attempt.message.number not in engine.open_messages:
-        return attempt.ends_us()
-    return max(attempt.ends_us(), clock.monotonic(attempt.message.deadline_unix_us))
-
-
-async def _apply_report(
-    link: Link, engine: DeliveryEngine, report: Report, in_flight: Collection[AttemptId]
-) -> None:
-    """Do what a report of the old process, which had these attempts in flight, says."""
-    match report:
-        case AttemptReport(message_number, attempt_number, result):
-            if (message_number, attempt_number) in in_flight:
-                engine.predecessor_attempt_ended(message_number, attempt_number, result)
-            else:  # it may be one of this process, which still runs
-                log("predecessor_report_malformed", error="no attempt of that process")
-        case RetryAfterReport(endpoint_id, retry_after_us):
-            engine.predecessor_retry_after(endpoint_id, retry_after_us)
-        case HealthCheckReport(endpoint_id, result):
-            engine.predecessor_health_check_ended(endpoint_id, result)
-        case SetEndpointDisabledRequest():
-            await _set_endpoint_disabled(link, engine, report)
-
-
-async def _set_endpoint_disabled(
-    link: Link, engine: DeliveryEngine, request: SetEndpointDisabledRequest
-) -> None:
-    """Do what an operator asked the old process, and answer; without an answer, it tells them so."""
-    change = engine.disable if request.disabled else engine.enable
-    try:
-        known = await change(request.endpoint_id)
-        answer = EndpointDisabledAnswer(request.request_number, known)
-        await link.send(PacketKind.ENDPOINT_DISABLED, packet_codec.encode_endpoint_disabled(answer))
-    except (OSError, JournalFullError, RejectedError) as error:
-        # If the old process has ended, the reports that it sent before are still there to be read.
-        log("endpoint_change_unanswered", error=str(error) or type(error).__name__)
--- a/pinspread/service/handover.py
+++ b/pinspread/service/handover.py
@@ -9,6 +9,7 @@
 
 from pinspread.core.log import log
 from pinspread.hot_restart import source, target
+from pinspread.hot_restart.predecessor import Predecessor
 from pinspread.hot_restart.state_codec import pack_state
 from pinspread.resp.front import NAME as RESP
 from pinspread.service.components import Components
@@ -72,8 +73,8 @@
     def start(self, transferred: target.TransferredState | None, folder: str) -> None:
         """Follow the reports of the process before, if it handed over, and wait for the next one."""
         if transferred and transferred.link:
-            clock = self._components.clock
-            self._tasks.start_soon(target.follow_predecessor, transferred.link, self.engine, clock)
+            predecessor = Predecessor(transferred.link, self.engine, self._components.clock)
+            self._tasks.start_soon(predecessor.follow)
         self._tasks.start_soon(source.HandoverListener(self, folder).run)
 
     def leave_to_successor(self) -> None:
--- a/tests/test_predecessor_reports.py
+++ b/tests/test_predecessor_reports.py
@@ -10,8 +10,9 @@
 from standins import Client, HttpStandIn, engine, standing, until
 
 from pinspread.core.engine import DeliveryEngine
-from pinspread.hot_restart import source, state_codec, target
+from pinspread.hot_restart import source, state_codec
 from pinspread.hot_restart.link import Link, PacketKind
+from pinspread.hot_restart.predecessor import Predecessor
 
 pytestmark = pytest.mark.anyio
 
@@ -115,7 +116,7 @@
         monkeypatch.setattr(DeliveryEngine, "recover", resume)
         async with engine(folder, platform_address) as new:
             link = Link(theirs)
-            new.tasks.start_soon(target.follow_predecessor, link, new.engine, new.engine.clock)
+            new.tasks.start_soon(Predecessor(link, new.engine, new.engine.clock).follow)
             yield Upgrade(endpoint, new, link, successor)
         ours.close()
 
