--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 	python3 tools/pins.py --install fleet dev
 
 test: build
-	$(PYTHON) -m pytest -n 4 -m "not stage"
+	$(PYTHON) -m pytest -n 6 -m "not stage"
 	$(PYTHON) -m pytest -n 2 -m stage
 
 lint: build
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,6 +7,11 @@
 pytest.register_assert_rewrite("amqp_dialogue", "amqp_front_sessions", "upgrade_deployment")
 
 
+def pytest_collection_modifyitems(items):
+    """Run the long tests first, so that no worker is left alone with one at the end."""
+    items.sort(key=lambda item: item.get_closest_marker("long") is None)
+
+
 @pytest.fixture
 def anyio_backend():
     """Tests marked `anyio` run on asyncio, the event loop that the program itself uses."""
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -111,12 +111,14 @@
     return state_machine.apply_command(row, command._replace(expected=expected))
 
 
+@pytest.mark.long
 def test_no_order_of_events_within_six_steps_gives_two_holders():
     found = explore(Bounds(depth=6))
     assert found.complete and not found.violation, found
     assert found.states > 500_000
 
 
+@pytest.mark.long
 @pytest.mark.parametrize(
     "rules",
     [
