--- a/pinspread/hot_restart/predecessor.py
+++ b/pinspread/hot_restart/predecessor.py
@@ -91,7 +91,7 @@
                 await self._set_endpoint_disabled(report)
 
     async def _set_endpoint_disabled(self, request: SetEndpointDisabledRequest) -> None:
-        """Do what an operator asked it, and answer; without an answer, it tells them so."""
+        """Do what an operator asked the old process, and answer it; unanswered, it reports a failure."""
         change = self._engine.disable if request.disabled else self._engine.enable
         try:
             known = await change(request.endpoint_id)
