--- a/pinspread/policy/dispatch.py
+++ b/pinspread/policy/dispatch.py
@@ -14,7 +14,7 @@
 PAUSES_KEPT = 256  # number of ordering pauses above which those that are over are dropped
 RECOVERED_WAIT = 0.5  # fraction of its time left after which a recovered message waits for Retry-After only
 SPARE_PLACES = 0.05  # fraction of the places for queued messages that is left free for new ones
-LEAST_PRIORITY = 0.25  # fraction of its priority weight under which a refused message gives way to new ones
+MIN_PRIORITY = 0.25  # fraction of its priority weight under which a refused message gives way to new ones
 
 
 class Dispatcher:
@@ -105,7 +105,7 @@
             message.ready_ns = self.context.now_ns + backoff_ns(self.context.random, step)
         message.failures += sent
         at_ns = max(self.context.now_ns, message.ready_ns, call.endpoint.limiter.opens_ns())
-        least = LEAST_PRIORITY * message.traffic_class.priority_weight  # at a limit, new ones go first
+        least = MIN_PRIORITY * message.traffic_class.priority_weight  # at a limit, new ones go first
         stale = event.outcome is Outcome.OVERLOADED and self._priority(message, at_ns) < least
         if stale or not self.may_repeat(message, at_ns):
             self.reject_or_fail(message)
--- a/pinspread/simulation/policy_sources.py
+++ b/pinspread/simulation/policy_sources.py
@@ -6,7 +6,7 @@
 import ast
 import hashlib
 import subprocess
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from pathlib import Path
 
 from pinspread.errors import PinspreadError
@@ -42,7 +42,8 @@
     "crossing_price": "cross_zone_price",
 }
 
-# What an experiment's file calls constants of the policy, where the policy's own word differs.
+# Former names of the policy's constants, which experiment files may go on using as keys, each with the name
+# that replaced it. A replacement may itself be a former name: `constant_aliases` follows the chain.
 CONSTANT_KEYS = {
     "ASK_AGAIN": "POLL_BACKOFF",
     "ASK_SPREAD": "FIRST_POLL_SPREAD",
@@ -61,6 +62,7 @@
     "GONE_KEPT_NS": "REMOVED_KEPT_NS",
     "HOLD_SPARE": "SPARE_PLACES",
     "LATELY_NS": "RECENT_SUCCESS_NS",
+    "LEAST_PRIORITY": "MIN_PRIORITY",
     "LEAST_WORTH": "LEAST_PRIORITY",
     "LONG_TOLD_NS": "LONG_RETRY_AFTER_NS",
     "LOOKS": "HEALTH_CHECK_SHARE",
@@ -180,11 +182,19 @@
     return digest.hexdigest()[:16]
 
 
+def constant_aliases(key: str) -> Iterator[str]:
+    """Yield a key of an experiment file and then the names that replaced it, the present one last."""
+    yield key
+    while key in CONSTANT_KEYS:
+        key = CONSTANT_KEYS[key]
+        yield key
+
+
 def constant_names(sources: PolicySources) -> set[str]:
-    """The constants that a version's modules set, by their own words and those of experiments' files."""
+    """The constants that a version's modules define, and the keys of experiment files that stand for them."""
     assigned = [name for text in sources.values() for name in _assigned_names(ast.parse(text).body)]
     names = {name for name in assigned if name.isupper() and not name.startswith("_")}
-    return names | {key for key, name in CONSTANT_KEYS.items() if name in names}
+    return names | {key for key in CONSTANT_KEYS if not names.isdisjoint(constant_aliases(key))}
 
 
 def setting_names(sources: PolicySources) -> set[str]:
--- a/pinspread/simulation/variants.py
+++ b/pinspread/simulation/variants.py
@@ -13,7 +13,7 @@
 from types import ModuleType, TracebackType
 from typing import Any
 
-from pinspread.simulation.policy_sources import CONSTANT_KEYS, PolicySources, VariantError, is_legacy
+from pinspread.simulation.policy_sources import PolicySources, VariantError, constant_aliases, is_legacy
 
 # Modules of the model that hold classes of the policy once they are loaded.
 POLICY_USERS = (
@@ -91,7 +91,8 @@
         importlib.import_module(f"{POLICY}.delivery_policy")  # and with it all of its parts
         modules = [module for name, module in sys.modules.items() if name.startswith(f"{POLICY}.")]
         for key, value in self.values.items():
-            name = key if any(hasattr(module, key) for module in modules) else CONSTANT_KEYS[key]
+            aliases = constant_aliases(key)
+            name = next(name for name in aliases if any(hasattr(module, name) for module in modules))
             # A module that imports a constant has a name of its own for it.
             for module in [module for module in modules if hasattr(module, name)]:
                 self._replaced.append((module, name, getattr(module, name)))
--- a/tests/test_simulation_experiments.py
+++ b/tests/test_simulation_experiments.py
@@ -6,12 +6,13 @@
 import pytest
 from simulation_helpers import ROOT, SMALL
 
-from pinspread.policy import retry_budget
+from pinspread.policy import dispatch, retry_budget
 from pinspread.simulation.experiment import load_experiment
 from pinspread.simulation.experiment_file import ExperimentError, RetryPaper
 from pinspread.simulation.paper import recompute_figures
-from pinspread.simulation.policy_sources import VariantError, read_sources
+from pinspread.simulation.policy_sources import VariantError, constant_names, read_sources
 from pinspread.simulation.runs import run_experiment
+from pinspread.simulation.variants import ConstantOverrides
 
 
 def test_the_same_file_gives_the_same_bytes_in_one_process_and_in_eight(tmp_path):
@@ -63,6 +64,22 @@
     assert by_name["as is"] == by_name["old"] != by_name["few slots"]
 
 
+def test_former_names_of_a_constant_reach_it_in_the_present_version_and_in_older_ones(monkeypatch):
+    present = read_sources()
+    older = {name: text.replace("MIN_PRIORITY", "LEAST_PRIORITY") for name, text in present.items()}
+    assert {"MIN_PRIORITY", "LEAST_PRIORITY", "LEAST_WORTH"} <= constant_names(present)
+    assert constant_names(present) - constant_names(older) == {"MIN_PRIORITY"}
+    for key in ("MIN_PRIORITY", "LEAST_PRIORITY", "LEAST_WORTH"):
+        with ConstantOverrides({key: 0.5}):
+            assert dispatch.MIN_PRIORITY == 0.5
+        assert dispatch.MIN_PRIORITY == 0.25
+    monkeypatch.delattr(dispatch, "MIN_PRIORITY")
+    monkeypatch.setattr(dispatch, "LEAST_PRIORITY", 0.25, raising=False)
+    for key in ("LEAST_PRIORITY", "LEAST_WORTH"):
+        with ConstantOverrides({key: 0.5}):
+            assert dispatch.LEAST_PRIORITY == 0.5
+
+
 def test_a_version_whose_fields_the_model_does_not_know_is_refused(tmp_path):
     for name, text in read_sources().items():
         (tmp_path / f"{name}.py").write_text(text.replace("class_index", "cls"))
