--- a/pinspread/policy/delivery_policy.py
+++ b/pinspread/policy/delivery_policy.py
@@ -8,7 +8,7 @@
 from pinspread.policy.dispatch import Dispatcher
 from pinspread.policy.load_balancing import LoadBalancer
 from pinspread.policy.outlier_detection import OutlierDetector
-from pinspread.policy.rate_limit import FEW, RateLimitPolicy
+from pinspread.policy.rate_limit import SMALL_FLEET_SIZE, RateLimitPolicy
 from pinspread.policy.settings import Settings
 from pinspread.policy.state import NEVER, PolicyContext
 
@@ -30,7 +30,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Decide by these settings from now on; messages keep the rules that they came under."""
         self.context.settings = settings
-        self.context.fleet_factor = min(1.0, FEW / settings.senders)
+        self.context.fleet_factor = min(1.0, SMALL_FLEET_SIZE / settings.senders)
 
     def handle(self, now_ns: int, batch: list[events.Event]) -> list[Action]:
         """Take the events of one turn and give the actions, in order; TypeError for an unknown event."""
--- a/pinspread/policy/dispatch.py
+++ b/pinspread/policy/dispatch.py
@@ -5,15 +5,15 @@
 
 from pinspread.policy.actions import CheckHealth, Fail, Reject, Send
 from pinspread.policy.events import AttemptCompleted, MessageAccepted, Outcome
-from pinspread.policy.outlier_detection import NOT_SENT_STEP, SUSPECT_FROM, OutlierDetector
+from pinspread.policy.outlier_detection import NOT_SENT_BACKOFF_STEP, SUSPECT_FROM, OutlierDetector
 from pinspread.policy.retry_budget import JITTER, backoff_ns
 from pinspread.policy.settings import DeduplicationScope, Idempotency
 from pinspread.policy.state import NEVER, Call, Destination, PendingAttempt, QueuedMessage, TrackedEndpoint
 
 MAY_HAVE_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR)
-PAUSES_KEPT = 256  # number of ordering pauses above which those that are over are dropped
+PAUSE_CLEANUP_THRESHOLD = 256  # number of ordering pauses above which those that are over are dropped
 RECOVERED_WAIT = 0.5  # fraction of its time left after which a recovered message waits for Retry-After only
-SPARE_PLACES = 0.05  # fraction of the places for queued messages that is left free for new ones
+RESERVED_QUEUE_SHARE = 0.05  # fraction of the places for queued messages that is left free for new ones
 MIN_PRIORITY = 0.25  # fraction of its priority weight under which a refused message gives way to new ones
 
 
@@ -86,7 +86,7 @@
     def _record_unknown(self, message: QueuedMessage, call: Call, outcome: Outcome) -> None:
         if message.key and outcome is not Outcome.ERROR:  # the next of its key must not overtake it
             now_ns = self.context.now_ns
-            if len(self.ordering_pauses) > PAUSES_KEPT:
+            if len(self.ordering_pauses) > PAUSE_CLEANUP_THRESHOLD:
                 self.ordering_pauses = {k: at for k, at in self.ordering_pauses.items() if at > now_ns}
             self.ordering_pauses[message.key] = now_ns + self.context.settings.ordering_pause_ns
         if not message.may_have_run_ns:
@@ -101,7 +101,7 @@
         sent = event.outcome is not Outcome.NOT_SENT
         message.max_attempts += event.unsent  # blocked ones would use up all attempts within milliseconds
         if event.unsent or sent:
-            step = NOT_SENT_STEP if event.unsent else message.failures
+            step = NOT_SENT_BACKOFF_STEP if event.unsent else message.failures
             message.ready_ns = self.context.now_ns + backoff_ns(self.context.random, step)
         message.failures += sent
         at_ns = max(self.context.now_ns, message.ready_ns, call.endpoint.limiter.opens_ns())
@@ -149,7 +149,7 @@
 
     def _shed_load(self) -> None:  # the longest queue gives way: that of a destination that is out
         now_ns, places = self.context.now_ns, self.context.settings.max_held_messages
-        places -= max(1, int(places * SPARE_PLACES))
+        places -= max(1, int(places * RESERVED_QUEUE_SHARE))
         while len(self.messages) > places:
             longest = max(self.waiting.values(), key=lambda d: len(d.queue), default=None)
             queued = longest.queue.values() if longest else ()
--- a/pinspread/policy/load_balancing.py
+++ b/pinspread/policy/load_balancing.py
@@ -7,8 +7,10 @@
 
 SATURATED_FROM = 0.1  # fraction of a kind's calls whose connection failed, from which its tables are full
 SATURATED_TO = 0.015  # and under which they are no longer
-LET_GO = 0.1  # fraction of idle connections that very many senders close, to learn of full tables
-ROUTE_SPREAD = 0.3  # random price of endpoints with limits of their own, so that senders spread over them
+CLOSE_PROBABILITY = 0.1  # fraction of idle connections that very many senders close, to learn of full tables
+RANDOM_COST_SPREAD = (
+    0.3  # random price of endpoints with limits of their own, so that senders spread over them
+)
 
 
 class LoadBalancer:
@@ -28,7 +30,7 @@
         cost = settings.handshake_price * (not idle) + settings.cross_zone_price * (zone != settings.zone)
         if endpoint.limiter is not endpoint.destination.limiter:  # all senders must not prefer the same one
             fee = settings.zone_fees[zone] if zone < len(settings.zone_fees) else 0.0
-            cost += ROUTE_SPREAD * endpoint.rank + fee
+            cost += RANDOM_COST_SPREAD * endpoint.rank + fee
         calls = len(endpoint.calls) + endpoint.failed
         return calls, endpoint.last_outcome_ns if endpoint.ejected else 0, cost, endpoint.rank
 
@@ -48,7 +50,7 @@
         if fleet_factor == 1:
             return True
         if endpoint.kind not in self.saturated:  # only who opens a new connection learns of full tables
-            return self.context.random.random() > LET_GO * (1 - fleet_factor)
+            return self.context.random.random() > CLOSE_PROBABILITY * (1 - fleet_factor)
         return self.limits.delivered_rate(endpoint) * fleet_factor**2 * keepalive_ns >= SECOND
 
     def close_unused(self) -> None:
--- a/pinspread/policy/outlier_detection.py
+++ b/pinspread/policy/outlier_detection.py
@@ -10,19 +10,19 @@
 SUSPECT_FROM = 0.25  # failure rate above which no unsafe message goes while others can find out
 FAILURE_WEIGHT = 0.3  # weight of the newest outcome in the failure rate: two failures in a row eject
 RECENT_SUCCESS_NS = 2 * SECOND  # success within which an endpoint with overdue calls may be tried again
-FEW_HARD_FAILURES = 3  # from which a short outage was one
-SHORT_OUTAGE = 0.33  # fraction of the slow start's time under which a silence was no outage
+MIN_OUTAGE_FAILURES = 3  # from which a short outage was one
+SHORT_OUTAGE_FRACTION = 0.33  # fraction of the slow start's time under which a silence was no outage
 LATENCY_GAIN = 0.125  # weight of the newest latency in the mean and in the deviation
 TIMEOUT_DEVIATIONS = 4  # a time-out is twice (mean + this many deviations)
-LEAST_TIMEOUT_NS = SECOND  # a jam must not turn into lost calls
-MOST_TIMEOUT_NS = 3 * SECOND  # unless the mean latency is over half of it
-MOST_TIMEOUT_FACTOR = 2.0  # growth of time-outs while they strike: hung calls must not hold the slots
+MIN_TIMEOUT_NS = SECOND  # a jam must not turn into lost calls
+MAX_TIMEOUT_NS = 3 * SECOND  # unless the mean latency is over half of it
+MAX_TIMEOUT_FACTOR = 2.0  # growth of time-outs while they strike: hung calls must not hold the slots
 UNSAFE_FACTOR = 2.5  # for messages that are not idempotent, which a time-out loses
 UNSAFE_CROWDED_FACTOR = 1.5  # the same where half the slots are taken
 LOST_SHARE = 0.15  # slot time of lost calls, as a fraction of answers', that ends LEAST_TIMEOUT_NS
 LOST_GAIN = 0.05  # weight of the newest call in the fraction of lost calls
 SILENCE_NS = 300 * MS  # least silence, with calls in flight, that makes an endpoint suspect
-NOT_SENT_STEP = 2  # backoff step after a health check or call that could not be sent: 160 ms median
+NOT_SENT_BACKOFF_STEP = 2  # backoff step after a health check or call that could not be sent: 160 ms median
 
 
 class OutlierDetector:
@@ -117,15 +117,17 @@
                     sibling.ejected = True  # only spaced single calls from now on (rule 4)
                     self._plan_health_check(sibling)
         if outcome is Outcome.TIMEOUT:
-            endpoint.timeout_factor = min(endpoint.timeout_factor * 2, MOST_TIMEOUT_FACTOR)
+            endpoint.timeout_factor = min(endpoint.timeout_factor * 2, MAX_TIMEOUT_FACTOR)
         endpoint.ejected |= endpoint.failure_rate > EJECTED_FROM
         self._plan_health_check(endpoint)
 
     def _record_success(self, endpoint: TrackedEndpoint, elapsed_ns: int) -> None:
         now_ns, slow_start_ns = self.context.now_ns, self.context.settings.slow_start_ns
         unavailable = self.limits.record_success(endpoint)
-        short = now_ns - endpoint.last_success_ns < SHORT_OUTAGE * slow_start_ns  # lost calls are no outage
-        lossy = endpoint.hard_failures < FEW_HARD_FAILURES and short
+        short = (
+            now_ns - endpoint.last_success_ns < SHORT_OUTAGE_FRACTION * slow_start_ns
+        )  # lost calls are no outage
+        lossy = endpoint.hard_failures < MIN_OUTAGE_FAILURES and short
         endpoint.hard_failures, endpoint.last_success_ns = 0, now_ns
         error = elapsed_ns - endpoint.latency_mean_ns
         if not endpoint.latency_mean_ns:
@@ -173,7 +175,7 @@
                 self.limits.apply_retry_after(endpoint, event.retry_after_ns)
             self._record_refusal(endpoint, event.retry_after_ns, now_ns)
         elif event.outcome is Outcome.NOT_SENT:  # sent again at once, it would be blocked at once
-            endpoint.delay_health_check(now_ns + backoff_ns(self.context.random, NOT_SENT_STEP))
+            endpoint.delay_health_check(now_ns + backoff_ns(self.context.random, NOT_SENT_BACKOFF_STEP))
         else:
             endpoint.failure_rate += FAILURE_WEIGHT * (1 - endpoint.failure_rate)
             endpoint.ejected = True
@@ -190,8 +192,8 @@
         slow_ns = mean_ns + TIMEOUT_DEVIATIONS * endpoint.latency_deviation_ns
         learned_ns = 2 * slow_ns or message.traffic_class.latency_objective_ns
         # Where single calls get lost, those that wait for their time-outs would hold all slots.
-        lossy = slots_scarce and self.lost_call_rate * LEAST_TIMEOUT_NS > LOST_SHARE * mean_ns
-        least_ns = SILENCE_NS if lossy else LEAST_TIMEOUT_NS
+        lossy = slots_scarce and self.lost_call_rate * MIN_TIMEOUT_NS > LOST_SHARE * mean_ns
+        least_ns = SILENCE_NS if lossy else MIN_TIMEOUT_NS
         wait_ns = int(max(least_ns, learned_ns) * factor * endpoint.timeout_factor)
         left_ns = message.deadline_ns - self.context.now_ns
-        return max(1, min(wait_ns, max(MOST_TIMEOUT_NS, int(2 * mean_ns)), left_ns))
+        return max(1, min(wait_ns, max(MAX_TIMEOUT_NS, int(2 * mean_ns)), left_ns))
--- a/pinspread/policy/rate_limit.py
+++ b/pinspread/policy/rate_limit.py
@@ -8,22 +8,24 @@
 LONGEST_WAIT_NS = SECOND  # longest wait of few senders between health checks or after refusals
 HEALTH_CHECK_SHARE = 0.3  # health checks of all senders, as a share of the usual calls; half: 0.03 lower
 RATE_GAIN = 0.08  # growth of a rate with each success
-LITTLE_LEFT = 0.15  # remaining share of a limit under which a sender waits as after a refusal
-EXHAUSTED_CUT = 0.6  # factor on the usual rate after a refusal by an exhausted limit
+LOW_REMAINING = 0.15  # remaining share of a limit under which a sender waits as after a refusal
+EXHAUSTED_RATE_FACTOR = 0.6  # factor on the usual rate after a refusal by an exhausted limit
 BURST_POWER = 0.2  # power of the fleet's size by which one sender may exceed its fair share
 CUT_POWER = 0.3  # power of the fleet's size by which a refusal cuts the rate of one of many senders
-LEAST_RATE = 1.5  # calls a second that no rate falls below, so that recovery can be seen
+MIN_RATE = 1.5  # calls a second that no rate falls below, so that recovery can be seen
 RATE_SPAN_S = 8.0  # span of the mean of delivered rates
 USUAL_RATE_SPAN_S = 60.0  # fading time of the usual rate: longer than outages and throttled times
-FEW = 4  # up to so many senders behave as if each were alone
-SHUT_AFTER = 4  # refusals in a row from which a destination may be unavailable
-SHUT_SPAN_NS = SECOND  # and their least duration: a limit lets something through in that time
+SMALL_FLEET_SIZE = 4  # up to so many senders behave as if each were alone
+UNAVAILABLE_REFUSALS = 4  # refusals in a row from which a destination may be unavailable
+UNAVAILABLE_SPAN_NS = SECOND  # and their least duration: a limit lets something through in that time
 LONG_RETRY_AFTER_NS = 2500 * MS  # longer ones are no rate limit: the destination is unavailable
 WEIGHT_TRUST = 0.67  # share of what rough listed weights promise that is counted on
-EXHAUSTED = 0.6  # fraction of a kind's refusals with little left of the limit, from which calls exhaust it
+EXHAUSTED_FROM = (
+    0.6  # fraction of a kind's refusals with little left of the limit, from which calls exhaust it
+)
 REFUSAL_GAIN = 0.12  # weight of the newest refusal in that fraction, and of a connection in LoadBalancer's
 RAMP_SAFETY = 0.8  # share of the permitted overload that a slow start uses: arrivals vary by chance
-LEAST_RAMP_RATE = 1.0  # calls a second of all senders to a warming endpoint of which nothing is known
+MIN_RAMP_RATE = 1.0  # calls a second of all senders to a warming endpoint of which nothing is known
 
 
 class RateLimitPolicy:
@@ -35,7 +37,7 @@
 
     def record_call(self, limiter: RateLimiter) -> None:
         """Put the limiter's next call off by the rate that this sender may have there."""
-        capacity = limiter.limit * max(LITTLE_LEFT, limiter.remaining)
+        capacity = limiter.limit * max(LOW_REMAINING, limiter.remaining)
         rate = min(limiter.rate or capacity, capacity or limiter.rate)  # a burst must not exhaust the limit
         if rate:
             limiter.next_call_ns = max(self.context.now_ns, limiter.next_call_ns) + int(SECOND / rate)
@@ -50,7 +52,7 @@
     def max_rate(self, endpoint: TrackedEndpoint) -> float:
         """The highest rate of one of many senders where limits are listed; else no bound."""
         fleet_factor = self.context.fleet_factor
-        highest = self.fair_share(endpoint) * FEW / fleet_factor**BURST_POWER
+        highest = self.fair_share(endpoint) * SMALL_FLEET_SIZE / fleet_factor**BURST_POWER
         return highest if fleet_factor < 1 and self.context.settings.weights_known else NEVER
 
     def delivered_rate(self, endpoint: TrackedEndpoint) -> float:
@@ -106,29 +108,29 @@
             limiter.backoff_until_ns = now_ns + retry_after_ns + wait_ns
         if exhausted:  # a burst that goes on to the next endpoint at once exhausts one limit after the other
             for other in endpoint.destination.endpoints.values():
-                if other.limiter is not limiter and now_ns - other.last_success_ns > SHUT_SPAN_NS:
+                if other.limiter is not limiter and now_ns - other.last_success_ns > UNAVAILABLE_SPAN_NS:
                     self._back_off(other)
         limiter.last_refusal_ns, limiter.refusals = now_ns, limiter.refusals + 1
 
     def _exhausts_limit(self, endpoint: TrackedEndpoint) -> bool:
         limiter = endpoint.limiter  # in some kinds refused calls count against the limit too
-        low = bool(limiter.limit) and limiter.remaining < LITTLE_LEFT
+        low = bool(limiter.limit) and limiter.remaining < LOW_REMAINING
         fraction = self.exhausted.get(endpoint.kind, 0.8)
         fraction = self.exhausted[endpoint.kind] = fraction + REFUSAL_GAIN * (low - fraction)
-        return low and fraction > EXHAUSTED
+        return low and fraction > EXHAUSTED_FROM
 
     def _cut_rate(self, endpoint: TrackedEndpoint, exhausted: bool) -> None:
         limiter, fleet_factor = endpoint.limiter, self.context.fleet_factor
         many = 1 - fleet_factor  # 0 with few senders, towards 1 with many
         check_rate = SECOND / self.longest_wait_ns(endpoint, refused=True)
-        share = self.fair_share(endpoint) or LEAST_RATE * fleet_factor
+        share = self.fair_share(endpoint) or MIN_RATE * fleet_factor
         usual = max(share, check_rate, self._siblings_rate(endpoint))
         if not limiter.refusals:
             limiter.refusals_since_ns = self.context.now_ns
             limiter.rate = usual - many * max(0.0, usual - (limiter.rate or usual))
         if many or not limiter.refusals:
-            cut = EXHAUSTED_CUT if exhausted else fleet_factor**CUT_POWER
-            limiter.rate = max(many * fleet_factor * LEAST_RATE, limiter.rate * cut)
+            cut = EXHAUSTED_RATE_FACTOR if exhausted else fleet_factor**CUT_POWER
+            limiter.rate = max(many * fleet_factor * MIN_RATE, limiter.rate * cut)
 
     def _back_off(self, endpoint: TrackedEndpoint) -> None:
         until_ns = self.context.now_ns + self.wait_ns(endpoint, 1, 3, refused=True)
@@ -137,9 +139,12 @@
     def record_success(self, endpoint: TrackedEndpoint) -> bool:
         """Raise the rate after a success; true if the destination had seemed unavailable, not limited."""
         limiter, now_ns = endpoint.limiter, self.context.now_ns
-        unavailable = limiter.refusals >= SHUT_AFTER and now_ns - limiter.refusals_since_ns > SHUT_SPAN_NS
+        unavailable = (
+            limiter.refusals >= UNAVAILABLE_REFUSALS
+            and now_ns - limiter.refusals_since_ns > UNAVAILABLE_SPAN_NS
+        )
         limiter.refusals = 0
-        if limiter.limit and limiter.remaining < LITTLE_LEFT:
+        if limiter.limit and limiter.remaining < LOW_REMAINING:
             self._back_off(endpoint)  # the next call would be refused, which exhausts some limits further
             return unavailable
         fleet_factor = self.context.fleet_factor
@@ -158,7 +163,7 @@
         """When the ramp has room for so many more calls of this sender (rule 4)."""
         settings, start = self.context.settings, self.context.settings.slow_start_fraction
         share = self.fair_share(endpoint) / max(1, sum(e.usable for e in endpoint.siblings()))
-        usual = max(endpoint.usual_rate, share, LEAST_RAMP_RATE / settings.senders)
+        usual = max(endpoint.usual_rate, share, MIN_RAMP_RATE / settings.senders)
         ramp_s = max(1, settings.slow_start_ns) / SECOND
         elapsed_s = min(ramp_s, max(0, self.context.now_ns - endpoint.warming_since_ns) / SECOND)
         rise = max(1e-9, (1 - start) / (2 * ramp_s))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -276,7 +276,7 @@
 @pytest.mark.parametrize("bar", ["told wait", "notice"])
 async def test_a_call_that_is_blocked_after_it_was_chosen_uses_up_no_attempt(tmp_path, monkeypatch, bar):
     longest_ns = 2000 * MS if bar == "told wait" else 50 * MS
-    monkeypatch.setattr(outlier_detection, "MOST_TIMEOUT_NS", longest_ns)
+    monkeypatch.setattr(outlier_detection, "MAX_TIMEOUT_NS", longest_ns)
     untold = b"HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 9\r\n\r\n"  # its body never comes
     endpoint = HttpStandIn(lambda request: (200, [], b"") if request[3]["request-id"] == "second" else untold)
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
--- a/tests/test_policy_outlier_detection.py
+++ b/tests/test_policy_outlier_detection.py
@@ -93,7 +93,7 @@
         desk.sender.discovery.endpoints["a"],
         desk.sender.dispatcher.calls_in_flight,
     )
-    assert (waits < outlier_detection.LEAST_TIMEOUT_NS) is shorter
+    assert (waits < outlier_detection.MIN_TIMEOUT_NS) is shorter
 
 
 def test_resets_count_against_connections_and_leave_no_recovery_ramp():
--- a/tests/test_policy_rate_limit.py
+++ b/tests/test_policy_rate_limit.py
@@ -63,7 +63,7 @@
     desk.take()
     desk.end(1, FULL)
     assert desk.take() == []
-    assert desk.sender.discovery.endpoints["a"].limiter.rate >= rate_limit.LEAST_RATE
+    assert desk.sender.discovery.endpoints["a"].limiter.rate >= rate_limit.MIN_RATE
 
 
 def test_endpoints_with_limits_of_their_own_wait_alone():
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -42,7 +42,7 @@
     endpoint.ejected, endpoint.failure_rate, endpoint.hard_failures = (
         True,
         0.6,
-        outlier_detection.FEW_HARD_FAILURES,
+        outlier_detection.MIN_OUTAGE_FAILURES,
     )
     desk.take(80, life=60 * SECOND)
     while not endpoint.warming_since_ns:
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize(
-    ("errors", "ramps"), [(0, False), (2, False), (outlier_detection.FEW_HARD_FAILURES, True)]
+    ("errors", "ramps"), [(0, False), (2, False), (outlier_detection.MIN_OUTAGE_FAILURES, True)]
 )
 def test_lost_calls_between_successes_close_together_end_without_a_ramp(errors, ramps):
     desk = Desk()
