--- a/pinspread/policy/actions.py
+++ b/pinspread/policy/actions.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Call an endpoint with a message; sends of one turn to one endpoint may share a call."""
+    """Call an endpoint with a message; the sends of one turn to one endpoint may share a call."""
 
     request: int
     endpoint: EndpointId
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final result: not delivered; submitting it again is harmless, after `retry_after_ns`."""
+    """Final result: not delivered; submitting the message again is harmless, after `retry_after_ns`."""
 
     request: int
     retry_after_ns: int = 0
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final result: failed; it may or may not have taken effect."""
+    """Final result: failed; the message may or may not have taken effect."""
 
     request: int
 
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired in `delay_ns`."""
+    """Ask for a TimerFired event after `delay_ns`."""
 
     tag: int
     delay_ns: int
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Poll for changes of the list, from the last known one on; one EndpointsChanged answers."""
+    """Poll for changes of the endpoint list since the last known one; an EndpointsChanged answers it."""
 
 
 Action = Send | Reject | Fail | CheckHealth | Disconnect | SetTimer | Subscribe
--- a/pinspread/policy/delivery_policy.py
+++ b/pinspread/policy/delivery_policy.py
@@ -14,7 +14,7 @@
 
 
 class DeliveryPolicy:
-    """One sender: `handle` maps events to actions. No I/O, no clock, no state shared with other senders."""
+    """The policy of one sender: `handle` maps events to actions, without I/O, a clock or shared state."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.context = PolicyContext(settings, Random(seed))
@@ -23,31 +23,35 @@
         self.balancer = LoadBalancer(self.limits, self.discovery.endpoints)
         self.outliers = OutlierDetector(self.balancer)
         self.dispatcher = Dispatcher(self.outliers)
-        self.messages = self.dispatcher.messages  # those that have not ended, by request
-        self.timer_tag, self.timer_ns = 0, NEVER  # of the timer that is set
+        self.messages = self.dispatcher.messages  # messages that have not ended, by request
+        self.timer_tag, self.timer_ns = 0, NEVER  # tag and time of the timer that is set
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Decide by these settings from now on; messages keep the rules that they came under."""
+        """Decide by these settings from now on; messages keep the rules that they were accepted under."""
         self.context.settings = settings
         self.context.fleet_factor = min(1.0, SMALL_FLEET_SIZE / settings.senders)
 
     def handle(self, now_ns: int, batch: list[events.Event]) -> list[Action]:
-        """Take the events of one turn and give the actions, in order; TypeError for an unknown event."""
+        """Apply the events of one turn and return the actions, in order.
+
+        Raises:
+            TypeError: An event is of an unknown type.
+        """
         self.context.now_ns, self.context.actions = now_ns, []
         for event in batch:
-            self._take(event)
+            self._apply_event(event)
         if self.discovery.next_poll_ns <= now_ns:
-            self.discovery.next_poll_ns = NEVER  # the answer sets the next one
+            self.discovery.next_poll_ns = NEVER  # the answer schedules the next poll
             self.context.actions.append(Subscribe())
         wake_ns = min(self.dispatcher.dispatch(), self.discovery.next_poll_ns)
-        if wake_ns < min(self.timer_ns, NEVER):  # else an earlier wake-up is on its way
+        if wake_ns < min(self.timer_ns, NEVER):  # else the timer that is set fires in time
             self.timer_tag, self.timer_ns = self.timer_tag + 1, wake_ns
             self.context.actions.append(SetTimer(self.timer_tag, max(1, wake_ns - now_ns)))
         self.balancer.close_unused()
         return self.context.actions
 
-    def _take(self, event: events.Event) -> None:
+    def _apply_event(self, event: events.Event) -> None:
         match event:
             case events.AttemptCompleted():
                 self.dispatcher.complete(event)
--- a/pinspread/policy/discovery.py
+++ b/pinspread/policy/discovery.py
@@ -1,13 +1,13 @@
-"""Discovery: the endpoints as the list has them, what new ones inherit, and when to poll for changes."""
+"""Discovery: the listed endpoints, what new ones take over from others, and when to poll for changes."""
 
 from pinspread.policy.events import EndpointEntry, EndpointId, EndpointsChanged, EndpointState, UpdateScope
 from pinspread.policy.rate_limit import RateLimitPolicy
 from pinspread.policy.retry_budget import JITTER, RetryBudget
 from pinspread.policy.state import NEVER, SECOND, Destination, RateLimiter, TrackedEndpoint
 
-FIRST_POLL_SPREAD = 0.3  # fraction of the longest poll interval over which first polls spread
-POLL_BACKOFF = 0.05  # fraction of it that is the first backoff after a failed poll; doubles up to the above
-REMOVED_KEPT_NS = 10 * SECOND  # minimum time that a removed endpoint's record stays, for its successor
+FIRST_POLL_SPREAD = 0.3  # fraction of the maximum poll interval over which first polls spread
+POLL_BACKOFF = 0.05  # fraction of it waited after the first failed poll; doubles up to FIRST_POLL_SPREAD
+REMOVED_KEPT_NS = 10 * SECOND  # minimum time that a removed endpoint's record is kept, for its replacement
 
 
 class Discovery:
@@ -17,19 +17,19 @@
         self.context, self.limits = limits.context, limits
         self.destinations: dict[int, Destination] = {}
         self.endpoints: dict[EndpointId, TrackedEndpoint] = {}
-        self.next_poll_ns, self.failed_polls = NEVER, 0  # failed ones since the last good answer
+        self.next_poll_ns, self.failed_polls = NEVER, 0  # failed polls since the last good answer
 
     def destination(self, number: int) -> Destination:
-        """The record of a destination, made at first sight."""
+        """The record of a destination, created when it is first needed."""
         if number not in self.destinations:
             self.destinations[number] = Destination(number, RetryBudget())
         return self.destinations[number]
 
     def update(self, event: EndpointsChanged) -> None:
-        """Apply an update; what drains or is removed gets nothing more from this turn on (rule 3)."""
+        """Apply an update; from this turn on, nothing is sent to endpoints that drain or are removed."""
         now_ns = self.context.now_ns
         if self.context.settings.polled_discovery:
-            self._plan_poll(event.scope)
+            self._schedule_poll(event.scope)
         if event.scope in (UpdateScope.FULL, UpdateScope.CACHED):
             for endpoint in self.endpoints.values():
                 endpoint.mark_removed(now_ns)
@@ -48,10 +48,11 @@
         limiter = RateLimiter() if has_own_limiter else destination.limiter
         endpoint = TrackedEndpoint(entry, destination, limiter, self.context.now_ns, rank)
         self._seed_from_siblings(endpoint)
-        limiter.rate = limiter.rate or self.limits.max_rate(endpoint) % NEVER  # no bound: no rate
+        limiter.rate = limiter.rate or self.limits.max_rate(endpoint) % NEVER  # NEVER: no bound, rate 0
         self.endpoints[entry.endpoint] = destination.endpoints[entry.endpoint] = endpoint
 
-    def _forget_removed(self) -> None:  # else each event would pass over all endpoints there ever were
+    def _forget_removed(self) -> None:
+        """Drop old records; else each event would go over all endpoints that were ever listed."""
         now_ns = self.context.now_ns
         expired_ns = now_ns - max(self.context.settings.slow_start_ns, REMOVED_KEPT_NS)
         for endpoint in [e for e in self.endpoints.values() if 0 < e.removed_since_ns < expired_ns]:
@@ -61,7 +62,8 @@
                 del self.endpoints[endpoint.id], siblings[endpoint.id]
 
     def _seed_from_siblings(self, endpoint: TrackedEndpoint) -> None:
-        for other in endpoint.destination.endpoints.values():  # else each sender sends all at once (rule 4)
+        # Without these values, all senders together would overload the new endpoint with what they hold.
+        for other in endpoint.destination.endpoints.values():
             endpoint.latency_mean_ns = max(endpoint.latency_mean_ns, other.latency_mean_ns)
             endpoint.latency_deviation_ns = max(endpoint.latency_deviation_ns, other.latency_deviation_ns)
             endpoint.limiter.limit = endpoint.limiter.limit or other.limiter.limit
@@ -81,8 +83,9 @@
                 endpoint.health_checks = max(endpoint.health_checks, other.health_checks)
                 endpoint.delay_health_check(other.next_health_check_ns)
 
-    def _plan_poll(self, scope: UpdateScope) -> None:
-        random = self.context.random  # discovery serves few calls: not all senders may poll at one instant
+    def _schedule_poll(self, scope: UpdateScope) -> None:
+        # The discovery service serves few calls, so senders must not all poll at the same instant.
+        random = self.context.random
         interval = self.context.settings.max_poll_interval_ns or SECOND / POLL_BACKOFF
         if scope is UpdateScope.FAILED:
             wait = min(POLL_BACKOFF * 2**self.failed_polls, FIRST_POLL_SPREAD) * random.uniform(*JITTER)
--- a/pinspread/policy/dispatch.py
+++ b/pinspread/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: the queues, which messages get the free slots, which are given up, what follows an attempt."""
+"""Dispatch: queues messages, fills free slots, retries after failures, ends messages that are out of time."""
 
 from collections import deque
 from heapq import heappop, heappush
@@ -11,28 +11,28 @@
 from pinspread.policy.state import NEVER, Call, Destination, PendingAttempt, QueuedMessage, TrackedEndpoint
 
 MAY_HAVE_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR)
-PAUSE_CLEANUP_THRESHOLD = 256  # number of ordering pauses above which those that are over are dropped
-RECOVERED_WAIT = 0.5  # fraction of its time left after which a recovered message waits for Retry-After only
-RESERVED_QUEUE_SHARE = 0.05  # fraction of the places for queued messages that is left free for new ones
-MIN_PRIORITY = 0.25  # fraction of its priority weight under which a refused message gives way to new ones
+PAUSE_CLEANUP_THRESHOLD = 256  # number of ordering pauses above which the expired ones are dropped
+RECOVERED_WAIT = 0.5  # fraction of its time left after which only Retry-After holds back a recovered message
+RESERVED_QUEUE_SHARE = 0.05  # fraction of the messages that may be held that is kept free for new ones
+MIN_PRIORITY = 0.25  # fraction of its priority weight below which a refused message is ended, for newer ones
 
 
 class Dispatcher:
-    """Sends, retries and gives up messages; owns those that have not ended, and the slots."""
+    """Sends, retries and ends messages; owns those that have not ended, and the slots for calls."""
 
     def __init__(self, outliers: OutlierDetector) -> None:
         self.context, self.limits, self.outliers = outliers.context, outliers.limits, outliers
         self.messages: dict[int, QueuedMessage] = {}  # by request
         self.waiting: dict[int, Destination] = {}  # destinations with a queue, by number
-        self.expiry: list[tuple[int, int]] = []  # heap of (when a message's time is over, its request)
+        self.expiry: list[tuple[int, int]] = []  # heap of (end of its time for repeats, request)
         self.keys: dict[int, deque[QueuedMessage]] = {}  # by ordering key, in the order accepted
-        self.ordering_pauses: dict[int, int] = {}  # by ordering key: until when it pauses
+        self.ordering_pauses: dict[int, int] = {}  # by ordering key: end of its pause
         self.attempts: dict[tuple[int, int], PendingAttempt] = {}  # by request and attempt
         self.calls_in_flight = self.calls_made = 0
-        self.wake_ns = NEVER  # when the next message or endpoint that waits may have its turn
+        self.wake_ns = NEVER  # when the next waiting message or endpoint may be ready
 
     def accept(self, event: MessageAccepted, destination: Destination) -> None:
-        """Queue a message for its destination, behind its key's earlier ones."""
+        """Queue a message for its destination, behind earlier ones with the same ordering key."""
         now_ns = self.context.now_ns
         message = QueuedMessage(event, self.context.settings, destination, now_ns)
         if event.recovered:
@@ -42,7 +42,7 @@
         self._enqueue(message)
         if message.key:
             self.keys.setdefault(message.key, deque()).append(message)
-        if event.may_have_run_ns:  # before a restart: a repeat might run twice (rule 2)
+        if event.may_have_run_ns:  # in an attempt before a restart: a repeat could run it twice
             self._mark_may_have_run(message, event.may_have_run_ns, event.may_have_run_zone)
         if event.attempts and not self.may_repeat(message, now_ns):
             self.reject_or_fail(message)
@@ -52,7 +52,11 @@
         self.waiting[message.destination.number] = message.destination
 
     def end(self, message: QueuedMessage) -> None:
-        """Forget an ended message; its key goes on once no attempt of it is in flight (rule 6)."""
+        """Forget an ended message.
+
+        Messages with one ordering key go one at a time, in order: the next one with its key may go once no
+        attempt of this one is in flight.
+        """
         self.messages.pop(message.request, None)
         message.destination.queue.pop(message.request, None)
         if message.key and not message.in_flight:
@@ -62,7 +66,7 @@
                 del self.keys[message.key]
 
     def complete(self, event: AttemptCompleted) -> None:
-        """Account for an attempt's outcome; then retry, give up, or be done."""
+        """Account for an attempt's outcome; then end the message, or retry it."""
         attempt = self.attempts.pop((event.request, event.attempt))
         message, call = attempt.message, attempt.call
         message.in_flight = False
@@ -76,18 +80,19 @@
         message.destination.retry_budget.record(event.outcome, attempt.is_retry)
         self.outliers.record_attempt(call, event)
         if event.outcome in MAY_HAVE_RUN:
-            self._record_unknown(message, call, event.outcome)
+            self._record_possible_run(message, call, event.outcome)
         if event.done or message.request not in self.messages:
             self.end(message)
         else:
             self._enqueue(message)
             self._retry_or_give_up(message, call, event)
 
-    def _record_unknown(self, message: QueuedMessage, call: Call, outcome: Outcome) -> None:
-        if message.key and outcome is not Outcome.ERROR:  # the next of its key must not overtake it
+    def _record_possible_run(self, message: QueuedMessage, call: Call, outcome: Outcome) -> None:
+        if message.key and outcome is not Outcome.ERROR:
+            # The attempt may still be running: the next message with its key must not overtake it.
             now_ns = self.context.now_ns
             if len(self.ordering_pauses) > PAUSE_CLEANUP_THRESHOLD:
-                self.ordering_pauses = {k: at for k, at in self.ordering_pauses.items() if at > now_ns}
+                self.ordering_pauses = {k: ends for k, ends in self.ordering_pauses.items() if ends > now_ns}
             self.ordering_pauses[message.key] = now_ns + self.context.settings.ordering_pause_ns
         if not message.may_have_run_ns:
             self._mark_may_have_run(message, call.sent_ns, call.endpoint.zone)
@@ -99,19 +104,24 @@
 
     def _retry_or_give_up(self, message: QueuedMessage, call: Call, event: AttemptCompleted) -> None:
         sent = event.outcome is not Outcome.NOT_SENT
-        message.max_attempts += event.unsent  # blocked ones would use up all attempts within milliseconds
+        # Blocked attempts would use up all attempts within milliseconds, so each allows one more.
+        message.max_attempts += event.unsent
         if event.unsent or sent:
             step = NOT_SENT_BACKOFF_STEP if event.unsent else message.failures
             message.ready_ns = self.context.now_ns + backoff_ns(self.context.random, step)
         message.failures += sent
-        at_ns = max(self.context.now_ns, message.ready_ns, call.endpoint.limiter.opens_ns())
-        least = MIN_PRIORITY * message.traffic_class.priority_weight  # at a limit, new ones go first
-        stale = event.outcome is Outcome.OVERLOADED and self._priority(message, at_ns) < least
+        at_ns = max(self.context.now_ns, message.ready_ns, call.endpoint.limiter.available_from_ns())
+        # At a rate limit, newer messages go before those that have lost most of their priority.
+        min_priority = MIN_PRIORITY * message.traffic_class.priority_weight
+        stale = event.outcome is Outcome.OVERLOADED and self._priority(message, at_ns) < min_priority
         if stale or not self.may_repeat(message, at_ns):
             self.reject_or_fail(message)
 
     def may_repeat(self, message: QueuedMessage, at_ns: int) -> bool:
-        """Whether another attempt at that time is in time, among those allowed, and harmless (rule 2)."""
+        """Whether an attempt at `at_ns` is in time, within the number allowed, and harmless.
+
+        A message whose repeat is not harmless is never run twice: once it may have run, it is not repeated.
+        """
         if at_ns >= message.deadline_ns or message.attempts >= message.max_attempts:
             return False
         effect = message.traffic_class.effect
@@ -120,21 +130,24 @@
         return effect is Idempotency.WITH_KEY and at_ns < message.may_repeat_until_ns()
 
     def reject_or_fail(self, message: QueuedMessage) -> None:
-        """End it at once: rejected where submitting it again is harmless, else failed (rules 1 and 2)."""
+        """End a message at once, with its only final result.
+
+        It is rejected where submitting it again is harmless; else it fails, as it must never run twice.
+        """
         settings, rules, now_ns = self.context.settings, message.traffic_class, self.context.now_ns
         harmless = not message.may_have_run_ns or rules.effect is Idempotency.IDEMPOTENT
         if not harmless and rules.effect is Idempotency.WITH_KEY and rules.group is DeduplicationScope.ALL:
             harmless = now_ns + settings.max_retry_after_ns < message.may_repeat_until_ns()
         if harmless:
-            opens_ns = self.outliers.destination_opens_ns(message.destination)
-            wait_ns = min(max(opens_ns - now_ns, 0), settings.max_retry_after_ns)
+            available_from_ns = self.outliers.destination_available_from_ns(message.destination)
+            wait_ns = min(max(available_from_ns - now_ns, 0), settings.max_retry_after_ns)
             self.context.actions.append(Reject(message.request, wait_ns * settings.retry_after_allowed))
         else:
             self.context.actions.append(Fail(message.request))
         self.end(message)
 
     def dispatch(self) -> int:
-        """Give up what is over, fill the free slots; returns when to dispatch again at the latest."""
+        """End messages that are out of time, fill free slots; return when to dispatch again at the latest."""
         while self.expiry and self.expiry[0][0] <= self.context.now_ns:
             message = self.messages.get(heappop(self.expiry)[1])
             if message and not message.in_flight and not self.may_repeat(message, self.context.now_ns):
@@ -144,13 +157,14 @@
         self.wake_ns = NEVER
         self._fill_slots()
         for destination in self.waiting.values():
-            self._plan_wake(destination)
+            self._schedule_wake(destination)
         return self.wake_ns
 
-    def _shed_load(self) -> None:  # the longest queue gives way: that of a destination that is out
-        now_ns, places = self.context.now_ns, self.context.settings.max_held_messages
-        places -= max(1, int(places * RESERVED_QUEUE_SHARE))
-        while len(self.messages) > places:
+    def _shed_load(self) -> None:
+        """End messages of the longest queue (that of a destination in an outage) while too many are held."""
+        now_ns, capacity = self.context.now_ns, self.context.settings.max_held_messages
+        capacity -= max(1, int(capacity * RESERVED_QUEUE_SHARE))
+        while len(self.messages) > capacity:
             longest = max(self.waiting.values(), key=lambda d: len(d.queue), default=None)
             queued = longest.queue.values() if longest else ()
             safe = [m for m in queued if not m.may_have_run_ns and (m.attempts or m.overdue_from_ns == NEVER)]
@@ -160,45 +174,46 @@
 
     def _fill_slots(self) -> None:
         now_ns, slots = self.context.now_ns, self.context.settings.max_concurrent_calls
-        opens_ns, overdue = self.outliers.destination_opens_ns, self._is_overdue
+        available_from_ns, overdue = self.outliers.destination_available_from_ns, self._is_overdue
         waiting = self.waiting.values() if self.calls_in_flight < slots else ()
-        ready = [d for d in waiting if opens_ns(d, any(map(overdue, d.queue.values()))) <= now_ns]
-        best = {d.number: min(map(self._urgency, d.queue.values()))[0] for d in ready}
-        while ready and self.calls_in_flight < slots:  # by turns, and by priority where many wait
-            destination = min(ready, key=lambda d: (d.calls_in_flight, best[d.number], d.last_call))
+        ready = [d for d in waiting if available_from_ns(d, any(map(overdue, d.queue.values()))) <= now_ns]
+        best_urgency = {d.number: min(map(self._dispatch_order, d.queue.values()))[0] for d in ready}
+        while ready and self.calls_in_flight < slots:
+            # Fewest calls in flight first, then the highest priority, then the longest since its last call.
+            destination = min(ready, key=lambda d: (d.calls_in_flight, best_urgency[d.number], d.last_call))
             if destination.calls_in_flight >= max(1, slots - self.calls_in_flight):
-                break  # a hung destination or a burst may hold as many slots as it leaves free
-            if not self._serve(destination):
+                break  # a hung destination or a burst may hold at most as many slots as it leaves free
+            if not self._call_one_endpoint(destination):
                 ready.remove(destination)
 
     def _is_overdue(self, message: QueuedMessage) -> bool:
         return message.overdue_from_ns <= self.context.now_ns and not message.attempts
 
-    def _plan_wake(self, destination: Destination) -> None:
+    def _schedule_wake(self, destination: Destination) -> None:
         now_ns, endpoints = self.context.now_ns, destination.endpoints.values()
-        opens_ns = self.outliers.destination_opens_ns(destination)
-        self._wake_at(opens_ns)  # a suspect endpoint opens with its next outcome
+        available_from_ns = self.outliers.destination_available_from_ns(destination)
+        self._wake_by(available_from_ns)  # a suspect endpoint needs no timer: its next outcome brings a turn
         for message in list(destination.queue.values()):
-            at_ns = opens_ns
+            at_ns = available_from_ns
             if message.overdue_from_ns < NEVER and not message.attempts:
-                # Rates alone would not let out in time all that a fleet recovers after it was killed.
+                # After a whole fleet was killed, the rates would not let all recovered messages out in time.
                 at_ns = min((e.limiter.retry_after_until_ns for e in endpoints), default=NEVER)
-                overdue_ns = self.outliers.destination_opens_ns(destination, True)
-                self._wake_at(max(message.overdue_from_ns, overdue_ns))
+                overdue_ns = self.outliers.destination_available_from_ns(destination, True)
+                self._wake_by(max(message.overdue_from_ns, overdue_ns))
             if at_ns < NEVER and not self.may_repeat(message, at_ns):
-                self.reject_or_fail(message)  # its waits are longer than its time
+                self.reject_or_fail(message)  # its waits would outlast its time
                 continue
             at_ns = self._ready_from_ns(message)
             at_ns = at_ns if now_ns < at_ns < message.deadline_ns else message.deadline_ns
             self.wake_ns = at_ns if at_ns < self.wake_ns else self.wake_ns
 
-    def _wake_at(self, at_ns: int) -> None:
+    def _wake_by(self, at_ns: int) -> None:
         if at_ns > self.context.now_ns:
             self.wake_ns = min(self.wake_ns, at_ns)
 
-    def _serve(self, destination: Destination) -> bool:
-        now_ns, opens_ns = self.context.now_ns, self.outliers.opens_ns
-        endpoints = [e for e in destination.endpoints.values() if opens_ns(e, True) <= now_ns]
+    def _call_one_endpoint(self, destination: Destination) -> bool:
+        now_ns, available_from_ns = self.context.now_ns, self.outliers.available_from_ns
+        endpoints = [e for e in destination.endpoints.values() if available_from_ns(e, True) <= now_ns]
         for endpoint in sorted(endpoints, key=self.outliers.balancer.preference):
             if messages := self._sendable(destination, endpoint):
                 self._call(endpoint, messages)
@@ -207,22 +222,23 @@
 
     def _sendable(self, destination: Destination, endpoint: TrackedEndpoint) -> list[QueuedMessage]:
         ready = [m for m in destination.queue.values() if self.may_send(m, endpoint)]
-        ready.sort(key=self._urgency)
+        ready.sort(key=self._dispatch_order)
         if ready and endpoint.failure_rate > SUSPECT_FROM:
-            ready = self._for_suspect(endpoint, ready)
+            ready = self._probing_messages(endpoint, ready)
         single = endpoint.ejected or endpoint.warming_since_ns
         return ready[: 1 if single else self.context.settings.kind(endpoint.kind).max_bundle_size]
 
-    def _for_suspect(self, endpoint: TrackedEndpoint, ready: list[QueuedMessage]) -> list[QueuedMessage]:
-        # A failure loses what must not be repeated: others go first, or a health check, or one at a time.
-        if safe := [m for m in ready if m.traffic_class.effect is not Idempotency.NOT_IDEMPOTENT]:
-            return safe
+    def _probing_messages(self, endpoint: TrackedEndpoint, ready: list[QueuedMessage]) -> list[QueuedMessage]:
+        # A failed call loses messages that must not be repeated. Others go first; if there are none, a health
+        # check goes first, where allowed; then single messages.
+        if repeatable := [m for m in ready if m.traffic_class.effect is not Idempotency.NOT_IDEMPOTENT]:
+            return repeatable
         if endpoint.calls or endpoint.health_check_out or endpoint.next_health_check_ns > self.context.now_ns:
-            self._wake_at(endpoint.next_health_check_ns)  # if past, the end of what is in flight wakes
+            self._wake_by(endpoint.next_health_check_ns)  # if past, an outcome brings the turn
             return []
         if self.context.settings.health_checks_allowed and not endpoint.health_check_passed:
             endpoint.health_check_out = True
-            if endpoint.warming_since_ns:  # a health check weighs like a call there (rule 4)
+            if endpoint.warming_since_ns:  # a health check counts as a call, against overload by all senders
                 endpoint.next_call_ns = self.limits.ramp_next_ns(endpoint, 1.0)
             self.context.actions.append(CheckHealth(endpoint.id))
             return []
@@ -251,14 +267,14 @@
             self.context.actions.append(Send(message.request, endpoint.id, timeout_ns))
 
     def may_send(self, message: QueuedMessage, endpoint: TrackedEndpoint) -> bool:
-        """Whether all rules and waits let this message go to this endpoint now: the only gate."""
+        """Whether all rules and waits let this message go to this endpoint now; each send is checked here."""
         now_ns, rules = self.context.now_ns, message.traffic_class
         zoned = rules.effect is Idempotency.WITH_KEY and rules.group is DeduplicationScope.ZONE
         if zoned and message.may_have_run_ns and endpoint.zone != message.may_have_run_zone:
             return False
         if message.in_flight or not self.may_repeat(message, now_ns) or self._ready_from_ns(message) > now_ns:
             return False
-        return self.outliers.opens_ns(endpoint, self._is_overdue(message)) <= now_ns
+        return self.outliers.available_from_ns(endpoint, self._is_overdue(message)) <= now_ns
 
     def _ready_from_ns(self, message: QueuedMessage) -> int:
         if message.attempts and not message.destination.retry_budget.allows_retry():
@@ -266,7 +282,8 @@
         if not message.key:
             return message.ready_ns
         pause_ns = 0 if message.attempts else self.ordering_pauses.get(message.key, 0)
-        return max(message.ready_ns, pause_ns) if self.keys[message.key][0] is message else NEVER  # rule 6
+        # Messages with one ordering key go one at a time, in order.
+        return max(message.ready_ns, pause_ns) if self.keys[message.key][0] is message else NEVER
 
     def _priority(self, message: QueuedMessage, at_ns: int) -> float:
         rules, objective_ns = message.traffic_class, message.traffic_class.latency_objective_ns
@@ -279,5 +296,5 @@
             share = 1 - (1 - rules.late_value_share) * delay_ns / max(1, rules.deadline_ns - objective_ns)
         return rules.priority_weight * max(share, rules.late_value_share)
 
-    def _urgency(self, message: QueuedMessage) -> tuple[float, int]:
+    def _dispatch_order(self, message: QueuedMessage) -> tuple[float, int]:
         return (-self._priority(message, self.context.now_ns), message.accepted_ns)
--- a/pinspread/policy/events.py
+++ b/pinspread/policy/events.py
@@ -26,7 +26,7 @@
 
 
 class EndpointState(IntEnum):
-    """What the list of endpoints says of one; nothing about its health."""
+    """State of an endpoint in the list of endpoints; it says nothing about the endpoint's health."""
 
     REMOVED = 0
     DRAINING = 1
@@ -39,7 +39,7 @@
     DELTA = 0
     FULL = 1
     CACHED = 2  # the whole list, possibly out of date
-    FAILED = 3  # no entries, the list stays as it was
+    FAILED = 3  # no entries: the list stays as it was
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     kind: int = 0
     state: EndpointState = EndpointState.READY
     weight: float = 1.0
-    cold: bool = False  # it has just been started again
+    cold: bool = False  # it has just been restarted
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class MessageAccepted:
-    """A message was accepted; it is to get exactly one final result."""
+    """A message was accepted; it must get exactly one final result."""
 
     request: int
     class_index: int
@@ -73,12 +73,12 @@
     deadline_ns: int  # a time of the clock
     key: int = 0  # 0: none
     tenant: int = 0
-    attempts: int = 0  # made before the sender was restarted
-    may_have_run_ns: int = 0  # when the first of these that may have run was sent; 0: none
-    may_have_run_zone: int = 0  # and to which zone
-    traffic_class: TrafficClass | None = None  # accepted under this, where not `class_index` of the settings
+    attempts: int = 0  # number made before the sender was restarted
+    may_have_run_ns: int = 0  # send time of the first of these that may have run; 0: none
+    may_have_run_zone: int = 0  # zone that it was sent to
+    traffic_class: TrafficClass | None = None  # accepted under this; None: `class_index` of the settings
     recovered: bool = False  # it was accepted before the sender was restarted
-    max_attempts: int = 0  # attempts allowed when it was accepted; 0: as the settings say
+    max_attempts: int = 0  # allowed when it was accepted; 0: as the settings say
 
 
 @dataclass(slots=True)
@@ -92,9 +92,9 @@
     elapsed_ns: int
     done: bool
     retry_after_ns: int = 0  # with OVERLOADED: its Retry-After; 0: it has none
-    limit_remaining: float = 0.0  # fraction of the limit that is left just now
+    limit_remaining: float = 0.0  # fraction of the limit that is left
     limit_per_s: float = 0.0  # the limit in calls a second; 0: none is known
-    opened: bool = False  # its connection was opened for it, as far as the caller knows
+    opened: bool = False  # a connection was opened for it, as far as the caller knows
     unsent: bool = False  # with NOT_SENT: blocked between the decision and the write; no byte was written
 
 
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class ClientCancelled:
-    """The client withdrew the message, or its deadline has passed: it gets no final result any more."""
+    """The client cancelled the message, or its deadline has passed: it gets no final result any more."""
 
     request: int
 
--- a/pinspread/policy/rate_limit.py
+++ b/pinspread/policy/rate_limit.py
@@ -5,74 +5,77 @@
 from pinspread.policy.retry_budget import BACKOFF_FACTOR, JITTER, backoff_ns
 from pinspread.policy.state import MS, NEVER, SECOND, PolicyContext, RateLimiter, TrackedEndpoint
 
-LONGEST_WAIT_NS = SECOND  # longest wait of few senders between health checks or after refusals
+LONGEST_WAIT_NS = SECOND  # maximum wait of few senders between health checks or after refusals
 HEALTH_CHECK_SHARE = 0.3  # health checks of all senders, as a share of the usual calls; half: 0.03 lower
-RATE_GAIN = 0.08  # growth of a rate with each success
-LOW_REMAINING = 0.15  # remaining share of a limit under which a sender waits as after a refusal
+RATE_GAIN = 0.08  # relative growth of a rate with each success
+LOW_REMAINING = 0.15  # remaining fraction of a limit below which a sender waits as after a refusal
 EXHAUSTED_RATE_FACTOR = 0.6  # factor on the usual rate after a refusal by an exhausted limit
 BURST_POWER = 0.2  # power of the fleet's size by which one sender may exceed its fair share
 CUT_POWER = 0.3  # power of the fleet's size by which a refusal cuts the rate of one of many senders
 MIN_RATE = 1.5  # calls a second that no rate falls below, so that recovery can be seen
-RATE_SPAN_S = 8.0  # span of the mean of delivered rates
-USUAL_RATE_SPAN_S = 60.0  # fading time of the usual rate: longer than outages and throttled times
-SMALL_FLEET_SIZE = 4  # up to so many senders behave as if each were alone
+RATE_SPAN_S = 8.0  # time constant of the mean of delivered rates
+USUAL_RATE_SPAN_S = 60.0  # time constant of the usual rate's decay: longer than outages and throttled times
+SMALL_FLEET_SIZE = 4  # up to so many senders, each behaves as if it were alone
 UNAVAILABLE_REFUSALS = 4  # refusals in a row from which a destination may be unavailable
-UNAVAILABLE_SPAN_NS = SECOND  # and their least duration: a limit lets something through in that time
+UNAVAILABLE_SPAN_NS = SECOND  # and their minimum duration: a rate limit lets something through in that time
 LONG_RETRY_AFTER_NS = 2500 * MS  # longer ones are no rate limit: the destination is unavailable
-WEIGHT_TRUST = 0.67  # share of what rough listed weights promise that is counted on
-EXHAUSTED_FROM = (
-    0.6  # fraction of a kind's refusals with little left of the limit, from which calls exhaust it
-)
+WEIGHT_TRUST = 0.67  # fraction of what rough listed weights promise that is counted on
+EXHAUSTED_FROM = 0.6  # fraction of refusals with a low remaining limit from which a kind's calls exhaust it
 REFUSAL_GAIN = 0.12  # weight of the newest refusal in that fraction, and of a connection in LoadBalancer's
-RAMP_SAFETY = 0.8  # share of the permitted overload that a slow start uses: arrivals vary by chance
+RAMP_SAFETY = 0.8  # fraction of the permitted overload that a slow start uses: arrivals vary by chance
 MIN_RAMP_RATE = 1.0  # calls a second of all senders to a warming endpoint of which nothing is known
 
 
 class RateLimitPolicy:
-    """How fast this sender calls endpoints; owns how often each kind's limits were exhausted."""
+    """Decides how fast this sender calls endpoints; records how often each kind's limits were exhausted."""
 
     def __init__(self, context: PolicyContext) -> None:
         self.context = context
-        self.exhausted: dict[int, float] = {}  # by kind: fraction of refusals with little left
+        self.exhausted: dict[int, float] = {}  # by kind: fraction of refusals with a low remaining limit
 
     def record_call(self, limiter: RateLimiter) -> None:
-        """Put the limiter's next call off by the rate that this sender may have there."""
+        """Delay the limiter's next call by the interval of the rate that this sender may have there."""
         capacity = limiter.limit * max(LOW_REMAINING, limiter.remaining)
         rate = min(limiter.rate or capacity, capacity or limiter.rate)  # a burst must not exhaust the limit
         if rate:
             limiter.next_call_ns = max(self.context.now_ns, limiter.next_call_ns) + int(SECOND / rate)
 
     def fair_share(self, endpoint: TrackedEndpoint) -> float:
-        """This sender's even share of the reported or listed limit, in calls a second; 0: not known."""
+        """This sender's equal share of the reported or listed limit, in calls a second; 0: not known."""
         settings = self.context.settings
         trust = 1.0 if settings.weights_exact else WEIGHT_TRUST
         weight = endpoint.weight * trust if settings.weights_known else 0.0
         return (endpoint.limiter.limit or weight) / settings.senders
 
     def max_rate(self, endpoint: TrackedEndpoint) -> float:
-        """The highest rate of one of many senders where limits are listed; else no bound."""
+        """The maximum rate of one of many senders where limits are listed; else NEVER, which is no bound."""
         fleet_factor = self.context.fleet_factor
-        highest = self.fair_share(endpoint) * SMALL_FLEET_SIZE / fleet_factor**BURST_POWER
-        return highest if fleet_factor < 1 and self.context.settings.weights_known else NEVER
+        highest_rate = self.fair_share(endpoint) * SMALL_FLEET_SIZE / fleet_factor**BURST_POWER
+        return highest_rate if fleet_factor < 1 and self.context.settings.weights_known else NEVER
 
     def delivered_rate(self, endpoint: TrackedEndpoint) -> float:
-        """Calls a second delivered at an endpoint, up to its last success."""
-        unseen = exp((endpoint.first_seen_ns - endpoint.delivered_ns) / (RATE_SPAN_S * SECOND))
-        return endpoint.delivered / (RATE_SPAN_S * (1.02 - unseen))  # 1.02: no division by 0 at first
+        """The calls a second delivered to an endpoint, as of its last success."""
+        unobserved = exp((endpoint.first_seen_ns - endpoint.delivered_ns) / (RATE_SPAN_S * SECOND))
+        return endpoint.delivered / (RATE_SPAN_S * (1.02 - unobserved))  # 1.02: no division by 0 at first
 
     def record_delivery(self, endpoint: TrackedEndpoint) -> None:
-        """Count a delivery, with the older ones fading."""
+        """Count a delivery; the older ones fade exponentially."""
         aged = (endpoint.delivered_ns - self.context.now_ns) / SECOND
         endpoint.delivered = endpoint.delivered * exp(aged / RATE_SPAN_S) + 1
         endpoint.delivered_ns = self.context.now_ns
-        faded = endpoint.usual_rate * exp(aged / USUAL_RATE_SPAN_S)  # kept: no ramp ends from a cut rate
+        # The usual rate decays slowly, so that a ramp does not aim at a rate that refusals had cut.
+        faded = endpoint.usual_rate * exp(aged / USUAL_RATE_SPAN_S)
         endpoint.usual_rate = max(faded, self.delivered_rate(endpoint))
 
     def _siblings_rate(self, endpoint: TrackedEndpoint) -> float:
         return sum(self.delivered_rate(e) for e in endpoint.siblings())
 
     def wait_ns(self, endpoint: TrackedEndpoint, n: int, steps: int = 1, refused: bool = False) -> int:
-        """The wait before health check `n`: the backoff's, or the longest one, reached in `steps` steps."""
+        """The wait before health check `n`, in nanoseconds.
+
+        With a short longest wait it is the backoff, up to that wait; else it grows to the longest wait in
+        `steps` steps, by the backoff's factor.
+        """
         longest_ns = self.longest_wait_ns(endpoint, refused)
         if longest_ns <= LONGEST_WAIT_NS:
             return min(backoff_ns(self.context.random, n), longest_ns)
@@ -87,19 +90,20 @@
         return int(max(LONGEST_WAIT_NS, SECOND / max(self.context.fleet_factor, usual)))
 
     def apply_retry_after(self, endpoint: TrackedEndpoint, retry_after_ns: int) -> None:
-        """Keep a Retry-After that an attempt or a health check was answered with (rule 5)."""
+        """Hold back calls until a Retry-After, received by an attempt or a health check, has passed."""
         limiter, until_ns = endpoint.limiter, self.context.now_ns + retry_after_ns
         limiter.retry_after_until_ns = max(limiter.retry_after_until_ns, until_ns)
         if retry_after_ns > LONG_RETRY_AFTER_NS:
-            for sibling in endpoint.siblings():  # all senders come back at that instant (rule 4)
+            # All senders come back at that instant: the ramp keeps them from overloading the destination.
+            for sibling in endpoint.siblings():
                 self.start_ramp(sibling, limiter.retry_after_until_ns)
 
     def record_refusal(self, endpoint: TrackedEndpoint, retry_after_ns: int) -> None:
-        """Lower the rate, lest a fleet keeps a limit exhausted; back off on top of a Retry-After."""
+        """Lower the rate, so that a fleet does not keep a limit exhausted; back off beyond a Retry-After."""
         limiter, now_ns = endpoint.limiter, self.context.now_ns
         exhausted = self._exhausts_limit(endpoint)
         self._cut_rate(endpoint, exhausted)
-        if self.context.fleet_factor < 1 and retry_after_ns <= LONG_RETRY_AFTER_NS:  # many return in turns
+        if self.context.fleet_factor < 1 and retry_after_ns <= LONG_RETRY_AFTER_NS:  # spread their return
             wait_ns = int(SECOND / limiter.rate * self.context.random.random())
             limiter.backoff_until_ns = now_ns + retry_after_ns + wait_ns
         elif exhausted or not retry_after_ns:
@@ -113,7 +117,7 @@
         limiter.last_refusal_ns, limiter.refusals = now_ns, limiter.refusals + 1
 
     def _exhausts_limit(self, endpoint: TrackedEndpoint) -> bool:
-        limiter = endpoint.limiter  # in some kinds refused calls count against the limit too
+        limiter = endpoint.limiter  # in some kinds, refused calls count against the limit too
         low = bool(limiter.limit) and limiter.remaining < LOW_REMAINING
         fraction = self.exhausted.get(endpoint.kind, 0.8)
         fraction = self.exhausted[endpoint.kind] = fraction + REFUSAL_GAIN * (low - fraction)
@@ -121,16 +125,16 @@
 
     def _cut_rate(self, endpoint: TrackedEndpoint, exhausted: bool) -> None:
         limiter, fleet_factor = endpoint.limiter, self.context.fleet_factor
-        many = 1 - fleet_factor  # 0 with few senders, towards 1 with many
+        fleet_weight = 1 - fleet_factor  # 0 with few senders, towards 1 with many
         check_rate = SECOND / self.longest_wait_ns(endpoint, refused=True)
         share = self.fair_share(endpoint) or MIN_RATE * fleet_factor
         usual = max(share, check_rate, self._siblings_rate(endpoint))
         if not limiter.refusals:
             limiter.refusals_since_ns = self.context.now_ns
-            limiter.rate = usual - many * max(0.0, usual - (limiter.rate or usual))
-        if many or not limiter.refusals:
+            limiter.rate = usual - fleet_weight * max(0.0, usual - (limiter.rate or usual))
+        if fleet_weight or not limiter.refusals:
             cut = EXHAUSTED_RATE_FACTOR if exhausted else fleet_factor**CUT_POWER
-            limiter.rate = max(many * fleet_factor * MIN_RATE, limiter.rate * cut)
+            limiter.rate = max(fleet_weight * fleet_factor * MIN_RATE, limiter.rate * cut)
 
     def _back_off(self, endpoint: TrackedEndpoint) -> None:
         until_ns = self.context.now_ns + self.wait_ns(endpoint, 1, 3, refused=True)
@@ -160,14 +164,18 @@
         endpoint.next_call_ns = self.ramp_next_ns(endpoint, self.context.random.random())
 
     def ramp_next_ns(self, endpoint: TrackedEndpoint, calls: float) -> int:
-        """When the ramp has room for so many more calls of this sender (rule 4)."""
+        """When the ramp has room for so many more calls of this sender.
+
+        The ramps of all senders together do not overload a destination or endpoint that is warming up.
+        """
         settings, start = self.context.settings, self.context.settings.slow_start_fraction
         share = self.fair_share(endpoint) / max(1, sum(e.usable for e in endpoint.siblings()))
         usual = max(endpoint.usual_rate, share, MIN_RAMP_RATE / settings.senders)
         ramp_s = max(1, settings.slow_start_ns) / SECOND
         elapsed_s = min(ramp_s, max(0, self.context.now_ns - endpoint.warming_since_ns) / SECOND)
         rise = max(1e-9, (1 - start) / (2 * ramp_s))
-        price = calls / (RAMP_SAFETY * settings.overload_multiple * usual)
-        spent = start * elapsed_s + rise * elapsed_s**2 + price  # capacity rises evenly, from `start` to 1
-        paid_s = (sqrt(start**2 + 4 * rise * spent) - start) / (2 * rise)
-        return endpoint.warming_since_ns + int(min(paid_s, ramp_s) * SECOND)
+        demand = calls / (RAMP_SAFETY * settings.overload_multiple * usual)
+        # The capacity rises linearly, from `start` to 1.
+        capacity_needed = start * elapsed_s + rise * elapsed_s**2 + demand
+        reached_s = (sqrt(start**2 + 4 * rise * capacity_needed) - start) / (2 * rise)
+        return endpoint.warming_since_ns + int(min(reached_s, ramp_s) * SECOND)
--- a/pinspread/policy/retry_budget.py
+++ b/pinspread/policy/retry_budget.py
@@ -5,16 +5,16 @@
 from pinspread.policy.events import Outcome
 from pinspread.policy.state import MS
 
-BUCKET_CAP = 10.0  # tokens of a new destination, and the most it can have
+BUCKET_CAP = 10.0  # tokens of a new destination, and the maximum
 RETRY_COST = 1.0  # tokens that a failed retry takes
-REFILL = 0.1  # tokens that a success brings back
+REFILL = 0.1  # tokens that a success adds
 BACKOFF_BASE_NS = 10 * MS  # median wait before the first retry
 BACKOFF_FACTOR = 4  # growth of the wait from retry to retry
 JITTER = (0.5, 1.5)  # range of the random factor of every wait
 
 
 class RetryBudget:
-    """Token bucket that failed retries drain and successes refill."""
+    """Token bucket that failed retries empty and successes refill."""
 
     __slots__ = ("retries_in_flight", "tokens")
 
--- a/pinspread/policy/settings.py
+++ b/pinspread/policy/settings.py
@@ -5,10 +5,10 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a message may do at its destination."""
+    """Whether a message may be repeated at its destination."""
 
-    IDEMPOTENT = "repeatable"  # safe to repeat
-    WITH_KEY = "by_key"  # repeats are dropped, inside a group of endpoints and for a time
+    IDEMPOTENT = "repeatable"  # a repeat is harmless
+    WITH_KEY = "by_key"  # the destination drops repeats, in a group of endpoints and for a time
     NOT_IDEMPOTENT = "once"  # must never run twice
 
 
@@ -31,7 +31,7 @@
     deduplication_window_ns: int = 0  # for keyed messages: how long repeats are dropped
     late_value_share: float = 0.0  # fraction of the priority weight that is left at the deadline
     priority_weight: float = 1.0
-    in_order: bool = False  # messages with one key go one at a time
+    in_order: bool = False  # messages with one ordering key go one at a time
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
 class DestinationKind:
     """A kind of destination."""
 
-    limits_per_endpoint: bool = False  # its endpoints have limits, rates and outages of their own
+    limits_per_endpoint: bool = False  # each endpoint has its own limits, rate and outages
     max_bundle_size: int = 1  # messages that one call may carry
 
 
@@ -56,41 +56,45 @@
 
     classes: list[TrafficClass]
     kinds: list[DestinationKind]
-    max_concurrent_calls: int  # calls that this sender may have in flight at once
-    max_held_messages: int  # messages that it may hold, queued or in flight
+    max_concurrent_calls: int  # maximum number of calls in flight
+    max_held_messages: int  # maximum number of messages queued or in flight
     max_attempts: int  # for one message
     tenants: list[Tenant] = field(default_factory=list)
     senders: int = 1  # how many senders there are
     zone: int = 0
     over_quota_weight: float = 1.0
-    value_halves: bool = False  # priority halves with each further latency objective, else falls evenly
+    value_halves: bool = False  # priority halves with each further latency objective, else falls linearly
     weights_known: bool = False  # listed weights are the calls a second that a destination takes
-    weights_exact: bool = False  # and they are exact, not rough
+    weights_exact: bool = False  # the listed weights are exact, not rough
     health_checks_allowed: bool = False
     cancellation_allowed: bool = False
-    retry_after_allowed: bool = False  # a Retry-After may be given to the client
+    retry_after_allowed: bool = False  # a Retry-After may be passed on to the client
     max_retry_after_ns: int = 0
     streams_per_connection: int = 1
     keepalive_ns: int = 0
     drain_grace_ns: int = 0
-    slow_start_fraction: float = 1.0  # fraction of its capacity that a destination has right after an outage
-    slow_start_ns: int = 0  # after this it has all of it
-    overload_multiple: float = 1.0  # of its present capacity; above it, a destination that warms up fails
-    ordering_pause_ns: int = 0  # a key pauses this long after an attempt that may still be running
-    polled_discovery: bool = False  # changes of the list come only in answer to polls
+    slow_start_fraction: float = 1.0  # fraction of its capacity that a destination has after an outage
+    slow_start_ns: int = 0  # time until it has its whole capacity again
+    overload_multiple: float = 1.0  # multiple of its present capacity above which a warming destination fails
+    ordering_pause_ns: int = 0  # pause of an ordering key after an attempt that may still be running
+    polled_discovery: bool = False  # changes of the endpoint list come only in answer to polls
     max_poll_interval_ns: int = (
-        0  # drains count as notified this long after the last poll, polled again or not
+        0  # a drain counts as notified this long after the last poll, with or without a next
     )
     handshake_price: float = 0.0  # cost of a new connection, in units of a message's mean priority weight
-    cross_zone_price: float = 0.0  # the same for a call to another zone
-    zone_fees: list[float] = field(default_factory=list)  # by zone, for endpoints with limits of their own
+    cross_zone_price: float = 0.0  # cost of a call to another zone, in the same units
+    zone_fees: list[float] = field(default_factory=list)  # cost by zone, for endpoints with their own limits
 
     def kind(self, n: int) -> DestinationKind:
-        """The kind of that number; one that the settings do not name has the defaults."""
+        """The destination kind of that number; one that the settings do not list has the defaults."""
         return self.kinds[n] if 0 <= n < len(self.kinds) else DestinationKind()
 
     def __post_init__(self) -> None:
-        """Refuse values that no policy can work with, naming the setting as configuration files do."""
+        """Check the values, naming each setting as configuration files do.
+
+        Raises:
+            ValueError: A value is one that no policy can work with.
+        """
         _check_bounds(self)
         if not self.classes:
             raise ValueError("settings: classes must name at least one class")
--- a/pinspread/policy/state.py
+++ b/pinspread/policy/state.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from pinspread.policy.retry_budget import RetryBudget
 
-MS = 1_000_000  # of the clock's nanoseconds
+MS = 1_000_000  # a millisecond, in the clock's nanoseconds
 SECOND = 1_000 * MS
 NEVER = 1 << 62  # later than any time of the clock
 
@@ -22,8 +22,8 @@
     """What all parts of one policy share: the turn's time and actions, settings, random numbers.
 
     Attributes:
-        now_ns: The time of the present turn, in nanoseconds of the caller's clock.
-        actions: The actions of the present turn, in order.
+        now_ns: The time of the current turn, in nanoseconds of the caller's clock.
+        actions: The actions of the current turn, in order.
         fleet_factor: 1 with few senders, inversely proportional to their number above that.
     """
 
@@ -75,13 +75,13 @@
         self.key = event.key if traffic_class.in_order else 0
         self.deadline_ns = event.deadline_ns
         self.accepted_ns = now_ns
-        self.ready_ns = now_ns  # its backoff runs until then
-        self.overdue_from_ns = NEVER  # recovered at a restart: from then on only Retry-After holds it back
+        self.ready_ns = now_ns  # end of its backoff
+        self.overdue_from_ns = NEVER  # if recovered at a restart: from then on only Retry-After holds it back
         self.max_attempts = event.max_attempts or settings.max_attempts
         self.attempts = event.attempts
         self.failures = event.attempts
         self.in_flight = False
-        self.may_have_run_ns = 0  # when the earliest attempt was sent that may have run; 0: none
+        self.may_have_run_ns = 0  # send time of the earliest attempt that may have run; 0: none
         self.may_have_run_zone = 0
 
     def may_repeat_until_ns(self) -> int:
@@ -95,10 +95,10 @@
     __slots__ = ("endpoint", "outcome_pending", "remaining", "sent_ns")
 
     def __init__(self, endpoint: TrackedEndpoint, now_ns: int, messages: int) -> None:
-        """Record a call that was sent at `now_ns` with so many messages."""
+        """Record a call with this number of messages, sent at `now_ns`."""
         self.endpoint = endpoint
         self.sent_ns = now_ns
-        self.remaining = messages  # without an outcome yet
+        self.remaining = messages  # messages without an outcome yet
         self.outcome_pending = True
 
 
@@ -115,8 +115,8 @@
 class RateLimiter:
     """A limit that endpoints share, one per destination or one per endpoint."""
 
-    retry_after_until_ns: int = 0  # as the destination asked
-    backoff_until_ns: int = 0  # as this sender chose after refusals
+    retry_after_until_ns: int = 0  # end of the wait that the destination asked for
+    backoff_until_ns: int = 0  # end of the wait that this sender chose after refusals
     refusals: int = 0  # in a row
     refusals_since_ns: int = 0
     last_refusal_ns: int = 0
@@ -125,13 +125,13 @@
     remaining: float = 1.0  # the fraction of the limit that was left at the last report
     next_call_ns: int = 0
 
-    def opens_ns(self) -> int:
-        """When the last of its waits is over."""
+    def available_from_ns(self) -> int:
+        """When the last of its waits is over and the next call may be sent."""
         return max(self.retry_after_until_ns, self.backoff_until_ns, self.next_call_ns)
 
 
 class TrackedEndpoint:
-    """What one endpoint has shown: list state, outcomes, latencies, delivered rate."""
+    """What is known of one endpoint: list state, outcomes, latencies, delivered rate."""
 
     __slots__ = (
         "answered_ns",
@@ -180,22 +180,22 @@
         self.last_outcome_ns = now_ns
         self.first_seen_ns = now_ns
         self.last_success_ns = 0
-        self.answered_ns = 0  # when the newest call was sent that succeeded
-        self.delivered = 0.0  # successes, older ones fading exponentially
+        self.answered_ns = 0  # send time of the newest call that succeeded
+        self.delivered = 0.0  # number of successes, where older ones fade exponentially
         self.delivered_ns = now_ns  # when the last of them was counted
         self.failure_rate = 0.0
         self.ejected = False
-        self.hard_failures = 0  # since its last success, other than time-outs and resets
+        self.hard_failures = 0  # failures since its last success, other than time-outs and resets
         self.failed = False  # whether its latest outcome was a failure
         self.health_checks = 0
         self.next_health_check_ns = 0
         self.health_check_out = False
         self.health_check_passed = False
         self.warming_since_ns = 0  # 0: it is not warming up
-        self.usual_rate = 0.0  # the most delivered there lately, calls a second
-        self.next_call_ns = 0  # while it warms up
-        self.removed_since_ns = 0  # since when it is off the list; 0: it is listed
-        self.rank = rank  # this sender's order among endpoints that are as good
+        self.usual_rate = 0.0  # highest rate delivered there lately, calls a second
+        self.next_call_ns = 0  # used while it warms up
+        self.removed_since_ns = 0  # time since which it is not listed; 0: it is listed
+        self.rank = rank  # orders endpoints that are equally good, for this sender
         self.update(entry, now_ns)
 
     def update(self, entry: EndpointEntry, now_ns: int) -> None:
@@ -210,12 +210,12 @@
             self.removed_since_ns = 0
 
     def mark_removed(self, now_ns: int) -> None:
-        """Take it off the list; `now_ns` counts unless it was off it before."""
+        """Mark it as not listed, since `now_ns` unless it was not listed before."""
         self.usable = False
         self.removed_since_ns = self.removed_since_ns or now_ns
 
     def delay_health_check(self, until_ns: int) -> None:
-        """Have no health check before that time."""
+        """Send it no health check before that time."""
         self.next_health_check_ns = max(self.next_health_check_ns, until_ns)
 
     def siblings(self) -> list[TrackedEndpoint]:
@@ -234,4 +234,4 @@
     limiter: RateLimiter = field(default_factory=RateLimiter)
     queue: dict[int, QueuedMessage] = field(default_factory=dict)  # by request, in order of arrival
     calls_in_flight: int = 0
-    last_call: int = 0  # the sender's count of calls at its last one
+    last_call: int = 0  # the sender's count of calls made, at the last call to it
--- a/tests/test_policy_dispatch.py
+++ b/tests/test_policy_dispatch.py
@@ -78,9 +78,11 @@
 
 def test_work_of_an_event_does_not_grow_with_destinations_it_does_not_concern(monkeypatch):
     looks = []
-    opens_ns = OutlierDetector.opens_ns
+    available_from_ns = OutlierDetector.available_from_ns
     monkeypatch.setattr(
-        OutlierDetector, "opens_ns", lambda self, e, *overdue: looks.append(e) or opens_ns(self, e, *overdue)
+        OutlierDetector,
+        "available_from_ns",
+        lambda self, e, *overdue: looks.append(e) or available_from_ns(self, e, *overdue),
     )
     counts = []
     for others in (1, 400):
