--- a/pinspread/policy/rate_limit.py
+++ b/pinspread/policy/rate_limit.py
@@ -60,11 +60,11 @@
 
     def record_delivery(self, endpoint: TrackedEndpoint) -> None:
         """Count a delivery; the older ones fade exponentially."""
-        aged = (endpoint.delivered_ns - self.context.now_ns) / SECOND
-        endpoint.delivered = endpoint.delivered * exp(aged / RATE_SPAN_S) + 1
+        minus_age_s = (endpoint.delivered_ns - self.context.now_ns) / SECOND
+        endpoint.delivered = endpoint.delivered * exp(minus_age_s / RATE_SPAN_S) + 1
         endpoint.delivered_ns = self.context.now_ns
         # The usual rate decays slowly, so that a ramp does not aim at a rate that refusals had cut.
-        faded = endpoint.usual_rate * exp(aged / USUAL_RATE_SPAN_S)
+        faded = endpoint.usual_rate * exp(minus_age_s / USUAL_RATE_SPAN_S)
         endpoint.usual_rate = max(faded, self.delivered_rate(endpoint))
 
     def _siblings_rate(self, endpoint: TrackedEndpoint) -> float:
@@ -73,8 +73,8 @@
     def wait_ns(self, endpoint: TrackedEndpoint, n: int, steps: int = 1, refused: bool = False) -> int:
         """The wait before health check `n`, in nanoseconds.
 
-        With a short longest wait it is the backoff, up to that wait; else it grows to the longest wait in
-        `steps` steps, by the backoff's factor.
+        It is the backoff, up to the longest wait, if that is at most LONGEST_WAIT_NS. Else it grows by the
+        backoff's factor and reaches the longest wait in `steps` steps.
         """
         longest_ns = self.longest_wait_ns(endpoint, refused)
         if longest_ns <= LONGEST_WAIT_NS:
@@ -117,7 +117,8 @@
         limiter.last_refusal_ns, limiter.refusals = now_ns, limiter.refusals + 1
 
     def _exhausts_limit(self, endpoint: TrackedEndpoint) -> bool:
-        limiter = endpoint.limiter  # in some kinds, refused calls count against the limit too
+        """Whether calls exhaust the endpoint's limit: in some kinds, refused calls count against it too."""
+        limiter = endpoint.limiter
         low = bool(limiter.limit) and limiter.remaining < LOW_REMAINING
         fraction = self.exhausted.get(endpoint.kind, 0.8)
         fraction = self.exhausted[endpoint.kind] = fraction + REFUSAL_GAIN * (low - fraction)
@@ -152,8 +153,8 @@
             self._back_off(endpoint)  # the next call would be refused, which exhausts some limits further
             return unavailable
         fleet_factor = self.context.fleet_factor
-        aged = (now_ns - endpoint.last_success_ns) / (RATE_SPAN_S * SECOND)
-        gain = max(RATE_GAIN, aged, limiter.remaining / 4 if limiter.limit else 0.0)
+        spans_since_success = (now_ns - endpoint.last_success_ns) / (RATE_SPAN_S * SECOND)
+        gain = max(RATE_GAIN, spans_since_success, limiter.remaining / 4 if limiter.limit else 0.0)
         gain *= fleet_factor if limiter.rate > self.fair_share(endpoint) else fleet_factor ** (-2 * CUT_POWER)
         limiter.rate = min(limiter.rate * (1 + min(fleet_factor**-CUT_POWER, gain)), self.max_rate(endpoint))
         return unavailable
--- a/tests/decision_recordings.py
+++ b/tests/decision_recordings.py
@@ -1,12 +1,12 @@
-"""The form of recorded decisions: a sender's life as text, and the replay that compares it.
+"""The format of recorded decisions, and the replay that compares them with those of the present policy.
 
-Each file of `tests/data/decisions/` is the life of one sender, gzipped text in a neutral form that names no
-type or field of the package. First line: a JSON array of the seed and the settings' row. Then a line a turn,
-three fields parted by tabs: nanoseconds since the turn before, the events as a JSON array of rows, the
-actions as one. Last line: a digest of the state of the sender's random generator, so that draws which led to
-no action count too. A row is an array: a code as on the simulator's wire (`pinspread/simulator_wire/`; 0
-stands for other settings), then values by position. The codes are written out here a second time on purpose:
-a change of the wire must not change how a recording is read.
+Each file of `tests/data/decisions/` has all turns of one sender, as gzipped text in a neutral form that names
+no type or field of the package. The first line is a JSON array of the seed and the settings' row. Then each
+turn is a line of three fields separated by tabs: the nanoseconds since the turn before, the events as a JSON
+array of rows, and the actions as another. The last line is a digest of the state of the sender's random
+generator, so that draws that led to no action are compared too. A row is an array: a code as on the
+simulator's wire (`pinspread/simulator_wire/`; 0 stands for changed settings), then values by position. The
+codes are repeated here on purpose: a change of the wire must not change how a recording is read.
 
 `tests/test_recorded_decisions.py` replays the files, `benchmarks/record_decisions.py` writes them.
 """
@@ -43,7 +43,7 @@
 RECORDINGS = Path(__file__).parent / "data" / "decisions"
 
 # --- adapter: the only part that names the package's types and fields -------------------------------
-# Tables give, for each code or nested record, the present type and its fields in the order of the row.
+# The tables give, for each code or nested record, its type and the fields in the order of the row.
 
 
 class Coded:
@@ -61,7 +61,7 @@
 
 
 class Record:
-    """A field that is a row of its own; null where there is none."""
+    """A field that is a nested row, or null for None."""
 
     def __init__(self, kind, *fields):
         self.kind = kind
@@ -87,14 +87,14 @@
 class Several:
     """A field that is a list of rows."""
 
-    def __init__(self, one):
-        self.one = one
+    def __init__(self, row_type):
+        self.row_type = row_type
 
     def read(self, rows):
-        return [self.one.read(row) for row in rows]
+        return [self.row_type.read(row) for row in rows]
 
     def write(self, values):
-        return [self.one.write(value) for value in values]
+        return [self.row_type.write(value) for value in values]
 
 
 FLAG = Coded((0, False), (1, True))
@@ -102,7 +102,7 @@
 GROUP = Coded((0, DeduplicationScope.ALL), (1, DeduplicationScope.ZONE), (2, DeduplicationScope.CELL))
 SCOPE = Coded((0, UpdateScope.DELTA), (1, UpdateScope.FULL), (2, UpdateScope.CACHED), (3, UpdateScope.FAILED))
 STATE = Coded((0, EndpointState.REMOVED), (1, EndpointState.DRAINING), (2, EndpointState.READY))
-VERDICT = Coded(
+OUTCOME = Coded(
     (0, Outcome.OK),
     (249, Outcome.NOT_SENT),
     (250, Outcome.CANCELLED),
@@ -180,7 +180,7 @@
         "request",
         "attempt",
         "endpoint",
-        ("outcome", VERDICT),
+        ("outcome", OUTCOME),
         "elapsed_ns",
         ("done", FLAG),
         "retry_after_ns",
@@ -191,7 +191,7 @@
     ),
     5: Record(ClientCancelled, "request"),
     6: Record(TimerFired, "tag"),
-    7: Record(HealthCheckCompleted, "endpoint", ("outcome", VERDICT), "elapsed_ns", "retry_after_ns"),
+    7: Record(HealthCheckCompleted, "endpoint", ("outcome", OUTCOME), "elapsed_ns", "retry_after_ns"),
 }
 ACTIONS = {
     1: Record(Send, "request", "endpoint", "timeout_ns"),
@@ -210,7 +210,7 @@
 
 
 def play_turn(sender, now_ns, event_rows):
-    """Hand a turn's events to a sender; the rows of its actions."""
+    """Hand a turn's events to a sender; return the rows of its actions."""
     events = [EVENTS[row[0]].read(row[1:]) for row in event_rows]
     return rows_of(ACTIONS, sender.handle(now_ns, events))
 
@@ -230,12 +230,12 @@
 
 
 def text(value):
-    """JSON without spaces: numbers keep their type, floats every digit."""
+    """JSON without spaces; numbers keep their type, and floats all digits."""
     return json.dumps(value, separators=(",", ":"))
 
 
 def load(path):
-    """A stream's seed, settings row, turns (time, event rows, text of the actions) and digest."""
+    """A recording's seed, settings row, turns (time, event rows, text of the actions) and digest."""
     first, *lines, digest = gzip.decompress(path.read_bytes()).decode().splitlines()
     seed, settings_row = json.loads(first)
     turns, now = [], 0
@@ -249,15 +249,15 @@
 def first_difference(expected, found):
     """The first action that differs, for the message of a failed test."""
     for n in range(max(len(expected), len(found))):
-        one = expected[n] if n < len(expected) else "nothing"
-        other = found[n] if n < len(found) else "nothing"
-        if text(one) != text(other):
-            return f"action {n}: recorded {one}, now {other}"
-    return "the same actions, written otherwise"
+        recorded = expected[n] if n < len(expected) else "nothing"
+        present = found[n] if n < len(found) else "nothing"
+        if text(recorded) != text(present):
+            return f"action {n}: recorded {recorded}, now {present}"
+    return "the same actions, written differently"
 
 
 def replay(name):
-    """Replay one stream and assert that every turn and the last random state are as recorded."""
+    """Replay a recording and check that each turn's actions and the last random state are as recorded."""
     seed, settings_row, turns, digest = load(RECORDINGS / f"{name}.gz")
     sender = new_sender(settings_row, seed)
     for n, (now, events, expected) in enumerate(turns):
@@ -266,4 +266,4 @@
             difference = first_difference(json.loads(expected), found)
             raise AssertionError(f"stream {name}, turn {n} at {now} ns: {difference}; events {events}")
     if random_digest(sender) != digest:
-        raise AssertionError(f"stream {name}: other draws were made than recorded")
+        raise AssertionError(f"stream {name}: the random numbers drawn are not those recorded")
--- a/tests/policy_helpers.py
+++ b/tests/policy_helpers.py
@@ -13,12 +13,12 @@
 from pinspread.policy.settings import DeduplicationScope, DestinationKind, Idempotency, Settings, TrafficClass
 from pinspread.policy.state import MS, SECOND
 
-OK, FULL, ERROR = Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR
+OK, OVERLOADED, ERROR = Outcome.OK, Outcome.OVERLOADED, Outcome.ERROR
 TIMEOUT, CONNECT_FAILED = Outcome.TIMEOUT, Outcome.CONNECT_FAILED
 SAFE, KEYED, UNSAFE, ORDERED, ZONED = range(5)
 
-# What the second deployment has otherwise: the list is asked for, several senders, a price between
-# halls, longer cold times and grace, worth that falls by halves.
+# Settings in which the second deployment differs: polled discovery, several senders, costs of calls to other
+# zones and of new connections, a longer slow start, a drain grace, and priorities that halve.
 SECOND_SHAPE = {
     "polled_discovery": True,
     "max_poll_interval_ns": 13 * SECOND,
@@ -31,7 +31,7 @@
     "value_halves": True,
 }
 
-SHAPE = {}
+SHAPE = {}  # settings of the deployment under test, set by the fixture policy_shape
 
 
 def settings(**changes):
@@ -66,15 +66,15 @@
     return Settings(**(values | SHAPE | changes))
 
 
-class Desk:
-    """Feeds one sender by hand and keeps what it did."""
+class PolicyDriver:
+    """Drives one sender with events and records the attempts that it makes."""
 
     def __init__(self, endpoints=(("a", 1),), kind=0, zones=None, **changes):
-        asks = SHAPE.get("polled_discovery") and "polled_discovery" not in changes
-        self.hidden = (SetTimer, Subscribe) if asks else (SetTimer,)  # asks have tests of their own
+        polls = SHAPE.get("polled_discovery") and "polled_discovery" not in changes
+        self.omitted_types = (SetTimer, Subscribe) if polls else (SetTimer,)  # polls have tests of their own
         self.sender = DeliveryPolicy(settings(**changes), seed=7)
         self.now = 1_000 * SECOND
-        self.ids = 0
+        self.last_request = 0
         self.attempts = {}
         self.listed = [
             EndpointEntry(name, number, zone=(zones or {}).get(name, 0), kind=kind)
@@ -89,17 +89,19 @@
             if type(action) is Send:
                 number = self.attempts.get(action.request, (-1,))[0] + 1
                 self.attempts[action.request] = (number, action.endpoint)
-        return [a for a in actions if type(a) not in self.hidden]
+        return [a for a in actions if type(a) not in self.omitted_types]
 
-    def take(self, count=1, cls=SAFE, destination=1, after=0, life=20 * SECOND, **fields):
+    def accept(self, count=1, cls=SAFE, destination=1, after=0, lifetime=20 * SECOND, **fields):
         self.now += int(after)
         events = []
         for _ in range(count):
-            self.ids += 1
-            events.append(MessageAccepted(self.ids, cls, destination, int(self.now + life), **fields))
+            self.last_request += 1
+            events.append(
+                MessageAccepted(self.last_request, cls, destination, int(self.now + lifetime), **fields)
+            )
         return self.turn(*events)
 
-    def end(self, request, outcome=OK, after=50 * MS, done=None, **fields):
+    def complete(self, request, outcome=OK, after=50 * MS, done=None, **fields):
         number, endpoint = self.attempts[request]
         done = outcome is OK if done is None else done
         event = AttemptCompleted(request, number, endpoint, outcome, int(after), done, **fields)
@@ -109,5 +111,5 @@
         return [a.request for a in actions if type(a) is Send]
 
     @property
-    def bucket(self):
+    def first_destination(self):
         return self.sender.discovery.destinations[1]
--- a/tests/test_policy_discovery.py
+++ b/tests/test_policy_discovery.py
@@ -1,7 +1,7 @@
 """The delivery policy and the endpoint list: polling, and draining, removed and forgotten endpoints."""
 
 import pytest
-from policy_helpers import OK, Desk, settings
+from policy_helpers import OK, PolicyDriver, settings
 
 from pinspread.policy.actions import Reject, Subscribe
 from pinspread.policy.delivery_policy import DeliveryPolicy
@@ -12,34 +12,34 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_rule_3_nothing_new_to_a_draining_or_removed_endpoint(state):
-    desk = Desk()
-    desk.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry("a", 1, state=state)]))
-    assert desk.take(life=3 * SECOND) == []
-    assert [type(a) for a in desk.turn(after=3 * SECOND)] == [Reject]
-    assert desk.take() == []
-    assert desk.sent(desk.turn(EndpointsChanged(UpdateScope.DELTA, desk.listed))) == [2]
+def test_nothing_new_to_a_draining_or_removed_endpoint(state):
+    driver = PolicyDriver()
+    driver.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry("a", 1, state=state)]))
+    assert driver.accept(lifetime=3 * SECOND) == []
+    assert [type(a) for a in driver.turn(after=3 * SECOND)] == [Reject]
+    assert driver.accept() == []
+    assert driver.sent(driver.turn(EndpointsChanged(UpdateScope.DELTA, driver.listed))) == [2]
 
 
-def asks(actions):
+def count_polls(actions):
     return sum(type(action) is Subscribe for action in actions)
 
 
-def test_rule_3_the_endpoint_list_is_polled_once_and_again_after_failures():
-    desk = Desk(polled_discovery=True, max_poll_interval_ns=10 * SECOND)
-    news = [desk.turn(after=100 * MS) for _ in range(100)]
-    assert sum(map(asks, news)) == 1 and sum(map(asks, news[:31])) == 1
+def test_the_endpoint_list_is_polled_once_and_again_after_failures():
+    driver = PolicyDriver(polled_discovery=True, max_poll_interval_ns=10 * SECOND)
+    actions_by_turn = [driver.turn(after=100 * MS) for _ in range(100)]
+    assert sum(map(count_polls, actions_by_turn)) == 1 and sum(map(count_polls, actions_by_turn[:31])) == 1
     gaps = []
-    for _ in range(5):  # the answer fails, or a running subscription breaks
-        desk.turn(EndpointsChanged(UpdateScope.FAILED, []))
+    for _ in range(5):  # a poll fails, or a running subscription breaks
+        driver.turn(EndpointsChanged(UpdateScope.FAILED, []))
         waited = 0
-        while not asks(desk.turn(after=50 * MS)):
+        while not count_polls(driver.turn(after=50 * MS)):
             waited += 1
         gaps.append(waited)
     assert gaps[0] < 20 and gaps[3] > gaps[0] and max(gaps) * 50 * MS < 5 * SECOND
-    desk.turn(EndpointsChanged(UpdateScope.DELTA, []))
-    assert not any(asks(desk.turn(after=SECOND)) for _ in range(30))
-    assert desk.sent(desk.take()) == [1]  # the list that is held stays in force throughout
+    driver.turn(EndpointsChanged(UpdateScope.DELTA, []))
+    assert not any(count_polls(driver.turn(after=SECOND)) for _ in range(30))
+    assert driver.sent(driver.accept()) == [1]  # the known list stays in use throughout
 
 
 def test_first_polls_are_spread_and_pushed_lists_are_never_polled():
@@ -50,36 +50,36 @@
         firsts.add(sender.discovery.next_poll_ns // (500 * MS))
         assert sender.discovery.next_poll_ns <= 3 * SECOND + 1
     assert len(firsts) >= 4
-    pushed = Desk()
+    pushed = PolicyDriver()
     pushed.turn(EndpointsChanged(UpdateScope.FAILED, []))
-    assert not any(asks(pushed.turn(after=SECOND)) for _ in range(30))
+    assert not any(count_polls(pushed.turn(after=SECOND)) for _ in range(30))
 
 
-def test_rule_3_endpoint_missing_from_a_full_list_is_removed():
-    desk = Desk()
-    desk.turn(EndpointsChanged(UpdateScope.FULL, []))
-    assert desk.take() == []
-    assert desk.turn(EndpointsChanged(UpdateScope.FAILED, [])) == []
+def test_endpoint_missing_from_a_full_list_is_removed():
+    driver = PolicyDriver()
+    driver.turn(EndpointsChanged(UpdateScope.FULL, []))
+    assert driver.accept() == []
+    assert driver.turn(EndpointsChanged(UpdateScope.FAILED, [])) == []
 
 
 def test_removed_endpoints_are_forgotten_once_nothing_is_in_flight_and_a_successor_is_there():
-    desk = Desk()
-    known = desk.sender.discovery.endpoints
+    driver = PolicyDriver()
+    known = driver.sender.discovery.endpoints
 
     def listed(name, state, after=0):
-        desk.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry(name, 1, state=state)]), after=after)
+        driver.turn(EndpointsChanged(UpdateScope.DELTA, [EndpointEntry(name, 1, state=state)]), after=after)
 
-    desk.take()
+    driver.accept()
     listed("a", EndpointState.REMOVED)
-    kept = desk.sender.context.settings.slow_start_ns + SECOND
+    kept = driver.sender.context.settings.slow_start_ns + SECOND
     listed("a", EndpointState.REMOVED, after=kept)
-    assert "a" in known  # a call is out, and nobody has learned from it
+    assert "a" in known  # a call is in flight, and no successor has its values
     listed("b", EndpointState.READY)
     assert "a" in known
-    desk.end(1, OK)
+    driver.complete(1, OK)
     listed("c", EndpointState.READY, after=SECOND)
-    assert list(known) == list(desk.bucket.endpoints) == ["b", "c"]
+    assert list(known) == list(driver.first_destination.endpoints) == ["b", "c"]
     listed("b", EndpointState.REMOVED)
-    listed("b", EndpointState.READY, after=SECOND)  # back again in time
+    listed("b", EndpointState.READY, after=SECOND)  # listed again before its record is dropped
     listed("c", EndpointState.READY, after=kept)
     assert list(known) == ["b", "c"]
--- a/tests/test_policy_package.py
+++ b/tests/test_policy_package.py
@@ -1,4 +1,4 @@
-"""The policy package as a whole: determinism, validation of settings, and its limits on size."""
+"""The policy package as a whole: determinism, validation of settings, and its limits."""
 
 import subprocess
 import sys
@@ -16,17 +16,17 @@
 
 SCRIPT = """
 import hashlib, sys; sys.path.insert(0, "tests")
-from policy_helpers import Desk
+from policy_helpers import PolicyDriver
 from pinspread.policy.events import Outcome
 from pinspread.policy.state import MS
-desk = Desk(endpoints=(("a", 1), ("b", 1), ("c", 2)))
+driver = PolicyDriver(endpoints=(("a", 1), ("b", 1), ("c", 2)))
 log = []
 for n in range(300):
-    log += desk.take(cls=n % 5, destination=1 + n % 3, key=n % 4, after=20 * MS)
-    out = [r for r, m in desk.sender.messages.items() if m.in_flight]
+    log += driver.accept(cls=n % 5, destination=1 + n % 3, key=n % 4, after=20 * MS)
+    out = [r for r, m in driver.sender.messages.items() if m.in_flight]
     if out:
         outcome = list(Outcome)[n % 8]
-        log += desk.end(out[0], outcome)
+        log += driver.complete(out[0], outcome)
 print(hashlib.sha256(repr(log).encode()).hexdigest(), len(log))
 """
 
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,8 +1,8 @@
 """Recorded decisions: senders replay streams of events and must give the same actions, turn by turn.
 
-`tests/decision_recordings.py` describes the files. They are not made anew to get a pass: a difference is a
-change of what the software decides, which has to be meant and argued. `benchmarks/record_decisions.py` makes
-them.
+`tests/decision_recordings.py` describes the files, which `benchmarks/record_decisions.py` makes. They
+must not be recorded again just to make a test pass: a difference is a change of what the software decides,
+which must be intended and justified.
 """
 
 import pytest
