--- a/pinspread/simulation/policy_sources.py
+++ b/pinspread/simulation/policy_sources.py
@@ -6,7 +6,7 @@
 import ast
 import hashlib
 import subprocess
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from pathlib import Path
 
 from pinspread.errors import PinspreadError
@@ -42,7 +42,8 @@
     "crossing_price": "cross_zone_price",
 }
 
-# What an experiment's file calls constants of the policy, where the policy's own word differs.
+# Former names of the policy's constants, which experiment files may go on using as keys, each with the name
+# that replaced it. A replacement may itself be a former name: `constant_aliases` follows the chain.
 CONSTANT_KEYS = {
     "ASK_AGAIN": "POLL_BACKOFF",
     "ASK_SPREAD": "FIRST_POLL_SPREAD",
@@ -57,20 +58,39 @@
     "DOUBT": "EJECTED_FROM",
     "DOUBT_WEIGHT": "FAILURE_WEIGHT",
     "DRAINED": "EXHAUSTED",
+    "EXHAUSTED": "EXHAUSTED_FROM",
+    "EXHAUSTED_CUT": "EXHAUSTED_RATE_FACTOR",
+    "FEW": "SMALL_FLEET_SIZE",
     "FEW_ERRORS": "FEW_HARD_FAILURES",
+    "FEW_HARD_FAILURES": "MIN_OUTAGE_FAILURES",
     "GONE_KEPT_NS": "REMOVED_KEPT_NS",
     "HOLD_SPARE": "SPARE_PLACES",
     "LATELY_NS": "RECENT_SUCCESS_NS",
+    "LEAST_PRIORITY": "MIN_PRIORITY",
+    "LEAST_RAMP_RATE": "MIN_RAMP_RATE",
+    "LEAST_RATE": "MIN_RATE",
+    "LEAST_TIMEOUT_NS": "MIN_TIMEOUT_NS",
     "LEAST_WORTH": "LEAST_PRIORITY",
+    "LET_GO": "CLOSE_PROBABILITY",
+    "LITTLE_LEFT": "LOW_REMAINING",
     "LONG_TOLD_NS": "LONG_RETRY_AFTER_NS",
     "LOOKS": "HEALTH_CHECK_SHARE",
     "LOST": "LOST_SHARE",
     "MOOT_STEP": "NOT_SENT_STEP",
     "MOST_STRETCH": "MOST_TIMEOUT_FACTOR",
+    "MOST_TIMEOUT_FACTOR": "MAX_TIMEOUT_FACTOR",
+    "MOST_TIMEOUT_NS": "MAX_TIMEOUT_NS",
+    "NOT_SENT_STEP": "NOT_SENT_BACKOFF_STEP",
     "OWED_WAIT": "RECOVERED_WAIT",
     "PACE_GAIN": "RATE_GAIN",
+    "PAUSES_KEPT": "PAUSE_CLEANUP_THRESHOLD",
     "RESTS_KEPT": "PAUSES_KEPT",
     "ROOMY": "SATURATED_TO",
+    "ROUTE_SPREAD": "RANDOM_COST_SPREAD",
+    "SHORT_OUTAGE": "SHORT_OUTAGE_FRACTION",
+    "SHUT_AFTER": "UNAVAILABLE_REFUSALS",
+    "SHUT_SPAN_NS": "UNAVAILABLE_SPAN_NS",
+    "SPARE_PLACES": "RESERVED_QUEUE_SHARE",
     "TIMEOUT_SPREAD": "TIMEOUT_DEVIATIONS",
     "UNSAFE_STRETCH": "UNSAFE_FACTOR",
     "USED_UP_PACE": "EXHAUSTED_CUT",
@@ -180,11 +200,19 @@
     return digest.hexdigest()[:16]
 
 
+def constant_aliases(key: str) -> Iterator[str]:
+    """Yield a key of an experiment file and then the names that replaced it, the present one last."""
+    yield key
+    while key in CONSTANT_KEYS:
+        key = CONSTANT_KEYS[key]
+        yield key
+
+
 def constant_names(sources: PolicySources) -> set[str]:
-    """The constants that a version's modules set, by their own words and those of experiments' files."""
+    """The constants that a version's modules define, and the keys of experiment files that stand for them."""
     assigned = [name for text in sources.values() for name in _assigned_names(ast.parse(text).body)]
     names = {name for name in assigned if name.isupper() and not name.startswith("_")}
-    return names | {key for key, name in CONSTANT_KEYS.items() if name in names}
+    return names | {key for key in CONSTANT_KEYS if not names.isdisjoint(constant_aliases(key))}
 
 
 def setting_names(sources: PolicySources) -> set[str]:
