--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -538,7 +538,7 @@
     return Path(path).read_bytes()
 
 
-async def undumped(folder, path):
+async def read_dump(folder, path):
     """What a voter reads of it: rows, and the library's two entries."""
     q = voter(folder)
     after, before, _ = q._read_dump(path)
@@ -610,7 +610,7 @@
     return {"said": [d.hex() for d in sent_frames], "heard": [d.hex() for d in received[:3]], "rows": rows}
 
 
-def words_of(data: str):
+def frame_body(data: str):
     """A frame's body as it stands behind the head, bytes as hex."""
 
     def plain(value):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -103,7 +103,7 @@
 
 def test_the_dump_of_leases_is_the_same_both_ways(tmp_path):
     stored_dump = stored.DATA / "voters" / "dump"
-    assert anyio.run(stored_cluster.undumped, tmp_path / "u", stored_dump) == expected("voters")["dump"]
+    assert anyio.run(stored_cluster.read_dump, tmp_path / "u", stored_dump) == expected("voters")["dump"]
     assert anyio.run(stored_cluster.dump, tmp_path / "w", tmp_path / "dump") == stored_dump.read_bytes()
 
 
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -56,12 +56,12 @@
         anyio.run(stored_cluster.replication_exchange, tmp_path, stored.replica_journals()),
         recorded("copies"),
     )
-    assert [stored_cluster.words_of(f) for f in found["frames"]] == [
-        stored_cluster.words_of(f) for f in before["frames"]
+    assert [stored_cluster.frame_body(f) for f in found["frames"]] == [
+        stored_cluster.frame_body(f) for f in before["frames"]
     ]
     assert found["frames"] == before["frames"]
     assert as_json(found["views"]) == before["views"] and as_json(found["fetched"]) == before["fetched"]
-    kinds = {stored_cluster.words_of(f)["t"] for f in before["frames"]}
+    kinds = {stored_cluster.frame_body(f)["t"] for f in before["frames"]}
     assert kinds == {"send", "have", "data", "ack", "fetch", "copy", "read", "done", "no", "spare"}
 
 
--- a/tools/stored_data.py
+++ b/tools/stored_data.py
@@ -82,7 +82,7 @@
         data, expected["rows"] = anyio.run(stored_cluster.agreed_log, folder / "v")
         put(stored.DATA / "voters" / "agreed", data)
         put(stored.DATA / "voters" / "dump", anyio.run(stored_cluster.dump, folder / "w", folder / "dump"))
-        expected["dump"] = anyio.run(stored_cluster.undumped, folder / "u", folder / "dump")
+        expected["dump"] = anyio.run(stored_cluster.read_dump, folder / "u", folder / "dump")
         put_json(stored.DATA / "voters.expected.json", expected)
 
 
