--- a/pinspread/replication/clock.py
+++ b/pinspread/replication/clock.py
@@ -1,4 +1,7 @@
-"""The clocks that replication reads; callers name the module, so that a test can stop both."""
+"""The clocks that replication reads.
+
+Callers use `clock.monotonic_us()` and `clock.unix_us()`, so that a test can replace both in this module.
+"""
 
 import time
 
@@ -6,5 +9,5 @@
 
 
 def unix_us() -> int:
-    """Return Unix microseconds: the generation of a later start is higher."""
+    """Return the Unix time in microseconds; generations are numbered by it, so a later start's is higher."""
     return time.time_ns() // 1000
--- a/pinspread/replication/config.py
+++ b/pinspread/replication/config.py
@@ -1,4 +1,4 @@
-"""What the file's `[copies]` table sets, as `config.application` hands it over."""
+"""The settings of the configuration file's `[copies]` table, as `config.application` passes them on."""
 
 from dataclasses import dataclass
 
@@ -11,14 +11,17 @@
         listen: `HOST:PORT` to bind; the port is the same on all nodes.
         folder: Where the replicas of others' journals are stored.
         replica_count: How many other nodes store this node's journal.
-        required_acks: How many of them must acknowledge before anything is promised.
-        ack_timeout_us: How long a promise waits for these acknowledgements.
-        allow_unreplicated: Promise on one disk where too few replicas acknowledge in time.
-        check_interval_us: Between two comparisons of a replica with the journal.
-        takeover_stagger_us: Between the nodes that may take a lost node's work over.
+        required_acks: How many of them must acknowledge a record before it is committed.
+        ack_timeout_us: How long the engine waits for these acknowledgements.
+        allow_unreplicated: If too few replicas acknowledge in time, go on with the data on this node's disk
+            alone.
+        check_interval_us: Time between two comparisons of a replica with the journal.
+        takeover_stagger_us: Each node that may take over a lost node's work waits this much longer than the
+            one ranked before it.
         incomplete_timeout_us: How long a takeover or a start waits for replicas that should answer.
-        absence_timeout_us: How long a node is gone that left, or is unknown, before it counts as lost.
-        sync_to_disk: An acknowledgement says that the data is on the replica's disk, not just written.
+        absence_timeout_us: How long a node that has left, or is unknown, must be absent before it counts as
+            lost.
+        sync_to_disk: A replica acknowledges data only once it is synced to its disk, not just written.
     """
 
     listen: str
--- a/pinspread/replication/failover.py
+++ b/pinspread/replication/failover.py
@@ -1,4 +1,4 @@
-"""Watching the owners of the replicas here: which are lost, and when it is this node's turn to take over."""
+"""Watches the owners of the replicas stored here: which are lost, and when this node may take over."""
 
 from typing import TYPE_CHECKING
 
@@ -20,7 +20,7 @@
 
 
 class Failover:
-    """Takes over for owners that are lost, one after the other, and lets replicas go that are not needed."""
+    """Takes over the work of lost owners, one after the other, and removes replicas that are not needed."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         self._stores = stores
         self._takeover = takeover
         self._retention = retention
-        self._absent_since_us: dict[str, int] = {}  # owner that is not up -> since when
-        self._due_since_us: dict[str, int] = {}  # owner whose work is due for another -> since when
+        self._absent_since_us: dict[str, int] = {}  # by owner that is not up
+        self._due_since_us: dict[str, int] = {}  # by owner whose work must be taken over
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Check all owners at intervals until cancelled."""
         while True:
             await anyio.sleep(WATCH_INTERVAL_S)
             if not self._engine.serving or self._engine.stopping:
@@ -48,7 +48,7 @@
                 await self.check_owner(owner)
 
     async def check_owner(self, owner: str) -> None:
-        """Do what an owner's state asks for now."""
+        """Take over an owner's work, release its lease or remove its replica, depending on its state."""
         state = self._node.fleet.state(owner)
         if fleet.is_up(state):
             self._absent_since_us.pop(owner, None)
@@ -61,7 +61,7 @@
             await self._try_to_take_over(owner)
 
     def _is_due(self, owner: str, state: "MemberState | None") -> bool:
-        """Return whether an owner is lost and its work is here and not taken over yet."""
+        """Return whether an owner is lost, and its work is stored here and was not taken over yet."""
         now_us = clock.monotonic_us()
         absent_us = now_us - self._absent_since_us.setdefault(owner, now_us)
         if owner == self._node.id:
@@ -72,7 +72,7 @@
         return replica.generation != 0 and not replica.takeover_token
 
     def _is_our_turn(self, owner: str) -> bool:
-        """Return whether the nodes that come before this one had their time to take over."""
+        """Return whether the candidates ranked before this node have had their time to take over."""
         since_us = self._due_since_us.setdefault(owner, clock.monotonic_us())
         candidates = placement.ranked_candidates(owner, [*self._node.fleet.live_ids(), self._node.id])
         turn_us = self._node.config.takeover_stagger_us * candidates.index(self._node.id)
--- a/pinspread/replication/fleet.py
+++ b/pinspread/replication/fleet.py
@@ -1,4 +1,4 @@
-"""What replication reads of membership: which nodes there are, in which state, and where."""
+"""What replication reads from membership: the nodes, their states and their addresses."""
 
 from typing import TYPE_CHECKING
 
@@ -17,11 +17,11 @@
         self.key: bytes = membership.config.fleet_key
 
     def live_ids(self) -> list[str]:
-        """Return the other nodes that are alive, suspects among them."""
+        """Return the ids of the other nodes that are alive, including suspects."""
         return [node.id for node in self._membership.member.others(MemberState.ALIVE, MemberState.SUSPECT)]
 
     def knows(self, node_id: str) -> bool:
-        """Return whether membership has a row of the node, in whatever state."""
+        """Return whether membership has a record of the node, in any state."""
         return node_id in self._membership.member.table
 
     def state(self, node_id: str) -> MemberState | None:
@@ -36,20 +36,21 @@
 
 
 def is_up(state: MemberState | None) -> bool:
-    """Return whether a node in this state is taken to run."""
+    """Return whether a node in this state is assumed to run."""
     return state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 def is_alive(state: MemberState | None) -> bool:
-    """Return whether a node in this state runs and is not under suspicion."""
+    """Return whether a node in this state runs and is not a suspect."""
     return state == MemberState.ALIVE
 
 
 def is_lost(state: MemberState | None, absent_us: int, absence_timeout_us: int) -> bool:
-    """Return whether a node's work is due for another node.
+    """Return whether another node must take over a node's work.
 
-    A node that starts hears of no death before its start. Were unknown nodes not counted as lost after a
-    while, what a lost node promised would stay with replicas that were restarted after it.
+    A node learns of no death that happened before its own start, so an unknown node also counts as lost after
+    `absence_timeout_us`. Otherwise the work of a lost node would never be taken over from replicas that were
+    restarted after its death.
     """
     if state == MemberState.DEAD:
         return True
--- a/pinspread/replication/journal_bytes.py
+++ b/pinspread/replication/journal_bytes.py
@@ -1,4 +1,4 @@
-"""What replication does with the bytes of a journal: complete records, replay, and dropping messages."""
+"""Operations on the bytes of a journal: finding complete records, replaying, and dropping messages."""
 
 import tempfile
 from collections.abc import Iterator, Set
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True)
 class ReplayedJournal:
-    """What the records of a journal come to.
+    """The messages of a journal after all its records are applied.
 
     Attributes:
-        open_messages: Those that are still owed, in the order accepted.
-        finished_ids: Ids of those that are over.
+        open_messages: Messages that have not ended, in the order in which they were accepted.
+        finished_ids: Ids of messages that have ended.
     """
 
     open_messages: list[Message]
@@ -42,13 +42,13 @@
 
 
 def is_intact(data: bytes) -> bool:
-    """Return whether the data is complete records, or ends in one that was cut short as it was written."""
+    """Return whether the data is complete records, at most followed by one whose write was cut short."""
     length = complete_length(data)
     return length == len(data) or journal_records.is_truncated(data, length)
 
 
 def replay(data: bytes) -> ReplayedJournal:
-    """Read a journal's bytes.
+    """Apply the records of a journal, given as bytes.
 
     Raises:
         JournalFormatError: A record is of a form that this version does not know.
@@ -62,10 +62,15 @@
 
 
 def drop_messages(folder: Path, limit_bytes: int, ids: Set[str]) -> int:
-    """Rewrite the journal in a folder without the messages that others owe by now.
+    """Rewrite the journal in a folder without the messages that other nodes have taken over.
+
+    Args:
+        folder: The journal's folder.
+        limit_bytes: The limit of the journal's size on disk.
+        ids: Ids of the messages that were taken over.
 
     Returns:
-        How many of them it held.
+        How many of them were open in the journal.
 
     Raises:
         JournalFormatError: A record is of a form that this version does not know.
--- a/pinspread/replication/node.py
+++ b/pinspread/replication/node.py
@@ -10,13 +10,13 @@
 
 @dataclass
 class ReplicationNode:
-    """This node, to its own parts.
+    """This node, as the parts of its replication use it.
 
     Attributes:
-        config: Its settings.
-        fleet: The other nodes, as it sees them.
-        ownership: The leases of nodes' work, as it holds them.
-        events: Its log events.
+        config: The node's settings.
+        fleet: The fleet, as the node sees it.
+        ownership: The work leases that the node holds or contends for.
+        events: Writes the node's log events.
     """
 
     config: ReplicationConfig
--- a/pinspread/replication/ownership.py
+++ b/pinspread/replication/ownership.py
@@ -1,4 +1,4 @@
-"""Who may act for whose work: one lease for each node's work, with fencing tokens."""
+"""Which node may act on whose work: one lease for each node's work, with fencing tokens."""
 
 from typing import TYPE_CHECKING
 
@@ -10,11 +10,12 @@
 
 
 class WorkLeases:
-    """The leases of nodes' work, as this node holds them.
+    """The work leases that this node holds or contends for.
 
     Attributes:
-        confirmed_fencing_token: The token of this node's work lease under which it knows what of its work
-            others have taken over; 0 before the first.
+        confirmed_fencing_token: The token of this node's own work lease under which it last learned which
+            part of its work others have taken over; 0 before the first time. The node may act on its work
+            only while its current token is this one.
     """
 
     def __init__(self, leases: "LeaseService", node_id: str) -> None:
@@ -23,7 +24,7 @@
         self.confirmed_fencing_token = 0
 
     def token(self, owner: str) -> int:
-        """Return the fencing token under which this node may act for the owner's work now, else 0."""
+        """Return the fencing token under which this node may now act on the owner's work, 0 if it may not."""
         return self._leases.fencing_token(WORK_TASK_PREFIX + owner)
 
     def local_token(self) -> int:
@@ -36,7 +37,7 @@
         return token if token == self.confirmed_fencing_token else 0
 
     def blocked_reason(self) -> str:
-        """Return why this node may not act for its own work now; empty if it may."""
+        """Return why this node may not act on its own work now; empty if it may."""
         token = self.local_token()
         if not token:
             return "the lease of its own work is lost"
@@ -45,18 +46,18 @@
         return ""
 
     def request(self, owner: str) -> None:
-        """Contend for the lease of the owner's work until it is released."""
+        """Contend for the lease of the owner's work until `release` is called."""
         self._leases.contend(WORK_TASK_PREFIX + owner)
 
     async def release(self, owner: str) -> None:
-        """Contend no longer; a lease that is held is given back."""
+        """Stop contending for the lease of the owner's work; if this node holds it, give it back."""
         await self._leases.withdraw(WORK_TASK_PREFIX + owner)
 
     async def flush(self) -> None:
-        """Let what was given back be agreed on before the process ends."""
+        """Give the voters time to agree on released leases, before the process ends."""
         await self._leases.flush_proposals()
 
 
 def is_first_token(token: int) -> bool:
-    """Return whether the lease is granted for the first time: nothing was promised under it before."""
+    """Return whether the token is that of the lease's first grant: no work was done under it before."""
     return token == FIRST_TOKEN
--- a/pinspread/replication/peers.py
+++ b/pinspread/replication/peers.py
@@ -1,6 +1,6 @@
-"""Connections to other nodes, and questions to one or all of them.
+"""Connections to other nodes, and requests to one or all of them.
 
-Streams are TCP, from the node's own address; each request has one answer.
+Connections are TCP, from the node's own address; each request has one answer.
 """
 
 from collections.abc import AsyncIterator, Collection
@@ -22,11 +22,11 @@
     from pinspread.replication.node import ReplicationNode
     from pinspread.replication.replica_server import ReplicaServer
 
-CALL_TIMEOUT_S = 1.0  # for a connection, and for one request with its answer
+CALL_TIMEOUT_S = 1.0  # to connect, and for one request and its answer
 
 
 def open_frames(stream: "ByteStream", key: bytes) -> FrameStream:
-    """Return the frames of replication on a stream, sealed with the fleet's key."""
+    """Return the stream as one of replication frames, whose checksums include the fleet's key."""
     return FrameStream(stream, key, protocol.MAGIC, protocol.MAX_FRAME_BYTES)
 
 
@@ -43,8 +43,8 @@
 
         Raises:
             OSError: The connection has ended, or there was no answer within `CALL_TIMEOUT_S`.
-            RefusedError: The other node refused.
-            DatagramError: The answer is not well-formed.
+            RefusedError: The other node refused the request.
+            DatagramError: The answer is malformed.
         """
         with anyio.fail_after(CALL_TIMEOUT_S):
             await self._frames.send(protocol.encode_request(request, self._node_id, self._peer))
@@ -53,7 +53,7 @@
 
 
 class PeerConnector:
-    """Opens connections to other nodes, at the port that all nodes listen on."""
+    """Opens connections to other nodes; replication has the same port on all nodes."""
 
     def __init__(self, config: "ReplicationConfig", fleet: "FleetView") -> None:
         self._fleet = fleet
@@ -61,10 +61,10 @@
 
     @asynccontextmanager
     async def connect(self, peer: str) -> AsyncIterator[PeerSession]:
-        """Connect to a node; the connection ends with the block.
+        """Connect to a node; the connection is closed at the end of the `async with` block.
 
         Raises:
-            OSError: It cannot be reached within `CALL_TIMEOUT_S`, or is no member.
+            OSError: The node cannot be reached within `CALL_TIMEOUT_S`, or is not a member of the fleet.
         """
         stream, frames = await self._dial(peer)
         async with stream:
@@ -73,7 +73,7 @@
     async def _dial(self, peer: str) -> "tuple[ByteStream, FrameStream]":
         address = self._fleet.address(peer)
         if address is None:
-            raise OSError(f"{peer} is no member")
+            raise OSError(f"{peer} is not a member of the fleet")
         with anyio.fail_after(CALL_TIMEOUT_S):
             host = split_address(address)[0]
             stream = await anyio.connect_tcp(host, self._port, local_host=self._host)
@@ -81,7 +81,7 @@
 
 
 class PeerClient:
-    """Asks other nodes, and this one as if it were another."""
+    """Sends requests to other nodes, and to this one in the same way, but without a connection."""
 
     def __init__(self, node: "ReplicationNode", connector: PeerConnector, server: "ReplicaServer") -> None:
         self._node = node
@@ -89,7 +89,7 @@
         self._server = server
 
     async def call(self, peer: str, request: Request[AnswerT]) -> AnswerT | None:
-        """Ask one node; None if it cannot be reached, does not answer or refuses."""
+        """Send a request to one node; return None if it cannot be reached, does not answer or refuses."""
         if peer == self._node.id:
             return await self._call_locally(request)
         try:
@@ -106,10 +106,13 @@
         answer = await self._server.answer(Envelope(node_id, node_id, request))
         if isinstance(answer, Refusal):
             return None
-        return cast("AnswerT", answer)  # the server answers each request with an answer of its type
+        return cast("AnswerT", answer)  # the server returns the answer type of the request
 
     async def call_all(self, request: Request[AnswerT], exclude: Collection[str] = ()) -> dict[str, AnswerT]:
-        """Ask this node and all live ones at once, except `exclude`; return the answers that came."""
+        """Send a request to this node and all live ones at once, except `exclude`; return answers by node.
+
+        Nodes that cannot be reached, do not answer or refuse are left out of the result.
+        """
         answers: dict[str, AnswerT] = {}
 
         async def call_one(peer: str) -> None:
--- a/pinspread/replication/primary.py
+++ b/pinspread/replication/primary.py
@@ -1,6 +1,7 @@
 """The primary: sends this node's journal to its replicas and waits for their acknowledgements.
 
-It is the journal's observer, and it answers for replication when the engine asks whether it may promise.
+It observes the journal, and tells the engine whether it may accept and send messages, and when the journal is
+replicated.
 """
 
 from contextlib import suppress
@@ -22,8 +23,8 @@
 
 RECONNECT_S = 0.2
 CHOOSE_INTERVAL_S = 0.2  # how often the replicas are chosen from the live nodes
-MAX_IDLE_S = 1.0  # how long a stream with nothing to send goes without checking the lease
-WARNING_INTERVAL_US = 1_000_000  # all that waits at a time would log the same
+MAX_IDLE_S = 1.0  # longest time between two checks of the lease while there is nothing to send
+WARNING_INTERVAL_US = 1_000_000  # all tasks that wait at the same time would log the same warning
 
 
 class Primary:
@@ -34,8 +35,8 @@
         log: The journal's bytes and what each replica has acknowledged.
         replicas: The nodes that are chosen to store the journal.
         announced: For each replica, the replica set that was last announced to it.
-        connected: The replicas that are connected and have been up to date once.
-        sent_bytes: Of the journal, to all replicas, since the start.
+        connected: The replicas that are connected and have been up to date once on this connection.
+        sent_bytes: Bytes of the journal sent to all replicas together since the start.
         generation_file: Where the journal's generation is stored; set before the journal is written.
     """
 
@@ -55,23 +56,27 @@
         self._last_unreplicated_us = 0
         self._last_overdue_us = 0
 
-    # --- the journal's observer ---------------------------------------------------------------------
+    # --- called by the journal ----------------------------------------------------------------------
 
     def appended(self, record: bytes) -> None:
-        """Take up one or several records that the journal has appended."""
+        """Replicate one or several records that the journal has appended."""
         self.log.append(record, clock.monotonic_us())
         self._notify_grown()
 
     def rewritten(self, data: bytes) -> None:
-        """Take up a journal that was rewritten; OSError if its generation cannot be stored."""
+        """Replicate the journal's new content after a rewrite, as a new generation.
+
+        Raises:
+            OSError: The generation cannot be stored.
+        """
         self.log.rewrite(data, clock.unix_us(), clock.monotonic_us())
         self.generation_file.write(self.log.generation)
         self._notify_grown()
 
-    # --- what the engine asks -----------------------------------------------------------------------
+    # --- called by the engine -----------------------------------------------------------------------
 
     def blocked_reason(self) -> str:
-        """Return why nothing may be promised or sent just now; empty if all is well."""
+        """Return why no message may be accepted or sent now; empty if both are allowed."""
         return self.node.ownership.blocked_reason() or self._too_few_replicas()
 
     def _too_few_replicas(self) -> str:
@@ -81,10 +86,10 @@
         return ""
 
     async def wait_replicated(self) -> bool:
-        """Wait until all that the journal holds by now is on enough replicas.
+        """Wait until enough replicas have acknowledged all that the journal holds at the call.
 
         Returns:
-            Whether that came within `ack_timeout_us`, or may be done without.
+            True if they did within `ack_timeout_us`, or if `allow_unreplicated` is set.
         """
         end = self.log.end()
         with anyio.move_on_after(self.node.config.ack_timeout_us / 1e6):
@@ -109,20 +114,21 @@
             self.node.events("copies_late", behind=lags)
 
     def informed_replicas(self) -> list[str]:
-        """Return the replicas that know of all the others.
+        """Return the replicas that the current replica set was announced to; only their answers count.
 
-        From one that does not, a successor would conclude too soon that it has all that was promised.
+        A successor learns from the replicas which others to ask. From one that has an older replica set, it
+        would conclude too soon that it has all committed records.
         """
         return [replica for replica in self.replicas if self.announced.get(replica) == self.replicas]
 
     def may_be_removed(self, replica: str) -> bool:
-        """Return whether a node that was chosen once may remove its replica of this node's journal."""
+        """Return whether a node that was chosen earlier may remove its replica of this node's journal."""
         return not self.blocked_reason() and self.log.may_be_removed(replica, self.replicas)
 
-    # --- the replicas -------------------------------------------------------------------------------
+    # --- sending to the replicas --------------------------------------------------------------------
 
     async def run(self, tasks: "TaskGroup") -> None:
-        """Choose the replicas by the live nodes until cancelled, and send to each in a task of its own."""
+        """Choose the replicas from the live nodes until cancelled, and send to each in its own task."""
         while True:
             self._choose_replicas(tasks)
             await anyio.sleep(CHOOSE_INTERVAL_S)
@@ -134,7 +140,7 @@
         if chosen == self.replicas:
             return
         self.replicas = chosen
-        self._notify_grown()  # the others are announced to those that stay
+        self._notify_grown()  # wakes the tasks of replicas that stay, to announce the new set to them
         self.node.events("copies_at", keepers=chosen)
         for replica in [replica for replica in self._scopes if replica not in chosen]:
             self._drop_replica(replica)
@@ -165,7 +171,8 @@
 
     async def _connect_and_send(self, replica: str) -> None:
         token = self.node.ownership.confirmed_local_token()
-        # Sent before it is known what others took over, a new generation would have the replica forget that.
+        # A replica forgets takeovers when it gets a new generation. So nothing is sent before the token is
+        # confirmed, that is, before this node knows what others have taken over.
         if not token or not self.log.generation:
             return
         with suppress(OSError):
@@ -173,7 +180,7 @@
                 await self.send_journal(replica, session, token)
 
     async def send_journal(self, replica: str, session: "PeerSession", token: int) -> None:
-        """Send the journal on one connection, for as long as this node's work lease has this token."""
+        """Send the journal on one connection, as long as this node holds its work lease under this token."""
         transfer = JournalTransfer(self, replica, session, token)
         while True:
             if transfer.must_announce():
@@ -189,7 +196,7 @@
                 return
 
     def notify_acknowledged(self) -> None:
-        """Wake those that wait for acknowledgements."""
+        """Wake the tasks that wait for acknowledgements."""
         self._acknowledged.set()
         self._acknowledged = anyio.Event()
 
--- a/pinspread/replication/protocol.py
+++ b/pinspread/replication/protocol.py
@@ -1,7 +1,7 @@
 """The frames between nodes: typed requests and answers, and their form on the wire.
 
-A frame is a head of 12 bytes with the magic `PSC` and a msgpack map, as `membership.codec` seals them. The
-keys of these maps are named here and nowhere else. Each request has one answer.
+A frame is a header of 12 bytes with the magic `PSC`, and a msgpack map; `membership.codec` encodes both. The
+keys of these maps are defined only in this module. Each request has one answer.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,7 +13,7 @@
 from pinspread.replication.snapshots import ReplicaSnapshot
 
 MAGIC = b"PSC"
-MAX_FRAME_BYTES = 64 << 20  # a complete journal; [journal] disk_mb bounds it in fact
+MAX_FRAME_BYTES = 64 << 20  # must hold a complete journal, whose size [journal] disk_mb limits
 MAX_SHOWN_KIND = 64  # characters of an unknown kind in a log line
 
 WireMessage = dict[str, Any]
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class ReplicaContent:
-    """What a replica holds: its generation, size in bytes, and the checksum of each range."""
+    """What a replica holds: its generation, its size in bytes, and the checksum of each range."""
 
     generation: int
     size: int
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True)
 class Consent:
-    """What was asked for is done, or may be done."""
+    """The request was carried out, or its sender may carry it out."""
 
 
 @dataclass(frozen=True)
 class Refusal:
-    """The request is not granted, and nothing was changed."""
+    """The request is refused, and nothing was changed."""
 
     reason: str
 
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class AnnounceReplicas(Request[ReplicaContent]):
-    """The owner is about to send: it names all of its replicas and asks what this one holds."""
+    """The owner is about to send its journal: it names all its replicas, and asks what this one holds."""
 
     fencing_token: int
     replicas: list[str]
@@ -82,11 +82,11 @@
     """The owner sends bytes of its journal.
 
     Attributes:
-        fencing_token: Of the lease under which the owner does its work.
-        generation: Of the journal.
-        base: How many bytes make the generation complete (see `log`).
-        offset: Where the data begins, in bytes.
-        data: The bytes; what the replica holds behind them is cut off.
+        fencing_token: The token of the owner's work lease.
+        generation: The journal's generation.
+        base: From how many bytes on the generation is complete (see `log`).
+        offset: Offset of the data in the generation, in bytes.
+        data: The bytes; the replica truncates what it holds after them.
     """
 
     fencing_token: int
@@ -98,37 +98,37 @@
 
 @dataclass(frozen=True)
 class FetchSnapshot(Request[ReplicaSnapshot]):
-    """Ask for the replica and fence it: from now on nobody with an older token may append."""
+    """Ask for the replica and fence it: from now on it refuses data that is sent under an older token."""
 
     fencing_token: int
 
 
 @dataclass(frozen=True)
 class ReadSnapshot(Request[ReplicaSnapshot]):
-    """Ask for the replica and change nothing."""
+    """Ask for the replica without fencing it."""
 
 
 @dataclass(frozen=True)
 class CompleteTakeover(Request[Consent | Refusal]):
-    """The sender has taken the owner's work over for good, under this token."""
+    """The sender has completed the takeover of the owner's work, under this token."""
 
     fencing_token: int
 
 
 @dataclass(frozen=True)
 class RequestRemoval(Request[Consent | Refusal]):
-    """A node that the owner has chosen once asks the owner whether it may remove its replica."""
+    """A node that the owner chose earlier asks it whether it may remove its replica."""
 
 
 @dataclass(frozen=True)
 class Envelope:
-    """A request as it came.
+    """A request as it was received.
 
     Attributes:
         sender: The node that sent it.
-        recipient: The node that it is for.
-        request: What is asked.
-        has_negative_number: Whether any number of the message is below 0, which no request has.
+        recipient: The node that it is addressed to.
+        request: The request.
+        has_negative_number: Whether any number of the message is below 0, which is never valid.
     """
 
     sender: str
@@ -143,9 +143,9 @@
 
     Attributes:
         request_type: The class of the request.
-        fields: Wire key -> the request's attribute and the type that the value must have.
-        only_from_owner: Only the owner sends it. Its keys then begin with the addresses and the token, as
-            the form on the wire always was.
+        fields: For each wire key, the request's attribute and the type that the value must have.
+        only_from_owner: Whether only the owner may send it. The map then starts with the addresses and the
+            token, an order that the wire form has had from the start.
     """
 
     request_type: type[Request[Any]]
@@ -177,12 +177,12 @@
 
 
 def is_only_from_owner(request: Request[Any]) -> bool:
-    """Return whether a request of this type may come from the owner alone."""
+    """Return whether only the owner may send a request of this type."""
     return _LAYOUTS[_KINDS[type(request)]].only_from_owner
 
 
 def encode_request(request: Request[Any], sender: str, recipient: str) -> WireMessage:
-    """Return the map that goes on the wire."""
+    """Return the wire form of a request."""
     kind = _KINDS[type(request)]
     layout = _LAYOUTS[kind]
     fields = {key: getattr(request, name) for key, (name, _) in layout.fields.items()}
@@ -194,14 +194,14 @@
 
 
 def decode_request(message: WireMessage) -> Envelope:
-    """Return the request in a map.
+    """Return the request in a wire message, with its addresses.
 
     Raises:
         DatagramError: The kind is unknown, or a field is missing or of another type.
     """
     kind = message.get("t")
     if not isinstance(kind, str) or kind not in _LAYOUTS:
-        raise DatagramError(f"kind {str(kind)[:MAX_SHOWN_KIND]!r}")
+        raise DatagramError(f"unknown kind of request {str(kind)[:MAX_SHOWN_KIND]!r}")
     layout = _LAYOUTS[kind]
     require_fields(message, _ADDRESS_TYPES | {key: type_ for key, (_, type_) in layout.fields.items()})
     values = {name: message[key] for key, (name, _) in layout.fields.items()}
@@ -211,7 +211,7 @@
 
 
 def encode_answer(answer: Answer) -> WireMessage:
-    """Return the map that goes on the wire."""
+    """Return the wire form of an answer."""
     match answer:
         case ReplicaContent(generation, size, checksums):
             return {"t": "have", "generation": generation, "size": size, "sums": checksums}
@@ -237,11 +237,11 @@
 
 
 def decode_answer(request: Request[AnswerT], message: WireMessage) -> AnswerT:
-    """Return the answer to a request.
+    """Return the answer to a request from its wire form.
 
     Raises:
-        RefusedError: The other node refused.
-        DatagramError: A field is missing or of another type.
+        RefusedError: The other node refused the request.
+        DatagramError: A field is missing or of another type, or a number is below 0.
     """
     if message.get("t") == "no":
         raise RefusedError(str(message.get("why")))
@@ -279,17 +279,21 @@
     require_fields(message, fields)
     for name, type_ in fields.items():
         if type_ is int and message[name] < 0:
-            raise DatagramError(f"{message.get('t')}: field {name!r} is below 0")
+            raise DatagramError(f"{message.get('t')}: field {name!r} is {message[name]}, expected 0 or more")
 
 
 def _require_items(message: WireMessage, name: str, type_: type) -> None:
-    """Check that all items of a list are of a type."""
+    """Check that all items of a list field are of a type."""
     if not all(is_of_type(item, type_) for item in message[name]):
-        raise DatagramError(f"{message.get('t')}: an item of {name!r}")
+        raise DatagramError(f"{message.get('t')}: field {name!r} has an item that is not {type_.__name__}")
 
 
 def _decode_consent(message: WireMessage) -> Consent | Refusal:
-    return Consent() if message.get("t") == "ack" else Refusal(f"answered {message.get('t')}")
+    return (
+        Consent()
+        if message.get("t") == "ack"
+        else Refusal(f"expected the answer 'ack', got {message.get('t')!r}")
+    )
 
 
 _ANSWER_DECODERS: dict[type[Request[Any]], Callable[[WireMessage], object]] = {
--- a/pinspread/replication/recovery.py
+++ b/pinspread/replication/recovery.py
@@ -1,4 +1,4 @@
-"""Restoring this node's own journal at a start, and giving up what others have taken over."""
+"""Restores this node's own journal at a start, and drops messages that other nodes have taken over."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -20,7 +20,7 @@
     from pinspread.replication.snapshots import ReplicaSnapshot, Snapshots
     from pinspread.replication.survey import ReplicaSurvey
 
-JOIN_TIMEOUT_S = 2.0  # how long a start waits for other nodes before it takes itself for the first
+JOIN_TIMEOUT_S = 2.0  # after this time without other nodes, a start assumes that it is the first
 JOIN_POLL_S = 0.05
 LEASE_POLL_S = 0.02
 RETRY_S = 0.2
@@ -33,9 +33,9 @@
     """The part of this node's work that others have taken over.
 
     Attributes:
-        ids: Of the messages.
-        taken_over: Whether all of the work was taken over for good.
-        complete: Whether all that was taken over must be known by this, or was waited for long enough.
+        ids: Ids of the messages.
+        taken_over: Whether a takeover of all the work was completed.
+        complete: Whether `ids` must include all that was taken over, or the wait for more has timed out.
     """
 
     ids: set[str]
@@ -45,31 +45,40 @@
 
 @dataclass(frozen=True)
 class LocalJournal:
-    """The journal as it lies on this node's disk; `data` is empty if there is none."""
+    """The journal on this node's disk.
+
+    Attributes:
+        exists: Whether there is a journal file.
+        data: The content of the file; empty if there is none.
+    """
 
     exists: bool
     data: bytes
 
     @property
     def is_intact(self) -> bool:
-        """Whether it is there and undamaged; a record that was cut short as it was written is no damage."""
+        """Whether the file exists and is undamaged; a last record whose write was cut short is no damage."""
         return self.exists and journal_bytes.is_intact(self.data)
 
     @property
     def is_damaged(self) -> bool:
-        """Whether it holds data that cannot be read to its end."""
+        """Whether the file holds data that cannot be read to its end."""
         return bool(self.data) and not self.is_intact
 
     @classmethod
     def read(cls, path: Path) -> "LocalJournal":
-        """Read it; OSError if the disk does not give it."""
+        """Read the journal at this path.
+
+        Raises:
+            OSError: The file cannot be read.
+        """
         if not path.exists():
             return cls(False, b"")
         return cls(True, path.read_bytes())
 
 
 class JournalRecovery:
-    """Brings this node's journal to what the replicas know, at a start and after its lease was lost."""
+    """Brings this node's journal up to date with its replicas, at a start and after its lease was lost."""
 
     def __init__(
         self, node: "ReplicationNode", engine: "DeliveryEngine", primary: "Primary", survey: "ReplicaSurvey"
@@ -82,24 +91,24 @@
     # --- at a start ---------------------------------------------------------------------------------
 
     async def recover(self) -> None:
-        """Acquire the lease of this node's work, and replace its journal by a replica that is newer.
+        """Acquire the lease of this node's work, and replace its journal if a replica is newer.
 
         Raises:
             OSError: The journal cannot be read or written.
-            JournalFormatError: It is of a form that this version does not know.
+            JournalFormatError: The journal is of a form that this version does not know.
         """
         await self._wait_for_fleet()
         self._node.ownership.request(self._node.id)
         while True:
             token = await self._acquire_lease()
-            found = await self._survey.fetch(self._node.id, token)
-            if self._is_conclusive(found, token):
-                released = await self._released_work(found)
+            replica_snapshots = await self._survey.fetch(self._node.id, token)
+            if self._is_conclusive(replica_snapshots, token):
+                released = await self._released_work(replica_snapshots)
                 if released.complete:
                     break
             await anyio.sleep(RETRY_S)
-        self.restore(found, released)
-        generations = (snapshot.generation for snapshot in found.values())
+        self.restore(replica_snapshots, released)
+        generations = (snapshot.generation for snapshot in replica_snapshots.values())
         self._primary.log.generation_floor = max(generations, default=0)
         self._node.ownership.confirmed_fencing_token = token
 
@@ -113,31 +122,36 @@
             await anyio.sleep(LEASE_POLL_S)
         return token
 
-    def _is_conclusive(self, found: "Snapshots", token: int) -> bool:
-        """Return whether nothing that was promised is missing, and it is known what others have taken over.
+    def _is_conclusive(self, replica_snapshots: "Snapshots", token: int) -> bool:
+        """Return whether no committed record is missing, and it is known what others have taken over.
 
-        Without its own journal, what this node promised may be on a replica that does not answer yet. Only a
-        node that is granted its lease for the first time has promised nothing before.
+        If this node's own journal is missing or damaged, its committed records may be on a replica that does
+        not answer yet. Only a node that is granted its lease for the first time has committed none before.
         """
         if is_first_token(token):
             return True
         if self._read_local_journal().is_intact:
             local_generation = GenerationFile(self._engine.journal.path).read()
-            return self._survey.knows_takeovers(token, found, local_generation)
-        return self._survey.is_complete(self._node.id, found)
+            return self._survey.knows_takeovers(token, replica_snapshots, local_generation)
+        return self._survey.is_complete(self._node.id, replica_snapshots)
 
     def _read_local_journal(self) -> LocalJournal:
         return LocalJournal.read(self._engine.journal.path)
 
-    def restore(self, found: "Snapshots", released: ReleasedWork) -> None:
-        """Replace the journal's file by a newer replica, and drop from it what others have taken over."""
-        newest = snapshots.newest_of(found.values())
+    def restore(self, replica_snapshots: "Snapshots", released: ReleasedWork) -> None:
+        """Replace the journal's file by a newer replica, and drop what others have taken over from it."""
+        newest = snapshots.newest_of(replica_snapshots.values())
         local = self._read_local_journal()
         if newest and self._is_newer(newest, local):
             self._replace_journal(newest, local)
         elif local.is_damaged:
-            at = journal_bytes.complete_length(local.data)
-            log("copies_lost", id=self._node.id, at=at, warning="damaged, and no newer copy was found")
+            intact_length = journal_bytes.complete_length(local.data)
+            log(
+                "copies_lost",
+                id=self._node.id,
+                at=intact_length,
+                warning="damaged, and no newer copy was found",
+            )
         if released.ids:
             self._drop_released(released)
 
@@ -158,7 +172,7 @@
 
     def _drop_released(self, released: ReleasedWork) -> None:
         folder = self._engine.journal.path.parent
-        settings = cast("EffectiveSettings", self._engine.settings)  # the engine itself needs fewer of them
+        settings = cast("EffectiveSettings", self._engine.settings)  # the engine's type has fewer of them
         count = journal_bytes.drop_messages(folder, settings.disk_bytes, released.ids)
         self._node.events("copies_gave_up", count=count, adopted=released.taken_over)
 
@@ -174,12 +188,13 @@
                 await self._confirm(token)
 
     async def _confirm(self, token: int) -> None:
-        """Give up what others took over meanwhile, then let the engine promise again."""
-        found = await self._survey.fetch(self._node.id, token)
-        # Who comes back from the minority side may still take all others for dead, and have asked nobody.
-        if not self._survey.knows_takeovers(token, found, self._primary.log.generation):
+        """Drop messages that others have taken over meanwhile, then let the engine accept and send again."""
+        replica_snapshots = await self._survey.fetch(self._node.id, token)
+        # A node that was on the minority side of a partition may still take all others for dead, and so have
+        # asked nobody.
+        if not self._survey.knows_takeovers(token, replica_snapshots, self._primary.log.generation):
             return
-        released = await self._released_work(found)
+        released = await self._released_work(replica_snapshots)
         if not released.complete or self._node.ownership.local_token() != token:
             return
         try:
@@ -190,10 +205,12 @@
         self._node.ownership.confirmed_fencing_token = token
         self._node.events("copies_gave_up", count=count, adopted=released.taken_over)
 
-    async def _released_work(self, found: "Snapshots") -> ReleasedWork:
-        ids, complete = await self._survey.ids_in_candidates_journals(found, exclude=self._node.id)
-        newest = snapshots.newest_of(found.values())
-        taken_over = snapshots.is_taken_over(found)
+    async def _released_work(self, replica_snapshots: "Snapshots") -> ReleasedWork:
+        ids, complete = await self._survey.ids_in_candidates_journals(
+            replica_snapshots, exclude=self._node.id
+        )
+        newest = snapshots.newest_of(replica_snapshots.values())
+        taken_over = snapshots.is_taken_over(replica_snapshots)
         if newest and taken_over:
             ids |= {message.id for message in journal_bytes.replay(newest.data).open_messages}
         return ReleasedWork(ids, taken_over, complete)
--- a/pinspread/replication/replica.py
+++ b/pinspread/replication/replica.py
@@ -1,4 +1,4 @@
-"""The replica of one owner's journal: what its files hold and who may append; no I/O and no clock."""
+"""The state of a replica of one owner's journal: what its files hold and who may append. No I/O, no clock."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,11 +7,11 @@
 
 
 class ReplicaRefusedError(PinspreadError):
-    """A request that the state of the replica forbids; the text is the reason that the sender gets."""
+    """The state of the replica does not allow a request; the text is the reason, which is sent back."""
 
 
 class WriteTarget(Enum):
-    """Which of a replica's files data goes to."""
+    """The file of a replica that data is written to."""
 
     CURRENT = "current"
     INCOMING = "incoming"
@@ -19,19 +19,19 @@
 
 @dataclass
 class Replica:
-    """What is known of one owner's replica.
+    """The state of the replica of one owner's journal.
 
     Attributes:
         owner: The node whose journal it is.
-        fencing_token: The highest that was received; nobody with a lower one may append.
-        generation: Of the newest complete generation; 0 for none.
-        size: Bytes of that generation.
-        incoming_generation: One that is not complete yet; 0 for none.
-        incoming_size: Bytes of it so far.
-        incoming_base: How many bytes make it complete.
-        replicas: The nodes that the owner replicates to, as it last said.
-        takeover_candidates: Nodes that have begun to take the owner's work over.
-        takeover_token: The token under which the work was taken over for good; 0 if it was not.
+        fencing_token: The highest fencing token received; data sent under a lower one is refused.
+        generation: The newest complete generation; 0 for none.
+        size: Size of that generation in bytes.
+        incoming_generation: A generation that is not complete yet; 0 for none.
+        incoming_size: Bytes received of the incoming generation.
+        incoming_base: Size in bytes from which on the incoming generation is complete.
+        replicas: The nodes that the owner replicates to, as it last announced.
+        takeover_candidates: Nodes that have begun to take over the owner's work.
+        takeover_token: The token under which a takeover of the work was completed; 0 if none was.
     """
 
     owner: str
@@ -46,7 +46,7 @@
     takeover_token: int = 0
 
     def require_current_token(self, token: int) -> None:
-        """Check a token against the highest that was received.
+        """Check that a token is not lower than the highest one received.
 
         Raises:
             ReplicaRefusedError: The token is lower.
@@ -55,7 +55,7 @@
             raise ReplicaRefusedError(f"fenced: token {token}, newer is {self.fencing_token}")
 
     def accept_owner(self, token: int) -> None:
-        """Let the owner send under this token.
+        """Accept data that the owner sends under this token.
 
         Raises:
             ReplicaRefusedError: A newer token was received.
@@ -63,19 +63,19 @@
         self.require_current_token(token)
         self.fencing_token = token
 
-    def fence(self, token: int, by: str) -> None:
-        """Accept no older token from now on: `by` fetches the replica, to take over or as the owner itself.
+    def fence(self, token: int, requester: str) -> None:
+        """Accept no older token from now on; a `requester` other than the owner is a takeover candidate.
 
         Raises:
             ReplicaRefusedError: A newer token was received.
         """
         self.require_current_token(token)
         self.fencing_token = token
-        if by != self.owner and by not in self.takeover_candidates:
-            self.takeover_candidates.append(by)
+        if requester != self.owner and requester not in self.takeover_candidates:
+            self.takeover_candidates.append(requester)
 
     def place(self, token: int, generation: int, base: int, offset: int, length: int) -> WriteTarget:
-        """Decide where `length` bytes at an offset go; the sizes count them from then on.
+        """Decide which file `length` bytes at an offset are written to, and count them in its size.
 
         Raises:
             ReplicaRefusedError: The token is not the one that was accepted, or the data leaves a gap.
@@ -104,18 +104,18 @@
         self.incoming_base = base
 
     def promote_incoming(self) -> bool:
-        """Replace the current generation by the incoming one if that is complete; return whether it is."""
+        """Make the incoming generation the current one if it is complete; return whether it was."""
         if not self.incoming_generation or self.incoming_size < self.incoming_base:
             return False
         self.generation = self.incoming_generation
         self.size = self.incoming_size
         self._forget_incoming()
-        self.takeover_token = 0  # the owner serves again, with a journal of its own
+        self.takeover_token = 0  # a new generation means that the owner serves again
         self.takeover_candidates = []
         return True
 
     def clear(self) -> None:
-        """Forget the data; what is known of tokens stays."""
+        """Reset the generations and sizes; the tokens and the takeover candidates are kept."""
         self.generation = 0
         self.size = 0
         self._forget_incoming()
--- a/pinspread/replication/replica_server.py
+++ b/pinspread/replication/replica_server.py
@@ -1,4 +1,4 @@
-"""The replica's side on the network: stores others' journals and answers their requests."""
+"""The replica's side on the network: answers requests, and stores the journals that other nodes send."""
 
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Any
@@ -38,7 +38,7 @@
 
 
 class ReplicaServer:
-    """Answers the requests of other nodes, and of this one."""
+    """Answers the requests of other nodes, and those of this node to itself."""
 
     def __init__(self, node: "ReplicationNode", stores: "ReplicaStores", primary: "Primary") -> None:
         self._node = node
@@ -53,7 +53,7 @@
         }
 
     async def serve(self, stream: "SocketStream") -> None:
-        """Answer all requests of one connection, until it ends or a frame is not well-formed."""
+        """Answer all requests on one connection, until it ends or a frame is malformed."""
         frames = open_frames(stream, self._node.fleet.key)
         try:
             async with stream:
@@ -66,25 +66,29 @@
             pass  # the other side has ended the connection
 
     async def handle(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Answer a message in its form on the wire; DatagramError if it is not well-formed."""
+        """Answer a message, both in wire form.
+
+        Raises:
+            DatagramError: The message is malformed.
+        """
         return protocol.encode_answer(await self.answer(protocol.decode_request(message)))
 
     async def answer(self, envelope: Envelope) -> Answer:
-        """Answer a request, with a `Refusal` if it is not granted."""
+        """Answer a request, with a `Refusal` if it is refused."""
         request = envelope.request
-        why = self._objection(envelope)
-        if not why:
+        reason = self._refusal_reason(envelope)
+        if not reason:
             try:
                 if isinstance(request, RequestRemoval):
                     return self._removal(request, envelope.sender)
                 return await self._answer_from_store(envelope)
             except OSError as error:
-                why = f"disk: {error}"
-        self._node.events("copies_refused", source=envelope.sender, owner=request.owner, why=why)
-        return Refusal(why)
+                reason = f"disk: {error}"
+        self._node.events("copies_refused", source=envelope.sender, owner=request.owner, why=reason)
+        return Refusal(reason)
 
-    def _objection(self, envelope: Envelope) -> str:
-        """Return why a request is refused whatever the replica holds; empty if it is not."""
+    def _refusal_reason(self, envelope: Envelope) -> str:
+        """Return why a request is refused regardless of the replica's state; empty if it is not."""
         owner, sender = envelope.request.owner, envelope.sender
         is_owner_known = self._node.fleet.knows(owner) or owner in self._stores
         is_for_us = envelope.recipient == self._node.id
@@ -99,7 +103,7 @@
     async def _answer_from_store(self, envelope: Envelope) -> Answer:
         request = envelope.request
         store = self._stores.get_or_create(request.owner)
-        async with store.lock:  # in the order that they came, also while the disk is slow
+        async with store.lock:  # handles requests in order of arrival, also while the disk is slow
             try:
                 return await self._handlers[type(request)](store, request, envelope.sender)
             except ReplicaRefusedError as error:
@@ -119,7 +123,8 @@
             request.fencing_token, request.generation, request.base, request.offset, length
         )
         if self._node.config.sync_to_disk:
-            # In a thread: a disk that is slow to sync would keep this node from saying that it lives.
+            # In a thread: a slow sync would block the event loop, and keep this node from signalling that it
+            # is alive.
             await anyio.to_thread.run_sync(store.write, target, request.offset, request.data, True)
         else:
             store.write(target, request.offset, request.data)
@@ -143,7 +148,7 @@
         return Acknowledgement(replica.generation, replica.size)
 
     def _removal(self, request: RequestRemoval, sender: str) -> Answer:
-        """A node that this one has chosen once asks whether it may remove its replica."""
+        """Answer a node that this one chose earlier, and that asks whether it may remove its replica."""
         if request.owner != self._node.id or not self._primary.may_be_removed(sender):
             return Refusal("not yet")
         return Consent()
--- a/pinspread/replication/service.py
+++ b/pinspread/replication/service.py
@@ -1,4 +1,4 @@
-"""The background service that assembles replication's parts, and that the engine asks before it promises."""
+"""The background service that assembles the parts of replication, and its interface to the engine."""
 
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
@@ -29,22 +29,22 @@
     from pinspread.leases.service import LeaseService
     from pinspread.membership.service import MembershipService
 
-CLOSE_TIMEOUT_S = 0.1  # for the last records, of the 3.7 s that SIGTERM leaves
+CLOSE_TIMEOUT_S = 0.1  # to replicate the last records, within the 3.7 s that a stop by SIGTERM may take
 
 
 class ReplicationService:
-    """Replicates this node's journal, stores others', and takes over for nodes that are lost.
+    """Replicates this node's journal, stores replicas of others', and takes over the work of lost nodes.
 
     Attributes:
-        name: Of the service, in paths and commands.
+        name: The service's name in paths and commands.
         node: What the parts share.
         primary: Sends this node's journal.
-        stores: The replicas of others' journals.
+        stores: The replicas of other nodes' journals.
         connector: Connects to other nodes.
-        server: Answers other nodes.
-        peers: Asks other nodes.
-        recovery: Restores this node's journal; there from `attach` on.
-        failover: Takes over for others; there from `attach` on.
+        server: Answers requests of other nodes.
+        peers: Sends requests to other nodes.
+        recovery: Restores this node's journal; set by `attach`.
+        failover: Takes over the work of lost nodes; set by `attach`.
     """
 
     name = "copies"
@@ -64,14 +64,14 @@
         self.server = ReplicaServer(self.node, self.stores, self.primary)
         self.peers = PeerClient(self.node, self.connector, self.server)
 
-    # --- what the engine asks -----------------------------------------------------------------------
+    # --- called by the engine -----------------------------------------------------------------------
 
     def blocked_reason(self) -> str:
-        """Return why nothing may be promised or sent just now; empty if all is well."""
+        """Return why no message may be accepted or sent now; empty if both are allowed."""
         return self.primary.blocked_reason()
 
     async def wait_replicated(self) -> bool:
-        """Wait, within bounds, until all that the journal holds is replicated; return whether it is."""
+        """Wait until all that the journal holds is replicated; see `Primary.wait_replicated`."""
         return await self.primary.wait_replicated()
 
     def view(self) -> dict[str, Any]:
@@ -92,14 +92,18 @@
         self.failover = Failover(self.node, engine, self.stores, takeover, retention)
 
     async def open(self) -> None:
-        """Listen, and read what is stored; OSError if that cannot be done."""
+        """Start to listen, and read the stored replicas.
+
+        Raises:
+            OSError: The address cannot be bound, or the folder cannot be read or made.
+        """
         self.stores.open()
         host, port = split_address(self.node.config.listen)
         self._listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         self.node.events("copies_up", listen=self.node.config.listen, keeps=len(self.stores))
 
     async def before_recovery(self) -> None:
-        """Return once the engine may read its journal: its lease is held, and the file is the newest."""
+        """Return once the engine may read its journal: its lease is held, and the file is up to date."""
         await self.recovery.recover()
 
     async def run(self) -> None:
@@ -111,10 +115,10 @@
             await self.primary.run(tasks)
 
     async def announce_departure(self) -> None:
-        """Do nothing at SIGTERM: attempts in flight still end, and their outcomes are replicated."""
+        """Do nothing at SIGTERM: attempts in flight may still end, and their outcomes must be replicated."""
 
     async def close(self) -> None:
-        """Have the last records replicated, then release the lease of this node's own work."""
+        """Wait for the last records to be replicated, then release the lease of this node's own work."""
         if self.node.ownership.local_token():
             with anyio.move_on_after(CLOSE_TIMEOUT_S):
                 await self.wait_replicated()
--- a/pinspread/replication/status.py
+++ b/pinspread/replication/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of replication, at `GET /-/copies`; the keys of the JSON stand here."""
+"""The status of replication that operators see at `GET /-/copies`; the keys of its JSON are defined here."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -11,7 +11,7 @@
 
 
 def replication_status(primary: "Primary", stores: "ReplicaStores") -> dict[str, Any]:
-    """Return this node's replicas with their lag, and what it stores of others."""
+    """Return this node's replicas with their lag, and the replicas that it stores for other nodes."""
     log, now_us = primary.log, clock.monotonic_us()
     end = log.end()
     replicas = [_replica_status(primary, replica, now_us) for replica in primary.replicas]
--- a/pinspread/replication/store.py
+++ b/pinspread/replication/store.py
@@ -1,7 +1,8 @@
 """Replication's files: a folder for each owner's replica, and the generation of the node's own journal.
 
-An owner's folder holds `meta` (JSON, what is known beside the data), `journal.N` (the data of generation N)
-and `coming` (a generation that is not complete yet). The stored keys of `meta` are named only here.
+An owner's folder holds `meta` (JSON: the state of the replica beside its data), `journal.N` (the data of
+generation N) and `coming` (a generation that is not complete yet). The stored keys of `meta` are defined only
+in this module.
 """
 
 import os
@@ -17,13 +18,13 @@
 
 
 class StoredField(NamedTuple):
-    """A field of `Replica` that the `meta` file holds, and its type there; lists are of node ids."""
+    """A field of `Replica` that is stored in the `meta` file, and its type there; lists hold node ids."""
 
     name: str
     type: type
 
 
-# The keys of the `meta` file, in the order that they are written.
+# The keys of the `meta` file, in the order in which they are written.
 STORED_FIELDS = {
     "owner": StoredField("owner", str),
     "token": StoredField("fencing_token", int),
@@ -37,11 +38,12 @@
 
 
 class ReplicaStore:
-    """One owner's replica on disk. Methods raise OSError if the disk does not take what they write.
+    """One owner's replica on disk. Methods raise OSError if a file cannot be read or written.
 
     Attributes:
-        replica: Decides; the store writes.
-        lock: Held by whoever decides by `replica` and writes.
+        folder: The owner's folder.
+        replica: The state of the replica, which decides what is accepted; the store writes it.
+        lock: Held from a decision by `replica` until its result is written.
     """
 
     def __init__(self, folder: Path, owner: str) -> None:
@@ -66,8 +68,8 @@
         known = {key: field for key, field in STORED_FIELDS.items() if key in stored}
         damaged = [key for key, field in known.items() if not _is_stored_value(stored[key], field.type)]
         if damaged:
-            self._log_damaged_meta(f"fields {damaged}")
-        for key in known.keys() - damaged:  # a fencing token that can be read still holds
+            self._log_damaged_meta(f"invalid values in fields {damaged}")
+        for key in known.keys() - damaged:  # readable fields, above all the fencing token, still count
             setattr(self.replica, STORED_FIELDS[key].name, stored[key])
 
     def _log_damaged_meta(self, error: str) -> None:
@@ -81,7 +83,7 @@
                 self.replica.size = path.stat().st_size
 
     def save(self) -> None:
-        """Write what is known beside the data; called before an answer speaks of it."""
+        """Write the `meta` file; called before an answer is sent that depends on its fields."""
         new_path = self.folder / f"{META_FILE}.new"
         stored = {key: getattr(self.replica, field.name) for key, field in STORED_FIELDS.items()}
         new_path.write_bytes(orjson.dumps(stored))
@@ -93,20 +95,22 @@
         return path.read_bytes() if path.exists() else b""
 
     def clear(self) -> None:
-        """Remove the data; what is known of tokens stays."""
+        """Remove the data; the fields of the `meta` file are kept."""
         for path in [*self.folder.glob("journal.*"), *self.folder.glob(INCOMING_FILE)]:
             path.unlink()
         self.replica.clear()
         self.save()
 
     def write(self, target: WriteTarget, offset: int, data: bytes, sync: bool = False) -> None:
-        """Write data at an offset of a file, and cut what is behind it.
+        """Write data at an offset of a file, and truncate the file after it.
+
+        A generation that is complete by then becomes the current one.
 
         Args:
             target: The file, as `Replica.place` decided.
-            offset: In bytes.
-            data: What to write.
-            sync: Return only once it is on the disk.
+            offset: Offset of the data in the file, in bytes.
+            data: The bytes to write.
+            sync: Whether to return only once the data is synced to the disk.
         """
         incoming = target is WriteTarget.INCOMING
         path = self.folder / INCOMING_FILE if incoming else self._journal_path(self.replica.generation)
@@ -124,27 +128,35 @@
 
 
 class ReplicaStores:
-    """The stores of all owners that this node has, or had, a replica of."""
+    """The stores of all owners whose replicas this node stores or has stored."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self._stores: dict[str, ReplicaStore] = {}
 
     def open(self) -> None:
-        """Read what the folder holds; OSError if that cannot be done."""
+        """Read the stored replicas.
+
+        Raises:
+            OSError: The folder cannot be read or made.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         for path in self.folder.iterdir():
             if path.is_dir():
                 self._stores[path.name] = ReplicaStore(self.folder, path.name)
 
     def get_or_create(self, owner: str) -> ReplicaStore:
-        """Return an owner's store, made if there is none; OSError if its folder cannot be had."""
+        """Return an owner's store, and make it if there is none.
+
+        Raises:
+            OSError: The owner's folder cannot be made or read.
+        """
         if owner not in self._stores:
             self._stores[owner] = ReplicaStore(self.folder, owner)
         return self._stores[owner]
 
     def owners(self) -> list[str]:
-        """Return the owners, in the order that they came."""
+        """Return the owners in the order in which their stores were added."""
         return list(self._stores)
 
     def __getitem__(self, owner: str) -> ReplicaStore:
@@ -165,25 +177,29 @@
 
 
 class GenerationFile:
-    """The file beside the node's own journal that says which generation the journal is."""
+    """The file next to the node's own journal that holds the journal's generation."""
 
     def __init__(self, journal_path: Path) -> None:
         self.path = journal_path.parent / GENERATION_FILE
 
     def read(self) -> int:
-        """Return the generation, 0 if the file does not say."""
+        """Return the generation; 0 if the file does not exist or holds no number."""
         if not self.path.exists():
             return 0
         text = self.path.read_text()
         return int(text) if text.isdigit() else 0
 
     def write(self, generation: int) -> None:
-        """Store the generation; OSError if the disk does not take it."""
+        """Store the generation.
+
+        Raises:
+            OSError: The file cannot be written.
+        """
         self.path.write_text(str(generation))
 
 
 def _is_stored_value(value: object, type_: type) -> bool:
-    """Return whether a value is of its type: numbers are not below 0, lists hold node ids."""
+    """Return whether a stored value is of its type, a number is 0 or more and a list holds only strings."""
     if isinstance(value, list):
         return type_ is list and all(isinstance(item, str) for item in value)
     if type_ is int:
@@ -206,7 +222,7 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """Have the names of its files on the disk."""
+    """Sync the folder's entries, so that a renamed file is found after a crash."""
     fd = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(fd)
--- a/pinspread/replication/survey.py
+++ b/pinspread/replication/survey.py
@@ -1,4 +1,4 @@
-"""Collecting the replicas of one owner's journal, until they cover all that it promised."""
+"""Collects the replicas of one owner's journal, until they cover all committed records."""
 
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple
@@ -15,7 +15,7 @@
 
 
 class SurveyPurpose(Enum):
-    """What replicas are asked for; waits for each are apart. The values stand in log lines."""
+    """Why replicas are collected; each purpose has waits of its own. The values appear in log lines."""
 
     OWNERS_JOURNAL = "own"
     CANDIDATES_JOURNAL = "taken over by"
@@ -23,12 +23,12 @@
 
 
 class WaitKey(NamedTuple):
-    """What is waited for, so that each wait has a bound of its own.
+    """The key of a wait for replicas; each wait has its own time limit.
 
     Attributes:
-        purpose: What the replicas are asked for.
-        owner: Whose replicas are waited for.
-        token: Of the lease under which they are, where another lease begins another wait; else 0.
+        purpose: Why the replicas are collected.
+        owner: The node whose replicas are waited for.
+        token: The fencing token under which they are collected, if a new lease starts a new wait; else 0.
     """
 
     purpose: SurveyPurpose
@@ -37,7 +37,7 @@
 
 
 class ReplicaSurvey:
-    """Asks all live nodes for replicas, and bounds the wait for those that do not answer."""
+    """Asks all live nodes for replicas, and limits the wait for those that do not answer."""
 
     def __init__(self, node: "ReplicationNode", peers: "PeerClient") -> None:
         self._node = node
@@ -50,69 +50,74 @@
         return _checked(answers)
 
     def is_complete(
-        self, owner: str, found: Snapshots, purpose: SurveyPurpose = SurveyPurpose.OWNERS_JOURNAL
+        self, owner: str, replica_snapshots: Snapshots, purpose: SurveyPurpose = SurveyPurpose.OWNERS_JOURNAL
     ) -> bool:
-        """Return whether what was promised must be among these replicas, or was waited for long enough."""
-        replica_sets = snapshots.replica_sets(found)
-        # A replica that the owner has just chosen anew may not answer, and hold what the others lack.
-        if snapshots.covers_promises(
-            found, replica_sets, self._node.config.replica_count, self._node.config.required_acks
+        """Return whether these replicas must hold all committed records, or the wait for more is over."""
+        replica_sets = snapshots.replica_sets(replica_snapshots)
+        # A replica that the owner has only just chosen may hold records that the others lack, and not answer.
+        if snapshots.covers_committed_records(
+            replica_snapshots, replica_sets, self._node.config.replica_count, self._node.config.required_acks
         ):
             self._incomplete_since_us.pop(WaitKey(purpose, owner), None)
             return True
-        return self._has_waited_enough(WaitKey(purpose, owner), found)
+        return self._has_waited_enough(WaitKey(purpose, owner), replica_snapshots)
 
-    def knows_takeovers(self, token: int, found: Snapshots, local_generation: int) -> bool:
-        """Return whether a takeover of this node's work is known by these answers, or was waited for long.
+    def knows_takeovers(self, token: int, replica_snapshots: Snapshots, local_generation: int) -> bool:
+        """Return whether these answers must show any takeover of this node's work, or the wait has timed out.
 
         Args:
-            token: The fencing token of its work's lease, under which the replicas were asked for. A node that
-                is cut off while it waits must not count that time.
-            found: The answers. There may be none: who was cut off may take all others for dead.
-            local_generation: Of this node's journal.
+            token: The fencing token of this node's work lease, under which the replicas were collected. Each
+                lease starts a new wait, so that the time in which this node is cut off does not count.
+            replica_snapshots: The answers. There may be none, as a node that was cut off may take all others
+                for dead.
+            local_generation: Generation of this node's journal.
         """
         key = WaitKey(SurveyPurpose.OWN_TAKEOVERS, self._node.id, token)
         config = self._node.config
-        if snapshots.covers_takeovers(found, local_generation, config.replica_count, config.required_acks):
+        if snapshots.covers_takeovers(
+            replica_snapshots, local_generation, config.replica_count, config.required_acks
+        ):
             self._incomplete_since_us.pop(key, None)
             return True
-        return self._has_waited_enough(key, found)
+        return self._has_waited_enough(key, replica_snapshots)
 
-    def _has_waited_enough(self, key: WaitKey, found: Snapshots) -> bool:
-        is_first = key not in self._incomplete_since_us
+    def _has_waited_enough(self, key: WaitKey, replica_snapshots: Snapshots) -> bool:
+        is_new_wait = key not in self._incomplete_since_us
         since_us = self._incomplete_since_us.setdefault(key, clock.monotonic_us())
         is_overdue = clock.monotonic_us() - since_us >= self._node.config.incomplete_timeout_us
-        if is_first or is_overdue:
+        if is_new_wait or is_overdue:
             self._node.events(
                 "copies_unsure" if is_overdue else "copies_awaited",
                 owner=key.owner,
                 wanted=key.purpose.value,
-                answered=sorted(found),
-                of=snapshots.replica_sets(found),
+                answered=sorted(replica_snapshots),
+                of=snapshots.replica_sets(replica_snapshots),
             )
         if is_overdue:
             del self._incomplete_since_us[key]
         return is_overdue
 
     def forget(self, owner: str) -> None:
-        """Forget a wait for replicas of an owner whose work is not due for another any more."""
+        """Forget the wait for replicas of an owner whose work need not be taken over any more."""
         self._incomplete_since_us.pop(WaitKey(SurveyPurpose.OWNERS_JOURNAL, owner), None)
 
-    async def ids_in_candidates_journals(self, found: Snapshots, exclude: str) -> tuple[set[str], bool]:
-        """Return the ids in the journals of others that have begun to take this work over.
+    async def ids_in_candidates_journals(
+        self, replica_snapshots: Snapshots, exclude: str
+    ) -> tuple[set[str], bool]:
+        """Return the message ids in the journals of the nodes that have begun to take over this work.
 
         Args:
-            found: The replicas of this work.
-            exclude: A node that is left out: this one.
+            replica_snapshots: The replicas of this work.
+            exclude: The node to leave out, which is this one.
 
         Returns:
-            The ids, and whether these replicas must hold all of them, or were waited for long enough.
+            The ids, and whether they must be complete, or the wait for more replicas has timed out.
         """
         ids: set[str] = set()
         complete = True
-        for candidate in snapshots.takeover_candidates(found) - {exclude}:
+        for candidate in snapshots.takeover_candidates(replica_snapshots) - {exclude}:
             journals = _checked(await self._peers.call_all(ReadSnapshot(candidate)))
-            # What it took over and has begun to send would be sent from here as well.
+            # Without these ids, this node would also send what the candidate took over and has begun to send.
             complete = self.is_complete(candidate, journals, SurveyPurpose.CANDIDATES_JOURNAL) and complete
             newest = snapshots.newest_of(journals.values())
             if newest:
@@ -122,10 +127,10 @@
 
 
 def _checked(answers: Snapshots) -> Snapshots:
-    """Return the answers up to the last complete record of each; what is cut off is logged."""
+    """Return the answers, each truncated to its complete records; log those that are truncated."""
     complete = snapshots.without_torn_tails(answers)
     for node_id, snapshot in complete.items():
-        place, size = len(snapshot.data), len(answers[node_id].data)
-        if place < size:
-            log("copies_damaged", at=node_id, place=place, size=size, mono_us=clock.monotonic_us())
+        complete_size, size = len(snapshot.data), len(answers[node_id].data)
+        if complete_size < size:
+            log("copies_damaged", at=node_id, place=complete_size, size=size, mono_us=clock.monotonic_us())
     return complete
--- a/pinspread/replication/takeover.py
+++ b/pinspread/replication/takeover.py
@@ -1,4 +1,4 @@
-"""Taking one lost node's work over, under the lease of that work."""
+"""Takes over one lost node's work, under the lease of that work."""
 
 from enum import Enum, auto
 from typing import TYPE_CHECKING
@@ -17,15 +17,15 @@
 
 
 class TakeoverResult(Enum):
-    """How an attempt to take over has ended."""
+    """The result of one try to take over an owner's work."""
 
-    DEFERRED = auto()  # not all that matters is known, or the lease was lost: tried again
-    ALREADY_DONE = auto()  # another node has taken the work over for good
+    DEFERRED = auto()  # too few replicas have answered, or the lease was lost; it is tried again
+    ALREADY_DONE = auto()  # another node has completed the takeover
     TAKEN_OVER = auto()
 
 
 class Takeover:
-    """Collects a lost owner's replicas and has the engine owe what is in them."""
+    """Collects a lost owner's replicas and has the engine take over the messages in them."""
 
     def __init__(
         self,
@@ -43,42 +43,44 @@
         self._accepted_ids: dict[str, set[str]] = {}  # by owner
 
     async def attempt(self, owner: str, token: int) -> TakeoverResult:
-        """Take an owner's work over, if all that it promised is among the replicas that answer.
+        """Take over an owner's work, if all its committed records are among the replicas that answer.
 
         Args:
             owner: The lost node.
-            token: The fencing token of its work's lease, which this node holds.
+            token: The fencing token of the owner's work lease, which this node holds.
 
         Raises:
-            JournalFullError: The work does not fit into this node's journal; part of it may be owed here.
+            JournalFullError: The work does not fit into this node's journal; part of it may be taken over.
             JournalFormatError: The owner's journal is of a form that this version does not know.
-            OSError: A disk does not take what is written.
+            OSError: A file cannot be written.
         """
-        found = await self._survey.fetch(owner, token)
-        newest = snapshots.newest_of(found.values())
-        if newest is None or not self._survey.is_complete(owner, found):
+        replica_snapshots = await self._survey.fetch(owner, token)
+        newest = snapshots.newest_of(replica_snapshots.values())
+        if newest is None or not self._survey.is_complete(owner, replica_snapshots):
             return TakeoverResult.DEFERRED
-        if snapshots.is_taken_over(found):
+        if snapshots.is_taken_over(replica_snapshots):
             return TakeoverResult.ALREADY_DONE
-        ids_elsewhere, complete = await self._survey.ids_in_candidates_journals(found, exclude=self._node.id)
+        ids_elsewhere, complete = await self._survey.ids_in_candidates_journals(
+            replica_snapshots, exclude=self._node.id
+        )
         if not complete:
             return TakeoverResult.DEFERRED
         messages = replay(newest.data).open_messages
-        # The lease may have ended while the others were asked; the owner or another may act by now.
+        # The lease may have ended while the others were asked. The owner or another node may hold it by now.
         if self._node.ownership.token(owner) != token or self._primary.blocked_reason():
             return TakeoverResult.DEFERRED
         self._accept(owner, token, messages, ids_elsewhere)
         return await self._complete(owner, token)
 
     def _accept(self, owner: str, token: int, messages: "list[Message]", ids_elsewhere: set[str]) -> None:
-        """Have the engine owe what no other node has taken over before."""
+        """Have the engine take over the messages that no other node has taken over before."""
         accepted = [message for message in messages if message.id not in ids_elsewhere]
         count = self._engine.take_over(accepted)
         self._accepted_ids[owner] = {message.id for message in accepted}
         self._node.events("copies_taken_over", owner=owner, token=token, count=count, held=len(messages))
 
     async def _complete(self, owner: str, token: int) -> TakeoverResult:
-        """Say to all that the work was taken over, once it is on this node's own replicas."""
+        """Announce the takeover to all nodes, once the work is on this node's own replicas."""
         while not await self._primary.wait_replicated():
             if self._node.ownership.token(owner) != token:
                 return TakeoverResult.DEFERRED
@@ -86,9 +88,10 @@
         return TakeoverResult.TAKEN_OVER
 
     async def stand_down(self, owner: str) -> None:
-        """Contend no longer for an owner's work, once all that was taken over of it has ended."""
+        """Release the lease of an owner's work, once all messages taken over from it have ended."""
         self._survey.forget(owner)
-        # Given back sooner, the owner would send its next message of a key before this node's last.
+        # If the lease were released earlier, the owner would send its next message of an ordering key before
+        # this node has sent its last one.
         still_open = self._accepted_ids.get(owner, set()) & self._engine.messages_by_id.keys()
         if owner != self._node.id and not still_open:
             self._accepted_ids.pop(owner, None)
--- a/pinspread/replication/transfer.py
+++ b/pinspread/replication/transfer.py
@@ -1,9 +1,9 @@
-"""Sending the journal on one connection to one replica, from where the replica is to the journal's end."""
+"""Sends the journal to one replica on one connection, from the replica's position to the journal's end."""
 
 from typing import TYPE_CHECKING
 
 from pinspread.replication import clock
-from pinspread.replication.log import MAX_CHUNK_BYTES, NOTHING, LogPosition
+from pinspread.replication.log import MAX_CHUNK_BYTES, NO_POSITION, LogPosition
 from pinspread.replication.protocol import AnnounceReplicas, AppendData
 
 if TYPE_CHECKING:
@@ -11,11 +11,11 @@
     from pinspread.replication.primary import Primary
     from pinspread.replication.protocol import ReplicaContent
 
-_NEVER_US = 0
+_NEVER_COMPARED_US = 0
 
 
 class JournalTransfer:
-    """How far the journal has been sent on one connection."""
+    """Sends the journal on one connection, and keeps the position up to which it was sent."""
 
     def __init__(self, primary: "Primary", replica: str, session: "PeerSession", token: int) -> None:
         self._primary = primary
@@ -24,19 +24,19 @@
         self._replica = replica
         self._session = session
         self._token = token
-        self._position = NOTHING
-        self._compared_us = _NEVER_US
+        self._position = NO_POSITION
+        self._compared_us = _NEVER_COMPARED_US
 
     def must_announce(self) -> bool:
-        """Return whether the replica must be compared with the journal, or be told of other replicas."""
+        """Return whether a comparison with the journal is due, or the replica set has changed."""
         check_interval_us = self._node.config.check_interval_us
         is_due = clock.monotonic_us() - self._compared_us > check_interval_us
-        if is_due or self._compared_us == _NEVER_US:
+        if is_due or self._compared_us == _NEVER_COMPARED_US:
             return True
         return self._primary.announced.get(self._replica) != self._primary.replicas
 
     async def announce(self) -> None:
-        """Name all replicas to this one, and go on from where it differs from the journal."""
+        """Announce all replicas to this one, and go on sending where its content differs from the journal."""
         self._compared_us = clock.monotonic_us()
         replicas = self._primary.replicas
         content = await self._session.call(AnnounceReplicas(self._node.id, self._token, replicas))
@@ -52,18 +52,18 @@
             self._node.events("copies_mended", at=self._replica, place=offset, size=content.size)
 
     def follow_rewrite(self) -> None:
-        """Begin at the start of another generation if the journal was rewritten."""
+        """Start again at offset 0 of the new generation if the journal was rewritten."""
         if self._position.generation != self._log.generation:
             self._position = LogPosition(self._log.generation, 0)
 
     def has_data_to_send(self) -> bool:
-        """Return whether the replica lacks anything, or has never acknowledged this generation."""
+        """Return whether the replica lacks data, or has never acknowledged this generation."""
         generation, offset = self._position
-        acknowledged = self._log.acknowledged.get(self._replica, NOTHING)
+        acknowledged = self._log.acknowledged.get(self._replica, NO_POSITION)
         return offset < len(self._log.data) or acknowledged.generation != generation
 
     async def send_chunk(self) -> None:
-        """Send what comes next, and note what the replica acknowledges."""
+        """Send the next chunk, and record the position that the replica acknowledges."""
         generation, offset = self._position
         chunk = bytes(self._log.data[offset : offset + MAX_CHUNK_BYTES])
         request = AppendData(self._node.id, self._token, generation, self._log.base, offset, chunk)
--- a/tests/test_replication_decisions.py
+++ b/tests/test_replication_decisions.py
@@ -12,7 +12,7 @@
 from pinspread.replication.replica import Replica, ReplicaRefusedError, WriteTarget
 from pinspread.replication.snapshots import (
     ReplicaSnapshot,
-    covers_promises,
+    covers_committed_records,
     covers_takeovers,
     newest_of,
     without_torn_tails,
@@ -149,14 +149,16 @@
 
 
 def test_how_many_replicas_must_answer_before_work_is_taken_over():
-    assert covers_promises(["b"], [["b", "c"]], 2, 2)  # each of both holds every promise
-    assert not covers_promises(["b"], [["b", "c"]], 2, 1)  # the other may hold one that this one lacks
-    assert covers_promises(["b", "c"], [["b", "c"]], 2, 1)
-    assert not covers_promises(["x"], [["b", "c"]], 2, 2)
-    assert covers_promises(["b"], [["b"]], 2, 1)  # there was no second one
+    assert covers_committed_records(["b"], [["b", "c"]], 2, 2)  # each of both holds every promise
+    assert not covers_committed_records(
+        ["b"], [["b", "c"]], 2, 1
+    )  # the other may hold one that this one lacks
+    assert covers_committed_records(["b", "c"], [["b", "c"]], 2, 1)
+    assert not covers_committed_records(["x"], [["b", "c"]], 2, 2)
+    assert covers_committed_records(["b"], [["b"]], 2, 1)  # there was no second one
     # The owner was choosing "d" for "c", and "d" may hold what "b", which has not heard of that, lacks.
-    assert not covers_promises(["b", "c"], [["b", "c"], ["b", "d"]], 2, 1)
-    assert covers_promises(["b", "c", "d"], [["b", "c"], ["b", "d"]], 2, 1)
+    assert not covers_committed_records(["b", "c"], [["b", "c"], ["b", "d"]], 2, 1)
+    assert covers_committed_records(["b", "c", "d"], [["b", "c"], ["b", "d"]], 2, 1)
     empty = {"b": snapshot(0, b"")}  # has said that it holds nothing, which is an answer too
     assert without_torn_tails(empty) == empty
     found = [snapshot(0, b""), snapshot(3, b"a"), snapshot(3, b"ab"), snapshot(2, b"abc")]
