--- a/pinspread/replication/log.py
+++ b/pinspread/replication/log.py
@@ -136,9 +136,9 @@
         generation, offset = self.acknowledged.get(replica, NO_POSITION)
         if generation != self.generation:
             offset = 0
-        first = bisect_right(self.record_ends, offset)
-        records = len(self.record_ends) - first
-        age_us = now_us - self.record_times_us[first] if records else 0
+        first_missing = bisect_right(self.record_ends, offset)
+        records = len(self.record_ends) - first_missing
+        age_us = now_us - self.record_times_us[first_missing] if records else 0
         return ReplicaLag(records, len(self.data) - offset, age_us)
 
     def may_be_removed(self, replica: str, replicas: Collection[str]) -> bool:
--- a/pinspread/replication/recovery.py
+++ b/pinspread/replication/recovery.py
@@ -20,7 +20,7 @@
     from pinspread.replication.snapshots import ReplicaSnapshot, Snapshots
     from pinspread.replication.survey import ReplicaSurvey
 
-JOIN_TIMEOUT_S = 2.0  # after this time without other nodes, a start assumes that it is the first
+JOIN_TIMEOUT_S = 2.0  # how long a starting node waits for others before it assumes to be the first
 JOIN_POLL_S = 0.05
 LEASE_POLL_S = 0.02
 RETRY_S = 0.2
--- a/pinspread/replication/survey.py
+++ b/pinspread/replication/survey.py
@@ -47,7 +47,7 @@
     async def fetch(self, owner: str, token: int) -> Snapshots:
         """Return every live node's replica of an owner's journal, fenced against all older tokens."""
         answers = await self._peers.call_all(FetchSnapshot(owner, token), exclude=(owner,))
-        return _checked(answers)
+        return _drop_torn_tails(answers)
 
     def is_complete(
         self, owner: str, replica_snapshots: Snapshots, purpose: SurveyPurpose = SurveyPurpose.OWNERS_JOURNAL
@@ -116,7 +116,7 @@
         ids: set[str] = set()
         complete = True
         for candidate in snapshots.takeover_candidates(replica_snapshots) - {exclude}:
-            journals = _checked(await self._peers.call_all(ReadSnapshot(candidate)))
+            journals = _drop_torn_tails(await self._peers.call_all(ReadSnapshot(candidate)))
             # Without these ids, this node would also send what the candidate took over and has begun to send.
             complete = self.is_complete(candidate, journals, SurveyPurpose.CANDIDATES_JOURNAL) and complete
             newest = snapshots.newest_of(journals.values())
@@ -126,7 +126,7 @@
         return ids, complete
 
 
-def _checked(answers: Snapshots) -> Snapshots:
+def _drop_torn_tails(answers: Snapshots) -> Snapshots:
     """Return the answers, each truncated to its complete records; log those that are truncated."""
     complete = snapshots.without_torn_tails(answers)
     for node_id, snapshot in complete.items():
--- a/tests/replication_helpers.py
+++ b/tests/replication_helpers.py
@@ -1,4 +1,4 @@
-"""Helpers for the tests of replication: a message to put into journals."""
+"""Helpers of the tests of replication: a message to put into journals."""
 
 from pinspread.core.messages import Message
 
--- a/tests/test_cluster_wire.py
+++ b/tests/test_cluster_wire.py
@@ -1,4 +1,4 @@
-"""Membership's datagrams: what is not whole, not ours or not well-formed is dropped with a reason."""
+"""Datagrams and frames of a fleet: those that are incomplete, of another fleet or malformed are dropped."""
 
 import anyio
 import anyio.abc
@@ -65,16 +65,16 @@
 
 
 def test_a_leave_while_rounds_are_sent_breaks_no_socket():
-    async def play():
-        plan = service.MembershipConfig("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, SwimConfig())
-        one = service.MembershipService(plan)
-        await one.open()
-        out = [("127.0.0.1:9", message_codec.from_map(PING))] * 20
-        async with one._socket, anyio.create_task_group() as tasks:
+    async def scenario():
+        settings = service.MembershipConfig("a", "127.0.0.1:0", "127.0.0.1:9", (), KEY, SwimConfig())
+        membership = service.MembershipService(settings)
+        await membership.open()
+        datagrams = [("127.0.0.1:9", message_codec.from_map(PING))] * 20
+        async with membership._socket, anyio.create_task_group() as tasks:
             for _ in range(3):
-                tasks.start_soon(one._send, out)  # the library refuses a second sender at a time
+                tasks.start_soon(membership._send, datagrams)  # anyio refuses a second sender at a time
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -82,12 +82,12 @@
     [
         (b"", ConnectionClosedError),
         (codec.encode({"n": 2}, KEY)[:-1], ConnectionClosedError),  # ends within a frame
-        (codec.encode({"n": "x" * 90}, KEY), codec.DatagramError),  # longer than is accepted
+        (codec.encode({"n": "x" * 90}, KEY), codec.DatagramError),  # longer than the limit
         (codec.encode({"n": 2}, b"fleet-b"), codec.DatagramError),
     ],
 )
 def test_a_stream_of_frames_tells_its_end_from_a_frame_that_is_not_accepted(sent, error):
-    async def play():
+    async def scenario():
         async def serve(stream):
             async with stream:
                 await stream.send(codec.encode({"n": 1}, KEY) + sent)
@@ -106,19 +106,19 @@
                 await frames.send({"n": 3})
             tasks.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 @pytest.mark.parametrize("change", [{"t": []}, {"up": [["b", "x", 0, [], "a"]]}])
-def test_a_list_where_a_word_belongs_is_dropped_too(change):
+def test_a_list_in_place_of_a_string_is_dropped_too(change):
     with pytest.raises(codec.DatagramError):
         message_codec.decode_message(codec.encode(PING | change, KEY), KEY)
 
 
-NO_ADDRESSES = ["nowhere", "", ":7001", "127.0.0.1:", "127.0.0.1:99999", "127.0.0.1:\u00b2", "a\0b:1"]
+INVALID_ADDRESSES = ["nowhere", "", ":7001", "127.0.0.1:", "127.0.0.1:99999", "127.0.0.1:\u00b2", "a\0b:1"]
 
 
-@pytest.mark.parametrize("address", NO_ADDRESSES)
+@pytest.mark.parametrize("address", INVALID_ADDRESSES)
 @pytest.mark.parametrize(
     "change",
     [
@@ -134,7 +134,7 @@
         message_codec.decode_message(codec.encode(PING | change(address), KEY), KEY)
 
 
-@pytest.mark.parametrize("address", NO_ADDRESSES)
+@pytest.mark.parametrize("address", INVALID_ADDRESSES)
 def test_a_lease_request_that_cannot_be_answered_is_dropped(address):
     request = Request(RequestKind.ACQUIRE, "nightly", "a", 0, 1)
     with pytest.raises(codec.DatagramError):
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("address", ["nowhere", "127.0.0.1:99999"])
 def test_membership_goes_on_after_a_datagram_from_no_address(address, capfd):
-    async def play():
+    async def scenario():
         config = service.MembershipConfig("b", "127.0.0.1:0", "127.0.0.1:9", (), KEY, SwimConfig())
         member = service.MembershipService(config)
         await member.open()
@@ -154,12 +154,12 @@
             with anyio.fail_after(5):
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(member.run)
-                    for _ in range(3):  # two turns more may pass before a socket that was closed is noticed
+                    for _ in range(3):  # a closed socket may be noticed only two rounds later
                         await sender.sendto(codec.encode(PING | {"from_at": address}, KEY), "127.0.0.1", port)
                         await sender.sendto(codec.encode(good, KEY), "127.0.0.1", port)
                         await sender.receive()
                     tasks.cancel_scope.cancel()
         assert member.dropped == 3 and member.member.table["a"].address == good["from_at"]
 
-    anyio.run(play)
+    anyio.run(scenario)
     assert capfd.readouterr().out.count('"event":"member_dropped"') == 3
--- a/tests/test_replication_journal.py
+++ b/tests/test_replication_journal.py
@@ -1,4 +1,4 @@
-"""The journal and replication: what a replica replays, and the limit on what is taken over."""
+"""The journal and replication: what a replica replays, and the limit on messages that are taken over."""
 
 import pytest
 from replication_helpers import message
@@ -10,16 +10,16 @@
 from pinspread.replication.journal_bytes import replay
 
 
-def test_a_replica_replays_to_what_was_owed_and_a_flipped_bit_ends_it_there(tmp_path):
-    class Tap(bytearray):
+def test_a_replica_replays_to_the_open_messages_and_only_up_to_a_flipped_bit(tmp_path):
+    class Recorder(bytearray):
         def appended(self, record):
             self.extend(record)
 
         def rewritten(self, data):
             self[:] = data
 
-    journal, tap = Journal(str(tmp_path), 3_000_000), Tap()
-    journal.observer = tap
+    journal, recorder = Journal(str(tmp_path), 3_000_000), Recorder()
+    journal.observer = recorder
     journal.recover()
     for n in range(1, 6):
         journal.message_accepted(message(n))
@@ -28,19 +28,19 @@
         message(9, attempts=2, may_have_run_unix_us=55, final=FinalResult(FinalState.FAILED, 3))
     )
     journal.message_ended(journal.open_messages[1])
-    assert bytes(tap) == journal.path.read_bytes()
-    replayed = replay(bytes(tap))
-    live, past = replayed.open_messages, replayed.finished_ids
-    assert [t.number for t in live] == [2, 3, 4, 5, 9] and past == {"id1"}
-    assert live[0].in_flight_since_unix_us == 77 and live[-1].final == FinalResult(FinalState.FAILED, 3)
-    assert (live[-1].attempts, live[-1].may_have_run_unix_us) == (2, 55)
-    tap[200] ^= 1
-    assert journal_records.complete_bytes(tap) < 200 and not journal_records.is_truncated(
-        tap, journal_records.complete_bytes(tap)
+    assert bytes(recorder) == journal.path.read_bytes()
+    replayed = replay(bytes(recorder))
+    pending, ended_ids = replayed.open_messages, replayed.finished_ids
+    assert [entry.number for entry in pending] == [2, 3, 4, 5, 9] and ended_ids == {"id1"}
+    assert pending[0].in_flight_since_unix_us == 77 and pending[-1].final == FinalResult(FinalState.FAILED, 3)
+    assert (pending[-1].attempts, pending[-1].may_have_run_unix_us) == (2, 55)
+    recorder[200] ^= 1
+    assert journal_records.complete_bytes(recorder) < 200 and not journal_records.is_truncated(
+        recorder, journal_records.complete_bytes(recorder)
     )
-    cut = journal.path.read_bytes()[:-3]
-    assert journal_records.complete_bytes(cut) < len(cut) and journal_records.is_truncated(
-        cut, journal_records.complete_bytes(cut)
+    truncated = journal.path.read_bytes()[:-3]
+    assert journal_records.complete_bytes(truncated) < len(truncated) and journal_records.is_truncated(
+        truncated, journal_records.complete_bytes(truncated)
     )
     journal.release([journal.open_messages[3]])
     assert "id3" in journal.finished_ids and 3 not in journal.open_messages
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -18,7 +18,9 @@
 from pinspread.replication.store import ReplicaStore
 
 
-class Held:
+class HeldLeases:
+    """The leases of a node that holds all of them, under token 5."""
+
     def fencing_token(self, task):
         return 5
 
@@ -30,7 +32,7 @@
     )
     membership.member.apply(Update("a", "127.0.0.2:1", 0, MemberState.ALIVE, "a"), 0)
     membership.member.apply(Update("b", "127.0.0.3:1", 0, MemberState.ALIVE, "b"), 0)
-    return ReplicationService(ReplicationConfig("127.0.0.1:0", str(tmp_path)), membership, Held())
+    return ReplicationService(ReplicationConfig("127.0.0.1:0", str(tmp_path)), membership, HeldLeases())
 
 
 def answer(service, message):
@@ -45,10 +47,13 @@
     assert answer(service, SEND)["generation"] == 0
     assert answer(service, DATA | {"bytes": b"base"}) == {"t": "ack", "generation": 7, "size": 4}
     assert answer(service, DATA | {"bytes": b"more", "at": 4})["size"] == 8
-    again = ReplicaStore(tmp_path, "a")
-    assert again.data() == b"basemore" and (again.replica.generation, again.replica.fencing_token) == (7, 5)
-    copy = answer(service, {"t": "fetch", "from": "b", "to": "k", "owner": "a", "token": 6})
-    assert copy["bytes"] == b"basemore" and copy["tried"] == ["b"]
+    reopened = ReplicaStore(tmp_path, "a")
+    assert reopened.data() == b"basemore" and (
+        reopened.replica.generation,
+        reopened.replica.fencing_token,
+    ) == (7, 5)
+    snapshot = answer(service, {"t": "fetch", "from": "b", "to": "k", "owner": "a", "token": 6})
+    assert snapshot["bytes"] == b"basemore" and snapshot["tried"] == ["b"]
     assert answer(service, DATA | {"bytes": b"late", "at": 8})["why"].startswith("fenced")
     assert answer(service, SEND)["why"].startswith("fenced")
     assert answer(service, {"t": "done", "from": "b", "to": "k", "owner": "a", "token": 6})["t"] == "ack"
@@ -67,7 +72,7 @@
         (b'{"token": 4, "adopted": true}', {"fencing_token": 4}),
     ],
 )
-def test_of_a_damaged_meta_file_what_can_be_read_counts(service, tmp_path, capfd, meta, read):
+def test_valid_fields_of_a_damaged_meta_file_are_kept(service, tmp_path, capfd, meta, read):
     (tmp_path / "a").mkdir()
     (tmp_path / "a" / "meta").write_bytes(meta)
     service.stores.open()
@@ -84,17 +89,20 @@
         (tmp_path / "a").glob("journal*")
     )
     assert answer(service, DATA | {"bytes": b"more", "at": 4})["why"].startswith("out of order")
-    assert answer(service, SEND)["size"] == 0  # chosen anew, it gets all again
-    ask = {"t": "spare", "from": "b", "to": "k", "owner": "k"}
-    assert answer(service, ask)["why"] == "not yet"
+    assert answer(service, SEND)["size"] == 0  # if chosen again, it gets all data again
+    removal_request = {"t": "spare", "from": "b", "to": "k", "owner": "k"}
+    assert answer(service, removal_request)["why"] == "not yet"
     service.node.ownership.confirmed_fencing_token = 5
     service.primary.replicas, service.primary.connected = ["a"], {"a"}
     service.primary.log.rewrite(b"x", 1)
     service.primary.log.acknowledged = {"a": (1, 1)}
-    assert answer(service, ask)["t"] == "ack" and answer(service, ask | {"from": "a"})["t"] == "no"
+    assert (
+        answer(service, removal_request)["t"] == "ack"
+        and answer(service, removal_request | {"from": "a"})["t"] == "no"
+    )
 
 
-def test_what_is_acknowledged_is_on_the_disk_where_the_file_asks_for_that(service, monkeypatch):
+def test_what_is_acknowledged_is_synced_to_the_disk_if_the_settings_ask_for_that(service, monkeypatch):
     synced = []
     monkeypatch.setattr(os, "fdatasync", lambda fd: synced.append(os.fstat(fd).st_size))
     answer(service, SEND)
@@ -171,24 +179,24 @@
     service.primary.announced = {"a": ["a", "b"], "b": ["a", "c"]}
     service.primary.log.rewrite(b"x", 1)
 
-    async def play():
+    async def scenario():
         assert not await service.wait_replicated()
         service.primary.log.acknowledged = {"b": (1, 1)}
-        assert not await service.wait_replicated()  # it has not been told who else keeps copies
+        assert not await service.wait_replicated()  # "b" does not know the current replica set
         service.primary.log.acknowledged = {"a": (1, 1)}
         assert await service.wait_replicated()
         service.primary.log.append(b"y")
-        impatient = ReplicationConfig("127.0.0.1:0", "", ack_timeout_us=1000, allow_unreplicated=True)
-        monkeypatch.setattr(service.node, "config", impatient)
+        short_timeout = ReplicationConfig("127.0.0.1:0", "", ack_timeout_us=1000, allow_unreplicated=True)
+        monkeypatch.setattr(service.node, "config", short_timeout)
         assert await service.wait_replicated()
 
-    anyio.run(play)
+    anyio.run(scenario)
     assert "not known yet" in service.blocked_reason()
     service.node.ownership.confirmed_fencing_token = 5
     assert service.blocked_reason() == ""
     monkeypatch.setattr(service.node, "config", ReplicationConfig("127.0.0.1:0", ""))
     assert "copies" in service.blocked_reason()
-    monkeypatch.setattr(Held, "fencing_token", lambda self, task: 0)
+    monkeypatch.setattr(HeldLeases, "fencing_token", lambda self, task: 0)
     assert "lease" in service.blocked_reason()
 
 
@@ -197,16 +205,16 @@
 
     service.primary.replicas = ["a"]
     service.primary.log.rewrite(b"four", 9)
-    shown = status_client.FORMATTERS["copies"](service.view(), 0)
-    assert shown[0].startswith("k: 0 records, 4 bytes, generation 9, 1 copies needed; ")
-    assert shown[2].split() == ["a", "no", "0", "4", "0"]
+    lines = status_client.FORMATTERS["copies"](service.view(), 0)
+    assert lines[0].startswith("k: 0 records, 4 bytes, generation 9, 1 copies needed; ")
+    assert lines[2].split() == ["a", "no", "0", "4", "0"]
     view = {"id": "k", "voter": True, "leader": "a", "term": 3, "tasks": [{"task": "t", "mine": 0}]}
     view["tasks"].append(
         {"task": "u", "mine": 7, "acts_for_ms": 1500, "holder": "k", "token": 7, "binds_for_ms": 2000}
     )
-    shown = status_client.FORMATTERS["leases"](view, 0)
-    assert shown[0] == "k: a voter, leader a, term 3"
-    assert shown[2].split() == ["t", "-", "?", "?", "-"] and shown[3].split() == [
+    lines = status_client.FORMATTERS["leases"](view, 0)
+    assert lines[0] == "k: a voter, leader a, term 3"
+    assert lines[2].split() == ["t", "-", "?", "?", "-"] and lines[3].split() == [
         "u",
         "k",
         "7",
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -1,4 +1,4 @@
-"""Replication between two nodes on real sockets: sending, acknowledgements, and a node that is away."""
+"""Replication between two nodes on real sockets: sending, acknowledgements, and an unreachable node."""
 
 import socket
 from contextlib import asynccontextmanager
@@ -27,13 +27,13 @@
 
 @pytest.fixture
 def port():
-    with socket.socket() as found:
-        found.bind(("127.0.0.2", 0))
-        return found.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.2", 0))
+        return probe.getsockname()[1]
 
 
 class Lease:
-    """The lease of its own work, which a node holds from the start."""
+    """The lease of a node's own work, which it holds from the start until it releases it."""
 
     def __init__(self, node_id):
         self.task, self.released = f"work.{node_id}", False
@@ -57,14 +57,14 @@
     config = ReplicationConfig(
         f"{HOSTS[id_]}:{port}", str(folder / id_ / "replicas"), ack_timeout_us=5_000_000
     )
-    found = ReplicationService(config, membership, Lease(id_))
+    replication = ReplicationService(config, membership, Lease(id_))
     journal = Journal(str(folder / id_), 3_000_000)
-    found.stores.folder.mkdir(parents=True, exist_ok=True)
-    found.attach(SimpleNamespace(journal=journal, serving=False, stopping=False))
-    found.node.ownership.confirmed_fencing_token = TOKEN
+    replication.stores.folder.mkdir(parents=True, exist_ok=True)
+    replication.attach(SimpleNamespace(journal=journal, serving=False, stopping=False))
+    replication.node.ownership.confirmed_fencing_token = TOKEN
     journal.recover()
-    found.journal = journal
-    return found
+    replication.journal = journal
+    return replication
 
 
 @asynccontextmanager
@@ -133,26 +133,26 @@
 
 
 async def test_an_answer_without_its_keys_counts_as_none_and_ends_its_stream_alone(tmp_path, port, capfd):
-    streams = []
+    open_streams = []
 
-    async def answer_with_no_keys(stream):
+    async def answer_without_fields(stream):
         async with stream:
-            streams.append(stream)
+            open_streams.append(stream)
             frames = open_frames(stream, b"fleet")
             await frames.receive()
             await frames.send({"t": "copy"})
             with pytest.raises(ConnectionClosedError):
                 await frames.receive()
-            streams.remove(stream)
+            open_streams.remove(stream)
 
     with anyio.fail_after(10):
         listener = await anyio.create_tcp_listener(local_host=HOSTS["b"], local_port=port)
         async with listener, anyio.create_task_group() as tasks:
-            tasks.start_soon(listener.serve, answer_with_no_keys)
+            tasks.start_soon(listener.serve, answer_without_fields)
             a = node("a", port, tmp_path)
             answers = await a.peers.call_all(FetchSnapshot("a", TOKEN))
             assert list(answers) == ["a"]  # its own replica
-            await until(lambda: not streams)
+            await until(lambda: not open_streams)
             tasks.cancel_scope.cancel()
     (line,) = refusals(capfd)
     assert "generation" in line and '"by":"b"' in line
