--- a/tests/stored_cluster.py
+++ b/tests/stored_cluster.py
@@ -1,7 +1,7 @@
-"""What members of a fleet say to each other and keep of each other: played by the code, taken down as bytes.
+"""What members of a fleet send to each other and store of each other: run by the code, recorded as bytes.
 
-As `stored.py`: the section "adapter" names the code's parts; all else is bytes and words of the wire, which
-never change. Each function plays one exchange without a clock and gives `{name: bytes or JSON}`.
+As in `stored.py`, only the section "adapter" uses names of the code. All else is bytes and wire names, which
+never change. Each function runs one exchange with a fixed clock and returns `{name: bytes or JSON}`.
 """
 
 import random
@@ -42,30 +42,30 @@
 
 
 def unpack_member(data, key):
-    """What a member reads of a datagram, as the wire has it."""
+    """Return the message that a member decodes from a datagram, in wire form."""
     return message_codec.to_map(message_codec.decode_message(data, key))
 
 
 class Member:
-    """A member that draws the same every time, at time 0; what it sends is given as the wire has it."""
+    """A member with a fixed random seed, started at time 0; messages are passed in wire form."""
 
     def __init__(self, id_):
-        self.one = swim.SwimMember(id_, ADDRESSES[id_], swim.SwimConfig(), random.Random(id_), 0)
-        self.one.set_seeds([] if id_ == "a" else [ADDRESSES["a"]])
-        self.view = self.one.view
+        self.swim_member = swim.SwimMember(id_, ADDRESSES[id_], swim.SwimConfig(), random.Random(id_), 0)
+        self.swim_member.set_seeds([] if id_ == "a" else [ADDRESSES["a"]])
+        self.view = self.swim_member.view
 
     def tick(self, now):
-        return self._on_wire(self.one.tick(now))
+        return self._on_wire(self.swim_member.tick(now))
 
     def received(self, message, now):
-        return self._on_wire(self.one.receive(message_codec.from_map(message), now))
+        return self._on_wire(self.swim_member.receive(message_codec.from_map(message), now))
 
     def leave(self):
-        return self._on_wire(self.one.leave())
+        return self._on_wire(self.swim_member.leave())
 
     @property
     def events(self):
-        named = (member_service.event_fields(event) for event in self.one.events)
+        named = (member_service.event_fields(event) for event in self.swim_member.events)
         return [{"event": name, **fields} for name, fields in named]
 
     def _on_wire(self, out):
@@ -76,7 +76,7 @@
 
 
 def membership(id_, now):
-    """What leases and copies use of it."""
+    """Return a stand-in with what leases and replication use of membership."""
     table = {n: MemberRecord(n, at, 0, MemberState.ALIVE, 0) for n, at in ADDRESSES.items()}
     config = SimpleNamespace(id=id_, fleet_key=KEY, clock_rate=1.0)
     others = SimpleNamespace(table=table, others=lambda *states: [n for n in table.values() if n.id != id_])
@@ -84,7 +84,7 @@
 
 
 def lease_holder(id_, now):
-    """A member's leases, with one task of the fleet."""
+    """Return a member's lease service, with one configured task."""
     config = lease_service.LeaseConfig(
         "",
         ADDRESSES[id_],
@@ -97,8 +97,8 @@
     return lease_service.LeaseService(config, membership(id_, now), seed=1)
 
 
-class Agreed:
-    """A voter's agreement that agrees at once."""
+class ImmediateRaft:
+    """A stand-in for a voter's Raft node: the leader, which commits each command at once."""
 
     def __init__(self):
         self.records = {}
@@ -113,23 +113,26 @@
         return "b"
 
     def propose(self, task, command, done):
-        row, why = state_machine.apply_command(self.records.get(task, state_machine.LeaseRecord()), command)
-        self.records[task] = row
-        self.on_change(task, row)
-        done(row, why)
+        new_record, reason = state_machine.apply_command(
+            self.records.get(task, state_machine.LeaseRecord()), command
+        )
+        self.records[task] = new_record
+        self.on_change(task, new_record)
+        done(new_record, reason)
 
 
-def row(*words):
-    """A lease's row from holder, token, version, number; and the reverse."""
-    return state_machine.LeaseRecord(*words)
+def lease_record(*row_values):
+    """Return a lease's record from holder, token, version and number."""
+    return state_machine.LeaseRecord(*row_values)
 
 
-def row_as_stored(found):
+def record_as_stored(record):
+    """Return a lease's record as a map with the stored names."""
     return {
-        "holder": found.holder,
-        "token": found.token,
-        "version": found.version,
-        "number": found.request_id,
+        "holder": record.holder,
+        "token": record.token,
+        "version": record.version,
+        "number": record.request_id,
     }
 
 
@@ -140,83 +143,83 @@
 }
 
 
-def command(kind, holder, arg, number=0):
-    return state_machine.Command(COMMANDS[kind], holder, arg, number)
+def command(kind, holder, argument, number=0):
+    return state_machine.Command(COMMANDS[kind], holder, argument, number)
 
 
 def replication_service(id_, folder, holds):
-    """A member's copies; `holds(task)` is the token that it holds."""
+    """Return a member's replication; `holds(task)` returns the fencing token that it holds."""
     config = ReplicationConfig(ADDRESSES[id_], str(folder), check_interval_us=10_000)
     held_leases = SimpleNamespace(fencing_token=holds)
-    found = ReplicationService(config, membership(id_, lambda: 0), held_leases)
-    found.stores.open()
-    return found
+    replication = ReplicationService(config, membership(id_, lambda: 0), held_leases)
+    replication.stores.open()
+    return replication
 
 
-def with_journal(found, path):
-    """Let it copy the journal at a path."""
-    found.attach(SimpleNamespace(journal=SimpleNamespace(path=Path(path))))
+def attach_journal(replication, path):
+    """Have a member replicate the journal at a path."""
+    replication.attach(SimpleNamespace(journal=SimpleNamespace(path=Path(path))))
 
 
-def chosen_to_copy(found, others, token):
-    """It has chosen these others, and knows under this token what was taken over."""
-    found.primary.replicas, found.node.ownership.confirmed_fencing_token = others, token
+def set_replicas(replication, others, token):
+    """Choose these replicas, and confirm this token of the member's work lease."""
+    replication.primary.replicas, replication.node.ownership.confirmed_fencing_token = others, token
 
 
-def rewritten(found, data):
-    """Its journal was written anew."""
-    found.primary.rewritten(data)
+def rewrite_journal(replication, data):
+    """Have the member's journal rewritten to this data."""
+    replication.primary.rewritten(data)
 
 
-def appended(found, data):
-    """Its journal has grown."""
-    found.primary.appended(data)
+def append_to_journal(replication, data):
+    """Have this data appended to the member's journal."""
+    replication.primary.appended(data)
 
 
-def generation_of(found):
-    return found.primary.log.generation
+def generation_of(replication):
+    return replication.primary.log.generation
 
 
-async def send_on(found, other, pipe, token):
-    """Send its journal on a stream for as long as it holds the token."""
-    await found.primary.send_journal(other, PeerSession(pipe, found.node.id, other), token)
+async def send_journal_on(replication, other, pipe, token):
+    """Send the member's journal on a stream as long as the member holds the token."""
+    await replication.primary.send_journal(other, PeerSession(pipe, replication.node.id, other), token)
 
 
-async def answered(found, message):
-    """What it answers to a message, both in their form on the wire."""
-    return await found.server.handle(message)
+async def answer_to(replication, message):
+    """Return the member's answer to a message, both in wire form."""
+    return await replication.server.handle(message)
 
 
-def dials(found, dial, live):
-    """It gets its streams from `dial`, and takes these others to live."""
-    found.connector._dial, found.node.fleet.live_ids = dial, lambda: live
+def set_connections(replication, dial, live):
+    """Have the member get its streams from `dial`, and take these other members for live."""
+    replication.connector._dial, replication.node.fleet.live_ids = dial, lambda: live
 
 
-async def fetch_all(found, owner, token):
-    """All copies of an owner's journal, each in its form on the wire."""
-    copies = await found.recovery._survey.fetch(owner, token)
-    return {other: protocol.encode_answer(copy) for other, copy in copies.items()}
+async def fetch_all(replication, owner, token):
+    """Return all replicas of an owner's journal, each in wire form."""
+    snapshots = await replication.recovery._survey.fetch(owner, token)
+    return {other: protocol.encode_answer(snapshot) for other, snapshot in snapshots.items()}
 
 
-async def read_all(found, owner):
-    await found.peers.call_all(protocol.ReadSnapshot(owner))
+async def read_all(replication, owner):
+    await replication.peers.call_all(protocol.ReadSnapshot(owner))
 
 
-async def done_all(found, owner, token):
-    await found.peers.call_all(protocol.CompleteTakeover(owner, token))
+async def complete_takeover_on_all(replication, owner, token):
+    await replication.peers.call_all(protocol.CompleteTakeover(owner, token))
 
 
-async def request_fetch(found, other, owner, token):
-    await found.peers.call(other, protocol.FetchSnapshot(owner, token))
+async def request_fetch(replication, other, owner, token):
+    await replication.peers.call(other, protocol.FetchSnapshot(owner, token))
 
 
-async def request_removal(found, other, owner):
-    await found.peers.call(other, protocol.RequestRemoval(owner))
+async def request_removal(replication, other, owner):
+    await replication.peers.call(other, protocol.RequestRemoval(owner))
 
 
 @contextmanager
-def standing_clock():
-    """Copies read this time of the machine and this Unix time."""
+def fixed_clock():
+    """Have replication read a fixed monotonic time and a fixed Unix time."""
     with (
         mock.patch.object(clock, "monotonic_us", lambda: 5_000_000),
         mock.patch.object(clock, "unix_us", lambda: 1_790_000_000_000_000),
@@ -225,34 +228,34 @@
 
 
 def replica_as_stored(folder, owner):
-    """What a replica knows of the journal that lies in its folder, and the bytes."""
-    found = ReplicaStore(Path(folder), owner)
-    kept = found.replica
-    stored_fields = {"owner": kept.owner, "token": kept.fencing_token, "keepers": kept.replicas}
-    stored_fields |= {"tried": kept.takeover_candidates, "adopted": kept.takeover_token}
-    stored_fields |= {"generation": kept.generation, "size": kept.size}
-    return stored_fields | {"data": found.data().decode("latin-1")}
+    """Return the state of the replica in a folder as a map with the stored names, and its data."""
+    store = ReplicaStore(Path(folder), owner)
+    state = store.replica
+    stored_fields = {"owner": state.owner, "token": state.fencing_token, "keepers": state.replicas}
+    stored_fields |= {"tried": state.takeover_candidates, "adopted": state.takeover_token}
+    stored_fields |= {"generation": state.generation, "size": state.size}
+    return stored_fields | {"data": store.data().decode("latin-1")}
 
 
 def rewrite_replica(folder, owner):
-    """Write what is known of a copy again."""
+    """Write the `meta` file of a replica again."""
     ReplicaStore(Path(folder), owner).save()
 
 
 def restore(folder, generation, data):
-    """A start of a courier with its journal in the folder, and one copy of it elsewhere."""
+    """Run the recovery of a courier with its journal in the folder, and one replica on another node."""
     a = replication_service("a", Path(folder) / "copies", lambda task: 7)
-    with_journal(a, Path(folder) / "journal")
-    found = ReplicaSnapshot(generation, data, ["b"], [], 0)
+    attach_journal(a, Path(folder) / "journal")
+    replica_elsewhere = ReplicaSnapshot(generation, data, ["b"], [], 0)
 
-    async def in_a_loop():  # the log takes the time from the loop once its clock is set
-        a.recovery.restore({"b": found}, ReleasedWork(set(), False, True))
+    async def restore_in_event_loop():  # once the log's clock is set, it takes the time from the event loop
+        a.recovery.restore({"b": replica_elsewhere}, ReleasedWork(set(), False, True))
 
-    anyio.run(in_a_loop)
+    anyio.run(restore_in_event_loop)
 
 
 def voter(folder, voters=("a",), election_s=0.05, id_="a", rows=None):
-    """A voter's agreement; `rows` is called with each row."""
+    """Return a voter's Raft node; `rows` is called with each task and its new record."""
     addresses = {v: ADDRESSES[v] for v in voters}
     config = raft.RaftConfig(id_, addresses[id_], addresses, KEY, Path(folder), election_s)
     return raft.RaftNode(config, rows or (lambda *_: None))
@@ -263,20 +266,20 @@
 
 
 def log_as_stored(path):
-    """What a voter's log is read to."""
+    """Return the content of a voter's log as a map with the stored names."""
     log = raft_log.RaftLog(path)
-    found = {
-        "entries": [[c.hex(), i, t] for c, i, t in log.entries],
+    content = {
+        "entries": [[entry.hex(), position, entry_term] for entry, position, entry_term in log.entries],
         "term": log.term,
         "voted": log.voted_for,
     }
-    found["agreed"] = log.commit_index
+    content["agreed"] = log.commit_index
     log._destroy()
-    return found
+    return content
 
 
-def no_wait():
-    """A voter that is fresh needs no wait before it votes."""
+def no_vote_delay():
+    """Have a new voter vote without the delay."""
     return mock.patch.object(learner, "FIRST_VOTE_DELAY_S", 0)
 
 
@@ -284,7 +287,10 @@
 
 
 def first_of_each_kind(sent):
-    """The first message of each kind, with its bytes; kinds differ by the states that are gossiped too."""
+    """Return the first message of each kind, with its bytes.
+
+    Messages that gossip other states count as other kinds.
+    """
     first = {}
     for message in sent:
         kind = message["t"], message.get("reply"), tuple(sorted({r[3] for r in message["up"]}))
@@ -293,7 +299,11 @@
 
 
 def members():
-    """Three members: c is cut off at 6 s, b leaves at 14 s. Datagrams, the view of a, and events."""
+    """Run three members, of which c is cut off at 6 s and b leaves at 14 s.
+
+    Returns:
+        The datagrams, and the views and events of a.
+    """
     fleet = {n: member(n) for n in ADDRESSES}
     names = {at: n for n, at in ADDRESSES.items()}
     sent, views = [], {}
@@ -301,9 +311,9 @@
         now = step * 100_000
         cut = {"c"} if now >= 6_000_000 else set()
         out = []
-        for name, one in fleet.items():
+        for name, swim_member in fleet.items():
             if name not in cut:
-                out += one.tick(now)
+                out += swim_member.tick(now)
         if now == 14_000_000:
             out += fleet["b"].leave()
         while out:
@@ -324,26 +334,26 @@
 
 
 async def lease_exchange():
-    """A member asks a voter for a lease, keeps it, gives it back; another is refused."""
+    """A member gets a lease from a voter, renews it and gives it back; another member is refused."""
     clock, sent, tasks = SimpleNamespace(us=1_000_000), [], []
     members_by_id = {n: lease_holder(n, lambda: clock.us) for n in ADDRESSES}
     voter_ = members_by_id["b"]
-    voter_.handler.raft = Agreed()
+    voter_.handler.raft = ImmediateRaft()
     voter_.handler.raft.on_change = voter_.handler.record_applied
     voter_.handler.answer_tasks = SimpleNamespace(start_soon=lambda *call: tasks.append(call))
 
     async def sendto(data, host, port):
         sent.append((f"{host}:{port}", data))
 
-    for one in members_by_id.values():
-        one._socket.socket = SimpleNamespace(sendto=sendto)
+    for lease_member in members_by_id.values():
+        lease_member._socket.socket = SimpleNamespace(sendto=sendto)
     recorded = []
 
     async def settle():
         while sent or tasks:
             while tasks:
-                run, *words = tasks.pop(0)
-                await run(*words)
+                run, *arguments = tasks.pop(0)
+                await run(*arguments)
             while sent:
                 address, data = sent.pop(0)
                 message = lease_codec.check_message(unpack(data, KEY, LEASES_MAGIC))
@@ -367,11 +377,11 @@
     return {"datagrams": recorded, "views": views}
 
 
-# --- copies -----------------------------------------------------------------------------------------
+# --- replication ------------------------------------------------------------------------------------
 
 
 class Pipe:
-    """Both ends of a stream between copies: each frame is taken down, and answered by the other side."""
+    """A stream to another member's replication, which answers at once; each frame is recorded."""
 
     def __init__(self, other, recorded):
         self.other, self.recorded, self.answer = other, recorded, None
@@ -383,47 +393,61 @@
         pass
 
     async def send(self, message):
-        self.answer = await answered(self.other, self._seen(message))
+        self.answer = await answer_to(self.other, self._recorded(message))
 
     async def receive(self):
-        return self._seen(self.answer)
+        return self._recorded(self.answer)
 
-    def _seen(self, message):
+    def _recorded(self, message):
         data = pack(message, KEY, COPIES_MAGIC)
         self.recorded.append(data.hex())
         return unpack(data, KEY, COPIES_MAGIC)
 
 
 def files(folder):
-    """All files below a folder."""
+    """Return the content of all files in a folder and its subfolders, by relative path."""
     return {
-        str(p.relative_to(folder)): p.read_bytes() for p in sorted(Path(folder).rglob("*")) if p.is_file()
+        str(file_path.relative_to(folder)): file_path.read_bytes()
+        for file_path in sorted(Path(folder).rglob("*"))
+        if file_path.is_file()
     }
 
 
 async def replication_exchange(folder, records):
-    """a sends its journal to b and rewrites it; c fetches the replica and takes over; a asks to remove it."""
+    """Run an exchange of three members.
+
+    a sends its journal to b, and rewrites it. c fetches the replica and takes over, and asks a whether it may
+    remove its own.
+    """
     folder, recorded, views = Path(folder), [], {}
-    with standing_clock():
+    with fixed_clock():
         token = [7, 0, 7, 0]
         a = replication_service("a", folder / "a" / "copies", lambda task: token.pop(0) if token else 7)
         b = replication_service("b", folder / "b" / "copies", lambda task: 0)
         c = replication_service("c", folder / "c" / "copies", lambda task: 0)
-        with_journal(a, folder / "a" / "journal")
-        with_journal(c, folder / "c" / "journal")
-        chosen_to_copy(a, ["b"], 7)
-        rewritten(a, records[0])
-        appended(a, records[1])
-        await send_on(a, "b", Pipe(b, recorded), 7)
+        attach_journal(a, folder / "a" / "journal")
+        attach_journal(c, folder / "c" / "journal")
+        set_replicas(a, ["b"], 7)
+        rewrite_journal(a, records[0])
+        append_to_journal(a, records[1])
+        await send_journal_on(a, "b", Pipe(b, recorded), 7)
         views["owner"], views["keeper"] = a.view(), b.view()
-        rewritten(a, records[1] + records[2])
-        await send_on(a, "b", Pipe(b, recorded), 7)
+        rewrite_journal(a, records[1] + records[2])
+        await send_journal_on(a, "b", Pipe(b, recorded), 7)
         generation = generation_of(a)
-        half = {"t": "data", "from": "c", "to": "b", "owner": "c", "token": 3, "generation": 9, "at": 0}
+        common_fields = {
+            "t": "data",
+            "from": "c",
+            "to": "b",
+            "owner": "c",
+            "token": 3,
+            "generation": 9,
+            "at": 0,
+        }
         frames = Pipe(b, recorded)
         for message in (
-            half | {"t": "send", "keepers": ["b", "a"]},
-            half | {"base": len(records[0]), "bytes": records[0][:20]},
+            common_fields | {"t": "send", "keepers": ["b", "a"]},
+            common_fields | {"base": len(records[0]), "bytes": records[0][:20]},
         ):
             await frames.send(message)
             await frames.receive()
@@ -432,22 +456,22 @@
             pipe = Pipe({"a": a, "b": b}[other], recorded)
             return pipe, pipe
 
-        dials(c, dial, ["b"])
-        found = await fetch_all(c, "a", 8)
+        set_connections(c, dial, ["b"])
+        fetched = await fetch_all(c, "a", 8)
         await read_all(c, "a")
-        await done_all(c, "a", 8)
+        await complete_takeover_on_all(c, "a", 8)
         await request_fetch(c, "b", "a", 2)
         await request_removal(c, "a", "a")
         views["keeper after"] = b.view()
-    kept = files(folder / "b" / "copies")
+    stored_files = files(folder / "b" / "copies")
     generation_file = (folder / "a" / GENERATION_FILE).read_bytes()
     return {
         "frames": recorded,
         "views": views,
-        "files": kept,
+        "files": stored_files,
         "generation": generation,
         "generation_file": generation_file.decode(),
-        "fetched": found["b"] | {"bytes": found["b"]["bytes"].decode("latin-1")},
+        "fetched": fetched["b"] | {"bytes": fetched["b"]["bytes"].decode("latin-1")},
     }
 
 
@@ -455,7 +479,7 @@
 
 
 def log_file(path):
-    """The bytes of a voter's log that has had a record of every kind, and of it rewritten."""
+    """Return the bytes of a voter's log with a record of every kind, and those of the log once rewritten."""
     log = voter_log(path)
     log.setCurrentTerm(3, "m1")
     log.add(b"one", 1, 3)
@@ -477,85 +501,89 @@
 STEPS = [("grant", "m", 0, 7), ("renew", "m", 1), ("release", "m", 1)]
 
 
-async def leads(q):
+async def wait_until_leader(raft_node):
     with anyio.fail_after(5):
-        while not q.is_leader():
+        while not raft_node.is_leader():
             await anyio.sleep(0.005)
 
 
 async def agreed_log(folder):
-    """The files of the only voter after `STEPS`, and the rows that it made of them."""
+    """Return the log of the only voter after `STEPS`, and the lease records that it derived from them."""
     rows = []
-    with no_wait():
-        q = voter(folder, rows=lambda task, found: rows.append([task, row_as_stored(found)]))
+    with no_vote_delay():
+        raft_node = voter(folder, rows=lambda task, record: rows.append([task, record_as_stored(record)]))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(q._run_library)
-            await leads(q)
+            tasks.start_soon(raft_node._run_library)
+            await wait_until_leader(raft_node)
             for step in STEPS:
                 done = anyio.Event()
-                q.propose("nightly", command(*step), lambda row, why, done=done: done.set())
+                raft_node.propose("nightly", command(*step), lambda row, why, done=done: done.set())
                 with anyio.fail_after(5):
                     await done.wait()
             tasks.cancel_scope.cancel()
-        q.sync_object.destroy()
-    return without_notes((Path(folder) / "log").read_bytes()), rows
+        raft_node.sync_object.destroy()
+    return without_commit_records((Path(folder) / "log").read_bytes()), rows
 
 
-def without_notes(data):
-    """A voter's log without the notes of what is agreed on, which are written by the second."""
-    found, at = b"", 0
-    while at < len(data):
-        size = 12 + int.from_bytes(data[at : at + 4], "little")
-        found += b"" if data[at + 12] == 4 else data[at : at + size]
-        at += size
-    return found
+def without_commit_records(data):
+    """Return a voter's log without the records of the commit index, which are written once a second."""
+    rest, offset = b"", 0
+    while offset < len(data):
+        size = 12 + int.from_bytes(data[offset : offset + 4], "little")
+        rest += b"" if data[offset + 12] == 4 else data[offset : offset + size]
+        offset += size
+    return rest
 
 
 async def replayed_log(folder):
-    """The rows that a voter makes of its folder."""
+    """Return the lease records that a voter derives from its folder, and whether it is a learner."""
     rows = []
-    with no_wait():
-        q = voter(folder, rows=lambda task, found: rows.append([task, row_as_stored(found)]))
-        fresh = q.learner.is_learner
+    with no_vote_delay():
+        raft_node = voter(folder, rows=lambda task, record: rows.append([task, record_as_stored(record)]))
+        starts_as_learner = raft_node.learner.is_learner
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(q._run_library)
-            await leads(q)
+            tasks.start_soon(raft_node._run_library)
+            await wait_until_leader(raft_node)
             with anyio.move_on_after(5):
                 while len(rows) < len(STEPS):
                     await anyio.sleep(0.005)
             tasks.cancel_scope.cancel()
-        q.sync_object.destroy()
-    return rows, fresh
+        raft_node.sync_object.destroy()
+    return rows, starts_as_learner
 
 
 async def dump(folder, path):
-    """What a voter stores of its table, as the library asks it to."""
-    with no_wait():
-        q = voter(folder)
-        q.table.records.update({task: row(*words) for task, words in ROWS.items()})
-        q._write_dump(path, ((b"\x01", 9, 4), (b"", 8, 4), []))
-        q.sync_object.destroy()
+    """Return the bytes of the dump of its table that a voter writes for the Raft library."""
+    with no_vote_delay():
+        raft_node = voter(folder)
+        raft_node.table.records.update({task: lease_record(*row_values) for task, row_values in ROWS.items()})
+        raft_node._write_dump(path, ((b"\x01", 9, 4), (b"", 8, 4), []))
+        raft_node.sync_object.destroy()
     return Path(path).read_bytes()
 
 
 async def read_dump(folder, path):
-    """What a voter reads of it: rows, and the library's two entries."""
-    q = voter(folder)
-    after, before, _ = q._read_dump(path)
-    rows = {task: row_as_stored(found) for task, found in q.table.records.items()}
-    q.sync_object.destroy()
+    """Return what a voter reads from a dump: lease records, and the library's last two log entries."""
+    raft_node = voter(folder)
+    after, before, _ = raft_node._read_dump(path)
+    rows = {task: record_as_stored(record) for task, record in raft_node.table.records.items()}
+    raft_node.sync_object.destroy()
     return {"rows": rows, "after": [after[0].hex(), *after[1:]], "before": [before[0].hex(), *before[1:]]}
 
 
-def change(*words):
-    """A command of the log, as the voters' library packs it: the words of a change of a task."""
+def packed_command(*arguments):
+    """Return a command of the log as the Raft library packs it: the arguments of a change of a task."""
     import pickle
 
-    return b"\x00" + pickle.dumps((0, words), 2)
+    return b"\x00" + pickle.dumps((0, arguments), 2)
 
 
 async def voter_exchange(folder):
-    """Voter a hears b stand and lead: what b says, what a answers, and the rows that a has then."""
+    """Have voter b request the vote of a and append entries as the leader.
+
+    Returns:
+        The frames that b sends, the frames that a answers, and the lease records that a then has.
+    """
     Path(folder).mkdir(exist_ok=True)
     (Path(folder) / "votes").touch()
     received, sent_frames = [], []
@@ -563,7 +591,7 @@
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         ADDRESSES["b"] = f"127.0.0.1:{port}"
-        q = voter(folder, ("a", "b"), election_s=30.0)
+        raft_node = voter(folder, ("a", "b"), election_s=30.0)
         own = await anyio.create_tcp_listener(local_host="127.0.0.1")
         own_port = own.extra(anyio.abc.SocketAttribute.local_port)
 
@@ -577,14 +605,14 @@
                     received.append(data[:size])
                     data = data[size:]
 
-    async def until(n):
+    async def until(count):
         with anyio.fail_after(5):
-            while len(received) < n:
+            while len(received) < count:
                 await anyio.sleep(0.005)
 
-    entries = [[b"\x01", 2, 50], [change("nightly", "grant", "m", 0, 7), 3, 50]]
+    entries = [[b"\x01", 2, 50], [packed_command("nightly", "grant", "m", 0, 7), 3, 50]]
     append = {"type": "append_entries", "term": 50, "commit_index": 3, "prevLogIdx": 1, "prevLogTerm": 0}
-    words = [
+    messages = [
         {"from": "b", "to": "a", "empty": False},
         {
             "term": 50,
@@ -594,30 +622,34 @@
     ]
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(listener.serve, listen)
-        tasks.start_soon(q.run, own)
+        tasks.start_soon(raft_node.run, own)
         await until(1)
         async with await anyio.connect_tcp("127.0.0.1", own_port) as stream:
-            for n, one in enumerate(words):
-                sent_frames.append(pack(one, KEY, VOTERS_MAGIC))
+            for index, outgoing in enumerate(messages):
+                sent_frames.append(pack(outgoing, KEY, VOTERS_MAGIC))
                 await stream.send(sent_frames[-1])
-                await until(n + 1)
+                await until(index + 1)
             with anyio.fail_after(5):
-                while not q.table.records:
+                while not raft_node.table.records:
                     await anyio.sleep(0.005)
-        rows = {task: row_as_stored(found) for task, found in q.table.records.items()}
+        rows = {task: record_as_stored(record) for task, record in raft_node.table.records.items()}
         tasks.cancel_scope.cancel()
     await listener.aclose()
-    return {"said": [d.hex() for d in sent_frames], "heard": [d.hex() for d in received[:3]], "rows": rows}
+    return {
+        "said": [frame.hex() for frame in sent_frames],
+        "heard": [frame.hex() for frame in received[:3]],
+        "rows": rows,
+    }
 
 
 def frame_body(data: str):
-    """A frame's body as it stands behind the head, bytes as hex."""
+    """Return a frame's body, which follows its header; bytes in it are given as hex."""
 
     def plain(value):
         if isinstance(value, bytes):
             return value.hex()
         if isinstance(value, dict):
-            return {k: plain(v) for k, v in value.items()}
-        return [plain(v) for v in value] if isinstance(value, list) else value
+            return {field: plain(item) for field, item in value.items()}
+        return [plain(item) for item in value] if isinstance(value, list) else value
 
     return plain(msgpack.unpackb(bytes.fromhex(data)[12:]))
