--- a/pinspread/replication/protocol.py
+++ b/pinspread/replication/protocol.py
@@ -289,11 +289,7 @@
 
 
 def _decode_consent(message: WireMessage) -> Consent | Refusal:
-    return (
-        Consent()
-        if message.get("t") == "ack"
-        else Refusal(f"expected the answer 'ack', got {message.get('t')!r}")
-    )
+    return Consent() if message.get("t") == "ack" else Refusal(f"expected 'ack', got {message.get('t')!r}")
 
 
 _ANSWER_DECODERS: dict[type[Request[Any]], Callable[[WireMessage], object]] = {
