--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -22,7 +22,7 @@
 from pinspread import sockets
 from pinspread.testbed.clients import Client
 from pinspread.testbed.courier_settings import configuration, host
-from pinspread.testbed.loopback import listener, standing
+from pinspread.testbed.loopback import listener, serve_on_loopback
 from pinspread.testbed.stand_ins import HttpStandIn
 
 
@@ -91,7 +91,7 @@
     stop, trouble = anyio.Event(), []
     platform = HttpStandIn(lambda request: (204 if request[2] == "/v2/finals" else 503, [], b""))
     with tempfile.TemporaryDirectory() as folder:
-        async with standing(HttpStandIn()) as endpoint, standing(platform) as where:
+        async with serve_on_loopback(HttpStandIn()) as endpoint, serve_on_loopback(platform) as where:
             processes = Processes(folder, endpoint, where)
             admin_address, process = processes.start()
             await ready(admin_address)
--- a/benchmarks/message_cost.py
+++ b/benchmarks/message_cost.py
@@ -23,7 +23,7 @@
 
 from pinspread.testbed.clients import Client
 from pinspread.testbed.courier_settings import configuration, host
-from pinspread.testbed.loopback import listener, standing, until
+from pinspread.testbed.loopback import listener, serve_on_loopback, wait_until
 from pinspread.testbed.stand_ins import HttpStandIn
 
 CLIENTS = 8
@@ -77,7 +77,7 @@
     async with anyio.create_task_group() as tasks:
         for number in range(CLIENTS):
             tasks.start_soon(submit, Client(address), f"{prefix}.{number}", count // CLIENTS)
-    await until(lambda: len(endpoint.requests) - before >= count // CLIENTS * CLIENTS, TIMEOUT_S)
+    await wait_until(lambda: len(endpoint.requests) - before >= count // CLIENTS * CLIENTS, TIMEOUT_S)
 
 
 async def measure(checkout: Path, messages: int) -> Cost:
@@ -87,7 +87,10 @@
     sock, address = listener()
     sock.close()
     with tempfile.TemporaryDirectory() as folder:
-        async with standing(endpoint) as endpoint_address, standing(platform) as platform_address:
+        async with (
+            serve_on_loopback(endpoint) as endpoint_address,
+            serve_on_loopback(platform) as platform_address,
+        ):
             config = configuration(Path(folder) / "state", mostHeld=1000)
             config |= {"listen": address, "discovery": platform_address}
             config["known"]["hosts"] = [host("s-1", endpoint_address) | {"share": LIST_WEIGHT}]
--- a/pinspread/testbed/endpoint_stand_in.py
+++ b/pinspread/testbed/endpoint_stand_in.py
@@ -11,7 +11,7 @@
 from pinspread.policy.events import Outcome
 from pinspread.simulation.destination import Endpoint, ServingState
 from pinspread.simulation.engine import MS, SECOND
-from pinspread.testbed.loopback import until
+from pinspread.testbed.loopback import wait_until
 from pinspread.testbed.platform_run import PlatformRun
 from pinspread.testbed.stand_ins import Answer, HttpStandIn, ReceivedRequest, Response
 
@@ -104,7 +104,7 @@
                     await self.run(sock)
                 finally:
                     sock.close()
-            await until(lambda: self.endpoint.state not in DOWN, FOREVER_S)
+            await wait_until(lambda: self.endpoint.state not in DOWN, FOREVER_S)
 
     async def serve(self, connection: sockets.Connection) -> None:
         """Serve a connection, unless the endpoint is down or its table is full."""
--- a/pinspread/testbed/loopback.py
+++ b/pinspread/testbed/loopback.py
@@ -31,7 +31,7 @@
     return sock, f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-async def until(condition: Callable[[], object], timeout_s: float = 5.0) -> None:
+async def wait_until(condition: Callable[[], object], timeout_s: float = 5.0) -> None:
     """Wait until a condition holds.
 
     Raises:
@@ -45,7 +45,7 @@
 
 
 @asynccontextmanager
-async def standing(server: Server) -> AsyncIterator[str]:
+async def serve_on_loopback(server: Server) -> AsyncIterator[str]:
     """Serve on a free port of loopback while the context lasts; the context is the address."""
     sock, address = listener()
     async with anyio.create_task_group() as tasks:
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -23,7 +23,7 @@
 from pinspread.testbed.courier_logs import read_logs
 from pinspread.testbed.courier_process import CourierProcess
 from pinspread.testbed.endpoint_stand_in import EndpointStandIn
-from pinspread.testbed.loopback import ConditionTimeoutError, until
+from pinspread.testbed.loopback import ConditionTimeoutError, wait_until
 from pinspread.testbed.platform_faults import FaultSchedule
 from pinspread.testbed.platform_run import PlatformRun
 from pinspread.testbed.platform_stand_in import PlatformStandIn
@@ -91,7 +91,7 @@
         await anyio.sleep(run.engine.seconds_until(run.scenario.length_ns))
         longest_s = max(one.deadline_s for one in run.model.classes) + FINAL_GRACE_S
         with suppress(ConditionTimeoutError):  # `_measure` counts what is open as lost
-            await until(lambda: not run.open_messages(), longest_s)
+            await wait_until(lambda: not run.open_messages(), longest_s)
 
     def _measure(self) -> dict[str, Any]:
         run = self.run
--- a/tests/amqp_broker_sessions.py
+++ b/tests/amqp_broker_sessions.py
@@ -6,7 +6,7 @@
 import anyio
 from amqp_dialogue import FRAME_MAX, message, method
 from pamqp import body, commands, header
-from standins import listener, until
+from standins import listener, wait_until
 
 from pinspread.amqp.transport import BrokerTransport
 from pinspread.core.messages import Attempt, Endpoint
@@ -45,7 +45,7 @@
         self.tasks.start_soon(run)
 
         async def result():
-            await until(lambda: found)
+            await wait_until(lambda: found)
             (one,) = found
             self.dialogue.step("result", one.outcome.name, one.retry_after_us, one.note)
 
@@ -53,7 +53,7 @@
 
     async def accept(self):
         """The connection that the transport opens."""
-        await until(lambda: _readable(self.sock))
+        await wait_until(lambda: _readable(self.sock))
         peer, _ = self.sock.accept()
         self.dialogue.stream = await anyio.abc.SocketStream.from_socket(peer)
 
--- a/tests/amqp_front_sessions.py
+++ b/tests/amqp_front_sessions.py
@@ -5,15 +5,15 @@
 import anyio
 from amqp_dialogue import FRAME_MAX, GREETING, message, method, publish
 from pamqp import body, commands, header
-from standins import engine, until
+from standins import running_courier, wait_until
 
 from pinspread.core.messages import FinalResult, FinalState
 
 
 @asynccontextmanager
-async def client(dialogue, rig):
+async def client(dialogue, courier):
     """A connection of its own to the front."""
-    host, port = rig.amqp.split(":")
+    host, port = courier.amqp.split(":")
     async with await anyio.connect_tcp(host, int(port)) as dialogue.stream:
         yield dialogue
 
@@ -44,17 +44,17 @@
         [commands.Connection.TuneOk(8, 0, 0), commands.Connection.Open("other")],
         [commands.Connection.Open("/")],
     ]
-    async with engine(folder) as rig:
-        async with client(dialogue, rig):
+    async with running_courier(folder) as courier:
+        async with client(dialogue, courier):
             await dialogue.exchange(b"AMQP\0\1\0\0")
             await dialogue.closed()
-        async with client(dialogue, rig):
+        async with client(dialogue, courier):
             await dialogue.exchange(GREETING)
             await dialogue.exchange(method(commands.Channel.Open(), 0))
             await dialogue.say(method(commands.Connection.CloseOk(), 0))
             await dialogue.closed()
         for methods in early:
-            async with client(dialogue, rig):
+            async with client(dialogue, courier):
                 await dialogue.exchange(GREETING)
                 await dialogue.exchange(
                     method(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"), 0)
@@ -66,13 +66,13 @@
 
 async def front_publishing(dialogue, folder):
     """A publisher whose messages are accepted, and rejected with when to come back."""
-    async with engine(folder) as rig, client(dialogue, rig):
+    async with running_courier(folder) as courier, client(dialogue, courier):
         await opened(dialogue, channels=(1, 3))
         await dialogue.exchange(publish())
         await dialogue.exchange(publish())  # the same id once more: it is accepted already
         headers = {"key": "5c0f", "idempotency-key": "k1", "class": "booking-change"}
         await dialogue.exchange(publish(b"y" * 9000, channel=3, properties={"message_id": "m2"}, **headers))
-        rig.engine.stopping = True
+        courier.engine.stopping = True
         await dialogue.exchange(publish(b"any\0body", properties={"message_id": "m3"}))
         await dialogue.exchange(
             publish(b"z" * 9000, channel=3, properties={"message_id": "m4"}, key="booking-7")
@@ -95,7 +95,7 @@
 
 async def front_queues(dialogue, folder):
     """Declaring queues and subscribing to them."""
-    async with engine(folder) as rig, client(dialogue, rig):
+    async with running_courier(folder) as courier, client(dialogue, courier):
         await opened(dialogue, confirms=False)
         await dialogue.exchange(method(commands.Queue.Declare(0, "q")))
         await dialogue.exchange(method(commands.Queue.Declare(0, "")))
@@ -143,7 +143,7 @@
 
 async def front_soft_errors(dialogue, folder):
     """Malformed messages and requests that cannot be met end their channel; the connection goes on."""
-    async with engine(folder) as rig, client(dialogue, rig):
+    async with running_courier(folder) as courier, client(dialogue, courier):
         await opened(dialogue, confirms=False)
         reopen = method(commands.Channel.CloseOk()) + method(commands.Channel.Open())
         await dialogue.exchange(publish())  # confirms are not selected
@@ -187,16 +187,19 @@
 
 async def front_hard_errors(dialogue, folder):
     """Breaches of the protocol end the connection, by Close and CloseOk."""
-    async with engine(folder) as rig:
+    async with running_courier(folder) as courier:
         for wrong in hard_errors():
-            async with client(dialogue, rig):
+            async with client(dialogue, courier):
                 await opened(dialogue)
                 await dialogue.exchange(wrong)
                 # Nothing is answered behind the Close.
                 await dialogue.say(method(commands.Basic.Qos(0, 1)), method(commands.Connection.CloseOk(), 0))
                 await dialogue.closed()
     (folder / "small").mkdir()
-    async with engine(folder / "small", max_unread_bytes=10_000) as rig, client(dialogue, rig):
+    async with (
+        running_courier(folder / "small", max_unread_bytes=10_000) as courier,
+        client(dialogue, courier),
+    ):
         await opened(dialogue)
         await dialogue.exchange(publish(b"x" * 60_000)[:-100])
         await dialogue.say(method(commands.Connection.CloseOk(), 0))
@@ -221,23 +224,27 @@
 
     async def acknowledged(self, *ids):
         """These are, and no others."""
-        await until(lambda: len(self.acknowledged_ids) >= len(ids))
+        await wait_until(lambda: len(self.acknowledged_ids) >= len(ids))
         self.dialogue.step("acknowledged", *self.acknowledged_ids)
         assert set(self.acknowledged_ids) == set(ids)
         self.acknowledged_ids = []
 
 
 @asynccontextmanager
-async def results(dialogue, rig):
+async def results(dialogue, courier):
     async with anyio.create_task_group() as tasks:
-        yield Results(dialogue, rig.engine.fronts["amqp"], tasks)
+        yield Results(dialogue, courier.engine.fronts["amqp"], tasks)
         tasks.cancel_scope.cancel()
 
 
 async def front_deliveries(dialogue, folder):
     """Final results of each kind are delivered until they are acknowledged."""
     states = FinalState
-    async with engine(folder) as rig, client(dialogue, rig), results(dialogue, rig) as queue:
+    async with (
+        running_courier(folder) as courier,
+        client(dialogue, courier),
+        results(dialogue, courier) as queue,
+    ):
         await opened(dialogue, channels=(1, 2), confirms=False)
         queue.put("m1", states.DELIVERED)
         queue.put("m2", states.FAILED)
@@ -280,14 +287,14 @@
 
 async def front_redelivery(dialogue, folder):
     """What a lost consumer had not acknowledged goes to the next one; at the end the process says so."""
-    async with engine(folder) as rig, results(dialogue, rig) as queue:
-        async with client(dialogue, rig):
+    async with running_courier(folder) as courier, results(dialogue, courier) as queue:
+        async with client(dialogue, courier):
             await opened(dialogue, confirms=False)
             await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
             queue.put("m1", FinalState.FAILED)
             await dialogue.hear()
         await anyio.sleep(0.05)
-        async with client(dialogue, rig):
+        async with client(dialogue, courier):
             await opened(dialogue, confirms=False)
             await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
             await dialogue.say(method(commands.Basic.Ack(1)))
--- a/tests/platform_helpers.py
+++ b/tests/platform_helpers.py
@@ -10,18 +10,18 @@
 from standins import (
     Client,
     HttpStandIn,
-    answering,
     configuration,
     host,
     own_address,
+    wait_until_answering,
 )
 
 OK = (200, [], b"")
-HEARD = (204, [], b"")
+ACKNOWLEDGED = (204, [], b"")
 
 
-def platform():
-    return HttpStandIn(lambda request: HEARD)
+def acknowledging_platform():
+    return HttpStandIn(lambda request: ACKNOWLEDGED)
 
 
 def scripted(*replies, then=OK):
@@ -30,12 +30,12 @@
     return HttpStandIn(lambda request: left.pop(0) if left else then)
 
 
-async def late(seconds, reply=OK):
+async def delayed_reply(seconds, reply=OK):
     await anyio.sleep(seconds)
     return reply
 
 
-class Process:
+class CourierProcess:
     """A courier as the platform starts it."""
 
     def __init__(self, folder, endpoint, discovery):
@@ -63,7 +63,7 @@
         self.file.write_bytes(orjson.dumps(self.configuration))
 
     async def ready(self):
-        await answering(self.client)
+        await wait_until_answering(self.client)
         return self
 
     async def end(self, how):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -29,26 +29,26 @@
 from pinspread.resp.notifications import NotificationSender
 from pinspread.testbed.clients import AmqpClient, Client
 from pinspread.testbed.courier_settings import configuration, host
-from pinspread.testbed.loopback import listener, standing, until
+from pinspread.testbed.loopback import listener, serve_on_loopback, wait_until
 from pinspread.testbed.stand_ins import HttpStandIn
 
 __all__ = [
     "AmqpClient",
-    "Broker",
+    "BrokerStandIn",
     "Client",
-    "Gate",
+    "DialGate",
     "HttpStandIn",
-    "Rig",
-    "answering",
+    "InProcessCourier",
     "configuration",
-    "engine",
     "host",
     "listener",
-    "malformed",
     "marshal",
+    "method_frame",
     "own_address",
-    "standing",
-    "until",
+    "running_courier",
+    "serve_on_loopback",
+    "wait_until",
+    "wait_until_answering",
 ]
 
 _ports = count(20_000 + os.getpid() % 750 * 16)  # under those that outgoing connections take
@@ -60,7 +60,7 @@
     return f"127.9.{pid // 250 % 250}.{1 + pid % 250}:{next(_ports)}"
 
 
-class Rig:
+class InProcessCourier:
     """A courier in this process with its fronts, and what tests need of it."""
 
     def __init__(self, engine, address, amqp, tasks):
@@ -78,7 +78,7 @@
 
 
 @asynccontextmanager
-async def engine(
+async def running_courier(
     state, platform="127.0.0.1:1", endpoints=(), max_clients=512, max_unread_bytes=8 << 20, **limits
 ):
     """A courier that serves; it ends as if killed, with nothing but its journal left."""
@@ -101,23 +101,23 @@
     async with anyio.create_task_group() as tasks:
         core.transports["amqp"] = BrokerTransport(clock, tasks, effective_settings.connect_timeout_us)
         (resp_sock, address), (amqp_sock, amqp_address) = listener(), listener()
-        rig = Rig(core, address, amqp_address, tasks)
+        courier = InProcessCourier(core, address, amqp_address, tasks)
         for endpoint in endpoints:
-            rig.update_endpoints(*endpoint)
+            courier.update_endpoints(*endpoint)
         core.recover()
         core.serving = True
         for run in (core.run, notifications.run, pool.run, limiter.run):
             tasks.start_soon(run)
         tasks.start_soon(resp.run, resp_sock)
         tasks.start_soon(amqp.run, amqp_sock)
-        yield rig
+        yield courier
         tasks.cancel_scope.cancel()
     resp_sock.close()
     amqp_sock.close()
     journal.close()
 
 
-class Broker:
+class BrokerStandIn:
     """A broker's publishing side: counts what takes effect, and can be made to break at any point."""
 
     def __init__(self, plan=None):
@@ -195,7 +195,7 @@
             await wire.send(commands.Basic.Ack(tag, False), 1)
 
 
-async def answering(client):
+async def wait_until_answering(client):
     """Wait until the process that the client calls answers, at most 10 s."""
     with anyio.fail_after(10):
         while True:
@@ -207,7 +207,7 @@
                 return
 
 
-class Gate:
+class DialGate:
     """Holds every dial to endpoints until it is opened."""
 
     def __init__(self, monkeypatch):
@@ -221,7 +221,7 @@
         monkeypatch.setattr(http_transport, "dial", dial_once_open)
 
 
-def malformed(payload):
+def method_frame(payload):
     """A method frame with any payload."""
     return frames.FRAME_HEAD.pack(1, 1, len(payload)) + payload + bytes([frames.FRAME_END])
 
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -17,7 +17,7 @@
 
 import anyio
 import orjson
-from standins import Client, HttpStandIn, configuration, host, own_address, standing, until
+from standins import Client, HttpStandIn, configuration, host, own_address, serve_on_loopback, wait_until
 
 from pinspread import sockets
 from pinspread.admin import server as admin_server
@@ -430,25 +430,25 @@
     gone = host("s-3", "127.0.0.1:3", 1, "gone")
     platform = Platform({"seq": 2, "whole": False, "hosts": [gone]}, False)
     async with (
-        standing(endpoint_stand_in(had, plan)) as at,
-        standing(endpoint_stand_in(elsewhere, plan)) as other,
-        standing(platform) as platform_at,
+        serve_on_loopback(endpoint_stand_in(had, plan)) as at,
+        serve_on_loopback(endpoint_stand_in(elsewhere, plan)) as other,
+        serve_on_loopback(platform) as platform_at,
     ):
         hosts = hosts_at({"s-1": at, "s-4": "127.0.0.1:1", "s-5": at}, other)
         with process(folder, hosts, platform_at, Path(folder) / "log") as running:
             await listening(running)
             state = Path(folder) / "state"
-            await until(lambda: (state / "list.left").exists())
+            await wait_until(lambda: (state / "list.left").exists())
             assert "200" in await call_admin(running.admin_address, "PUT /-/endpoints/s-2/disable")
             client = Client(running.listen)
             for n in range(8):  # calls that go well, for the log
                 assert await client.enqueue("status-update", f"well-{n}", for_ms=20_000) == "+OK\r\n"
             for id_, (cls, key, dest) in MESSAGES.items():
-                await until(lambda: len(had) >= 8)
+                await wait_until(lambda: len(had) >= 8)
                 assert await client.enqueue(cls, id_, key, for_ms(id_), dest) == "+OK\r\n"
             want = {"out-payment", "out-keyed", "out-repeatable", "answered", "failed", "refused"}
-            await until(lambda: want <= set(had))
-            await until(lambda: b'"RETURNED"' in (Path(folder) / "log").read_bytes())
+            await wait_until(lambda: want <= set(had))
+            await wait_until(lambda: b'"RETURNED"' in (Path(folder) / "log").read_bytes())
     return had, elsewhere
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import Client, HttpStandIn, engine, listener, standing, until
+from standins import Client, HttpStandIn, listener, running_courier, serve_on_loopback, wait_until
 
 from pinspread import sockets
 from pinspread.admin import server as admin_server
@@ -32,12 +32,12 @@
 @asynccontextmanager
 async def served(state, endpoints=(), **more):
     """A courier with its admin server; gives it and the admin server's address."""
-    async with engine(state, endpoints=endpoints, **more) as rig:
+    async with running_courier(state, endpoints=endpoints, **more) as courier:
         sock, address = listener()
-        rig.admin_server = admin_server.AdminServer(rig.engine)
-        rig.tasks.start_soon(rig.admin_server.run, sock)
-        rig.engine.serving = True
-        yield rig, address
+        courier.admin_server = admin_server.AdminServer(courier.engine)
+        courier.tasks.start_soon(courier.admin_server.run, sock)
+        courier.engine.serving = True
+        yield courier, address
 
 
 async def call(address, said):
@@ -89,16 +89,16 @@
 
 
 async def test_readiness_is_refused_before_clients_are_served_and_during_shutdown(tmp_path):
-    async with served(tmp_path) as (rig, address):
-        rig.engine.serving = False
+    async with served(tmp_path) as (courier, address):
+        courier.engine.serving = False
         assert await status(address, READY) == 503
-        rig.engine.serving, rig.engine.stopping = True, True
+        courier.engine.serving, courier.engine.stopping = True, True
         assert await status(address, READY) == 503
 
 
 async def test_silent_connections_are_closed_and_do_not_delay_other_clients(tmp_path, monkeypatch):
     monkeypatch.setattr(admin_server, "REQUEST_TIMEOUT_S", 0.6)
-    async with served(tmp_path) as (rig, address):
+    async with served(tmp_path) as (courier, address):
         silent = [await sockets.dial(address) for _ in range(200)]
         for connection in silent[::2]:
             await connection.write(READY[:20])
@@ -106,7 +106,9 @@
             began = time.monotonic()
             assert await status(address, READY) == 200
             assert time.monotonic() - began < 1
-            assert len(rig.admin_server.limiter.connections) <= rig.admin_server.limiter.max_connections
+            assert (
+                len(courier.admin_server.limiter.connections) <= courier.admin_server.limiter.max_connections
+            )
         assert (await call(address, READY[:20])).startswith(b"HTTP/1.1 408")
         for connection in silent:
             connection.close()
@@ -115,12 +117,12 @@
 async def test_nothing_is_sent_to_a_blocked_endpoint_until_it_is_unblocked(tmp_path):
     endpoint = HttpStandIn()
     async with (
-        standing(endpoint) as where,
-        served(tmp_path, [(where,)], platform="127.0.0.1:1") as (rig, admin_address),
+        serve_on_loopback(endpoint) as where,
+        served(tmp_path, [(where,)], platform="127.0.0.1:1") as (courier, admin_address),
     ):
-        client = Client(rig.address)
+        client = Client(courier.address)
         await client.enqueue()
-        await until(lambda: not rig.engine.messages_by_id)
+        await wait_until(lambda: not courier.engine.messages_by_id)
         for _ in range(2):  # twice out is out once
             assert await status(admin_address, PUT % "s-1/disable") == 200
         assert await client.enqueue(id_="held") == "+OK\r\n"
@@ -128,60 +130,60 @@
             (EndpointState.READY, UpdateScope.FULL),
             (EndpointState.DRAINING, UpdateScope.DELTA),
         ):
-            rig.update_endpoints(where, state=state, scope=scope)
+            courier.update_endpoints(where, state=state, scope=scope)
             await anyio.sleep(0.1)
-        rig.engine.update_endpoints(UpdateScope.FULL, [])  # gone, and back under the same id
+        courier.engine.update_endpoints(UpdateScope.FULL, [])  # gone, and back under the same id
         await anyio.sleep(0.05)
-        rig.update_endpoints(where)
+        courier.update_endpoints(where)
         await anyio.sleep(0.1)
-        assert len(endpoint.requests) == 1 and "held" in rig.engine.messages_by_id
+        assert len(endpoint.requests) == 1 and "held" in courier.engine.messages_by_id
         assert await status(admin_address, PUT % "s-1/enable") == 200
-        await until(lambda: not rig.engine.messages_by_id)
+        await wait_until(lambda: not courier.engine.messages_by_id)
         assert len(endpoint.requests) == 2
         assert await status(admin_address, PUT % "s-1/enable") == 200  # back without out
 
 
 async def test_a_call_that_was_decided_on_is_not_written_once_its_endpoint_is_blocked(tmp_path):
     endpoint = HttpStandIn()
-    async with standing(endpoint) as where, served(tmp_path, [(where,)]) as (rig, _):
-        transport = rig.engine.transports["http"]
+    async with serve_on_loopback(endpoint) as where, served(tmp_path, [(where,)]) as (courier, _):
+        transport = courier.engine.transports["http"]
         opened = transport._open
 
         async def slowly(*what):
             await opened(*what)
-            await rig.engine.disable("s-1")
+            await courier.engine.disable("s-1")
 
         transport._open = slowly
-        await Client(rig.address).enqueue()
+        await Client(courier.address).enqueue()
         await anyio.sleep(0.2)
         assert not endpoint.requests
 
 
 async def test_a_block_outlasts_a_kill_and_the_rewriting_of_the_journal(tmp_path):
-    async with engine(tmp_path, endpoints=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as rig:
-        assert await rig.engine.disable("s-1") and await rig.engine.disable("s-2")
-        assert await rig.engine.enable("s-2")
-        rig.engine.journal._rewrite()
+    async with running_courier(tmp_path, endpoints=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as courier:
+        assert await courier.engine.disable("s-1") and await courier.engine.disable("s-2")
+        assert await courier.engine.enable("s-2")
+        courier.engine.journal._rewrite()
     for _ in range(2):
-        async with engine(tmp_path, endpoints=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as rig:
-            endpoints = rig.engine.endpoints
+        async with running_courier(tmp_path, endpoints=[("127.0.0.1:1",), ("127.0.0.1:2", "s-2")]) as courier:
+            endpoints = courier.engine.endpoints
             assert not endpoints["s-1"].usable and endpoints["s-2"].usable
-            rig.engine.update_endpoints(UpdateScope.FULL, [])
+            courier.engine.update_endpoints(UpdateScope.FULL, [])
             await anyio.sleep(0.02)
-    async with engine(tmp_path) as rig:
-        assert await rig.engine.enable("s-1")  # known though unlisted
-        assert not await rig.engine.enable("s-1")
+    async with running_courier(tmp_path) as courier:
+        assert await courier.engine.enable("s-1")  # known though unlisted
+        assert not await courier.engine.enable("s-1")
 
 
 async def test_a_block_is_confirmed_only_once_it_is_in_the_journal(tmp_path):
-    async with served(tmp_path, [("127.0.0.1:1",)]) as (rig, admin_address):
+    async with served(tmp_path, [("127.0.0.1:1",)]) as (courier, admin_address):
 
         def full(*_):
             raise JournalFullError("no room")
 
-        rig.engine.journal.endpoint_blocked = full
+        courier.engine.journal.endpoint_blocked = full
         assert await status(admin_address, PUT % "s-1/disable") == 503
-        assert rig.engine.endpoints["s-1"].usable
+        assert courier.engine.endpoints["s-1"].usable
 
 
 def test_an_unblocked_endpoint_gets_a_recovery_ramp_from_the_policy():
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -9,7 +9,17 @@
 import anyio
 import pytest
 from pamqp import commands
-from standins import AmqpClient, Broker, Client, HttpStandIn, answering, engine, own_address, standing, until
+from standins import (
+    AmqpClient,
+    BrokerStandIn,
+    Client,
+    HttpStandIn,
+    own_address,
+    running_courier,
+    serve_on_loopback,
+    wait_until,
+    wait_until_answering,
+)
 
 from pinspread.config.template import template
 from pinspread.policy.events import EndpointState
@@ -32,9 +42,12 @@
 )
 async def test_what_a_brokers_answer_proves_of_a_payment(tmp_path, todo, state, effects, tries):
     seen = []
-    broker = Broker(lambda _, id_: seen.append(id_) or todo)
-    async with standing(broker) as address, engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    broker = BrokerStandIn(lambda _, id_: seen.append(id_) or todo)
+    async with (
+        serve_on_loopback(broker) as address,
+        running_courier(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as courier,
+    ):
+        client = await AmqpClient.open(courier.amqp)
         await client.consume()
         await client.publish("p1", for_ms=700)
         result, _ = await client.end()
@@ -43,73 +56,81 @@
 
 
 async def test_a_broker_that_stays_blocked_counts_as_retry_after_and_one_that_is_down_does_not(tmp_path):
-    broker = Broker()
-    async with engine(tmp_path) as rig:
-        async with standing(broker) as address:
-            rig.update_endpoints(address, "b", 1, "amqp")
-            client = Client(rig.address)
+    broker = BrokerStandIn()
+    async with running_courier(tmp_path) as courier:
+        async with serve_on_loopback(broker) as address:
+            courier.update_endpoints(address, "b", 1, "amqp")
+            client = Client(courier.address)
             await client.enqueue(id_="p1")
-            await until(lambda: broker.effects == ["p1"])
+            await wait_until(lambda: broker.effects == ["p1"])
             await broker.say(commands.Connection.Blocked("disk"))
             await client.enqueue(id_="p2", for_ms=500)
-            await until(lambda: not rig.engine.attempts and not rig.engine.open_messages)
-            assert rig.engine.retry_after_until_us[1] > rig.engine.clock.now() and broker.effects == ["p1"]
-            rig.engine.retry_after_until_us.clear()
+            await wait_until(lambda: not courier.engine.attempts and not courier.engine.open_messages)
+            assert courier.engine.retry_after_until_us[1] > courier.engine.clock.now() and broker.effects == [
+                "p1"
+            ]
+            courier.engine.retry_after_until_us.clear()
             broker.kill()
         await anyio.sleep(1.1)
         await client.enqueue(id_="p3", for_ms=500)
-        await until(lambda: not rig.engine.open_messages)
-        assert not rig.engine.retry_after_until_us
+        await wait_until(lambda: not courier.engine.open_messages)
+        assert not courier.engine.retry_after_until_us
 
 
 async def test_a_broker_that_is_removed_is_forgotten_with_its_last_pending_publish(tmp_path):
-    broker = Broker(lambda broker, id_: "wait")
-    async with standing(broker) as address, engine(tmp_path) as rig:
-        transport = rig.engine.transports["amqp"]
-        rig.update_endpoints(address, "b", 1, "amqp")
-        await Client(rig.address).enqueue(id_="p1")
-        await until(lambda: broker.effects == ["p1"])
-        rig.update_endpoints(address, "b", 1, "amqp", state=EndpointState.REMOVED)
+    broker = BrokerStandIn(lambda broker, id_: "wait")
+    async with serve_on_loopback(broker) as address, running_courier(tmp_path) as courier:
+        transport = courier.engine.transports["amqp"]
+        courier.update_endpoints(address, "b", 1, "amqp")
+        await Client(courier.address).enqueue(id_="p1")
+        await wait_until(lambda: broker.effects == ["p1"])
+        courier.update_endpoints(address, "b", 1, "amqp", state=EndpointState.REMOVED)
         assert not transport.connections and not transport.connect_locks and broker.links
         for wire in broker.links:
             await wire.send(commands.Basic.Ack(1, False), 1)
-        await until(lambda: not rig.engine.messages_by_id and not broker.links)
+        await wait_until(lambda: not courier.engine.messages_by_id and not broker.links)
 
 
 async def test_a_payment_cut_short_before_its_last_byte_never_ran_and_goes_again(tmp_path):
-    broker = Broker()
-    async with standing(broker) as address, engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
-        client = Client(rig.address)
+    broker = BrokerStandIn()
+    async with (
+        serve_on_loopback(broker) as address,
+        running_courier(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as courier,
+    ):
+        client = Client(courier.address)
         await client.enqueue(id_="p1")
-        await until(lambda: broker.effects == ["p1"])
-        link = rig.engine.transports["amqp"].connections["b"]
+        await wait_until(lambda: broker.effects == ["p1"])
+        link = courier.engine.transports["amqp"].connections["b"]
         link.stream.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         (theirs,) = broker.links
         theirs.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         broker.reading = anyio.Event()
         for n in range(2, 9):  # more than what fits into the sockets while nobody reads
             await client.enqueue(id_=f"p{n}", body=b"x" * 65_536)
-        await until(lambda: link.stream.connection.unsent_bytes)
+        await wait_until(lambda: link.stream.connection.unsent_bytes)
         cut = link.pending[max(link.pending)].key[0]
         broker.kill()
         broker.reading.set()
-        await until(lambda: cut in broker.effects)
+        await wait_until(lambda: cut in broker.effects)
         assert len(broker.effects) == len(set(broker.effects))
 
 
 async def test_a_blocked_broker_is_waited_for(tmp_path):
-    broker = Broker()
-    async with standing(broker) as address, engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
-        client = Client(rig.address)
+    broker = BrokerStandIn()
+    async with (
+        serve_on_loopback(broker) as address,
+        running_courier(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as courier,
+    ):
+        client = Client(courier.address)
         await client.enqueue(id_="p1")
-        await until(lambda: broker.effects == ["p1"])
+        await wait_until(lambda: broker.effects == ["p1"])
         await broker.say(commands.Connection.Blocked("low on memory"))
         await anyio.sleep(0.05)
         await client.enqueue(id_="p2")
         await anyio.sleep(0.3)
         assert broker.effects == ["p1"]
         await broker.say(commands.Connection.Unblocked())
-        await until(lambda: broker.effects == ["p1", "p2"])
+        await wait_until(lambda: broker.effects == ["p1", "p2"])
 
 
 async def test_no_payment_takes_effect_twice_though_broker_and_instance_are_killed(tmp_path):
@@ -123,15 +144,15 @@
         breaks += draw < 0.03
         return "kill" if draw < 0.015 else "lose" if draw < 0.03 else "nack" if draw < 0.04 else "ack"
 
-    broker, platform = Broker(plan), HttpStandIn(lambda request: (204, [], b""))
+    broker, platform = BrokerStandIn(plan), HttpStandIn(lambda request: (204, [], b""))
     accepted, restarts = set(), 0
-    async with standing(broker) as address, standing(platform) as platform_address:
+    async with serve_on_loopback(broker) as address, serve_on_loopback(platform) as platform_address:
         endpoints = [(address, f"b{n}", n, "amqp") for n in range(DESTINATIONS)]
         while len(accepted) < PAYMENTS:
             restarts += 1
             upto = min(PAYMENTS, len(accepted) + moments.randrange(150, 450))
-            async with engine(tmp_path, platform_address, endpoints=endpoints) as rig:
-                client = Client(rig.address)
+            async with running_courier(tmp_path, platform_address, endpoints=endpoints) as courier:
+                client = Client(courier.address)
                 while len(accepted) < upto:
                     id_, dest = f"p{len(accepted)}", len(accepted) % DESTINATIONS
                     if (await client.enqueue(id_=id_, for_ms=20_000, dest=dest)).startswith("+OK"):
@@ -141,10 +162,10 @@
                     if moments.random() < 0.005:
                         broker.kill()
                         kills += 1
-                    await until(lambda rig=rig: len(rig.engine.open_messages) < 80, 20)
+                    await wait_until(lambda courier=courier: len(courier.engine.open_messages) < 80, 20)
                 # the instance is killed here, with whatever is in flight or queued
-        async with engine(tmp_path, platform_address, endpoints=endpoints) as rig:
-            await until(lambda: not rig.engine.messages_by_id, 30)
+        async with running_courier(tmp_path, platform_address, endpoints=endpoints) as courier:
+            await wait_until(lambda: not courier.engine.messages_by_id, 30)
     ended = {notice["id"] for notice in platform.lines}
     assert restarts > 5 and kills > 8 and breaks > 20
     assert len(broker.effects) == len(set(broker.effects))  # zero doubles
@@ -159,20 +180,20 @@
         draw = chance.random()
         return "kill" if draw < 0.03 else "lose" if draw < 0.06 else "return" if draw < 0.1 else "ack"
 
-    broker, keys, sent = Broker(plan), 5, 0
-    async with standing(broker) as address:
+    broker, keys, sent = BrokerStandIn(plan), 5, 0
+    async with serve_on_loopback(broker) as address:
         for _ in range(4):
-            async with engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
-                client = await AmqpClient.open(rig.amqp)
+            async with running_courier(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as courier:
+                client = await AmqpClient.open(courier.amqp)
                 for _ in range(60):
                     key = f"booking-{chance.randrange(keys)}"
                     await client.publish(f"{key}/{sent}", "booking-change", for_ms=20_000, key=key)
                     assert isinstance((await client.next())[0], commands.Basic.Ack)
                     sent += 1
-                    await until(lambda rig=rig: len(rig.engine.open_messages) < 40, 20)
+                    await wait_until(lambda courier=courier: len(courier.engine.open_messages) < 40, 20)
                 # killed here, with what is held
-        async with engine(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as rig:
-            await until(lambda: not rig.engine.open_messages, 30)
+        async with running_courier(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as courier:
+            await wait_until(lambda: not courier.engine.open_messages, 30)
     for key in range(keys):
         first = list(dict.fromkeys(int(e.split("/")[1]) for e in broker.effects if f"-{key}/" in e))
         assert len(first) > 20 and first == sorted(first)
@@ -181,13 +202,16 @@
 async def test_a_retry_after_holds_for_messages_of_both_fronts(tmp_path):
     answers = [(429, [("Retry-After", "0.4")], b"")]
     endpoint = HttpStandIn(lambda request: answers.pop() if answers else (200, [], b""))
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        client = await AmqpClient.open(courier.amqp)
         await client.publish("a1")
-        await until(lambda: len(endpoint.requests) == 1)
+        await wait_until(lambda: len(endpoint.requests) == 1)
         await client.publish("a2")
-        await Client(rig.address).enqueue(id_="r3")
-        await until(lambda: len(endpoint.requests) == 4)
+        await Client(courier.address).enqueue(id_="r3")
+        await wait_until(lambda: len(endpoint.requests) == 4)
         assert all(r[0] - endpoint.requests[0][0] >= 0.4 for r in endpoint.requests[1:])
 
 
@@ -217,7 +241,7 @@
     async def client(self):
         """A client, once the instance answers."""
         client = Client(self.address)
-        await answering(client)
+        await wait_until_answering(client)
         return client
 
     async def kill(self):
@@ -227,10 +251,10 @@
 
 async def test_a_process_killed_amid_payments_repeats_none(tmp_path):
     chance = random.Random(3)
-    broker, platform = Broker(), HttpStandIn(lambda request: (204, [], b""))
+    broker, platform = BrokerStandIn(), HttpStandIn(lambda request: (204, [], b""))
     broker.plan = lambda _, id_: "kill" if chance.random() < 0.01 else "ack"
     accepted = set()
-    async with standing(broker) as address, standing(platform) as platform_address:
+    async with serve_on_loopback(broker) as address, serve_on_loopback(platform) as platform_address:
         for _ in range(4):
             process = Application(tmp_path, address, platform_address)
             client = await process.client()
@@ -241,7 +265,7 @@
             await process.kill()
         process = Application(tmp_path, address, platform_address)
         ended = lambda: set(broker.effects) | {notice["id"] for notice in platform.lines}  # noqa: E731
-        await until(lambda: accepted <= ended(), 20)
+        await wait_until(lambda: accepted <= ended(), 20)
         await anyio.sleep(0.3)
         await process.kill()
     assert broker.logins == {"\0u\0s3cret"}
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -3,7 +3,16 @@
 import anyio
 import pytest
 from pamqp import commands
-from standins import AmqpClient, Client, HttpStandIn, engine, malformed, marshal, standing, until
+from standins import (
+    AmqpClient,
+    Client,
+    HttpStandIn,
+    marshal,
+    method_frame,
+    running_courier,
+    serve_on_loopback,
+    wait_until,
+)
 
 from pinspread.amqp import frames
 from pinspread.amqp.errors import ReplyCode
@@ -21,26 +30,29 @@
     tmp_path, status, cls, state
 ):
     endpoint = HttpStandIn(lambda request: (status, [], b""))
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        client = await AmqpClient.open(courier.amqp)
         await client.consume()
         await client.publish("m1", cls, for_ms=600)
         method, _, _ = await client.next()
         assert isinstance(method, commands.Basic.Ack) and method.delivery_tag == 1
         result, _ = await client.end()
         assert (result["id"], result["state"]) == ("m1", state)
-        await until(lambda: not rig.engine.messages_by_id)  # acknowledged: nothing is owed any more
+        await wait_until(lambda: not courier.engine.messages_by_id)  # acknowledged: nothing is owed any more
         with pytest.raises(TimeoutError), anyio.fail_after(0.2):
             await client.end()
         assert endpoint.requests[0][3]["request-id"] == "m1"
 
 
 async def test_a_rejection_is_a_return_with_when_to_publish_again_and_then_a_nack(tmp_path):
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp)
         await client.publish("m1")
         assert isinstance((await client.next())[0], commands.Basic.Ack)
-        rig.engine.stopping = True
+        courier.engine.stopping = True
         await client.publish("m2", body=b"any\0body")
         back, properties, body = await client.next()
         assert isinstance(back, commands.Basic.Return) and body == b"any\0body"
@@ -50,32 +62,32 @@
 
 
 async def test_a_final_result_is_kept_until_acked_over_consumers_and_restarts(tmp_path):
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp)
         await client.publish("m1", for_ms=100)  # no endpoint: returned when its time is up
         await client.consume()
         result, first = await client.end(ack=False)
         client.close()
-        client = await AmqpClient.open(rig.amqp)
+        client = await AmqpClient.open(courier.amqp)
         await client.consume()
         again, second = await client.end(ack=False)
         assert result == again and (first.redelivered, second.redelivered) == (False, True)
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp)
         await client.consume()
         assert (await client.end())[0] == result
-        await until(lambda: not rig.engine.messages_by_id)
-    async with engine(tmp_path) as rig:
-        assert not rig.engine.messages_by_id
+        await wait_until(lambda: not courier.engine.messages_by_id)
+    async with running_courier(tmp_path) as courier:
+        assert not courier.engine.messages_by_id
 
 
 async def test_prefetch_limits_unacked_deliveries_and_requeued_results_come_first(tmp_path):
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp)
         for n in (1, 2):
             await client.publish(f"m{n}", for_ms=50 * n)
             await client.next()
-        await until(lambda: len(rig.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
+        await wait_until(lambda: len(courier.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
         await client.consume(prefetch=1)
         result, method = await client.end(ack=False)
         await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, True), 1)
@@ -85,12 +97,12 @@
 
 
 async def test_a_result_that_is_refused_for_good_makes_room_for_the_next(tmp_path):
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp)
         for n in (1, 2):
             await client.publish(f"m{n}", for_ms=50 * n)
             await client.next()
-        await until(lambda: len(rig.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
+        await wait_until(lambda: len(courier.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
         await client.consume(prefetch=1)
         result, method = await client.end(ack=False)
         await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, False), 1)
@@ -99,18 +111,18 @@
 
 
 async def test_an_answer_that_waits_when_the_connection_is_closed_is_written_once(tmp_path):
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp)
         declare = commands.Queue.Declare(0, "q")
-        await client.wire.write(marshal(declare) + malformed(b"\0\0\0\0"))  # in one read of the front's
+        await client.wire.write(marshal(declare) + method_frame(b"\0\0\0\0"))  # in one read of the front's
         heard = [(await client.next())[0].name for _ in range(2)]
         assert heard == ["Queue.DeclareOk", "Connection.Close"]
 
 
 async def test_what_cannot_be_decoded_is_named_without_addresses_of_memory(tmp_path):
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp)
-        await client.wire.write(malformed(marshal(commands.Basic.Ack(1))[7:-1][:-3]))
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp)
+        await client.wire.write(method_frame(marshal(commands.Basic.Ack(1))[7:-1][:-3]))
         method, _, _ = await client.next()
         assert method.reply_code == ReplyCode.SYNTAX_ERROR
         assert "Basic.Ack" in method.reply_text and "0x" not in method.reply_text
@@ -131,15 +143,15 @@
         (lambda c: c.wire.send(commands.Tx.Select(), 1), ReplyCode.NOT_IMPLEMENTED),
         (lambda c: c.wire.send(commands.Basic.Ack(1), 5), ReplyCode.CHANNEL_ERROR),
         (lambda c: c.wire.send(commands.Channel.Open(), 1), ReplyCode.CHANNEL_ERROR),
-        (lambda c: c.wire.write(malformed(b"\0\0\0\0")), ReplyCode.SYNTAX_ERROR),
+        (lambda c: c.wire.write(method_frame(b"\0\0\0\0")), ReplyCode.SYNTAX_ERROR),
         (lambda c: c.wire.write(b"\x09\0\1\0\0\0\0\xce"), ReplyCode.FRAME_ERROR),
         (lambda c: c.wire.write(b"\x01\0\1\x0f\0\0\0"), ReplyCode.FRAME_ERROR),
         (lambda c: c.wire.write(frames.FRAME_HEAD.pack(3, 1, 1) + b"x\xce"), ReplyCode.UNEXPECTED_FRAME),
     ],
 )
 async def test_errors_have_the_specifications_reply_codes_and_nothing_is_accepted(tmp_path, send, code):
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp)
         await send(client)
         method, _, _ = await client.next()
         assert (method.name, method.reply_code) == (
@@ -150,40 +162,41 @@
             await client.wire.send(commands.Channel.CloseOk(), 1)
             assert isinstance((await client.ask(commands.Channel.Open()))[0], commands.Channel.OpenOk)
         assert (
-            not rig.engine.messages_by_id and len((await AmqpClient.open(rig.amqp)).wire.buffer.view()) == 0
+            not courier.engine.messages_by_id
+            and len((await AmqpClient.open(courier.amqp)).wire.buffer.view()) == 0
         )
 
 
 async def test_publishing_without_confirms_is_refused(tmp_path):
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp, confirms=False)
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp, confirms=False)
         await client.publish("m1")
         assert (await client.next())[0].reply_code == ReplyCode.PRECONDITION_FAILED
 
 
 async def test_a_client_is_notified_that_the_process_ends(tmp_path):
-    async with engine(tmp_path) as rig:
-        client = await AmqpClient.open(rig.amqp)
-        await rig.engine.fronts["amqp"].close()
+    async with running_courier(tmp_path) as courier:
+        client = await AmqpClient.open(courier.amqp)
+        await courier.engine.fronts["amqp"].close()
         assert (await client.next())[0].reply_code == ReplyCode.CONNECTION_FORCED
 
 
 async def test_another_protocol_is_answered_with_the_protocol_header(tmp_path):
-    async with engine(tmp_path) as rig:
-        host, port = rig.amqp.split(":")
+    async with running_courier(tmp_path) as courier:
+        host, port = courier.amqp.split(":")
         stream = await anyio.connect_tcp(host, int(port))
         await stream.send(b"AMQP\0\1\0\0")
         assert await stream.receive() == frames.PROTOCOL_HEADER
 
 
 async def test_a_silent_client_is_closed_and_one_with_heartbeats_stays(tmp_path):
-    async with engine(tmp_path) as rig:
-        rig.engine.fronts["amqp"].heartbeat_s = 1
-        client = await AmqpClient.open(rig.amqp)  # it chose no heartbeats
+    async with running_courier(tmp_path) as courier:
+        courier.engine.fronts["amqp"].heartbeat_s = 1
+        client = await AmqpClient.open(courier.amqp)  # it chose no heartbeats
         beating = FrameStream(client.wire.connection, client.wire.clock)
         with anyio.move_on_after(0.2):
             await beating.read_frame()
-        wire = FrameStream(await dial(rig.amqp), rig.engine.clock)
+        wire = FrameStream(await dial(courier.amqp), courier.engine.clock)
         await wire.connection.write(frames.PROTOCOL_HEADER)
         await wire.read_method("Connection.Start")
         await wire.send(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"))
@@ -194,7 +207,7 @@
         with pytest.raises(OSError), anyio.fail_after(4):
             while True:
                 assert (await wire.read_frame())[1].name == "Heartbeat"
-        assert len(rig.engine.fronts["amqp"].sessions) == 1
+        assert len(courier.engine.fronts["amqp"].sessions) == 1
 
 
 async def test_order_per_key_holds_across_both_fronts(tmp_path):
@@ -203,13 +216,16 @@
         return 200, [], b""
 
     endpoint = HttpStandIn(lambda request: slow())
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        client, resp = await AmqpClient.open(rig.amqp), Client(rig.address)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        client, resp = await AmqpClient.open(courier.amqp), Client(courier.address)
         await client.publish("a1", "booking-change", key="5c0f")
         await client.next()
         assert await resp.enqueue("booking-change", "r2", key="5c0f") == "+OK\r\n"
         await client.publish("a3", "booking-change", key="5c0f")
-        await until(lambda: len(endpoint.requests) == 3)
+        await wait_until(lambda: len(endpoint.requests) == 3)
         assert [r[3]["request-id"] for r in endpoint.requests] == ["a1", "r2", "a3"]
         assert all(
             b[0] - a[0] >= 0.05 for a, b in zip(endpoint.requests, endpoint.requests[1:], strict=False)
@@ -219,23 +235,25 @@
 @pytest.mark.parametrize(("status", "again"), [(200, False), (500, False), (503, True)])
 async def test_a_finished_id_is_not_delivered_again_but_a_returned_one_may_be(tmp_path, status, again):
     endpoint = HttpStandIn(lambda request: (status, [], b""))
-    async with standing(endpoint) as address:
-        async with engine(tmp_path, endpoints=[(address,)]) as rig:
-            client = await AmqpClient.open(rig.amqp)
+    async with serve_on_loopback(endpoint) as address:
+        async with running_courier(tmp_path, endpoints=[(address,)]) as courier:
+            client = await AmqpClient.open(courier.amqp)
             await client.publish("m1", for_ms=100)
             assert (await client.next())[0].name == "Basic.Ack"
-            await until(lambda: not rig.engine.open_messages)
+            await wait_until(lambda: not courier.engine.open_messages)
             await client.publish("m1")  # before its end was heard
             methods = [(await client.next())[0].name for _ in range(2 if again else 1)]
             assert methods == (["Basic.Return", "Basic.Nack"] if again else ["Basic.Ack"])
             await client.consume()
             await client.end()
-            await until(lambda: not rig.engine.messages_by_id)
-        async with engine(tmp_path) as rig:  # and over a restart: its publisher missed the confirm
-            client = await AmqpClient.open(rig.amqp)
+            await wait_until(lambda: not courier.engine.messages_by_id)
+        async with running_courier(
+            tmp_path
+        ) as courier:  # and over a restart: its publisher missed the confirm
+            client = await AmqpClient.open(courier.amqp)
             await client.publish("m1")
             assert isinstance((await client.next())[0], commands.Basic.Ack)
-            assert ("m1" in rig.engine.messages_by_id) is again
+            assert ("m1" in courier.engine.messages_by_id) is again
 
 
 async def test_a_silent_client_is_closed_in_time_and_one_that_does_not_read_is_ended(tmp_path, monkeypatch):
@@ -243,13 +261,13 @@
 
     monkeypatch.setattr(session, "HANDSHAKE_TIMEOUT_S", 0.2)
     monkeypatch.setattr(frame_writer, "MAX_UNSENT_BYTES", 100_000)
-    async with engine(tmp_path) as rig:
-        silent = await dial(rig.amqp)
+    async with running_courier(tmp_path) as courier:
+        silent = await dial(courier.amqp)
         with anyio.fail_after(1):
             assert await silent.read() == b""
         silent.close()
-        client = await AmqpClient.open(rig.amqp)
-        rig.engine.stopping = True  # each publish comes back whole
+        client = await AmqpClient.open(courier.amqp)
+        courier.engine.stopping = True  # each publish comes back whole
         with pytest.raises(OSError), anyio.fail_after(10):
             for n in range(1000):
                 await client.publish(f"m{n}", body=b"x" * 60_000)
@@ -257,8 +275,8 @@
 
 
 async def test_a_publish_for_an_unknown_destination_closes_the_channel(tmp_path):
-    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path, endpoints=[("127.0.0.1:1",)]) as courier:
+        client = await AmqpClient.open(courier.amqp)
         await client.publish("m1", dest=2)
         method, _, _ = await client.next()
         assert (
@@ -267,8 +285,8 @@
 
 
 async def test_contents_that_are_never_complete_share_a_limit_of_memory(tmp_path):
-    async with engine(tmp_path, max_unread_bytes=10_000) as rig:
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path, max_unread_bytes=10_000) as courier:
+        client = await AmqpClient.open(courier.amqp)
         content = frames.marshal_content(
             commands.Basic.Publish(0, "", "p", False), commands.Basic.Properties(), b"x" * 60_000, 1, 4096
         )
@@ -279,14 +297,14 @@
 
 
 async def test_queues_that_hold_nothing_and_serve_nobody_are_forgotten(tmp_path):
-    async with engine(tmp_path) as rig:
-        queues = rig.engine.fronts["amqp"].queues
-        client = await AmqpClient.open(rig.amqp)
+    async with running_courier(tmp_path) as courier:
+        queues = courier.engine.fronts["amqp"].queues
+        client = await AmqpClient.open(courier.amqp)
         await client.publish("m1", for_ms=100)
-        await until(lambda: "ends" in queues)  # it holds an end that nobody has heard yet
+        await wait_until(lambda: "ends" in queues)  # it holds an end that nobody has heard yet
         for n in range(5):
             await client.ask(commands.Queue.Declare(queue=f"q{n}"))
         await client.consume()
         await client.end()
         client.close()
-        await until(lambda: not queues)
+        await wait_until(lambda: not queues)
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from standins import Client, HttpStandIn, configuration, engine, standing, until
+from standins import Client, HttpStandIn, configuration, running_courier, serve_on_loopback, wait_until
 from test_settings import lane
 
 from pinspread.config import settings
@@ -143,21 +143,25 @@
 async def played(folder, endpoint, messages=5, cls="notice", wait=True):
     """Submit messages while the first is in flight alone, so the rest share a call; the notifications."""
     platform = HttpStandIn(lambda request: HEARD)
-    async with standing(platform) as address, standing(endpoint) as where, engine(folder, address) as rig:
-        rig.engine.apply_settings(bundling_settings(folder))
-        http = rig.engine.transports["http"]
+    async with (
+        serve_on_loopback(platform) as address,
+        serve_on_loopback(endpoint) as where,
+        running_courier(folder, address) as courier,
+    ):
+        courier.engine.apply_settings(bundling_settings(folder))
+        http = courier.engine.transports["http"]
         http.reports = True
-        rig.update_endpoints(where)
+        courier.update_endpoints(where)
         await anyio.sleep(0.02)
-        client = Client(rig.address)
+        client = Client(courier.address)
         async with anyio.create_task_group() as tasks:
             for n in range(messages):
                 await client.enqueue(cls, f"m{n}", for_ms=24_000, body=bytes([n]) * 9)
             tasks.cancel_scope.cancel()
         if wait:
-            await until(lambda: not rig.engine.messages_by_id, 8)
+            await wait_until(lambda: not courier.engine.messages_by_id, 8)
         else:
-            await until(lambda: len(endpoint.calls) > 1)
+            await wait_until(lambda: len(endpoint.calls) > 1)
     return {line["id"]: line["state"] for line in platform.lines}
 
 
@@ -211,11 +215,11 @@
     await played(tmp_path, endpoint, 4, "payment", wait=False)
     platform, after = HttpStandIn(lambda request: HEARD), BundlingEndpoint()
     async with (
-        standing(platform) as address,
-        standing(after) as where,
-        engine(tmp_path, address, endpoints=[(where,)]) as rig,
+        serve_on_loopback(platform) as address,
+        serve_on_loopback(after) as where,
+        running_courier(tmp_path, address, endpoints=[(where,)]) as courier,
     ):
-        await until(lambda: not rig.engine.messages_by_id)
+        await wait_until(lambda: not courier.engine.messages_by_id)
     assert {line["id"]: line["state"] for line in platform.lines} == {f"m{n}": "failed" for n in (1, 2, 3)}
     assert not after.calls
 
@@ -227,12 +231,15 @@
     replies = [(503, [("Server-Load", report)], b"")]
     endpoint = HttpStandIn(lambda r: replies.pop() if replies else (200, [("Server-Load", report)], b""))
     heard = []
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        rig.engine.transports["http"].reports = True
-        post = rig.engine.events.post
-        rig.engine.events.post = lambda event: (heard.append(event), post(event))
-        assert await Client(rig.address).enqueue() == "+OK\r\n"
-        await until(lambda: not rig.engine.messages_by_id)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        courier.engine.transports["http"].reports = True
+        post = courier.engine.events.post
+        courier.engine.events.post = lambda event: (heard.append(event), post(event))
+        assert await Client(courier.address).enqueue() == "+OK\r\n"
+        await wait_until(lambda: not courier.engine.messages_by_id)
     ended = [e for e in heard if type(e) is AttemptCompleted]
     assert [e.outcome for e in ended] == [Outcome.OVERLOADED, Outcome.OK]
     assert [e.limit_per_s for e in ended] == [limit, limit]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,7 +9,7 @@
 import dns.rrset
 import dns.zone
 import pytest
-from standins import AmqpClient, Broker, HttpStandIn, engine, standing, until
+from standins import AmqpClient, BrokerStandIn, HttpStandIn, running_courier, serve_on_loopback, wait_until
 
 from pinspread.__main__ import main
 from pinspread.config import application, dnssd, settings
@@ -189,22 +189,26 @@
 
 @pytest.mark.anyio
 async def test_a_courier_off_the_platform_delivers_by_http_and_to_a_broker(tmp_path):
-    http_endpoint, broker = HttpStandIn(), Broker()
-    async with standing(http_endpoint) as http, standing(broker) as amqp, engine(tmp_path) as rig:
+    http_endpoint, broker = HttpStandIn(), BrokerStandIn()
+    async with (
+        serve_on_loopback(http_endpoint) as http,
+        serve_on_loopback(broker) as amqp,
+        running_courier(tmp_path) as courier,
+    ):
         ports = {"http": http.split(":")[1], "amqp": amqp.split(":")[1]}
         (tmp_path / "z").write_text(ZONE.format(**ports))
         records = dnssd.Records("partners.example.", zone_file=str(tmp_path / "z"))
-        discovery = dnssd.DnsSdDiscovery(rig.engine, records, ["_http._tcp", "_amqp._tcp"], 0.05)
-        rig.tasks.start_soon(discovery.run)
-        client = await AmqpClient.open(rig.amqp)
+        discovery = dnssd.DnsSdDiscovery(courier.engine, records, ["_http._tcp", "_amqp._tcp"], 0.05)
+        courier.tasks.start_soon(discovery.run)
+        client = await AmqpClient.open(courier.amqp)
         await client.consume()
         await client.publish("h1", dest=1)
         await client.publish("b1", dest=3)
         states = dict([((await client.end())[0]["id"], n) for n in range(2)])
         assert set(states) == {"h1", "b1"} and broker.effects == ["b1"] and len(http_endpoint.requests) == 1
         (tmp_path / "z").write_text("not a zone")  # the list stays as it was
-        await until(lambda: rig.engine.endpoints)
-        assert rig.engine.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
+        await wait_until(lambda: courier.engine.endpoints)
+        assert courier.engine.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
 
 
 def test_an_applications_file_becomes_settings_of_the_policy(tmp_path):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -7,7 +7,16 @@
 import anyio
 import orjson
 import pytest
-from standins import Client, Gate, HttpStandIn, engine, host, listener, standing, until
+from standins import (
+    Client,
+    DialGate,
+    HttpStandIn,
+    host,
+    listener,
+    running_courier,
+    serve_on_loopback,
+    wait_until,
+)
 
 from pinspread import sockets
 from pinspread.core.messages import DeliveryRules, Endpoint
@@ -25,21 +34,24 @@
 @pytest.mark.parametrize("change", ["drain", "gone", "ban", "moved"])
 async def test_a_list_read_twice_while_a_call_is_dialled_still_keeps_it_unsent(tmp_path, monkeypatch, change):
     endpoint = HttpStandIn()
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        gate = Gate(monkeypatch)
-        await Client(rig.address).enqueue("payment")
-        await until(lambda: gate.waiting)
-        rig.update_endpoints(address, scope=UpdateScope.FULL)  # as a watch does that was opened again
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        gate = DialGate(monkeypatch)
+        await Client(courier.address).enqueue("payment")
+        await wait_until(lambda: gate.waiting)
+        courier.update_endpoints(address, scope=UpdateScope.FULL)  # as a watch does that was opened again
         if change == "drain":
-            rig.update_endpoints(address, state=EndpointState.DRAINING)
+            courier.update_endpoints(address, state=EndpointState.DRAINING)
         elif change == "gone":
-            rig.update_endpoints(address, id_="s-2", scope=UpdateScope.FULL, state=EndpointState.DRAINING)
+            courier.update_endpoints(address, id_="s-2", scope=UpdateScope.FULL, state=EndpointState.DRAINING)
         elif change == "ban":
-            assert await rig.engine.disable("s-1")
+            assert await courier.engine.disable("s-1")
         else:
-            rig.update_endpoints("127.0.0.1:1")  # the endpoint is elsewhere by now
+            courier.update_endpoints("127.0.0.1:1")  # the endpoint is elsewhere by now
         gate.open.set()
-        await until(lambda: not rig.engine.attempts)
+        await wait_until(lambda: not courier.engine.attempts)
         assert not endpoint.requests
 
 
@@ -64,55 +76,58 @@
     monkeypatch.setattr(http_transport, behind, 60)  # so the message's time ends first
     endpoint, platform = HttpStandIn(lambda request: answer), HttpStandIn(lambda request: (204, [], b""))
     async with (
-        standing(platform) as heard,
-        standing(endpoint) as address,
-        engine(tmp_path, heard, endpoints=[(address,)]) as rig,
+        serve_on_loopback(platform) as heard,
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, heard, endpoints=[(address,)]) as courier,
     ):
-        assert await Client(rig.address).enqueue("payment", for_ms=300) == "+OK\r\n"
-        await until(lambda: not rig.engine.messages_by_id)
+        assert await Client(courier.address).enqueue("payment", for_ms=300) == "+OK\r\n"
+        await wait_until(lambda: not courier.engine.messages_by_id)
     assert len(endpoint.requests) == 1
     assert [line["state"] for line in platform.lines] == ends
 
 
 async def test_a_repeat_whose_window_ends_while_it_is_dialled_is_not_written(tmp_path, monkeypatch):
     endpoint = HttpStandIn(lambda request: None)  # every call ends as a reset: it may have run
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        core = rig.engine
-        await Client(rig.address).enqueue("booking-change", "keyed", for_ms=60_000)
-        gate = Gate(monkeypatch)
-        await until(lambda: len(endpoint.requests) == 1 and gate.waiting)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        core = courier.engine
+        await Client(courier.address).enqueue("booking-change", "keyed", for_ms=60_000)
+        gate = DialGate(monkeypatch)
+        await wait_until(lambda: len(endpoint.requests) == 1 and gate.waiting)
         rules = core.messages_by_id["keyed"].rules
         core.clock.offset_us += (
             rules.traffic_class.deduplication_window_ns // 1000
         )  # the repeat's dial takes so long
         gate.open.set()
-        await until(lambda: not core.attempts)
+        await wait_until(lambda: not core.attempts)
         assert len(endpoint.requests) == 1
 
 
 async def test_a_repeat_after_a_restart_goes_to_the_zone_that_drops_it(tmp_path):
     waits = [anyio.sleep_forever()]  # killed with this one out: it may have run
     endpoints = [HttpStandIn(lambda request: waits.pop() if waits else (200, [], b"")), HttpStandIn()]
-    async with standing(endpoints[0]) as far, standing(endpoints[1]) as near:
+    async with serve_on_loopback(endpoints[0]) as far, serve_on_loopback(endpoints[1]) as near:
         for n in range(2):
-            async with engine(tmp_path) as rig:
+            async with running_courier(tmp_path) as courier:
                 if n == 0:
-                    lane = rig.engine.settings.delivery_rules["booking-change"]
+                    lane = courier.engine.settings.delivery_rules["booking-change"]
                     by_zone = dataclasses.replace(lane.traffic_class, group=DeduplicationScope.ZONE)
-                    rig.engine.settings.delivery_rules["booking-change"] = DeliveryRules(
+                    courier.engine.settings.delivery_rules["booking-change"] = DeliveryRules(
                         by_zone, lane.max_attempts
                     )
-                rig.engine.update_endpoints(
+                courier.engine.update_endpoints(
                     UpdateScope.FULL, [(Endpoint("far", far, 1, zone=1), EndpointState.READY)]
                 )
                 if n == 0:
-                    await Client(rig.address).enqueue("booking-change", for_ms=60_000)
-                    await until(lambda: endpoints[0].requests)
+                    await Client(courier.address).enqueue("booking-change", for_ms=60_000)
+                    await wait_until(lambda: endpoints[0].requests)
                     continue
-                rig.engine.update_endpoints(
+                courier.engine.update_endpoints(
                     UpdateScope.DELTA, [(Endpoint("near", near, 1, zone=0), EndpointState.READY)]
                 )
-                await until(lambda: not rig.engine.messages_by_id)
+                await wait_until(lambda: not courier.engine.messages_by_id)
     assert not endpoints[1].requests and len(endpoints[0].requests) == 2
 
 
@@ -154,12 +169,12 @@
         monkeypatch.setattr(discovery_client, name, getattr(discovery_client, name) / faster)
     monkeypatch.setattr(backoff, "REOPEN_DELAY_S", backoff.REOPEN_DELAY_S / faster)
     agent = Agent()
-    async with engine(tmp_path, agent.address) as rig:
-        rig.tasks.start_soon(agent.run)
-        watch = discovery_client.DiscoveryClient(agent.address, rig.engine, rig.engine.settings)
-        rig.tasks.start_soon(watch.run)
-        await until(lambda: agent.watches)
-        yield rig, agent, watch
+    async with running_courier(tmp_path, agent.address) as courier:
+        courier.tasks.start_soon(agent.run)
+        watch = discovery_client.DiscoveryClient(agent.address, courier.engine, courier.engine.settings)
+        courier.tasks.start_soon(watch.run)
+        await wait_until(lambda: agent.watches)
+        yield courier, agent, watch
     agent.sock.close()
 
 
@@ -171,7 +186,7 @@
 async def test_a_silent_watch_is_reopened_again_and_again_before_what_it_missed_counts(
     tmp_path, monkeypatch, how
 ):
-    async with watched(tmp_path, monkeypatch, 2) as (rig, agent, _):
+    async with watched(tmp_path, monkeypatch, 2) as (courier, agent, _):
         start = time.monotonic()
 
         async def trickle(n):
@@ -181,7 +196,7 @@
                     await anyio.sleep(0.02)
 
         for n in range(2):  # the first watch is silent, and so is the one that follows it
-            await until(lambda n=n: len(agent.watches) > n)
+            await wait_until(lambda n=n: len(agent.watches) > n)
             if how != "no head":
                 agent.say(n, head=True)
             if how in ("first line only", "half a line"):
@@ -189,21 +204,25 @@
             if how == "half a line":
                 agent.say(n, list_line(2, GONE)[:40])
             if how == "a trickle":
-                rig.tasks.start_soon(trickle, n)
-        await until(lambda: len(agent.watches) > 2)
+                courier.tasks.start_soon(trickle, n)
+        await wait_until(lambda: len(agent.watches) > 2)
         last = len(agent.watches) - 1
         agent.say(last, list_line(2, S1 | {"health": "draining"}) + b"\n", head=True)
-        await until(lambda: "s-1" in rig.engine.endpoints and not rig.engine.endpoints["s-1"].usable)
+        await wait_until(
+            lambda: "s-1" in courier.engine.endpoints and not courier.engine.endpoints["s-1"].usable
+        )
         assert 2 * (time.monotonic() - start) < 6.0  # the first was silent from its first moment on
 
 
 async def test_discovery_that_was_unreachable_is_heard_on_a_waiting_watch_or_on_a_new_one(
     tmp_path, monkeypatch
 ):
-    async with watched(tmp_path, monkeypatch) as (rig, agent, _):
-        await until(lambda: len(agent.watches) == 3)  # while it is away they are opened beside each other
+    async with watched(tmp_path, monkeypatch) as (courier, agent, _):
+        await wait_until(
+            lambda: len(agent.watches) == 3
+        )  # while it is away they are opened beside each other
         agent.say(0, list_line(1, S1) + b"\n", head=True)  # the one that has waited longest
-        await until(lambda: rig.engine.endpoints)
+        await wait_until(lambda: courier.engine.endpoints)
         seen = len(agent.asked)
         await anyio.sleep(0.1)
         assert len(agent.asked) <= seen + 1  # one that was on its way; it is followed, no more are opened
@@ -211,29 +230,29 @@
 
 @pytest.mark.parametrize("how", ["moved", "silent"])
 async def test_late_bytes_of_an_old_watch_do_not_undo_the_newer_list(tmp_path, monkeypatch, how):
-    async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
+    async with watched(tmp_path, monkeypatch) as (courier, agent, watch):
         agent.say(0, list_line(5, S1) + b"\n", head=True)
-        await until(lambda: rig.engine.endpoints)
+        await wait_until(lambda: courier.engine.endpoints)
         new, at = agent, 1
         if how == "moved":
             new, at = Agent(), 0
-            rig.tasks.start_soon(new.run)
+            courier.tasks.start_soon(new.run)
             watch.change_address(new.address)
-        await until(lambda: len(new.watches) > at)
+        await wait_until(lambda: len(new.watches) > at)
         # Both are there before the courier reads either; the newer one's are first.
         new.say(at, list_line(9, S1 | {"health": "draining"}) + b"\n", head=True)
         agent.say(0, list_line(6, S1, whole=False) + b"\n")
-        await until(lambda: watch.sequence == 9)
+        await wait_until(lambda: watch.sequence == 9)
         await anyio.sleep(0.05)
-        assert not rig.engine.endpoints["s-1"].usable and watch.sequence == 9
+        assert not courier.engine.endpoints["s-1"].usable and watch.sequence == 9
         new.sock.close()
 
 
 async def test_a_watch_may_indent_its_lists_over_several_lines(tmp_path, monkeypatch):
-    async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
+    async with watched(tmp_path, monkeypatch) as (courier, agent, watch):
         news = {"seq": 5, "whole": True, "hosts": [host('"s-{[1\\"', "127.0.0.1:9"), S1]}
         agent.say(0, b"\n" + orjson.dumps(news, option=orjson.OPT_INDENT_2) + b"\n\n", head=True)
-        await until(lambda: len(rig.engine.endpoints) == 2 and watch.sequence == 5)
+        await wait_until(lambda: len(courier.engine.endpoints) == 2 and watch.sequence == 5)
         assert len(agent.asked) == 1
 
 
@@ -256,21 +275,23 @@
 async def test_a_list_with_parts_of_other_types_is_logged_and_ends_nothing(tmp_path, monkeypatch, bad):
     logged = []
     monkeypatch.setattr(discovery_client, "log", lambda event, **_: logged.append(event))
-    async with watched(tmp_path, monkeypatch) as (rig, agent, _):
+    async with watched(tmp_path, monkeypatch) as (courier, agent, _):
         entry = host("s-2", "127.0.0.1:9") | bad
         agent.say(0, list_line(5, S1) + b"\n" + list_line(6, entry, whole=False) + b"\n", head=True)
         agent.say(0, list_line(7, S1 | {"health": "gone", "dial": None}, whole=False) + b"\n")
-        await until(lambda: not rig.engine.endpoints)  # what it says of one that is known still counts
-        assert await Client(rig.address).say("PING") == "+PONG\r\n"
+        await wait_until(
+            lambda: not courier.engine.endpoints
+        )  # what it says of one that is known still counts
+        assert await Client(courier.address).say("PING") == "+PONG\r\n"
     assert logged.count("malformed_endpoint") == 2
 
 
 @pytest.mark.parametrize("seq", ["a b", -1, None, 1.5])
 async def test_a_version_that_is_no_number_breaks_the_watch_and_not_the_courier(tmp_path, monkeypatch, seq):
-    async with watched(tmp_path, monkeypatch) as (rig, agent, _):
+    async with watched(tmp_path, monkeypatch) as (courier, agent, _):
         agent.say(0, list_line(seq, S1) + b"\n", head=True)
-        await until(lambda: len(agent.watches) == 2)
-        assert await Client(rig.address).say("PING") == "+PONG\r\n"
+        await wait_until(lambda: len(agent.watches) == 2)
+        assert await Client(courier.address).say("PING") == "+PONG\r\n"
 
 
 @pytest.mark.parametrize("bar", ["told wait", "notice"])
@@ -279,8 +300,11 @@
     monkeypatch.setattr(outlier_detection, "MOST_TIMEOUT_NS", longest_ns)
     untold = b"HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 9\r\n\r\n"  # its body never comes
     endpoint = HttpStandIn(lambda request: (200, [], b"") if request[3]["request-id"] == "second" else untold)
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        core = rig.engine
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        core = courier.engine
         core.settings.delivery_rules["booking-change"] = DeliveryRules(
             core.settings.delivery_rules["booking-change"].traffic_class, 2
         )
@@ -289,8 +313,8 @@
                 1  # an earlier message of the key, whose notice is not answered
             )
         else:
-            await Client(rig.address).enqueue("status-update", "first", for_ms=1500)
-            await until(
+            await Client(courier.address).enqueue("status-update", "first", for_ms=1500)
+            await wait_until(
                 lambda: core.retry_after_until_us
             )  # heard by the transport; the module hears of it at its end
         ended = []
@@ -299,19 +323,21 @@
             ended.append(outcome),
             attempt_ended(attempt, outcome),
         )
-        assert await Client(rig.address).enqueue("booking-change", "second", key="77") == "+OK\r\n"
-        await until(lambda: len([o for o in ended if o.note]) >= 3 or "second" not in core.messages_by_id, 20)
+        assert await Client(courier.address).enqueue("booking-change", "second", key="77") == "+OK\r\n"
+        await wait_until(
+            lambda: len([o for o in ended if o.note]) >= 3 or "second" not in core.messages_by_id, 20
+        )
         core.pending_notifications.pop(0x77, None)
         core.retry_after_until_us.clear()
-        await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests), 20)
+        await wait_until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests), 20)
 
 
 async def test_what_is_read_after_we_ended_a_connection_is_not_accepted(tmp_path):
-    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
-        connection = await sockets.dial(rig.address)
+    async with running_courier(tmp_path, endpoints=[("127.0.0.1:1",)]) as courier:
+        connection = await sockets.dial(courier.address)
         await connection.write(b"*1\r\n$4\r\nPING\r\n")
         assert await connection.read() == b"+PONG\r\n"
-        limiter = rig.engine.fronts["resp"].limiter
+        limiter = courier.engine.fronts["resp"].limiter
         (ours,) = limiter.clients.values()
         body = b"x" * 6000  # two of them: the second is still unread when the first is parsed
         command = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm%d\r\n$31\r\nc=payment,t=north,d=5000,dest=1\r\n"
@@ -319,8 +345,8 @@
         limiter._close(ours, "idle")  # they came in this moment, and are read behind it
         with suppress(ConnectionResetError):
             assert await connection.read() == b""
-        await until(lambda: ours.connection.sock.fileno() < 0)  # all of it has been read
-        assert not rig.engine.messages_by_id
+        await wait_until(lambda: ours.connection.sock.fileno() < 0)  # all of it has been read
+        assert not courier.engine.messages_by_id
 
 
 @pytest.mark.parametrize("way", ["draining", "gone", "left out"])
@@ -328,28 +354,31 @@
     tmp_path, monkeypatch, way
 ):
     endpoint = HttpStandIn()
-    async with standing(endpoint) as address, standing(HttpStandIn(lambda request: (204, [], b""))) as heard:
+    async with (
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(HttpStandIn(lambda request: (204, [], b""))) as heard,
+    ):
         ready = host("s-1", address)
-        async with watched(tmp_path, monkeypatch) as (rig, agent, _):
+        async with watched(tmp_path, monkeypatch) as (courier, agent, _):
             agent.say(0, list_line(5, ready) + b"\n", head=True)
-            await until(lambda: rig.engine.endpoints)
+            await wait_until(lambda: courier.engine.endpoints)
             left_out = way == "left out"
             news = list_line(6) if left_out else list_line(6, ready | {"health": way}, whole=False)
             agent.say(0, news + b"\n")
-            await until(lambda: not any(h.usable for h in rig.engine.endpoints.values()))
-            assert await Client(rig.address).enqueue("status-update", "owed", for_ms=700) == "+OK\r\n"
+            await wait_until(lambda: not any(h.usable for h in courier.engine.endpoints.values()))
+            assert await Client(courier.address).enqueue("status-update", "owed", for_ms=700) == "+OK\r\n"
         agent = Agent()  # it is away at first: whoever asks hears nothing
-        async with engine(tmp_path, heard) as rig:
-            rig.tasks.start_soon(agent.run)
+        async with running_courier(tmp_path, heard) as courier:
+            courier.tasks.start_soon(agent.run)
             old = {"seq": 5, "whole": True, "hosts": [ready]}  # as the configuration has it
-            settings_ = dataclasses.replace(rig.engine.settings, cached_endpoints=old)
-            watch = discovery_client.DiscoveryClient(agent.address, rig.engine, settings_)
+            settings_ = dataclasses.replace(courier.engine.settings, cached_endpoints=old)
+            watch = discovery_client.DiscoveryClient(agent.address, courier.engine, settings_)
             watch.start()
-            rig.tasks.start_soon(watch.run)
-            await until(lambda: agent.watches and not rig.engine.messages_by_id)  # its time is over
+            courier.tasks.start_soon(watch.run)
+            await wait_until(lambda: agent.watches and not courier.engine.messages_by_id)  # its time is over
             assert not endpoint.requests
-            assert await Client(rig.address).enqueue("status-update", "later") == "+OK\r\n"
+            assert await Client(courier.address).enqueue("status-update", "later") == "+OK\r\n"
             agent.say(len(agent.watches) - 1, list_line(7, ready) + b"\n", head=True)
-            await until(lambda: not rig.engine.messages_by_id)
+            await wait_until(lambda: not courier.engine.messages_by_id)
             assert [r[3]["request-id"] for r in endpoint.requests] == ["later"]
         agent.sock.close()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -10,7 +10,7 @@
 
 import anyio
 import pytest
-from standins import Client, HttpStandIn, configuration, engine, standing, until
+from standins import Client, HttpStandIn, configuration, running_courier, serve_on_loopback, wait_until
 
 from pinspread.config import settings
 from pinspread.discovery.client import DiscoveryClient
@@ -63,29 +63,32 @@
 
 @pytest.mark.anyio
 async def test_the_keys_that_the_shape_covers_are_those_that_a_state_has(tmp_path):
-    async with engine(tmp_path) as rig:
-        state = rig.engine.pause_for_handover(SimpleNamespace())
+    async with running_courier(tmp_path) as courier:
+        state = courier.engine.pause_for_handover(SimpleNamespace())
         assert {*state, "discovery"} == set(state_codec.STATE_KEYS)
-        assert state[state_codec.POLICY_KEY] is rig.engine.policy
-        found = DiscoveryClient("127.0.0.1:1", rig.engine, rig.engine.settings).snapshot()
+        assert state[state_codec.POLICY_KEY] is courier.engine.policy
+        found = DiscoveryClient("127.0.0.1:1", courier.engine, courier.engine.settings).snapshot()
         assert set(found) == set(state_codec.DISCOVERY_STATE_KEYS)
-        rig.engine.cancel_handover()
+        courier.engine.cancel_handover()
 
 
 @pytest.mark.anyio
 async def test_no_number_is_given_twice_though_the_journal_has_forgotten_the_last_messages(tmp_path):
     answers = [(200, [], b""), anyio.sleep_forever()]
     endpoint = HttpStandIn(lambda request: answers.pop(0))
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        client = Client(rig.address)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        client = Client(courier.address)
         await client.enqueue(id_="before")
-        number = rig.engine.messages_by_id["before"].number
-        await until(lambda: not rig.engine.messages_by_id)  # it ended, and nothing is owed for it
-        state = rig.engine.pause_for_handover(SimpleNamespace())
-        rig.engine.cancel_handover()
-        rig.engine.resume_from_handover(state)
+        number = courier.engine.messages_by_id["before"].number
+        await wait_until(lambda: not courier.engine.messages_by_id)  # it ended, and nothing is owed for it
+        state = courier.engine.pause_for_handover(SimpleNamespace())
+        courier.engine.cancel_handover()
+        courier.engine.resume_from_handover(state)
         await client.enqueue(id_="after")
-        assert rig.engine.messages_by_id["after"].number > number
+        assert courier.engine.messages_by_id["after"].number > number
 
 
 def open_descriptors():
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -8,8 +8,8 @@
 
 import anyio
 import pytest
-from platform_helpers import Process
-from standins import AmqpClient, HttpStandIn, own_address, standing, until
+from platform_helpers import CourierProcess
+from standins import AmqpClient, HttpStandIn, own_address, serve_on_loopback, wait_until
 
 pytestmark = pytest.mark.anyio
 SLOTS = 3
@@ -30,7 +30,7 @@
         return anyio.sleep_forever() if self.held else (200, [], b"")
 
 
-class Resp(Process):
+class Resp(CourierProcess):
     """The platform's front, with few slots."""
 
     def start(self):
@@ -73,7 +73,7 @@
         method, *_ = await self.client.next()
         assert method.name == "Basic.Ack"
 
-    end = Process.end
+    end = CourierProcess.end
 
 
 ZONE = """\
@@ -127,13 +127,13 @@
 )
 async def test_accepted_messages_without_an_attempt_are_sent_after_a_restart(tmp_path, front, ends):
     endpoint, silent = HoldingEndpoint(), HttpStandIn(silent_discovery)
-    async with standing(endpoint) as endpoint_address, standing(silent) as platform:
+    async with serve_on_loopback(endpoint) as endpoint_address, serve_on_loopback(silent) as platform:
         process = front(tmp_path, endpoint_address, platform)
         try:
             await process.ready()
             for n in range(HELD):
                 await process.hand_in(n)
-            await until(lambda: len(endpoint.calls) >= AT_ONCE)
+            await wait_until(lambda: len(endpoint.calls) >= AT_ONCE)
             for how in ends:
                 await process.end(how)
                 endpoint.life += 1
@@ -145,7 +145,7 @@
             tried_before = {id_ for id_, lives in endpoint.calls.items() if lives[0] < endpoint.life}
             untried = {f"m{n}" for n in range(HELD)} - tried_before
             assert len(untried) >= HELD - SLOTS * len(ends) - SLOTS
-            await until(lambda: untried <= endpoint.calls.keys(), 20)
+            await wait_until(lambda: untried <= endpoint.calls.keys(), 20)
             payments = Counter(
                 i for i, lives in endpoint.calls.items() if int(i[1:]) % PAYS[front] == 0 for _ in lives
             )
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,7 +5,7 @@
 
 import anyio
 import pytest
-from standins import until
+from standins import wait_until
 
 from pinspread.leases import learner, lease_model, state_machine
 from pinspread.leases.lease_model import Bounds, Rules
@@ -204,11 +204,11 @@
         with mock.patch.object(learner, "FIRST_VOTE_DELAY_S", 0), anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(leases.run)
-                await until(lambda: leases.fencing_token("nightly"))
+                await wait_until(lambda: leases.fencing_token("nightly"))
                 assert leases.fencing_token("nightly") == 1
                 assert leases.view()["tasks"][0]["holder"] == "a"
                 await leases.announce_departure()
-                await until(lambda: leases.view()["tasks"][0]["holder"] == "")
+                await wait_until(lambda: leases.view()["tasks"][0]["holder"] == "")
                 assert leases.fencing_token("nightly") == 0
                 tasks.cancel_scope.cancel()
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -20,7 +20,7 @@
 from pinspread.testbed.clients import Client
 from pinspread.testbed.courier_logs import ObservedFailure, check_overloads
 from pinspread.testbed.endpoint_stand_in import EndpointStandIn
-from pinspread.testbed.loopback import until
+from pinspread.testbed.loopback import wait_until
 from pinspread.testbed.platform_configuration import courier_configuration
 from pinspread.testbed.platform_run import PlatformRun
 from pinspread.testbed.platform_stand_in import PlatformStandIn
@@ -153,7 +153,7 @@
         call = b"POST /x HTTP/1.1\r\nHost: p\r\nRequest-Id: 0000000000aaaaaa\r\nContent-Length: 0\r\n\r\n"
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(hop.listen)
-            await until(lambda: hop.listening is not None)
+            await wait_until(lambda: hop.listening is not None)
             endpoint.state = ServingState.SILENT
             callers = [await anyio.connect_tcp(host, int(port)) for _ in range(3)]
             for caller in callers:
@@ -162,7 +162,7 @@
             assert endpoint.connections == 2
             for caller in callers:
                 await caller.aclose()
-            await until(lambda: endpoint.connections == 0)
+            await wait_until(lambda: endpoint.connections == 0)
             tasks.cancel_scope.cancel()
 
     anyio.run(scene)
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -2,13 +2,13 @@
 
 import orjson
 import pytest
-from standins import HttpStandIn, engine
+from standins import HttpStandIn, running_courier
 from typer.testing import CliRunner
 
 from pinspread.simulation import cli, losses
 from pinspread.simulation.recorded_events import recorded
 from pinspread.testbed.clients import Client
-from pinspread.testbed.loopback import standing, until
+from pinspread.testbed.loopback import serve_on_loopback, wait_until
 
 pytestmark = pytest.mark.anyio
 
@@ -126,9 +126,12 @@
 
 async def test_the_engines_log_has_all_fields_that_recordings_have(tmp_path, capfd):
     endpoint = HttpStandIn(lambda request: (200, [], b""))
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        assert await Client(rig.address).enqueue() == "+OK\r\n"
-        await until(lambda: not rig.engine.messages_by_id)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        assert await Client(courier.address).enqueue() == "+OK\r\n"
+        await wait_until(lambda: not courier.engine.messages_by_id)
     lines = [orjson.loads(line) for line in capfd.readouterr().out.splitlines()]
     seen = {event["event"]: list(event)[1:] for event in map(recorded, lines)}
     expected = {old["event"]: list(old) for old, _ in EVENTS}
--- a/tests/test_platform_client_connections.py
+++ b/tests/test_platform_client_connections.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 from platform_helpers import scripted
-from standins import Client, engine, listener, standing, until
+from standins import Client, listener, running_courier, serve_on_loopback, wait_until
 
 from pinspread import sockets
 from pinspread.sockets import limiter
@@ -28,12 +28,12 @@
 
 async def test_new_clients_are_served_though_silent_or_idle_ones_fill_the_limit(tmp_path, monkeypatch):
     monkeypatch.setattr(limiter, "SUBMITTER_GRACE_US", 300_000)
-    async with engine(tmp_path, max_clients=4) as rig:
-        usual = [Client(rig.address) for _ in range(2)]
-        silent = [await sockets.dial(rig.address) for _ in range(10)]
+    async with running_courier(tmp_path, max_clients=4) as courier:
+        usual = [Client(courier.address) for _ in range(2)]
+        silent = [await sockets.dial(courier.address) for _ in range(10)]
         for client in usual:  # the silent give way at once, those that wait for their next command later
             assert await client.say("PING") == "+PONG\r\n"
-        late_ones = [Client(rig.address) for _ in range(6)]
+        late_ones = [Client(courier.address) for _ in range(6)]
         for client in late_ones:
             assert await client.say("PING") == "+PONG\r\n"
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
@@ -43,13 +43,13 @@
 
 
 async def test_clients_that_send_one_command_and_stay_are_closed_before_no_more_can_connect(tmp_path):
-    async with engine(tmp_path, max_clients=20) as rig:
-        limiter = rig.engine.fronts["resp"].limiter
-        pings = [Client(rig.address) for _ in range(3)]
+    async with running_courier(tmp_path, max_clients=20) as courier:
+        limiter = courier.engine.fronts["resp"].limiter
+        pings = [Client(courier.address) for _ in range(3)]
         for client in pings:
             await client.say("PING")
         for n in range(16):
-            assert await Client(rig.address).enqueue("status-update", id_=f"m{n}") == "+OK\r\n"
+            assert await Client(courier.address).enqueue("status-update", id_=f"m{n}") == "+OK\r\n"
             await anyio.sleep(0.02)
         assert sum(client.submitted for client in limiter.clients.values()) <= limiter.max_submitters + 1 == 9
         assert await pings[0].say("PING") == "+PONG\r\n"  # the room is not full: only those gave way
@@ -63,42 +63,42 @@
 ):
     monkeypatch.setattr(limiter, "COMMAND_TIMEOUT_US", 200_000)
     monkeypatch.setattr(limiter, "IDLE_TIMEOUT_US", 800_000)
-    async with engine(tmp_path) as rig:
+    async with running_courier(tmp_path) as courier:
         start = time.monotonic()
-        heard = await ends(rig.address, said)
+        heard = await ends(courier.address, said)
         idle = said.endswith(b"PING\r\n")
         assert heard.endswith(b"+PONG\r\n" if idle else b"-ERR no whole command in time\r\n")
         assert (0.8 if idle else 0.2) <= time.monotonic() - start < (1.3 if idle else 0.7)
-        assert not rig.engine.fronts["resp"].limiter.clients
+        assert not courier.engine.fronts["resp"].limiter.clients
 
 
 async def test_the_error_is_received_though_much_is_still_unread(tmp_path):
-    async with engine(tmp_path) as rig:
+    async with running_courier(tmp_path) as courier:
         huge = b"*1\r\n$60000000\r\n" + b"x" * 8_000_000
-        assert await ends(rig.address, huge) == b"-ERR a string of 60000000 bytes\r\n"
+        assert await ends(courier.address, huge) == b"-ERR a string of 60000000 bytes\r\n"
 
 
 async def test_hundreds_of_malformed_commands_are_cut_short_and_delay_nobody(tmp_path):
-    async with engine(tmp_path) as rig, anyio.create_task_group() as tasks:
+    async with running_courier(tmp_path) as courier, anyio.create_task_group() as tasks:
         for _ in range(4):
-            tasks.start_soon(ends, rig.address, b"*1\r\n$4\r\nNOPE\r\n" * 40_000)
+            tasks.start_soon(ends, courier.address, b"*1\r\n$4\r\nNOPE\r\n" * 40_000)
         await anyio.sleep(0.05)
         start = time.monotonic()
-        assert await Client(rig.address).say("PING") == "+PONG\r\n"
+        assert await Client(courier.address).say("PING") == "+PONG\r\n"
         assert time.monotonic() - start < 0.2
-        heard = await ends(rig.address, b"*1\r\n$4\r\nNOPE\r\n" * 900)
+        heard = await ends(courier.address, b"*1\r\n$4\r\nNOPE\r\n" * 900)
         assert 1 <= heard.count(b"-ERR") <= 40
 
 
 async def test_commands_that_are_never_complete_share_a_limit_of_memory(tmp_path):
-    async with engine(tmp_path, max_unread_bytes=100_000) as rig:
+    async with running_courier(tmp_path, max_unread_bytes=100_000) as courier:
         half = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$1\r\na\r\n$1\r\nb\r\n$60000\r\n" + b"x" * 50_000
-        first = await sockets.dial(rig.address)
+        first = await sockets.dial(courier.address)
         await first.write(half)
-        await until(lambda: rig.engine.fronts["resp"].limiter.reserved_bytes > 50_000)
-        assert await ends(rig.address, half) == b"-BUSY 1000\r\n"
+        await wait_until(lambda: courier.engine.fronts["resp"].limiter.reserved_bytes > 50_000)
+        assert await ends(courier.address, half) == b"-BUSY 1000\r\n"
         first.close()
-        await until(lambda: not rig.engine.fronts["resp"].limiter.reserved_bytes)
+        await wait_until(lambda: not courier.engine.fronts["resp"].limiter.reserved_bytes)
 
 
 async def test_a_client_that_always_has_data_does_not_block_the_loop():
@@ -131,7 +131,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(sockets.accept_forever, sock, tasks, serve)
         dialled = await sockets.dial(address)
-        await until(lambda: served)
+        await wait_until(lambda: served)
         tasks.cancel_scope.cancel()
     for each in (dialled, *served):
         assert each.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -140,14 +140,17 @@
 
 async def test_a_client_that_sends_much_at_once_and_disconnects_delays_nobody(tmp_path):
     endpoint = scripted()
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        hasty = await sockets.dial(rig.address)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        hasty = await sockets.dial(courier.address)
         words = [b"ENQUEUE", b"0", b"hasty%03d", b"c=status-update,t=north,d=5000,dest=1", b"x"]
         command = b"*5\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(w.replace(b"%03d", b"000")), w) for w in words)
         await hasty.write(b"".join(command % n for n in range(300)))
         hasty.close()
-        assert await Client(rig.address).enqueue("status-update", "steady") == "+OK\r\n"
-        await until(lambda: not rig.engine.messages_by_id)
+        assert await Client(courier.address).enqueue("status-update", "steady") == "+OK\r\n"
+        await wait_until(lambda: not courier.engine.messages_by_id)
         delivered = [r[3]["request-id"] for r in endpoint.requests]
         assert "steady" in delivered and len(set(delivered)) == len(delivered)
 
--- a/tests/test_platform_delivery.py
+++ b/tests/test_platform_delivery.py
@@ -2,8 +2,8 @@
 
 import anyio
 import pytest
-from platform_helpers import late, platform, scripted
-from standins import Client, Gate, HttpStandIn, engine, standing, until
+from platform_helpers import acknowledging_platform, delayed_reply, scripted
+from standins import Client, DialGate, HttpStandIn, running_courier, serve_on_loopback, wait_until
 
 from pinspread.policy.events import AttemptCompleted, EndpointState
 
@@ -23,14 +23,14 @@
     ],
 )
 async def test_a_payment_is_retried_only_after_proof_that_it_never_ran(tmp_path, reply, payments, state):
-    endpoint, platform_stand_in = scripted(reply), platform()
+    endpoint, platform_stand_in = scripted(reply), acknowledging_platform()
     async with (
-        standing(endpoint) as address,
-        standing(platform_stand_in) as platform_address,
-        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(platform_stand_in) as platform_address,
+        running_courier(tmp_path, platform_address, endpoints=[(address,)]) as courier,
     ):
-        await Client(rig.address).enqueue()
-        await until(lambda: not rig.engine.messages_by_id)
+        await Client(courier.address).enqueue()
+        await wait_until(lambda: not courier.engine.messages_by_id)
         assert len(endpoint.requests) == payments
         assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
 
@@ -56,14 +56,14 @@
 async def test_a_status_line_with_200_delivers_and_no_other_malformed_response_proves_anything(
     tmp_path, reply, calls, state
 ):
-    endpoint, platform_stand_in = scripted(reply), platform()
+    endpoint, platform_stand_in = scripted(reply), acknowledging_platform()
     async with (
-        standing(endpoint) as address,
-        standing(platform_stand_in) as platform_address,
-        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(platform_stand_in) as platform_address,
+        running_courier(tmp_path, platform_address, endpoints=[(address,)]) as courier,
     ):
-        await Client(rig.address).enqueue(for_ms=1500)
-        await until(lambda: not rig.engine.messages_by_id)
+        await Client(courier.address).enqueue(for_ms=1500)
+        await wait_until(lambda: not courier.engine.messages_by_id)
         assert len(endpoint.requests) == calls
         assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
 
@@ -71,65 +71,77 @@
 async def test_bytes_after_an_answer_never_answer_the_next_call(tmp_path):
     twice = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" * 2
     endpoint = scripted(twice, (500, [], b""))
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        client = Client(rig.address)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        client = Client(courier.address)
         for n in range(2):
             await client.enqueue(id_=f"m{n}")
-            await until(lambda: not rig.engine.open_messages)
-        assert endpoint.connections == 2 and rig.engine.messages_by_id["m1"].final.state.name == "FAILED"
+            await wait_until(lambda: not courier.engine.open_messages)
+        assert endpoint.connections == 2 and courier.engine.messages_by_id["m1"].final.state.name == "FAILED"
 
 
 async def test_retry_after_in_a_malformed_response_binds_from_its_head_on(tmp_path):
     endpoint = scripted(b"HTTP/1.1 429 Wait\r\nRetry-After: 0.6\r\nContent-Length: 9\r\n\r\n")
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
         for n in range(3):
-            await Client(rig.address).enqueue("status-update", id_=f"m{n}")
-            await until(lambda: endpoint.requests)
+            await Client(courier.address).enqueue("status-update", id_=f"m{n}")
+            await wait_until(lambda: endpoint.requests)
             await anyio.sleep(0.1)
-        await until(lambda: len(endpoint.requests) > 1)
+        await wait_until(lambda: len(endpoint.requests) > 1)
         assert endpoint.requests[1][0] - endpoint.requests[0][0] >= 0.6
 
 
 async def test_a_timed_out_payment_fails_and_its_connection_is_closed(tmp_path):
-    endpoint, platform_stand_in = HttpStandIn(lambda request: late(30)), platform()
+    endpoint, platform_stand_in = HttpStandIn(lambda request: delayed_reply(30)), acknowledging_platform()
     async with (
-        standing(endpoint) as address,
-        standing(platform_stand_in) as platform_address,
-        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(platform_stand_in) as platform_address,
+        running_courier(tmp_path, platform_address, endpoints=[(address,)]) as courier,
     ):
-        await Client(rig.address).enqueue(for_ms=300)
-        await until(lambda: platform_stand_in.lines)
+        await Client(courier.address).enqueue(for_ms=300)
+        await wait_until(lambda: platform_stand_in.lines)
         assert platform_stand_in.lines == [{"id": "id1", "state": "failed"}] and len(endpoint.requests) == 1
 
 
 async def test_retry_after_holds_back_all_messages_to_that_destination(tmp_path):
     endpoint = scripted((429, [("Retry-After", "0.4")], b""))
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        client = Client(rig.address)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        client = Client(courier.address)
         for _ in range(3):
             await client.enqueue("status-update")
             await anyio.sleep(0.05)
-        await until(lambda: len(endpoint.requests) == 4)
+        await wait_until(lambda: len(endpoint.requests) == 4)
         assert endpoint.requests[1][0] - endpoint.requests[0][0] >= 0.4
 
 
 @pytest.mark.parametrize("change", ["drain", "wait", "deadline", "withdrawn"])
 async def test_what_changes_while_a_call_is_dialled_keeps_it_unsent(tmp_path, monkeypatch, change):
-    endpoint, gate = HttpStandIn(), Gate(monkeypatch)
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        core = rig.engine
-        await Client(rig.address).enqueue(for_ms=100 if change == "deadline" else 5000)
-        await until(lambda: gate.waiting)
+    endpoint, gate = HttpStandIn(), DialGate(monkeypatch)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        core = courier.engine
+        await Client(courier.address).enqueue(for_ms=100 if change == "deadline" else 5000)
+        await wait_until(lambda: gate.waiting)
         if change == "drain":
-            rig.update_endpoints(address, state=EndpointState.DRAINING)
+            courier.update_endpoints(address, state=EndpointState.DRAINING)
         elif change == "wait":
             core.retry_after_until_us[1] = core.clock.now() + 10**9
         elif change == "withdrawn":
             core.withdraw(core.messages_by_id["id1"])
         else:
-            await until(lambda: core.messages_by_id["id1"].final)
+            await wait_until(lambda: core.messages_by_id["id1"].final)
         gate.open.set()
-        await until(lambda: not core.attempts)
+        await wait_until(lambda: not core.attempts)
         assert not endpoint.requests
 
 
@@ -137,23 +149,28 @@
     endpoint = HttpStandIn()
     endpoints = [("127.0.0.1:1", "s-1", 1)]
     async with (
-        standing(endpoint) as address,
-        engine(tmp_path, endpoints=[*endpoints, (address, "s-2", 2)]) as rig,
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[*endpoints, (address, "s-2", 2)]) as courier,
     ):
-        await Client(rig.address).enqueue(dest=1, for_ms=200)
+        await Client(courier.address).enqueue(dest=1, for_ms=200)
         await anyio.sleep(0.4)
         assert not endpoint.requests
 
 
 async def test_attempts_are_at_most_six_over_restarts_too(tmp_path):
-    endpoint, platform_stand_in = HttpStandIn(lambda request: late(30)), platform()
-    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
+    endpoint, platform_stand_in = HttpStandIn(lambda request: delayed_reply(30)), acknowledging_platform()
+    async with (
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(platform_stand_in) as platform_address,
+    ):
         for _ in range(8):
-            async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
-                if not rig.engine.messages_by_id and not platform_stand_in.lines:
-                    await Client(rig.address).enqueue("status-update", for_ms=20_000)
+            async with running_courier(tmp_path, platform_address, endpoints=[(address,)]) as courier:
+                if not courier.engine.messages_by_id and not platform_stand_in.lines:
+                    await Client(courier.address).enqueue("status-update", for_ms=20_000)
                 before = len(endpoint.requests)
-                await until(lambda before=before: len(endpoint.requests) > before or platform_stand_in.lines)
+                await wait_until(
+                    lambda before=before: len(endpoint.requests) > before or platform_stand_in.lines
+                )
         assert len(endpoint.requests) == 6 and [line["state"] for line in platform_stand_in.lines] == [
             "returned"
         ]
@@ -161,29 +178,32 @@
 
 @pytest.mark.parametrize("where", ["accept", "send"])
 async def test_a_fault_of_one_message_does_not_end_the_courier(tmp_path, monkeypatch, where):
-    platform_stand_in = platform()
+    platform_stand_in = acknowledging_platform()
     async with (
-        standing(platform_stand_in) as platform_address,
-        engine(tmp_path, platform_address, endpoints=[("not an address",)]) as rig,
+        serve_on_loopback(platform_stand_in) as platform_address,
+        running_courier(tmp_path, platform_address, endpoints=[("not an address",)]) as courier,
     ):
         if where == "accept":
-            monkeypatch.setattr(rig.engine, "accept", lambda message: 1 / 0)
+            monkeypatch.setattr(courier.engine, "accept", lambda message: 1 / 0)
             with pytest.raises(anyio.EndOfStream):
-                await Client(rig.address).enqueue()
+                await Client(courier.address).enqueue()
         else:
-            monkeypatch.setattr(rig.engine.transports["http"], "_call", None)
-            await Client(rig.address).enqueue(for_ms=300)
-            await until(lambda: platform_stand_in.lines)
-        assert await Client(rig.address).say("PING") == "+PONG\r\n"
+            monkeypatch.setattr(courier.engine.transports["http"], "_call", None)
+            await Client(courier.address).enqueue(for_ms=300)
+            await wait_until(lambda: platform_stand_in.lines)
+        assert await Client(courier.address).say("PING") == "+PONG\r\n"
 
 
 async def test_the_policy_learns_which_calls_had_a_connection_opened_for_them(tmp_path, monkeypatch):
     endpoint, heard = scripted((503, [], b""), (503, [], b"")), []
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        post = rig.engine.events.post
-        monkeypatch.setattr(rig.engine.events, "post", lambda event: (heard.append(event), post(event)))
-        await Client(rig.address).enqueue()
-        await until(lambda: not rig.engine.messages_by_id)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        post = courier.engine.events.post
+        monkeypatch.setattr(courier.engine.events, "post", lambda event: (heard.append(event), post(event)))
+        await Client(courier.address).enqueue()
+        await wait_until(lambda: not courier.engine.messages_by_id)
     assert [event.opened for event in heard if type(event) is AttemptCompleted] == [True, False, False]
 
 
@@ -199,10 +219,13 @@
         return (429, [("Retry-After", "1.0")], b"") if barred else silent()
 
     endpoint = HttpStandIn(answer)
-    async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        client, turns = Client(rig.address), []
-        found = rig.engine.policy
-        await until(lambda: "s-1" in found.discovery.endpoints)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        running_courier(tmp_path, endpoints=[(address,)]) as courier,
+    ):
+        client, turns = Client(courier.address), []
+        found = courier.engine.policy
+        await wait_until(lambda: "s-1" in found.discovery.endpoints)
         found.discovery.endpoints["s-1"].failure_rate = 0.4
         handle = found.handle
         found.handle = lambda now, events: turns.append(now) or handle(now, events)
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -5,8 +5,8 @@
 import anyio
 import orjson
 import pytest
-from platform_helpers import HEARD, Process, late
-from standins import Client, HttpStandIn, engine, host, standing, until
+from platform_helpers import ACKNOWLEDGED, CourierProcess, delayed_reply
+from standins import Client, HttpStandIn, host, running_courier, serve_on_loopback, wait_until
 
 from pinspread.discovery.client import DiscoveryClient
 from pinspread.policy.events import EndpointState
@@ -20,12 +20,12 @@
     change = {"seq": 8, "whole": False, "hosts": [host("s-1", "127.0.0.1:9", health="draining")]}
     lists.append(orjson.dumps(whole) + b"\n\n" + orjson.dumps(change) + b"\n")
     platform_stand_in = HttpStandIn(lambda request: (200, [], lists.pop(0) if lists else b""))
-    async with standing(platform_stand_in) as address, engine(tmp_path) as rig:
-        rig.tasks.start_soon(DiscoveryClient(address, rig.engine, rig.engine.settings).run)
-        endpoints = rig.engine.endpoints
-        await until(lambda: "s-1" in endpoints and not endpoints["s-1"].usable)
+    async with serve_on_loopback(platform_stand_in) as address, running_courier(tmp_path) as courier:
+        courier.tasks.start_soon(DiscoveryClient(address, courier.engine, courier.engine.settings).run)
+        endpoints = courier.engine.endpoints
+        await wait_until(lambda: "s-1" in endpoints and not endpoints["s-1"].usable)
         assert endpoints["s-2"].usable
-        await until(lambda: platform_stand_in.requests[-1][2] == "/api/targets?watch=1&from=8")
+        await wait_until(lambda: platform_stand_in.requests[-1][2] == "/api/targets?watch=1&from=8")
 
 
 async def test_endpoints_that_are_replaced_all_day_leave_no_state(tmp_path, monkeypatch):
@@ -33,19 +33,19 @@
 
     monkeypatch.setattr(discovery, "REMOVED_KEPT_NS", 0)
     endpoint = HttpStandIn()
-    async with standing(endpoint) as address, engine(tmp_path, coldNs=0) as rig:
-        core, client = rig.engine, Client(rig.address)
+    async with serve_on_loopback(endpoint) as address, running_courier(tmp_path, coldNs=0) as courier:
+        core, client = courier.engine, Client(courier.address)
         core.policy.context.settings.slow_start_ns = 0
         for n in range(6):  # each at the address of the one before
-            rig.update_endpoints(address, f"s-{n}")
+            courier.update_endpoints(address, f"s-{n}")
             await client.enqueue(id_=f"m{n}")
-            await until(lambda: not core.messages_by_id and endpoint.open)
+            await wait_until(lambda: not core.messages_by_id and endpoint.open)
             core.retry_after_until_us[f"s-{n}"] = core.clock.now()
-            rig.update_endpoints(address, f"s-{n}", state=EndpointState.REMOVED)
-            await until(lambda: not endpoint.open)
+            courier.update_endpoints(address, f"s-{n}", state=EndpointState.REMOVED)
+            await wait_until(lambda: not endpoint.open)
         core.retry_after_until_us[1] = waits = core.clock.now() + 10**9
-        rig.update_endpoints(address, "last")
-        await until(lambda: not core.events.inbox)
+        courier.update_endpoints(address, "last")
+        await wait_until(lambda: not core.events.inbox)
         assert list(core.endpoints) == list(core.policy.discovery.endpoints) == ["last"]
         assert list(core.policy.discovery.destinations[1].endpoints) == ["last"]
         assert core.retry_after_until_us == {1: waits}  # what still binds is kept
@@ -57,10 +57,10 @@
     tmp_path, couriers, least, most
 ):
     overbooked = HttpStandIn(lambda request: (503, [], b""))
-    async with standing(overbooked) as address, engine(tmp_path) as rig:
-        rig.engine.settings.policy_settings.senders = couriers
-        rig.tasks.start_soon(DiscoveryClient(address, rig.engine, rig.engine.settings).run)
-        await until(lambda: overbooked.requests)
+    async with serve_on_loopback(overbooked) as address, running_courier(tmp_path) as courier:
+        courier.engine.settings.policy_settings.senders = couriers
+        courier.tasks.start_soon(DiscoveryClient(address, courier.engine, courier.engine.settings).run)
+        await wait_until(lambda: overbooked.requests)
         await anyio.sleep(0.95)  # one of 40 waits for a second at least
         assert least <= len(overbooked.requests) - 1 <= most
 
@@ -68,17 +68,17 @@
 async def test_a_start_sends_nothing_by_the_old_list_before_the_first_answer(tmp_path):
     state, endpoint = tmp_path / "state", HttpStandIn()
     state.mkdir()
-    async with engine(state) as rig:
-        await Client(rig.address).enqueue("status-update", "owed", for_ms=9000)
+    async with running_courier(state) as courier:
+        await Client(courier.address).enqueue("status-update", "owed", for_ms=9000)
 
     def discovery(request):
         if request[2] == "/v2/finals":
-            return HEARD
-        return late(0.15, (200, [], orjson.dumps(news) + b"\n"))
+            return ACKNOWLEDGED
+        return delayed_reply(0.15, (200, [], orjson.dumps(news) + b"\n"))
 
-    async with standing(endpoint) as address, standing(HttpStandIn(discovery)) as where:
+    async with serve_on_loopback(endpoint) as address, serve_on_loopback(HttpStandIn(discovery)) as where:
         news = {"seq": 9, "whole": True, "hosts": [host("s-1", address, health="draining")]}
-        process = await Process(tmp_path, address, where).ready()  # its file still has it as ready
+        process = await CourierProcess(tmp_path, address, where).ready()  # its file still has it as ready
         await anyio.sleep(0.3)
         assert not endpoint.requests
         await process.end(signal.SIGKILL)
@@ -87,17 +87,17 @@
 async def test_a_watch_that_moves_keeps_the_old_one_until_the_new_one_is_up(tmp_path):
     news = orjson.dumps({"seq": 5, "whole": True, "hosts": [host("s-1", "127.0.0.1:9")]}) + b"\n"
     stays = HttpStandIn(lambda request: (200, [], news))
-    async with standing(stays) as address, engine(tmp_path) as rig:
-        watch = DiscoveryClient(address, rig.engine, rig.engine.settings)
-        rig.tasks.start_soon(watch.run)
-        await until(lambda: "s-1" in rig.engine.endpoints)
+    async with serve_on_loopback(stays) as address, running_courier(tmp_path) as courier:
+        watch = DiscoveryClient(address, courier.engine, courier.engine.settings)
+        courier.tasks.start_soon(watch.run)
+        await wait_until(lambda: "s-1" in courier.engine.endpoints)
         watch.change_address("127.0.0.1:1")  # nobody is there
         before = len(stays.requests)
-        await until(lambda: len(stays.requests) > before + 1)
+        await wait_until(lambda: len(stays.requests) > before + 1)
         moved = HttpStandIn(lambda request: (200, [], news.replace(b"s-1", b"s-2")))
-        async with standing(moved) as there:
+        async with serve_on_loopback(moved) as there:
             watch.change_address(there)
-            await until(lambda: "s-2" in rig.engine.endpoints)
+            await wait_until(lambda: "s-2" in courier.engine.endpoints)
             before = len(stays.requests)
             await anyio.sleep(0.5)
             assert len(stays.requests) == before
--- a/tests/test_platform_notifications.py
+++ b/tests/test_platform_notifications.py
@@ -1,39 +1,39 @@
 """The platform's rules for final results: notified until they are acknowledged, in order of their keys."""
 
 import pytest
-from platform_helpers import HEARD, late, scripted
-from standins import Client, HttpStandIn, engine, standing, until
+from platform_helpers import ACKNOWLEDGED, delayed_reply, scripted
+from standins import Client, HttpStandIn, running_courier, serve_on_loopback, wait_until
 
 pytestmark = pytest.mark.anyio
 
 
 async def test_the_end_of_a_message_is_notified_at_once_and_until_it_is_acknowledged(tmp_path):
-    answers = [(500, [], b""), None, HEARD]
+    answers = [(500, [], b""), None, ACKNOWLEDGED]
     platform_stand_in = HttpStandIn(lambda request: answers.pop(0))
     endpoint = HttpStandIn(lambda request: (500, [], b""))
     async with (
-        standing(endpoint) as address,
-        standing(platform_stand_in) as platform_address,
-        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(platform_stand_in) as platform_address,
+        running_courier(tmp_path, platform_address, endpoints=[(address,)]) as courier,
     ):
-        await Client(rig.address).enqueue(for_ms=20_000)
-        await until(lambda: not rig.engine.messages_by_id)
+        await Client(courier.address).enqueue(for_ms=20_000)
+        await wait_until(lambda: not courier.engine.messages_by_id)
         first, *_, last = platform_stand_in.requests
         assert first[0] - endpoint.requests[0][0] < 0.1 and last[0] - first[0] < 1
         assert len(platform_stand_in.requests) == 3 and first[4] == last[4]
 
 
 async def test_an_ordering_key_goes_on_only_once_its_earlier_notification_is_acknowledged(tmp_path):
-    slow = HttpStandIn(lambda request: late(0.3, HEARD))
+    slow = HttpStandIn(lambda request: delayed_reply(0.3, ACKNOWLEDGED))
     endpoint = scripted(*[(500, [], b"")] * 6)
     async with (
-        standing(endpoint) as address,
-        standing(slow) as platform_address,
-        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(slow) as platform_address,
+        running_courier(tmp_path, platform_address, endpoints=[(address,)]) as courier,
     ):
-        client = Client(rig.address)
+        client = Client(courier.address)
         await client.enqueue("booking-change", key="77", for_ms=400)
         await client.enqueue("booking-change", id_="second", key="77")
-        await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests))
+        await wait_until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests))
         sent = next(r[0] for r in endpoint.requests if r[3]["request-id"] == "second")
         assert sent - slow.requests[0][0] >= 0.3
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -8,52 +8,58 @@
 import anyio
 import orjson
 import pytest
-from platform_helpers import HEARD, Process, late, platform, scripted
+from platform_helpers import ACKNOWLEDGED, CourierProcess, acknowledging_platform, delayed_reply, scripted
 from standins import (
     Client,
     HttpStandIn,
     configuration,
     host,
     listener,
-    standing,
-    until,
+    serve_on_loopback,
+    wait_until,
 )
 
 pytestmark = pytest.mark.anyio
 
 
 async def test_after_a_kill_it_delivers_what_it_had_accepted_and_repeats_no_payment(tmp_path):
-    endpoint, platform_stand_in = scripted(late(30), late(30)), platform()
-    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
-        first = await Process(tmp_path, address, platform_address).ready()
+    endpoint, platform_stand_in = scripted(delayed_reply(30), delayed_reply(30)), acknowledging_platform()
+    async with (
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(platform_stand_in) as platform_address,
+    ):
+        first = await CourierProcess(tmp_path, address, platform_address).ready()
         await first.client.enqueue("payment", "out", for_ms=20_000)
         await first.client.enqueue("status-update", "repeatable", for_ms=20_000)
-        await until(lambda: len(endpoint.requests) == 2)
+        await wait_until(lambda: len(endpoint.requests) == 2)
         await first.end(signal.SIGKILL)
-        second = await Process(tmp_path, address, platform_address).ready()
-        await until(lambda: len(endpoint.requests) == 3 and platform_stand_in.lines)
+        second = await CourierProcess(tmp_path, address, platform_address).ready()
+        await wait_until(lambda: len(endpoint.requests) == 3 and platform_stand_in.lines)
         assert endpoint.requests[2][3]["request-id"] == "repeatable"
         assert platform_stand_in.lines == [{"id": "out", "state": "failed"}]
         await second.end(signal.SIGKILL)
 
 
 async def test_sigterm_finishes_what_is_in_flight_answers_busy_and_ends_in_time(tmp_path):
-    endpoint, platform_stand_in = scripted(late(1.0), late(60)), platform()
-    async with standing(endpoint) as address, standing(platform_stand_in) as platform_address:
-        process = await Process(tmp_path, address, platform_address).ready()
+    endpoint, platform_stand_in = scripted(delayed_reply(1.0), delayed_reply(60)), acknowledging_platform()
+    async with (
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(platform_stand_in) as platform_address,
+    ):
+        process = await CourierProcess(tmp_path, address, platform_address).ready()
         await process.client.enqueue(id_="out", for_ms=20_000)
-        await until(lambda: endpoint.requests)
+        await wait_until(lambda: endpoint.requests)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(process.end, signal.SIGTERM)
             await anyio.sleep(0.3)
             assert await process.client.enqueue(id_="more") == "-BUSY 2000\r\n"
             assert await Client(process.address).enqueue(id_="new") == "-BUSY 2000\r\n"
         assert process.process.returncode == 0
-        again = await Process(tmp_path, address, platform_address).ready()
+        again = await CourierProcess(tmp_path, address, platform_address).ready()
         await anyio.sleep(0.2)
         assert len(endpoint.requests) == 1 and not platform_stand_in.lines  # delivered: nothing is owed
         await again.client.enqueue("status-update", "hung", for_ms=20_000)
-        await until(lambda: len(endpoint.requests) == 2)
+        await wait_until(lambda: len(endpoint.requests) == 2)
         code, seconds = await again.end(signal.SIGTERM)
         assert code == 0 and seconds < 3.7
 
@@ -64,31 +70,31 @@
     def discovery(n):
         def answer(request):
             if request[2] == "/v2/finals":
-                return HEARD
+                return ACKNOWLEDGED
             watches[n] = request[2]
             news = {"seq": 9, "whole": True, "hosts": [host("s-1", endpoints[n])]}
-            return late(0, (200, [], orjson.dumps(news) + b"\n"))
+            return delayed_reply(0, (200, [], orjson.dumps(news) + b"\n"))
 
         return HttpStandIn(answer)
 
     refuses = [HttpStandIn(lambda request: (500, [], b"")) for _ in range(2)]
     old, new = discovery(0), discovery(1)
-    async with standing(refuses[0]) as first, standing(refuses[1]) as second:
+    async with serve_on_loopback(refuses[0]) as first, serve_on_loopback(refuses[1]) as second:
         endpoints = [first, second]
-        async with standing(old) as before, standing(new) as after:
-            process = await Process(tmp_path, first, before).ready()
-            await until(lambda: watches[0])
+        async with serve_on_loopback(old) as before, serve_on_loopback(new) as after:
+            process = await CourierProcess(tmp_path, first, before).ready()
+            await wait_until(lambda: watches[0])
             process.file.write_bytes(b"{")
             process.process.send_signal(signal.SIGHUP)
             await process.client.enqueue(id_="one")
-            await until(lambda: old.lines == [{"id": "one", "state": "failed"}])
+            await wait_until(lambda: old.lines == [{"id": "one", "state": "failed"}])
             process.configure(discovery=after)
             process.process.send_signal(signal.SIGHUP)
-            await until(lambda: watches[1] == "/api/targets?watch=1&from=0")
+            await wait_until(lambda: watches[1] == "/api/targets?watch=1&from=0")
             await anyio.sleep(0.1)
             asked = len(old.requests)
             await process.client.enqueue(id_="two")
-            await until(lambda: [line for line in new.lines if line["id"] == "two"])
+            await wait_until(lambda: [line for line in new.lines if line["id"] == "two"])
             assert refuses[1].requests and len(old.requests) == asked
             code, _ = await process.end(signal.SIGTERM)
             assert code == 0
--- a/tests/test_predecessor_reports.py
+++ b/tests/test_predecessor_reports.py
@@ -7,7 +7,7 @@
 import anyio
 import orjson
 import pytest
-from standins import Client, HttpStandIn, engine, standing, until
+from standins import Client, HttpStandIn, running_courier, serve_on_loopback, wait_until
 
 from pinspread.core.engine import DeliveryEngine
 from pinspread.hot_restart import source, state_codec
@@ -82,7 +82,7 @@
     async def end_call(self, id_):
         """Have the endpoint answer, and the old engine's report of that sent."""
         self.endpoint.released[id_].set()
-        await until(lambda: self.successor.queue)
+        await wait_until(lambda: self.successor.queue)
         await self.report_queued()
 
     def is_over(self, id_):
@@ -97,14 +97,14 @@
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     platform = HttpStandIn(lambda request: (204 if request[2] == "/v2/finals" else 503, [], b""))
     async with (
-        standing(endpoint) as address,
-        standing(platform) as platform_address,
-        engine(folder, endpoints=[(address,)]) as old,
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(platform) as platform_address,
+        running_courier(folder, endpoints=[(address,)]) as old,
     ):
         client = Client(old.address)
         for id_ in ids:
             assert await client.enqueue(class_name, id_, **message) == "+OK\r\n"
-            await until(lambda id_=id_: endpoint.calls[id_])
+            await wait_until(lambda id_=id_: endpoint.calls[id_])
         successor = source.Successor(Link(ours))
         packed = state_codec.pack_state(dict(old.engine.pause_for_handover(successor)))
         monkeypatch.setattr(old.engine.journal, "close", lambda: None)  # the hand-over has closed it
@@ -114,7 +114,7 @@
             new_engine.resume_from_handover(state_codec.read_state(packed))
 
         monkeypatch.setattr(DeliveryEngine, "recover", resume)
-        async with engine(folder, platform_address) as new:
+        async with running_courier(folder, platform_address) as new:
             link = Link(theirs)
             new.tasks.start_soon(Predecessor(link, new.engine, new.engine.clock).follow)
             yield Upgrade(endpoint, new, link, successor)
@@ -128,10 +128,10 @@
         await anyio.sleep(SETTLE_S)
         assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
         await upgrade.end_call(ANSWERED)
-        await until(lambda: upgrade.is_over(ANSWERED))
+        await wait_until(lambda: upgrade.is_over(ANSWERED))
         assert not upgrade.is_over(RUNNING)
         upgrade.link.close()  # the end of the old process, and only that
-        await until(lambda: upgrade.is_over(RUNNING))
+        await wait_until(lambda: upgrade.is_over(RUNNING))
         assert upgrade.endpoint.calls == {RUNNING: 2, ANSWERED: 1}
 
 
@@ -142,7 +142,7 @@
         upgrade.link.sock.send(b"\x0a\x00[]")  # of another kind than a fragment that is to be continued
         await anyio.sleep(SETTLE_S)
         await upgrade.end_call(ANSWERED)
-        await until(lambda: upgrade.is_over(ANSWERED))
+        await wait_until(lambda: upgrade.is_over(ANSWERED))
         assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
 
 
@@ -153,20 +153,20 @@
         message = upgrade.new.engine.messages_by_id[RUNNING]
         assert message.final is None and upgrade.endpoint.calls == {RUNNING: 1}
         await upgrade.end_call(RUNNING)
-        await until(lambda: upgrade.is_over(RUNNING))
+        await wait_until(lambda: upgrade.is_over(RUNNING))
         assert message.final is None and upgrade.endpoint.calls == {RUNNING: 1}
 
 
 async def test_a_report_ends_no_attempt_of_the_new_process(tmp_path, monkeypatch):
     async with upgraded(tmp_path, monkeypatch, (ANSWERED,)) as upgrade:
         await Client(upgrade.new.address).enqueue("status-update", RUNNING)
-        await until(lambda: upgrade.endpoint.calls[RUNNING])
+        await wait_until(lambda: upgrade.endpoint.calls[RUNNING])
         number = upgrade.new.engine.messages_by_id[RUNNING].number
         await upgrade.link.send(PacketKind.ATTEMPT_COMPLETED, orjson.dumps([number, 0, {"verdict": 251}]))
         await anyio.sleep(SETTLE_S)
         assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
         upgrade.endpoint.released[RUNNING].set()
-        await until(lambda: upgrade.is_over(RUNNING))
+        await wait_until(lambda: upgrade.is_over(RUNNING))
 
 
 async def test_an_operators_request_that_fails_is_no_end_of_the_old_process(tmp_path, monkeypatch):
@@ -179,7 +179,7 @@
         await upgrade.link.send(PacketKind.SET_ENDPOINT_DISABLED, b'["s-1", true, 0]')
         await anyio.sleep(SETTLE_S)
         await upgrade.end_call(ANSWERED)
-        await until(lambda: upgrade.is_over(ANSWERED))
+        await wait_until(lambda: upgrade.is_over(ANSWERED))
         assert upgrade.endpoint.calls == {RUNNING: 1, ANSWERED: 1}
 
 
@@ -202,21 +202,21 @@
 async def test_reports_count_though_the_old_process_ended_with_an_answer_unread(tmp_path, monkeypatch):
     async with upgraded(tmp_path, monkeypatch, (ANSWERED,), "payment") as upgrade:
         upgrade.endpoint.released[ANSWERED].set()
-        await until(lambda: upgrade.successor.queue)
+        await wait_until(lambda: upgrade.successor.queue)
         upgrade.new_link.sock.send(
             b"\x0d\x00[0,true]"
         )  # before the reports, so that they lie behind the reset
         await upgrade.report_queued()
         upgrade.link.close()
         message = upgrade.new.engine.messages_by_id[ANSWERED]
-        await until(lambda: upgrade.is_over(ANSWERED))
+        await wait_until(lambda: upgrade.is_over(ANSWERED))
         assert message.final is None and upgrade.endpoint.calls == {ANSWERED: 1}
 
 
 @pytest.mark.parametrize("end", ["its report", "the end of its process"])
 async def test_a_returned_message_is_not_accepted_again_while_its_call_may_go_on(tmp_path, monkeypatch, end):
     async with upgraded(tmp_path, monkeypatch, (RUNNING,), for_ms=400) as upgrade:
-        await until(lambda: upgrade.is_over(RUNNING))  # returned, and the client has heard it
+        await wait_until(lambda: upgrade.is_over(RUNNING))  # returned, and the client has heard it
         client = Client(upgrade.new.address)
         assert (await client.enqueue("status-update", RUNNING)).startswith("-BUSY")
         assert await client.enqueue("status-update", ANSWERED) == "+OK\r\n"
@@ -224,17 +224,17 @@
             await upgrade.report_queued()
         else:
             upgrade.link.close()
-        await until(lambda: not upgrade.new.engine.context.messages.unreported_attempts)
+        await wait_until(lambda: not upgrade.new.engine.context.messages.unreported_attempts)
         assert upgrade.endpoint.calls[RUNNING] == 1
         assert await client.enqueue("status-update", RUNNING) == "+OK\r\n"
-        await until(lambda: upgrade.endpoint.calls[RUNNING] == 2)
+        await wait_until(lambda: upgrade.endpoint.calls[RUNNING] == 2)
 
 
 async def test_a_payment_that_failed_behind_a_process_that_hangs_is_known_when_it_comes_again(
     tmp_path, monkeypatch
 ):
     async with upgraded(tmp_path, monkeypatch, (RUNNING,), "payment", for_ms=400) as upgrade:
-        await until(lambda: upgrade.is_over(RUNNING))
+        await wait_until(lambda: upgrade.is_over(RUNNING))
         assert RUNNING in upgrade.new.engine.journal.finished_ids
         assert await Client(upgrade.new.address).enqueue("payment", RUNNING) == "+OK\r\n"
         await anyio.sleep(SETTLE_S)
--- a/tests/test_raft_voters.py
+++ b/tests/test_raft_voters.py
@@ -5,7 +5,7 @@
 
 import anyio
 import pytest
-from standins import until
+from standins import wait_until
 
 from pinspread.leases import learner, raft, raft_messages
 from pinspread.leases.raft_messages import Hello, TermMessage
@@ -58,11 +58,11 @@
 async def test_three_fresh_voters_may_vote_once_all_have_met_and_agree(tmp_path, port):
     async with running(port, tmp_path) as voters:
         assert all(voter.learner.is_learner for voter in voters.values())
-        await until(lambda: leader_of(voters))
+        await wait_until(lambda: leader_of(voters))
         leader_of(voters).propose("nightly", GRANT, lambda record, outcome: None)
-        await until(lambda: all("nightly" in voter.records for voter in voters.values()))
+        await wait_until(lambda: all("nightly" in voter.records for voter in voters.values()))
         assert {voter.records["nightly"].holder for voter in voters.values()} == {"m"}
-        await until(lambda: not any(voter.learner.is_learner for voter in voters.values()))
+        await wait_until(lambda: not any(voter.learner.is_learner for voter in voters.values()))
 
 
 async def test_fresh_voters_that_have_not_met_all_others_do_not_vote(tmp_path, port):
@@ -93,13 +93,13 @@
 )
 async def test_a_frame_that_is_refused_ends_its_stream_alone(tmp_path, port, capfd, frames, why):
     async with running(port, tmp_path) as voters:
-        await until(lambda: leader_of(voters))
+        await wait_until(lambda: leader_of(voters))
         async with await connect(port) as stream:
             await stream.send(b"".join(frames))
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                 await stream.receive()
         leader_of(voters).propose("nightly", GRANT, lambda record, outcome: None)
-        await until(lambda: "nightly" in voters["a"].records)
+        await wait_until(lambda: "nightly" in voters["a"].records)
     refused = [line for line in capfd.readouterr().out.splitlines() if "quorum_refused" in line]
     assert any(why in line for line in refused), refused
 
--- a/tests/test_replication_stage.py
+++ b/tests/test_replication_stage.py
@@ -6,7 +6,7 @@
 from test_leases_stage import FAST, LEASES, print_errors
 
 from pinspread.testbed import cluster, history_checker
-from pinspread.testbed.loopback import until
+from pinspread.testbed.loopback import wait_until
 
 pytestmark = pytest.mark.stage
 # The last message's time is up before a scenario ends: what is then neither delivered nor told is lost.
@@ -167,10 +167,10 @@
             await testbed.begin()
             await testbed.act({"do": "start", "who": ["m3"]})
             # From here on it waits, however long the interpreter's start has taken.
-            await until(lambda: has_logged("copies_up"), cluster.READY_TIMEOUT_S)
+            await wait_until(lambda: has_logged("copies_up"), cluster.READY_TIMEOUT_S)
             await asyncio.sleep(2)
             await testbed.act({"do": "term", "who": ["m3"]})
-            await until(lambda: has_logged("exited"), cluster.READY_TIMEOUT_S)
+            await wait_until(lambda: has_logged("exited"), cluster.READY_TIMEOUT_S)
         finally:
             await asyncio.to_thread(testbed.finish)
 
--- a/tests/test_replication_streams.py
+++ b/tests/test_replication_streams.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 from replication_helpers import message
-from standins import until
+from standins import wait_until
 
 from pinspread.core.journal import Journal
 from pinspread.membership.framing import ConnectionClosedError
@@ -79,7 +79,7 @@
 async def test_what_is_written_is_on_the_replica_once_it_is_acknowledged(tmp_path, port):
     with anyio.fail_after(10):
         async with running(node("b", port, tmp_path)) as b, running(node("a", port, tmp_path)) as a:
-            await until(lambda: a.blocked_reason() == "")
+            await wait_until(lambda: a.blocked_reason() == "")
             for number in range(1, 4):
                 a.journal.message_accepted(message(number))
             assert await a.wait_replicated()
@@ -106,7 +106,7 @@
                 assert await a.wait_replicated()
                 before = a.primary.sent_bytes
             a.journal.message_accepted(message(2))
-            await until(lambda: "copies" in a.blocked_reason())
+            await wait_until(lambda: "copies" in a.blocked_reason())
             lacking = a.primary.log.lag("b").bytes
             async with running(node("b", port, tmp_path)) as b:
                 assert await a.wait_replicated()
@@ -152,7 +152,7 @@
             a = node("a", port, tmp_path)
             answers = await a.peers.call_all(FetchSnapshot("a", TOKEN))
             assert list(answers) == ["a"]  # its own replica
-            await until(lambda: not streams)
+            await wait_until(lambda: not streams)
             tasks.cancel_scope.cancel()
     (line,) = refusals(capfd)
     assert "generation" in line and '"by":"b"' in line
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -6,7 +6,16 @@
 
 import anyio
 import pytest
-from standins import Client, HttpStandIn, configuration, engine, listener, own_address, standing, until
+from standins import (
+    Client,
+    HttpStandIn,
+    configuration,
+    listener,
+    own_address,
+    running_courier,
+    serve_on_loopback,
+    wait_until,
+)
 
 from pinspread import sockets
 from pinspread.config import settings
@@ -23,27 +32,35 @@
 async def test_what_may_have_run_before_one_kill_may_have_run_after_the_next_one_too(tmp_path):
     answers = [anyio.sleep_forever(), (429, [("Retry-After", "60")], b"")]
     endpoint = HttpStandIn(lambda request: answers.pop(0))
-    async with standing(endpoint) as address:
-        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed with the first attempt out
-            await Client(rig.address).enqueue("booking-change", for_ms=60_000)
-            await until(lambda: endpoint.requests)
-            written_us = rig.engine.messages_by_id["id1"].in_flight_since_unix_us
-        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed after one that surely never ran
-            await until(lambda: len(endpoint.requests) == 2 and not rig.engine.attempts)
-        async with engine(tmp_path) as rig:
-            t = rig.engine.messages_by_id["id1"]
+    async with serve_on_loopback(endpoint) as address:
+        async with running_courier(
+            tmp_path, endpoints=[(address,)]
+        ) as courier:  # killed with the first attempt out
+            await Client(courier.address).enqueue("booking-change", for_ms=60_000)
+            await wait_until(lambda: endpoint.requests)
+            written_us = courier.engine.messages_by_id["id1"].in_flight_since_unix_us
+        async with running_courier(
+            tmp_path, endpoints=[(address,)]
+        ) as courier:  # killed after one that surely never ran
+            await wait_until(lambda: len(endpoint.requests) == 2 and not courier.engine.attempts)
+        async with running_courier(tmp_path) as courier:
+            t = courier.engine.messages_by_id["id1"]
             assert (t.may_have_run_unix_us, t.attempts) == (written_us, 2)
 
 
 async def test_an_unacknowledged_notification_is_sent_again_after_a_restart(tmp_path):
     endpoint = HttpStandIn(lambda request: (500, [], b""))  # it may have run: the payment fails
     unheard, heard = HttpStandIn(lambda request: None), HttpStandIn(lambda request: (204, [], b""))
-    async with standing(endpoint) as address, standing(unheard) as first, standing(heard) as second:
-        async with engine(tmp_path, first, endpoints=[(address,)]) as rig:
-            await Client(rig.address).enqueue("payment")
-            await until(lambda: unheard.requests)  # and killed, with the notification in flight
-        async with engine(tmp_path, second, endpoints=[(address,)]) as rig:
-            await until(lambda: not rig.engine.messages_by_id)
+    async with (
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(unheard) as first,
+        serve_on_loopback(heard) as second,
+    ):
+        async with running_courier(tmp_path, first, endpoints=[(address,)]) as courier:
+            await Client(courier.address).enqueue("payment")
+            await wait_until(lambda: unheard.requests)  # and killed, with the notification in flight
+        async with running_courier(tmp_path, second, endpoints=[(address,)]) as courier:
+            await wait_until(lambda: not courier.engine.messages_by_id)
         assert [r[4] for r in heard.requests] == [unheard.requests[0][4]] and len(endpoint.requests) == 1
 
 
@@ -85,10 +102,10 @@
 
 @pytest.mark.parametrize("known", [True, False])
 async def test_a_complete_request_in_the_last_moment_before_the_end_has_its_answer(tmp_path, known):
-    async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
+    async with serve_on_loopback(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform)
         async with running(parts) as done:
-            await until(lambda: parts.engine.serving)
+            await wait_until(lambda: parts.engine.serving)
             connection = await sockets.dial(parts.settings.listen)
             if known:
                 await connection.write(command(b"PING"))
@@ -115,10 +132,10 @@
 
 async def test_the_process_ends_only_after_its_clients_have_seen_their_connections_end(tmp_path):
     sent = []
-    async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
+    async with serve_on_loopback(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform)
         async with running(parts) as done:
-            await until(lambda: parts.engine.serving)
+            await wait_until(lambda: parts.engine.serving)
             connection = await sockets.dial(parts.settings.listen)
             await connection.write(command(b"PING"))
             assert await connection.read() == b"+PONG\r\n"
@@ -141,11 +158,11 @@
 async def test_a_connection_whose_next_command_is_there_is_not_ended_for_having_been_idle(
     tmp_path, monkeypatch
 ):
-    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
-        connection = await sockets.dial(rig.address)
+    async with running_courier(tmp_path, endpoints=[("127.0.0.1:1",)]) as courier:
+        connection = await sockets.dial(courier.address)
         await connection.write(command(b"PING"))
         assert await connection.read() == b"+PONG\r\n"
-        client_limiter = rig.engine.fronts["resp"].limiter
+        client_limiter = courier.engine.fronts["resp"].limiter
         monkeypatch.setattr(limiter, "IDLE_TIMEOUT_US", -1)  # it has been idle for too long just now
         connection.sock.send(ENQUEUE)
         client_limiter.close_overdue()
@@ -153,10 +170,10 @@
 
 
 async def test_a_first_command_that_is_there_is_answered_though_the_loop_was_late(tmp_path):
-    async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
-        connection = await sockets.dial(rig.address)
-        client_limiter = rig.engine.fronts["resp"].limiter
-        await until(lambda: client_limiter.clients)
+    async with running_courier(tmp_path, endpoints=[("127.0.0.1:1",)]) as courier:
+        connection = await sockets.dial(courier.address)
+        client_limiter = courier.engine.fronts["resp"].limiter
+        await wait_until(lambda: client_limiter.clients)
         (ours,) = client_limiter.clients.values()
         connection.sock.send(ENQUEUE)
         ours.waiting_since_us -= limiter.COMMAND_TIMEOUT_US + 1  # nothing ran for so long
@@ -165,12 +182,12 @@
 
 
 async def test_sigterm_is_handled_while_another_process_owns_the_folder(tmp_path):
-    async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
+    async with serve_on_loopback(HttpStandIn(lambda request: (204, [], b""))) as platform:
         other = FolderLock(str(tmp_path))
         assert other.acquire()
         parts = service(tmp_path, platform)
         async with running(parts) as done:
-            await until(lambda: parts.signals)
+            await wait_until(lambda: parts.signals)
             parts.leaving.set()
             with anyio.fail_after(1):
                 await done.wait()
@@ -179,17 +196,17 @@
 
 
 async def test_sighup_between_the_reading_of_the_file_and_the_receiver_is_applied(tmp_path):
-    async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
+    async with serve_on_loopback(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform, early_sighup=[True])
         changed = []
         parts.reloader.reload = lambda: changed.append(parts.engine.serving)
         async with running(parts):
-            await until(lambda: changed)
+            await wait_until(lambda: changed)
     assert changed == [True]
 
 
 async def test_an_address_that_the_previous_process_still_holds_is_waited_for(tmp_path, monkeypatch):
-    async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform_address:
+    async with serve_on_loopback(HttpStandIn(lambda request: (204, [], b""))) as platform_address:
         parts = service(tmp_path, platform_address)
         before = sockets.listen(parts.settings.listen)
         said = []
@@ -201,7 +218,7 @@
 
         monkeypatch.setattr(listeners, "log", heard)
         async with running(parts):
-            await until(lambda: parts.engine.serving)
+            await wait_until(lambda: parts.engine.serving)
     assert "address_in_use" in said
 
 
@@ -227,7 +244,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(sockets.accept_forever, Faulty(), tasks, serve)
         client = await sockets.dial(address)
-        await until(lambda: served)
+        await wait_until(lambda: served)
         tasks.cancel_scope.cancel()
     client.close()
     sock.close()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from platform_helpers import HEARD, Process, platform
-from standins import Client, HttpStandIn, configuration, engine, standing, until
+from platform_helpers import ACKNOWLEDGED, CourierProcess, acknowledging_platform
+from standins import Client, HttpStandIn, configuration, running_courier, serve_on_loopback, wait_until
 
 from pinspread.__main__ import main
 from pinspread.config import settings
@@ -104,18 +104,18 @@
 async def test_new_messages_follow_the_new_settings_and_open_ones_keep_theirs(tmp_path):
     down = HttpStandIn(lambda request: (500, [], b""))
     raw_settings = configuration(tmp_path)
-    async with standing(platform()) as heard, standing(down) as address:
-        async with engine(tmp_path, heard, endpoints=[(address,), (address, "s-2", 2)]) as rig:
-            client, core = Client(rig.address), rig.engine
+    async with serve_on_loopback(acknowledging_platform()) as heard, serve_on_loopback(down) as address:
+        async with running_courier(tmp_path, heard, endpoints=[(address,), (address, "s-2", 2)]) as courier:
+            client, core = Client(courier.address), courier.engine
             assert await client.enqueue("status-update", "old", for_ms=3500) == "+OK\r\n"
-            await until(lambda: down.requests)
+            await wait_until(lambda: down.requests)
             new = copy.deepcopy(raw_settings)
             new["settings"]["lanes"] = [lane("refund", effect="once"), lane("status-update", effect="once")]
             new["settings"]["policyLimits"]["sendCap"] = 1
             core.apply_settings(settings.read(new, {}))
             assert (await client.enqueue("payment")).startswith("-ERR unknown class")
             assert await client.enqueue("refund", "new", dest=2) == "+OK\r\n"
-            await until(lambda: not core.messages_by_id)
+            await wait_until(lambda: not core.messages_by_id)
         by_id = [r[3]["request-id"] for r in down.requests if r[1] == "POST"]
         assert 1 < by_id.count("old") <= 6 and by_id.count("new") == 1
 
@@ -123,15 +123,17 @@
 async def test_rules_of_a_class_that_was_dropped_last_over_a_restart(tmp_path):
     answers = []
     endpoint = HttpStandIn(lambda request: answers.pop(0) if answers else (500, [], b""))
-    async with standing(platform()) as heard, standing(endpoint) as address:
-        async with engine(tmp_path, heard) as rig:
+    async with serve_on_loopback(acknowledging_platform()) as heard, serve_on_loopback(endpoint) as address:
+        async with running_courier(tmp_path, heard) as courier:
             raw_settings = configuration(tmp_path)
             raw_settings["settings"]["lanes"].append(lane("refund", effect="once"))
-            rig.engine.apply_settings(settings.read(raw_settings, {}))
-            rig.update_endpoints(address, state=0)
-            assert await Client(rig.address).enqueue("refund", "kept") == "+OK\r\n"
-        async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:  # whose settings know no refund
-            await until(lambda: not rig.engine.messages_by_id)
+            courier.engine.apply_settings(settings.read(raw_settings, {}))
+            courier.update_endpoints(address, state=0)
+            assert await Client(courier.address).enqueue("refund", "kept") == "+OK\r\n"
+        async with running_courier(
+            tmp_path, heard, endpoints=[(address,)]
+        ) as courier:  # whose settings know no refund
+            await wait_until(lambda: not courier.engine.messages_by_id)
     assert len(endpoint.requests) == 1  # an error may have run, and the class must not repeat
 
 
@@ -183,8 +185,11 @@
 
 async def test_a_reload_under_load_and_a_start_with_a_broken_file(tmp_path):
     endpoint = HttpStandIn()
-    async with standing(endpoint) as address, standing(HttpStandIn(lambda r: HEARD)) as heard:
-        process = await Process(tmp_path, address, heard).ready()
+    async with (
+        serve_on_loopback(endpoint) as address,
+        serve_on_loopback(HttpStandIn(lambda r: ACKNOWLEDGED)) as heard,
+    ):
+        process = await CourierProcess(tmp_path, address, heard).ready()
         lanes = [*process.configuration["settings"]["lanes"], lane("refund")]
         good = copy.deepcopy(process.configuration)
         process.configure(settings=process.configuration["settings"] | {"lanes": lanes})
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -11,7 +11,7 @@
 import stored
 import stored_cluster
 import stored_courier
-from standins import Client, standing, until
+from standins import Client, serve_on_loopback, wait_until
 
 
 def expected(name):
@@ -195,9 +195,11 @@
     had, elsewhere = [], []
     platform = stored_courier.Platform(None, True)
     async with AsyncExitStack() as stack:
-        at = await stack.enter_async_context(standing(stored_courier.endpoint_stand_in(had, accept)))
-        other = await stack.enter_async_context(standing(stored_courier.endpoint_stand_in(elsewhere, accept)))
-        platform_at = await stack.enter_async_context(standing(platform))
+        at = await stack.enter_async_context(serve_on_loopback(stored_courier.endpoint_stand_in(had, accept)))
+        other = await stack.enter_async_context(
+            serve_on_loopback(stored_courier.endpoint_stand_in(elsewhere, accept))
+        )
+        platform_at = await stack.enter_async_context(serve_on_loopback(platform))
         hosts = stored_courier.hosts_at({"s-1": at, "s-4": at, "s-5": at}, other)
         with stored_courier.process(folder, hosts, platform_at, folder / "log") as running:
             await stored_courier.listening(running)
@@ -206,10 +208,10 @@
             for id_ in again:
                 cls, key, dest = stored_courier.MESSAGES[id_]
                 assert await client.enqueue(cls, id_, key, 20_000, dest=dest) == "+OK\r\n"
-            await until(lambda: set(had) >= SENT_AGAIN and platform.ends() >= ends, 8)
+            await wait_until(lambda: set(had) >= SENT_AGAIN and platform.ends() >= ends, 8)
             for n in range(8):
                 assert await client.enqueue("status-update", f"new-{n}", for_ms=9_000) == "+OK\r\n"
-            await until(lambda: len([i for i in had if i.startswith("new-")]) == 8)
+            await wait_until(lambda: len([i for i in had if i.startswith("new-")]) == 8)
             await anyio.sleep(0.3)
             assert "404" not in await stored_courier.call_admin(
                 running.admin_address, "PUT /-/endpoints/s-2/enable"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -5,7 +5,7 @@
 import anyio
 import orjson
 import pytest
-from standins import Client, standing, until
+from standins import Client, serve_on_loopback, wait_until
 from upgrade_deployment import Endpoint, Ledger, call, deployed, ready, stopped
 
 from pinspread import sockets
@@ -38,11 +38,11 @@
     ledger = Ledger()
     ledger.duration_s = lambda request: 0.2
     request = b"POST /events HTTP/1.1\r\nHost: x\r\nRequest-Id: %s\r\nContent-Length: 0\r\n\r\n"
-    async with standing(Endpoint(ledger)) as address:
+    async with serve_on_loopback(Endpoint(ledger)) as address:
         for id_, closed in ((b"kept", False), (b"closed", True)):
             first, second = await sockets.dial(address), await sockets.dial(address)
             await first.write(request % id_)
-            await until(lambda id_=id_: id_.decode() in ledger.had)
+            await wait_until(lambda id_=id_: id_.decode() in ledger.had)
             if closed:
                 first.close()
             await second.write(request % id_)
@@ -57,11 +57,11 @@
         ledger.duration_s = lambda request: 0 if len(ledger.had) > 1 else 6  # longer than any time-out
         assert await Client(made.address).enqueue("status-update", "m", for_ms=8000) == "+OK\r\n"
         ledger.taken["m"] = "status-update", "0"
-        await until(lambda: ledger.had)
+        await wait_until(lambda: ledger.had)
         new = made.start()
         await ready(new)
         assert [e["in_flight"] for e in made.events(1) if e["event"] == "handover_received"] == [1]
-        await until(lambda: len(ledger.had) == 2)
+        await wait_until(lambda: len(ledger.had) == 2)
         assert ledger.called_again == {"m"} and ledger.running["m"]
     ledger.check()
     assert [event["outcome"] for event in made.attempts("m")] == ["TIMEOUT", "OK"]
@@ -72,12 +72,12 @@
         ledger.duration_s = lambda request: 2.4
         assert await Client(made.address).enqueue("payment", "m", for_ms=3000) == "+OK\r\n"
         ledger.taken["m"] = "payment", "0"
-        await until(lambda: ledger.had)
+        await wait_until(lambda: ledger.had)
         new = made.start()
         await ready(new, 2)
         async with stopped(new):
             await anyio.sleep(4)  # past the attempt's time, and that for its report
-        await until(lambda: made.attempts("m"))
+        await wait_until(lambda: made.attempts("m"))
     ledger.check()
     assert [event["outcome"] for event in made.attempts("m")] == ["OK"]
 
@@ -87,7 +87,7 @@
         ledger.duration_s = lambda request: 0 if len(ledger.had) > 1 else 6
         assert await Client(made.address).enqueue("status-update", "m", for_ms=8000) == "+OK\r\n"
         ledger.taken["m"] = "status-update", "0"
-        await until(lambda: ledger.had)
+        await wait_until(lambda: ledger.had)
         await ready(made.start(), 2)
         async with stopped(made.processes[0]):
             await anyio.sleep(4)  # past the attempt's time, and that for its report
@@ -101,10 +101,10 @@
         ledger.duration_s = lambda request: 60
         assert await Client(made.address).enqueue("status-update", "m", for_ms=4500) == "+OK\r\n"
         ledger.taken["m"] = "status-update", "0"
-        await until(lambda: ledger.had)
+        await wait_until(lambda: ledger.had)
         await ready(made.start(), 2)
         async with stopped(made.processes[0]):
-            await until(ledger.settled, 10)
+            await wait_until(ledger.settled, 10)
     ledger.check()
     assert ledger.had == ["m"] and "m" in ledger.ends
 
@@ -115,11 +115,11 @@
         client = Client(made.address)
         assert await client.enqueue("status-update", "m", for_ms=3500) == "+OK\r\n"
         ledger.taken["m"] = "status-update", "0"
-        await until(lambda: ledger.had)
+        await wait_until(lambda: ledger.had)
         await ready(made.start(), 2)
         client = Client(made.address)
         async with stopped(made.processes[0]):
-            await until(ledger.settled, 10)
+            await wait_until(ledger.settled, 10)
             assert ledger.ends["m"] == {"returned"}
             for _ in range(5):  # the first may come before the notification counts as acknowledged
                 assert await client.enqueue("status-update", "m", for_ms=3500) == "-BUSY 1000\r\n"
@@ -127,7 +127,7 @@
         with anyio.fail_after(5):
             while await client.enqueue("status-update", "m", for_ms=3500) != "+OK\r\n":
                 await anyio.sleep(0.05)
-        await until(lambda: len(ledger.had) == 2)
+        await wait_until(lambda: len(ledger.had) == 2)
     assert not ledger.live_twice
 
 
@@ -147,7 +147,7 @@
         assert await call(new.admin_address, "PUT /-/endpoints/s-1/enable") == 200
         assert await call(old.admin_address, "PUT /-/endpoints/s-2/enable") == 200
         assert await call(old.admin_address, "PUT /-/endpoints/s-7/enable") == 404
-        await until(ledger.settled)
+        await wait_until(ledger.settled)
     ledger.check()
 
 
--- a/tests/upgrade_deployment.py
+++ b/tests/upgrade_deployment.py
@@ -11,7 +11,16 @@
 
 import anyio
 import orjson
-from standins import Client, HttpStandIn, configuration, host, listener, own_address, standing, until
+from standins import (
+    Client,
+    HttpStandIn,
+    configuration,
+    host,
+    listener,
+    own_address,
+    serve_on_loopback,
+    wait_until,
+)
 
 from pinspread import sockets
 from pinspread.core.messages import NEVER_RAN
@@ -211,7 +220,10 @@
 @asynccontextmanager
 async def deployed(folder, clients=6):
     ledger = Ledger()
-    async with standing(Endpoint(ledger)) as address, standing(HttpStandIn(ledger.platform)) as platform:
+    async with (
+        serve_on_loopback(Endpoint(ledger)) as address,
+        serve_on_loopback(HttpStandIn(ledger.platform)) as platform,
+    ):
         made = ledger.deployment = Deployment(folder, address, platform)
         try:
             await ready(made.start())
@@ -220,7 +232,7 @@
                     tasks.start_soon(ledger.client, made.address, f"c{n}", n % 2 == 0)
                 yield made, ledger
                 ledger.stop = True
-            await until(ledger.settled, 10)
+            await wait_until(ledger.settled, 10)
             with anyio.move_on_after(1):  # a process that was killed has not logged all of its attempts
                 while not ledger.logged():
                     await anyio.sleep(0.01)
