--- a/pinspread/resp/__init__.py
+++ b/pinspread/resp/__init__.py
@@ -1,1 +1,1 @@
-"""RESP2: the front that clients submit messages to, and the notifications of how these ended."""
+"""The RESP2 front, where clients submit messages, and the notifications of their final results."""
--- a/pinspread/resp/commands.py
+++ b/pinspread/resp/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the RESP front: what each one does, and its reply."""
+"""The commands of the RESP front: executes them and encodes their replies."""
 
 from typing import NamedTuple
 
@@ -12,28 +12,28 @@
 from pinspread.resp.parser import CommandError, EnqueueRequest, ProtocolError, parse, parse_enqueue
 from pinspread.sockets import ClientConnection, Connection, ConnectionLimiter, ReadBuffer
 
-NAME = "resp"  # of the front, in the journal
-BATCH_SIZE = 32  # commands of one connection that are answered before others have their turn
-MAX_NAME_BYTES = 16  # of a command
-MAX_PING_BYTES = 1024
+NAME = "resp"  # of this front, in the journal
+BATCH_SIZE = 32  # commands of one connection that are executed before other connections get a turn
+MAX_NAME_BYTES = 16  # of a command's name
+MAX_PING_BYTES = 1024  # of all arguments of a PING
 
 
 class BatchResult(NamedTuple):
-    """What a batch of commands has left.
+    """The state of a connection after a batch of commands.
 
     Attributes:
-        following: The stream can still be followed.
-        min_bytes: How many bytes the next command has at the least.
-        errors: How many commands were malformed.
+        can_continue: Further commands can be parsed from the stream; false after a protocol error.
+        min_bytes: Minimum length of the next command in bytes: with less in the buffer it is incomplete.
+        errors: Number of malformed commands in the batch.
     """
 
-    following: bool
+    can_continue: bool
     min_bytes: int
     errors: int
 
 
 class Reply(NamedTuple):
-    """The reply to a command, and whether that was well-formed."""
+    """The reply to a command, and whether the command was well-formed."""
 
     well_formed: bool
     data: bytes
@@ -43,8 +43,8 @@
     """Executes the commands of all connections.
 
     Args:
-        engine: What accepts the messages.
-        limiter: Where the connections are counted.
+        engine: The engine that accepts the messages.
+        limiter: The limiter that counts the connections.
     """
 
     def __init__(self, engine: DeliveryEngine, limiter: ConnectionLimiter) -> None:
@@ -102,8 +102,9 @@
         if unknown:
             raise CommandError(unknown)
         if connection.is_finished():
-            # A client that has stopped waiting submits the message again under another id.
-            raise RejectedError(0, "the caller has gone")
+            # A client that no longer waits for the reply submits the message again under another id. Accepted
+            # here as well, it would be delivered twice.
+            raise RejectedError(0, "the client connection has been closed")
         engine.accept(
             Message(
                 number=0,
--- a/pinspread/resp/front.py
+++ b/pinspread/resp/front.py
@@ -1,4 +1,4 @@
-"""The RESP front: accepts client connections, and hands them to the next process at a hot restart."""
+"""The RESP front: accepts client connections, and passes them to the next process at a hot restart."""
 
 import socket
 from collections.abc import Iterable
@@ -24,23 +24,24 @@
 
 __all__ = ["NAME", "RespFront"]
 
-CLOSE_TIMEOUT_S = 0.15  # at the end of the process: for replies, and for clients to close their connections
+CLOSE_TIMEOUT_S = 0.15  # at shutdown: for the last replies, and again for clients to close their connections
 CLOSE_POLL_S = 0.005
 
 
 class RespFront:
-    """Client connections on a listening socket.
+    """Serves the client connections of a listening socket.
 
     Args:
-        engine: What accepts the messages.
-        notifications: Where final results go.
-        limiter: The limit on client connections, where other fronts share it.
+        engine: The engine that accepts the messages.
+        notifications: Sends final results to the platform.
+        limiter: The limit on client connections if it is shared with other fronts; by default a limit of its
+            own.
 
     Attributes:
-        scope: The cancel scope of what `run` has started; None before that.
+        scope: The cancel scope of all tasks that `run` has started; None before that.
     """
 
-    reports_delivery = False  # the platform sees a delivery by itself
+    reports_delivery = False  # the platform learns of deliveries without a notification
     ordered_by_notice = True
 
     def __init__(
@@ -56,16 +57,16 @@
         self._accepting = anyio.CancelScope()
         self._sock: socket.socket | None = None
         self._stopped = anyio.Event()
-        self._detached: list[IdleConnection] | None = (
-            None  # those for another process, while they are collected
-        )
+        # The connections for another process; None unless `detach_connections` is collecting them.
+        self._detached: list[IdleConnection] | None = None
 
     async def run(self, sock: socket.socket, connections: Iterable[IdleConnection] = ()) -> None:
         """Accept and serve until cancelled or detached.
 
         Args:
             sock: The listening socket.
-            connections: Connections from another process, or from a hand-over that was declined.
+            connections: Connections to go on serving: from another process, or from a hot restart that was
+                declined.
         """
         self._stopped, self._sock = anyio.Event(), sock
         async with anyio.create_task_group() as tasks:
@@ -77,29 +78,30 @@
         self._stopped.set()
 
     async def close(self) -> None:
-        """End with the process: answer what has come, end each stream, and wait briefly for the clients.
+        """Shut down: answer commands that have arrived, end each stream, and wait briefly for the clients.
 
-        A process that ends with a complete command unread resets its connection, and the client has no reply.
-        What crosses this end is submitted once more elsewhere, for its client sees the end first.
+        If the process ended with a complete command unread, the kernel would reset the connection and the
+        client would get no reply. A command that is sent while its stream is being ended gets no reply
+        either, but its client sees the end of the stream first and submits the message again elsewhere.
         """
         if self._sock is None or self.scope is None or self.scope.cancel_called:
             return
         with anyio.move_on_after(CLOSE_TIMEOUT_S):
-            await anyio.sleep(0)  # new connections that wait are accepted and read
+            await anyio.sleep(0)  # lets connections in the backlog be accepted and read
             self._accepting.cancel()
-            self._sock.close()  # a client that comes now is refused, and none waits in the queue
+            self._sock.close()  # later clients are refused at once instead of waiting in the backlog
             await self._end_streams()
         with anyio.move_on_after(CLOSE_TIMEOUT_S):
             while self._clients():
                 await anyio.sleep(CLOSE_POLL_S)
 
     def _clients(self) -> dict[Connection, ClientConnection]:
-        """The connections of this front among all that the limiter counts."""
+        """Return this front's connections among all that the limiter counts."""
         clients = self.limiter.clients.values()
         return {client.connection: client for client in clients if not client.has_heartbeat}
 
     async def _end_streams(self) -> None:
-        """End the stream to each client that has no command unanswered, until none is left."""
+        """End the stream to each client once it has no unanswered command, until all are ended."""
         clients = self._clients()
         while clients:
             for connection, client in list(clients.items()):
@@ -111,7 +113,7 @@
             await anyio.sleep(CLOSE_POLL_S)
 
     async def detach_connections(self) -> list[IdleConnection]:
-        """Stop accepting and reading, and give up all connections that can go on in another process."""
+        """Stop accepting and reading, and return all connections that another process can go on serving."""
         detached = self._detached = []
         if self.scope is not None:
             self.scope.cancel()
@@ -122,7 +124,7 @@
     async def serve(
         self, connection: Connection, client: ClientConnection, handed_over: IdleConnection | None = None
     ) -> None:
-        """Serve one client connection, and close it unless it is collected for another process."""
+        """Serve one client connection, and close it unless it is being passed to another process."""
         session = ClientSession(self._handler, client)
         collected = False
         try:
@@ -134,19 +136,19 @@
         except OSError:
             pass  # the client has closed the connection
         except anyio.get_cancelled_exc_class():
-            if session.following and self._detached is not None:
+            if session.can_continue and self._detached is not None:
                 self._detached.append(session.detach())
                 collected = True
             raise
         except Exception as error:
-            # One connection's trouble must not end the process and all that it serves.
+            # An unexpected error on one connection must not end the process and all other connections.
             log("internal_error", where="client connection", error=repr(error))
         finally:
             if not collected:
                 connection.close()
 
     async def notify(self, message: Message, final: FinalResult) -> None:
-        """Have the platform notified of a final result; returns once it has acknowledged that."""
+        """Notify the platform of a final result; returns once the platform has acknowledged it."""
         state = "failed" if final.state is FinalState.FAILED else "returned"
         notification: dict[str, str | int] = {"id": message.id, "state": state}
         if final.retry_after_ms:
--- a/pinspread/resp/notifications.py
+++ b/pinspread/resp/notifications.py
@@ -1,4 +1,4 @@
-"""Notifications of final results to the platform, by `POST /v2/finals` with a JSON object on each line."""
+"""Notifications of final results to the platform: `POST /v2/finals` with one JSON object a line."""
 
 from dataclasses import dataclass, field
 
@@ -10,11 +10,11 @@
 
 PATH = "/v2/finals"
 HEADERS = (("Content-Type", "application/x-ndjson"),)
-POST_TIMEOUT_S = 1.0  # of one POST, which is answered at once as a rule
-BACKOFF_S = (0.05, 0.1, 0.2, 0.4)  # before further attempts, the last value for all that follow
+POST_TIMEOUT_S = 1.0  # for one POST with its response, which usually comes at once
+BACKOFF_S = (0.05, 0.1, 0.2, 0.4)  # before each retry; the last value repeats
 MAX_BATCH = 200  # notifications in one POST
 ACKNOWLEDGED, MALFORMED = 204, 400
-NO_RESPONSE = 0
+NO_RESPONSE = 0  # status of a POST that got no response
 
 
 @dataclass(slots=True, eq=False)
@@ -24,10 +24,10 @@
 
 
 class NotificationSender:
-    """Posts notifications, those of one moment together, until each is acknowledged.
+    """Posts notifications, batched, and retries until each is acknowledged.
 
     Args:
-        address: Where the platform takes them, host:port.
+        address: The platform's address for notifications, host:port.
     """
 
     def __init__(self, address: str) -> None:
@@ -38,18 +38,18 @@
         self._connected_to = ""
 
     def change_address(self, address: str) -> None:
-        """Post to another address from now on, also what is not acknowledged yet."""
+        """Post to another address from now on, including notifications that are not acknowledged yet."""
         self.address = address
 
     async def send(self, line: bytes) -> None:
-        """Post one line of JSON; returns once it is acknowledged, or was refused as malformed."""
+        """Post one line of JSON; returns once it is acknowledged, or rejected as malformed."""
         notification = _Notification(line)
         self._waiting.append(notification)
         self._wake.set()
         await notification.acknowledged.wait()
 
     async def run(self) -> None:
-        """Post whatever waits, until cancelled."""
+        """Post waiting notifications until cancelled."""
         failures = 0
         while True:
             await self._wake.wait()
@@ -70,18 +70,18 @@
                 self._wake = anyio.Event()
 
     async def _post_batch(self, batch: list[_Notification]) -> int:
-        """The status for the whole batch; if that is refused, its lines are posted one by one."""
+        """Post a batch and return the status; a batch rejected as malformed is posted line by line."""
         status = await self._post(b"\n".join(notification.line for notification in batch) + b"\n")
         if status != MALFORMED or len(batch) == 1:
             return status
         status = ACKNOWLEDGED
         for notification in batch:
-            single = await self._post(notification.line + b"\n")
-            status = single if single not in (ACKNOWLEDGED, MALFORMED) else status
+            line_status = await self._post(notification.line + b"\n")
+            status = line_status if line_status not in (ACKNOWLEDGED, MALFORMED) else status
         return status
 
     async def _post(self, body: bytes) -> int:
-        """The status of the response; `NO_RESPONSE` if none came. Repeating a notification does no harm."""
+        """Post a body and return the status, `NO_RESPONSE` without one; repeating a notification is safe."""
         try:
             with anyio.fail_after(POST_TIMEOUT_S):
                 exchange = Exchange(await self._connect())
@@ -96,7 +96,7 @@
         return status
 
     async def _connect(self) -> Connection:
-        """The connection that is open, if it can still be used, or a new one."""
+        """Return the open connection if it is still usable, otherwise a new one."""
         address = self.address
         connection = self._connection
         if connection is not None and self._connected_to == address and connection.is_idle():
--- a/pinspread/resp/parser.py
+++ b/pinspread/resp/parser.py
@@ -1,4 +1,4 @@
-"""RESP2 requests, without I/O: the stream of commands, and the fields of an ENQUEUE command."""
+"""Parsing of RESP2 requests, without I/O: commands, and the fields of an ENQUEUE command."""
 
 from typing import NamedTuple
 
@@ -13,31 +13,31 @@
 )
 
 MAX_ARGUMENTS = 16
-MAX_STRING_BYTES = (
-    96 * 1024
-)  # a longer one ends the connection; up to it a command is read and answered an error
+# A longer string ends the connection. A string up to this length is read, and answered with an error if it is
+# too long for its field.
+MAX_STRING_BYTES = 96 * 1024
 MAX_COMMAND_BYTES = 128 * 1024
-MAX_HEADER_BYTES = 32  # of a line with a count or a length
-ENQUEUE_ARGUMENTS = 5
+MAX_HEADER_BYTES = 32  # of the line that gives the number of arguments or the length of a string
+ENQUEUE_ARGUMENTS = 5  # with the command's name
 # The options of an ENQUEUE command.
 DEADLINE, DESTINATION, CLASS, TENANT, IDEMPOTENCY_KEY = "d", "dest", "c", "t", "k"
 
 
 class ProtocolError(ValueError):
-    """The stream cannot be followed any more; the text is for the client."""
+    """The stream violates RESP2 and can no longer be parsed; the text is sent to the client."""
 
 
 class CommandError(InvalidFieldError):
-    """This command is malformed, and the next may be well-formed; the text is for the client."""
+    """A command is malformed but the stream can still be parsed; the text is sent to the client."""
 
 
 class Parsed(NamedTuple):
-    """What the parser has found at the start of a view.
+    """The result of parsing the command at the start of a view.
 
     Attributes:
         arguments: The arguments of the command as slices of the view; None if it is not complete yet.
-        size: The length of the command in bytes; of an incomplete one the least that it can be, so that there
-            is no use in parsing less.
+        size: The length of the command in bytes. For an incomplete command its minimum length: parsing again
+            with fewer bytes is pointless.
     """
 
     arguments: list[memoryview] | None
@@ -49,8 +49,8 @@
 
     Attributes:
         key: The ordering key; 0 for none.
-        id: The message's id.
-        options: Further fields by their short names, with numbers checked.
+        id: The message id.
+        options: The options, parsed and checked.
         body: A slice of the view that was parsed.
     """
 
@@ -64,11 +64,11 @@
     """The options of an ENQUEUE command.
 
     Attributes:
-        deadline_ms: How long the message may take, in milliseconds from now.
+        deadline_ms: The time until the deadline of the message, in milliseconds from now.
         destination: The number of the destination.
         class_name: The traffic class.
         tenant: The tenant; empty if none is given.
-        idempotency_key: The key under which the destination recognises repetitions; empty for none.
+        idempotency_key: The key by which the destination recognises repeated requests; empty for none.
     """
 
     deadline_ms: int
@@ -79,10 +79,10 @@
 
 
 def parse(view: memoryview) -> Parsed:
-    """Parse the command that a view starts with.
+    """Parse the command at the start of a view.
 
     Raises:
-        ProtocolError: The view does not start with a command.
+        ProtocolError: The view does not start with a valid command.
     """
     header = _header(view, 0, b"*")
     if header is None:
@@ -111,9 +111,12 @@
 
 
 def _header(view: memoryview, position: int, mark: bytes) -> tuple[int, int] | None:
-    """Parse the line with a count or a length at this position: the number, and where the line ends.
+    """Parse the header line at a position, which gives the number of arguments or the length of a string.
 
-    None if it is not complete. (A plain tuple, for there are several of these in each command.)
+    A plain tuple is returned rather than a named one for speed: each command has several header lines.
+
+    Returns:
+        The number and the position after the line, or None if the line is incomplete.
     """
     if position >= len(view):
         return None
@@ -132,7 +135,7 @@
 
 
 def parse_enqueue(arguments: list[memoryview]) -> EnqueueRequest:
-    """Read the arguments of an ENQUEUE command, the command's name included.
+    """Parse the arguments of an ENQUEUE command, including the command's name.
 
     Raises:
         InvalidFieldError: An argument is missing or malformed.
@@ -148,21 +151,21 @@
 
 
 def _parse_options(text: bytes) -> EnqueueOptions:
-    found: dict[str, str] = {}
+    options: dict[str, str] = {}
     for pair in text.decode("latin-1").split(","):
         option, equals, value = pair.partition("=")
         if not equals:
             raise CommandError(f"option {pair!r} has no value")
-        if option in found:
+        if option in options:
             raise CommandError(f"option {option} is given twice")
-        found[option] = value
-    deadline_ms = parse_number(_required(found, DEADLINE), DEADLINE, MAX_DEADLINE_MS)
-    destination = parse_number(_required(found, DESTINATION), DESTINATION, MAX_DESTINATION)
-    class_name = _required(found, CLASS)
-    if IDEMPOTENCY_KEY in found:
-        parse_identifier(found[IDEMPOTENCY_KEY].encode("latin-1"), "idempotency key")
+        options[option] = value
+    deadline_ms = parse_number(_required(options, DEADLINE), DEADLINE, MAX_DEADLINE_MS)
+    destination = parse_number(_required(options, DESTINATION), DESTINATION, MAX_DESTINATION)
+    class_name = _required(options, CLASS)
+    if IDEMPOTENCY_KEY in options:
+        parse_identifier(options[IDEMPOTENCY_KEY].encode("latin-1"), "idempotency key")
     return EnqueueOptions(
-        deadline_ms, destination, class_name, found.get(TENANT, ""), found.get(IDEMPOTENCY_KEY, "")
+        deadline_ms, destination, class_name, options.get(TENANT, ""), options.get(IDEMPOTENCY_KEY, "")
     )
 
 
--- a/pinspread/resp/session.py
+++ b/pinspread/resp/session.py
@@ -1,4 +1,4 @@
-"""One client connection of the RESP front: reads commands, and writes their replies in order."""
+"""A client connection of the RESP front: reads commands and writes their replies in order."""
 
 import anyio
 import anyio.lowlevel
@@ -7,8 +7,8 @@
 from pinspread.resp.commands import CommandHandler
 from pinspread.sockets import ClientConnection, Connection, IdleConnection, ReadBuffer
 
-MAX_ERRORS = 8  # malformed commands after which a connection is closed
-ERROR_PAUSE_S = 0.02  # after each of them, times their number
+MAX_ERRORS = 8  # a connection is closed at this number of malformed commands
+ERROR_PAUSE_S = 0.02  # pause after malformed commands, multiplied by their number so far
 MAX_ERROR_PAUSE_S = 1.0
 
 
@@ -16,11 +16,11 @@
     """The state of one connection.
 
     Args:
-        handler: What executes the commands.
+        handler: Executes the commands.
         client: The connection as the limiter counts it.
 
     Attributes:
-        following: The stream can still be followed: the connection may go on, here or in another process.
+        can_continue: The connection can be served further, in this process or in another one.
     """
 
     def __init__(self, handler: CommandHandler, client: ClientConnection) -> None:
@@ -28,20 +28,20 @@
         self.client = client
         self.connection: Connection = client.connection
         self.buffer = ReadBuffer(lambda size: handler.limiter.reserve(client, size))
-        self.following = True
+        self.can_continue = True
         self._errors = 0
         self._output: bytes | bytearray = b""
-        self._min_bytes = 1  # of the next command
+        self._min_bytes = 1  # minimum length of the next command
         client.timeout_reply = replies.NO_COMMAND_IN_TIME
 
     async def run(self, handed_over: IdleConnection | None = None) -> None:
-        """Serve until the client has ended the stream, or it cannot be followed any more.
+        """Serve until the client ends the stream, or the stream can no longer be served.
 
         Args:
-            handed_over: What another process, or an earlier session, has left of this connection.
+            handed_over: The state of this connection from another process, or from an earlier session.
 
         Raises:
-            ConnectionRefusedError: There is no memory for a command of this client.
+            ConnectionRefusedError: A command needs more memory than the clients may use together.
             OSError: The connection is broken.
         """
         if handed_over is not None:
@@ -50,12 +50,13 @@
         unread = handed_over is not None and self._buffered() > 0
         while unread or await self.buffer.fill(self.connection):
             unread = False
-            # Parsed from its first byte at each read, a command that trickles in would cost a lot of time.
-            while self.following and self._buffered() >= self._min_bytes:
+            # A command that arrives in small pieces is parsed again only once it may be complete. Parsing it
+            # from its first byte after each read would take a lot of CPU time.
+            while self.can_continue and self._buffered() >= self._min_bytes:
                 if not await self._answer_batch():
                     await self.connection.linger()
                     return
-            if not self.following:
+            if not self.can_continue:
                 await self.connection.linger()
                 return
 
@@ -63,32 +64,36 @@
         return self.buffer.end - self.buffer.start
 
     async def _answer_batch(self) -> bool:
-        """Answer some commands; false if the client must get nothing more."""
+        """Execute a batch of commands and write the replies; false if nothing more may be written."""
         output = self._output = bytearray()
         batch = self.handler.execute_batch(self.client, self.buffer, output)
-        self.following, self._min_bytes = batch.following, batch.min_bytes
+        self.can_continue, self._min_bytes = batch.can_continue, batch.min_bytes
         if output:
             if replies.OK in output and not await self._wait_committed():
-                # BUSY would say that nothing was accepted, OK that it is safe; neither is known. A client
-                # that gets no reply submits the same id again.
+                # Whether the messages are replicated is unknown: BUSY would claim that they were not
+                # accepted, OK that they are safe. A client that gets no reply submits the same id again.
                 return False
             await self.connection.write(output)
         self._errors += batch.errors
         if batch.errors:
-            # A client that sends the same again as soon as it is refused would take the CPU.
-            self.following = self.following and self._errors < MAX_ERRORS
+            # A client that repeats a malformed command as soon as it is rejected would use up the CPU.
+            self.can_continue = self.can_continue and self._errors < MAX_ERRORS
             pause_s = min(ERROR_PAUSE_S * self._errors, MAX_ERROR_PAUSE_S)
-            await anyio.sleep(pause_s if self.following else 0)
+            await anyio.sleep(pause_s if self.can_continue else 0)
         else:
-            await anyio.lowlevel.checkpoint()  # hundreds of commands may be there at once: others in turn
+            # Hundreds of commands may be in the buffer: other connections get a turn between batches.
+            await anyio.lowlevel.checkpoint()
         return True
 
     async def _wait_committed(self) -> bool:
-        """Wait until an OK may be written; cut short by a hand-over, the connection cannot go on."""
-        # Its replies may not be written yet, and without them the client would take later ones for these.
-        following, self.following = self.following, False
+        """Wait until an OK may be written; false if the engine cannot confirm that the messages are safe.
+
+        If a hot restart cancels the wait, the connection cannot go on in the next process: the replies to its
+        commands are not written, and the client would take the replies to later commands for them.
+        """
+        can_continue, self.can_continue = self.can_continue, False
         committed = await self.handler.engine.wait_committed()
-        self.following = following
+        self.can_continue = can_continue
         return committed
 
     def _restore(self, handed_over: IdleConnection) -> None:
@@ -99,7 +104,7 @@
         self.buffer.preload(handed_over.unread)
 
     def detach(self) -> IdleConnection:
-        """Return what another process needs to serve the connection on, once `run` was cancelled."""
+        """Return the state that another process needs to go on serving, after `run` was cancelled."""
         return IdleConnection(
             self.connection,
             self.client.answered,
--- a/pinspread/sockets/address.py
+++ b/pinspread/sockets/address.py
@@ -9,5 +9,5 @@
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise ValueError(f"not host:port: {address!r}")
+        raise ValueError(f"invalid address {address!r}: expected host:port")
     return host, int(port)
--- a/pinspread/sockets/connection.py
+++ b/pinspread/sockets/connection.py
@@ -1,7 +1,7 @@
-"""Non-blocking TCP connections on anyio's readiness calls.
+"""Non-blocking TCP connections, which wait with anyio for sockets to become readable or writable.
 
-Streams of higher levels buffer what is written. Here it is known at each moment how many bytes the kernel has
-taken, which tells whether a request that broke off can have reached the other side.
+Higher-level streams buffer what is written. Here it is always known how many bytes the kernel has taken, and
+so whether an interrupted request can have reached the peer.
 """
 
 import contextlib
@@ -15,11 +15,11 @@
 
 from pinspread.sockets.address import split_address
 
-READ_SIZE = 1 << 16  # bytes that are read at once
-LINGER_S = 3.0  # how long the other side may take to end a connection that was shut down here
+READ_SIZE = 1 << 16  # maximum bytes of one read
+LINGER_S = 3.0  # how long `linger` waits for the peer to end its stream
 
 _Received = TypeVar("_Received", int, bytes)
-_discarded = memoryview(bytearray(READ_SIZE))  # where bytes go that nobody reads
+_discarded = memoryview(bytearray(READ_SIZE))  # receives the bytes that `linger` discards
 
 
 class Connection:
@@ -28,8 +28,8 @@
     Attributes:
         sock: The socket.
         unsent_bytes: How many bytes of the current write the kernel has not taken yet.
-        idle_since_us: Since when a pool has kept it, in microseconds on the monotonic clock.
-        finished: This side has ended the stream: nothing that is read from now on can be answered.
+        idle_since_us: When a pool took it back, in microseconds on the monotonic clock.
+        finished: This side has ended the stream: what is read from now on cannot be answered.
     """
 
     __slots__ = ("finished", "idle_since_us", "sock", "unsent_bytes")
@@ -38,7 +38,7 @@
         """Take over a connected socket.
 
         Raises:
-            OSError: The other side has reset it already.
+            OSError: The peer has reset the connection already.
         """
         self.sock = sock
         self.unsent_bytes = 0
@@ -48,7 +48,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     async def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Write all of it; `unsent_bytes` tells at each moment how much is still to go.
+        """Write all of the data; meanwhile `unsent_bytes` is what the kernel has not taken yet.
 
         Raises:
             OSError: The connection is broken.
@@ -65,10 +65,10 @@
         try:
             await wait(self.sock)
         except anyio.ClosedResourceError:
-            raise ConnectionResetError("closed by another task") from None
+            raise ConnectionResetError("connection closed by another task") from None
 
     async def read_into(self, target: memoryview) -> int:
-        """Read what is there into a writable slice; 0 at the end of the stream.
+        """Read available bytes into a writable slice, waiting for some; return 0 at the end of the stream.
 
         Raises:
             OSError: The connection is broken.
@@ -76,7 +76,7 @@
         return await self._receive(self.sock.recv_into, target)
 
     async def read(self) -> bytes:
-        """Read what is there; empty at the end of the stream.
+        """Read available bytes, waiting for some; return no bytes at the end of the stream.
 
         Raises:
             OSError: The connection is broken.
@@ -93,14 +93,14 @@
                 waited = True
                 continue
             if not waited:
-                # A connection that always has data would hold the event loop, so others get their turn here.
-                # The checkpoint is shielded: what was read would be lost with a cancelled task, though it may
-                # have to go to the next process.
+                # A connection that always has data would block the event loop: other tasks get a turn here.
+                # The checkpoint is shielded from cancellation, which would lose the bytes that were just
+                # read. They may have to be passed to the next process.
                 await anyio.lowlevel.cancel_shielded_checkpoint()
             return received
 
     def is_idle(self) -> bool:
-        """Whether the other side has neither closed nor sent anything that is still unread."""
+        """Return whether the peer has neither closed the connection nor sent bytes that are still unread."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -110,9 +110,9 @@
         return False
 
     def is_finished(self) -> bool:
-        """Whether this side has ended the stream, or the other has and nothing of it is left to read."""
-        # Bytes that came in the moment of our own end are read after it. What they ask for could be accepted
-        # and never answered, and its client would submit it a second time.
+        """Return whether this side has ended the stream, or the peer has and all its bytes are read."""
+        # Bytes that arrive while this side ends the stream are read afterwards. A message in them could be
+        # accepted but not answered, and its client would submit it a second time.
         if self.finished:
             return True
         try:
@@ -123,21 +123,21 @@
             return True
 
     def send_eof(self) -> None:
-        """End the stream in this direction; what the other side still sends can be read as before."""
+        """End the outgoing stream; what the peer still sends can be read as before."""
         self.finished = True
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def try_write(self, data: bytes) -> None:
-        """Write a short last reply if the kernel takes it at once; otherwise it is lost."""
+        """Write a short last reply without waiting; it is lost if the kernel does not take it at once."""
         with contextlib.suppress(OSError):
             self.sock.send(data)
 
     async def linger(self) -> None:
-        """After a last reply: end the stream and discard what still comes, until the other side ends too.
+        """End the stream after a last reply, and discard incoming bytes until the peer ends its stream too.
 
-        It takes `LINGER_S` seconds at the most. Closed over unread bytes, a connection is reset, and the last
-        reply is lost with it.
+        It takes at most `LINGER_S` seconds. The kernel resets a connection that is closed with bytes unread,
+        and the last reply would be lost.
         """
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
@@ -146,15 +146,18 @@
                     pass
 
     def shutdown(self) -> None:
-        """End both directions under a task that may be waiting: it sees the end of the stream, and closes."""
-        # Closed here, the descriptor's number would go to another socket before that task has left its wait.
-        # The task would take the other one's wait away with its own: a call there never saw its response.
+        """End both directions; a task that waits for the socket sees the end of the stream and closes it.
+
+        The descriptor stays open until then. If it were closed here, another socket could get its number
+        before the waiting task has left its wait, and the end of that wait would remove the wait of the other
+        socket: a call on that one never saw its response.
+        """
         self.finished = True
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Close the socket. No task may be waiting for it."""
+        """Close the socket, for which no task may be waiting."""
         self.sock.close()
 
 
--- a/pinspread/sockets/idle.py
+++ b/pinspread/sockets/idle.py
@@ -1,4 +1,4 @@
-"""Client connections on their way from one process to the next."""
+"""Client connections that one process passes to the next."""
 
 from dataclasses import dataclass
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True)
 class IdleConnection:
-    """A client connection that nobody serves just now, with all that the next server of it needs.
+    """A client connection that no task serves at present, with the state that is needed to go on serving it.
 
     Attributes:
-        connection: The connection itself.
-        answered: A command of it has been answered without an error.
-        submitted: It has submitted a message.
-        errors: How many malformed commands it has sent.
-        unread: Bytes that were read from it and not answered yet.
-        unsent: Bytes of replies that were not written yet.
+        connection: The connection.
+        answered: At least one of its commands was answered without an error.
+        submitted: The client has submitted a message.
+        errors: Number of malformed commands that the client has sent.
+        unread: Bytes that were read from it and are not answered yet.
+        unsent: Bytes of replies that are not written yet.
     """
 
     connection: Connection
--- a/pinspread/sockets/limiter.py
+++ b/pinspread/sockets/limiter.py
@@ -1,4 +1,4 @@
-"""How many client connections may be open, how much memory they may use, and which have to give way."""
+"""The limits on open client connections and their memory, and the choice of connections to close."""
 
 from collections.abc import Collection
 
@@ -9,29 +9,28 @@
 from pinspread.core.time_units import US_PER_S
 from pinspread.sockets.connection import Connection
 
-COMMAND_TIMEOUT_US = (
-    2_200_000  # for a first command, or the rest of a begun one: clients are owed an end in 3 s
-)
-SILENCE_US = 100_000  # after which a connection whose turn it is gives way to new ones, if one must
-SUBMITTER_GRACE_US = (
-    2_000_000  # idle time before which one that has submitted messages is the last to give way
-)
-IDLE_TIMEOUT_US = 2_100_000  # after which an idle connection is closed though the limit is not reached
+# For the first command of a connection, or the rest of an incomplete one. Clients must get a reply or a close
+# within 3 s.
+COMMAND_TIMEOUT_US = 2_200_000
+SILENCE_US = 100_000  # minimum time without a command before a connection may be closed for a new one
+SUBMITTER_GRACE_US = 2_000_000  # a client that submitted messages and is idle for less is closed last
+IDLE_TIMEOUT_US = 2_100_000  # an idle connection is closed after this time even below the limit
 SWEEP_INTERVAL_S = 0.25
 
 
 class ClientConnection:
-    """What the limiter knows of one client connection.
+    """A client connection as the limiter counts it.
 
     Attributes:
-        connection: The connection itself.
-        waiting_since_us: Since when the limiter waits for its next command, or for the rest of a begun one.
-        answered: A command of it has been answered without an error.
-        submitted: It has submitted a message.
-        mid_command: A command has begun and is not complete.
-        has_heartbeat: Its protocol detects a lost client: it is never closed for being idle.
-        reserved_bytes: Memory reserved for it beyond what each connection has.
-        timeout_reply: The last reply to a client that does not send a complete command in time.
+        connection: The connection.
+        waiting_since_us: Since when its next command, or the rest of an incomplete one, is awaited, in
+            microseconds on the monotonic clock.
+        answered: At least one of its commands was answered without an error.
+        submitted: The client has submitted a message.
+        mid_command: A command was received in part.
+        has_heartbeat: Its protocol detects lost clients by heartbeats, so it is never closed for being idle.
+        reserved_bytes: Memory reserved for it beyond the initial buffer that each connection has.
+        timeout_reply: The reply before the close if the client does not send a complete command in time.
     """
 
     __slots__ = (
@@ -57,11 +56,14 @@
 
     @property
     def between_commands(self) -> bool:
-        """Whether its last command was answered and no other has begun."""
+        """Whether its last command was answered and no part of another has arrived."""
         return self.answered and not self.mid_command
 
     def command_begun(self, now_us: int) -> None:
-        """Note that a command has begun and is not complete; a first one counts from the start."""
+        """Note that a command was received in part.
+
+        The time for it counts from now, and for the first command from the start of the connection.
+        """
         if self.between_commands:
             self.waiting_since_us = now_us
         self.mid_command = True
@@ -73,24 +75,24 @@
 
 
 class ConnectionLimiter:
-    """The limit that all listeners for clients share.
+    """The limits that all client listeners share.
 
     Args:
         clock: The clock of the process.
-        max_clients: How many client connections may be open together.
-        max_bytes: How many bytes may be reserved for them together.
+        max_clients: Maximum number of open client connections.
+        max_bytes: Maximum number of bytes reserved for all of them together.
     """
 
     def __init__(self, clock: Clock, max_clients: int = 512, max_bytes: int = 8 << 20) -> None:
         self.clock = clock
         self.reserved_bytes = 0
-        self.clients: dict[Connection, ClientConnection] = {}  # in the order in which they came
+        self.clients: dict[Connection, ClientConnection] = {}  # in order of arrival
         self.resize(max_clients, max_bytes)
 
     def resize(self, max_clients: int, max_bytes: int) -> None:
-        """Apply other limits from now on; connections beyond them give way as usual."""
+        """Apply other limits; connections above them are closed only as new ones arrive."""
         self.max_clients = max_clients
-        self.max_submitters = max_clients * 2 // 5  # that submit messages: a quarter of the descriptors
+        self.max_submitters = max_clients * 2 // 5  # clients that submitted: a quarter of the descriptors
         self.max_bytes = max_bytes
 
     def add(self, connection: Connection) -> ClientConnection:
@@ -99,14 +101,14 @@
         return client
 
     def remove(self, client: ClientConnection) -> None:
-        """Stop counting a connection, which has ended, and free what was reserved for it."""
+        """Stop counting a connection that has ended, and free the memory reserved for it."""
         self.reserve(client, 0)
         self.clients.pop(client.connection, None)
 
     def reserve(self, client: ClientConnection, size: int) -> bool:
-        """Set how many bytes are reserved for a client; false, and no change, if that is beyond the limit.
+        """Set how many bytes are reserved for a client; false, without a change, if that exceeds the limit.
 
-        Without a common limit, hundreds of commands that are never finished would take all memory.
+        Without a common limit, hundreds of commands that are never completed would use up all memory.
         """
         additional = size - client.reserved_bytes
         if additional > 0 and self.reserved_bytes + additional > self.max_bytes:
@@ -116,12 +118,13 @@
         return True
 
     def admit(self) -> bool:
-        """Whether another connection may be accepted; an idle one is closed for it where that is needed."""
+        """Return whether another connection may be accepted, after closing an idle one for it if needed."""
         clients = self.clients.values()
         if len(clients) < self.max_submitters:
             return True
-        # Clients that send nothing, or submitted once and stay, would keep the usual ones out. The usual ones
-        # may hold a third of the descriptors: at that they can open no more, and their requests fail unseen.
+        # Clients that send nothing, or that submitted once and stay connected, would keep regular clients
+        # out. Regular clients may hold a third of the descriptors: at that they can open no more connections,
+        # and their requests fail without the courier seeing them.
         submitters = [client for client in clients if client.submitted]
         full = len(clients) >= self.max_clients
         if len(submitters) < self.max_submitters and not full:
@@ -130,9 +133,10 @@
         return self._close_one(candidates) or not full
 
     def _close_one(self, candidates: Collection[ClientConnection]) -> bool:
-        """Close the connection that can best be spared; false if none can.
+        """Close the least useful idle connection; false if there is none that may be closed.
 
-        Connections that never submitted anything go first, then those that have waited longest.
+        Connections that submitted nothing, or were idle for `SUBMITTER_GRACE_US`, are closed first; among
+        equals the one that has been idle longest.
         """
         now_us = self.clock.now()
 
@@ -150,12 +154,12 @@
         return False
 
     def close_overdue(self) -> None:
-        """Close connections that leave a command unfinished, or have been idle, for too long."""
+        """Close connections whose command has been incomplete, or that have been idle, for too long."""
         now_us = self.clock.now()
         for client in list(self.clients.values()):
             if client.has_heartbeat or not self._is_overdue(client, now_us):
                 continue
-            # A command that was sent in part, or never begun, is owed a reply or a close in time.
+            # A client that sent part of a command, or none yet, must get a reply or a close in time.
             if client.timeout_reply and not client.between_commands:
                 client.connection.try_write(client.timeout_reply)
             self._close(client, "idle" if client.between_commands else "no command in time")
@@ -163,11 +167,11 @@
     def _is_overdue(self, client: ClientConnection, now_us: int) -> bool:
         waited_us = now_us - client.waiting_since_us
         idle = client.between_commands
-        # Bytes that are there unread may be its command, where the event loop was late: closed now, it would
-        # have no answer. A client that always has bytes unread and never a complete command is closed all the
-        # same, two sweeps later.
-        excused = idle or waited_us < COMMAND_TIMEOUT_US + int(2 * SWEEP_INTERVAL_S * US_PER_S)
-        if excused and not client.connection.is_idle():
+        # If the event loop was late, unread bytes may hold the awaited command, and a close now would leave
+        # it without a reply. A client that always has unread bytes but never a complete command is still
+        # closed, two sweeps later.
+        within_grace = idle or waited_us < COMMAND_TIMEOUT_US + int(2 * SWEEP_INTERVAL_S * US_PER_S)
+        if within_grace and not client.connection.is_idle():
             return False
         return waited_us > (IDLE_TIMEOUT_US if idle else COMMAND_TIMEOUT_US)
 
--- a/pinspread/sockets/listener.py
+++ b/pinspread/sockets/listener.py
@@ -14,32 +14,33 @@
 
 BACKLOG = 512
 LIMIT_PAUSE_S = 0.01  # before the limiter is asked again
-ERROR_PAUSE_S = 0.05  # after accept failed for want of descriptors or memory
+ERROR_PAUSE_S = 0.05  # after accept failed, for example for lack of descriptors or memory
+# Errors of accept that concern the listening socket itself, not a new connection.
 LISTENER_ERRORS = (
     errno.EBADF,
     errno.EINVAL,
     errno.ENOTSOCK,
-)  # of the listening socket, not of a new connection
+)
 
 
 class Limiter(Protocol):
-    """What decides whether another connection may be accepted, and counts those that are open."""
+    """Decides whether another connection may be accepted, and counts the open ones."""
 
     def admit(self) -> bool:
-        """Whether another connection may be accepted now."""
+        """Return whether another connection may be accepted now."""
         ...
 
     def add(self, connection: Connection) -> Any:
-        """Count a connection; gives what stands for it from now on."""
+        """Count a connection; return the object that represents it in `remove`."""
         ...
 
     def remove(self, client: Any) -> None:
-        """Stop counting what `add` gave."""
+        """Stop counting a connection, given by the object that `add` returned."""
         ...
 
 
 def listen(address: str) -> socket.socket:
-    """Open a non-blocking listening socket on this address only.
+    """Open a non-blocking listening socket on one address.
 
     Raises:
         OSError: The address cannot be bound.
@@ -59,7 +60,7 @@
     connection: Connection,
     *arguments: object,
 ) -> None:
-    """Run `serve(connection, client, *arguments)`; the connection counts as long as that runs."""
+    """Run `serve(connection, client, *arguments)`, and count the connection while it runs."""
     client = limiter.add(connection)
     try:
         await serve(connection, client, *arguments)
@@ -76,9 +77,9 @@
     """Accept connections until cancelled, and start a task for each.
 
     Args:
-        sock: The listening socket, which stays the caller's.
-        tasks: Where the tasks run.
-        serve: Called as `serve(connection)`, or as `serve(connection, client)` where there is a limiter.
+        sock: The listening socket; the caller closes it.
+        tasks: The task group of the new tasks.
+        serve: Called as `serve(connection)`, or as `serve(connection, client)` if there is a limiter.
         limiter: Asked before each accept.
 
     Raises:
@@ -86,8 +87,9 @@
     """
     while True:
         if limiter is not None and not limiter.admit():
-            # Clients that take all descriptors leave none for calls, notifications and the journal. Closed at
-            # once, a new connection has failed; left with the kernel, it waits for another one to end.
+            # Clients that took all descriptors would leave none for calls, notifications and the journal. A
+            # new connection that is closed at once has failed for its client; left in the kernel's backlog,
+            # it is accepted when another one has ended.
             await anyio.sleep(LIMIT_PAUSE_S)
             continue
         connection = await _accept(sock)
@@ -97,24 +99,25 @@
             tasks.start_soon(serve, connection)
         else:
             tasks.start_soon(serve_counted, limiter, serve, connection)
-        await anyio.lowlevel.checkpoint()  # a flood of new connections must not hold the event loop
+        await anyio.lowlevel.checkpoint()  # a flood of new connections must not block the event loop
 
 
 async def _accept(sock: socket.socket) -> Connection | None:
-    """Accept one connection; None after a wait where there is none yet, or if it has failed already."""
+    """Accept one connection; None after waiting for one, or if the connection or its accept failed."""
     try:
         peer, _ = sock.accept()
     except BlockingIOError:
         await anyio.wait_readable(sock)
         return None
     except OSError as error:
-        # Any other error of the network may be that of the new connection: the listener goes on.
+        # Any other error may concern only the new connection, so the listener goes on.
         if error.errno in LISTENER_ERRORS:
             raise
-        await anyio.sleep(ERROR_PAUSE_S)  # out of descriptors, or memory: those in use must not be lost
+        # Without descriptors or memory for another connection, the open ones must still be served.
+        await anyio.sleep(ERROR_PAUSE_S)
         return None
     try:
         return Connection(peer)
     except OSError:
-        peer.close()  # reset already
+        peer.close()  # the peer has reset the connection already
         return None
--- a/pinspread/sockets/read_buffer.py
+++ b/pinspread/sockets/read_buffer.py
@@ -1,22 +1,23 @@
-"""The buffer between a connection and the parser of its protocol."""
+"""The read buffer between a connection and the parser of its protocol."""
 
 from collections.abc import Callable
 
 from pinspread.sockets.connection import Connection
 
-MIN_SIZE = 1 << 13  # bytes; also what an empty buffer shrinks to
-MIN_FREE = MIN_SIZE // 4  # bytes; with less behind what is in the buffer, it is moved or grown before a read
+MIN_SIZE = 1 << 13  # bytes; an empty buffer shrinks to this size
+MIN_FREE = MIN_SIZE // 4  # bytes; with less free space at the end, the data is moved or the buffer grown
 
 
 class ReadBuffer:
     """Bytes that were read and are not consumed yet. Slices of it are valid until the next read.
 
     Args:
-        reserve: Asked for the new size in bytes before the buffer grows; false if it may not.
+        reserve: Called with the new size in bytes before the buffer grows; returns false if it may not.
 
     Attributes:
-        start: Where the unconsumed bytes begin in `data`.
-        end: Where they end.
+        data: The buffer.
+        start: Position of the first unconsumed byte in `data`.
+        end: Position after the last one.
     """
 
     def __init__(self, reserve: Callable[[int], bool] | None = None) -> None:
@@ -29,22 +30,22 @@
         return memoryview(self.data)[self.start : self.end]
 
     def preload(self, data: bytes) -> None:
-        """Start with bytes that were read by another process."""
+        """Fill the buffer with bytes that another process read."""
         self.data = bytearray(max(MIN_SIZE, 2 * len(data)))
         self.data[: len(data)] = data
         self.start, self.end = 0, len(data)
 
     def consume(self, size: int) -> None:
-        """Drop so many bytes from the start of the view."""
+        """Drop this many bytes from the start of the view."""
         self.start += size
         if self.start == self.end:
             self.start = self.end = 0
 
     def writable(self) -> memoryview:
-        """Return the free part behind the unconsumed bytes, grown or moved to the front where it is short.
+        """Return the free space after the unconsumed bytes; if it is short, move them or grow the buffer.
 
         Raises:
-            ConnectionRefusedError: The buffer would have to grow and may not.
+            ConnectionRefusedError: The buffer would have to grow but must not.
         """
         if not self.end and len(self.data) > MIN_SIZE:
             self.data = bytearray(MIN_SIZE)
@@ -52,7 +53,9 @@
             unconsumed = bytes(self.view())
             if len(unconsumed) > len(self.data) // 2:
                 if not self.reserve(2 * len(self.data)):
-                    raise ConnectionRefusedError("no room for more of it")
+                    raise ConnectionRefusedError(
+                        f"read buffer must not grow to {2 * len(self.data)} bytes: memory limit reached"
+                    )
                 self.data = bytearray(2 * len(self.data))
             self.data[: len(unconsumed)] = unconsumed
             self.start, self.end = 0, len(unconsumed)
@@ -62,7 +65,7 @@
         """Read once from the connection; false at the end of the stream.
 
         Raises:
-            ConnectionRefusedError: The buffer would have to grow and may not.
+            ConnectionRefusedError: The buffer would have to grow but must not.
             OSError: The connection is broken.
         """
         size = await connection.read_into(self.writable())
