--- a/pinspread/admin/__init__.py
+++ b/pinspread/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP server, and the client that prints what it serves."""
+"""The admin server for operators, and the client that prints its views."""
--- a/pinspread/admin/limiter.py
+++ b/pinspread/admin/limiter.py
@@ -1,24 +1,24 @@
-"""The limit on the operators' connections: a new one is always admitted, and the oldest gives way."""
+"""The limit on connections to the admin server: a new one is always admitted, the oldest is closed for it."""
 
 from pinspread.sockets import Connection
 
 MAX_CONNECTIONS = 32
 MIN_CONNECTIONS = 4
-DESCRIPTORS_PER_CONNECTION = 24  # one connection for so many descriptors of the process
+DESCRIPTORS_PER_CONNECTION = 24  # descriptors of the process for each connection that is allowed
 
 
 class OldestFirstLimiter:
-    """Counts connections, and ends the oldest where there are too many.
+    """Counts connections, and ends the oldest one to make room for a new one.
 
-    Hundreds of clients that send nothing would keep the operators out. A true request is there to be read at
-    once, many accepts before its connection's turn to give way.
+    Otherwise hundreds of clients that send nothing would keep operators out. A real request arrives right
+    after its connection is accepted, and is read many accepts before that connection becomes the oldest.
 
     Args:
-        descriptors: How many descriptors the process may have open.
+        descriptors: Maximum number of open descriptors of the process.
 
     Attributes:
-        connections: Those that are open, oldest first.
-        max_connections: How many may be open together.
+        connections: The open connections, oldest first.
+        max_connections: Maximum number of open connections.
     """
 
     def __init__(self, descriptors: int) -> None:
@@ -41,5 +41,5 @@
         return connection
 
     def remove(self, connection: Connection) -> None:
-        """Stop counting a connection, which has ended."""
+        """Stop counting a connection that has ended."""
         self.connections.pop(connection, None)
--- a/pinspread/admin/responses.py
+++ b/pinspread/admin/responses.py
@@ -1,4 +1,4 @@
-"""The responses of the operators' server, byte for byte as their tools read them."""
+"""The responses of the admin server; operators' tools depend on their exact bytes."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -13,8 +13,8 @@
 
     Attributes:
         status: The status code.
-        text: What it says.
-        allowed_method: The method that the path takes, where another was used.
+        text: The line of text, without its line break.
+        allowed_method: The method that the path supports, for a request with another method.
     """
 
     status: int
@@ -22,7 +22,7 @@
     allowed_method: str = ""
 
     def encode(self) -> bytes:
-        """Encode head and body."""
+        """Encode the head and the body."""
         body = self.text.encode("utf-8", "replace") + b"\n"
         head = (
             f"HTTP/1.1 {self.status} {REASONS.get(self.status, OTHER_REASON)}\r\n"
@@ -35,5 +35,5 @@
 
 
 def method_not_allowed(path: str, method: str) -> Response:
-    """Say which method a path takes."""
+    """Return the response to a request whose path supports only another method."""
     return Response(HTTPStatus.METHOD_NOT_ALLOWED.value, f"{path} takes {method}", method)
--- a/pinspread/admin/server.py
+++ b/pinspread/admin/server.py
@@ -1,4 +1,4 @@
-"""The operators' server: one HTTP/1.1 request a connection, for operators and their tools."""
+"""The admin server for operators and their tools: HTTP/1.1 with one request a connection."""
 
 import socket
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
 from pinspread.errors import JournalFullError, RejectedError
 from pinspread.sockets import Connection, accept_forever
 
-REQUEST_TIMEOUT_S = 5.0  # for a client to send its request, and for that to be done
+REQUEST_TIMEOUT_S = 5.0  # for a client to send its request, and for its execution
 MAX_HEAD_BYTES = 8 * 1024
 MAX_SHOWN_ID = 100  # characters of an unknown id in the response
 FIRST_ERROR_STATUS = 400
@@ -24,15 +24,15 @@
 
 
 class AdminServer:
-    """Answers whether the process is ready, shows its background services, and takes endpoints out of use.
+    """Reports readiness and the views of background services, and disables and enables endpoints.
 
     Args:
-        endpoints: What carries out the requests.
-        descriptors: How many descriptors the process may have open.
-        background_services: The services whose views it shows, each at `/-/NAME`.
+        endpoints: Executes the requests.
+        descriptors: Maximum number of open descriptors of the process.
+        background_services: The services whose views are shown, each at `/-/NAME`.
 
     Attributes:
-        limiter: The limit on its connections.
+        limiter: The limit on connections to the server.
     """
 
     def __init__(
@@ -66,13 +66,13 @@
         except OSError:
             pass  # the client has closed the connection
         except Exception as error:
-            # One request's trouble must not end the process and all that it serves.
+            # An unexpected error in one request must not end the process.
             log("internal_error", where="admin request", error=repr(error))
         finally:
             connection.close()
 
     async def _respond(self, connection: Connection) -> Response | None:
-        """Read a request and do what it asks; None if the client left before.
+        """Read a request and execute it; None if the client ended the connection before it was complete.
 
         Raises:
             OSError: The connection is broken.
@@ -111,8 +111,8 @@
 
     async def _switch_endpoint(self, path: str, method: str) -> Response:
         name, _, action = path.removeprefix(ENDPOINTS).rpartition("/")
-        known = path.startswith(ENDPOINTS) and name and "/" not in name
-        if not known or action not in (DISABLE, ENABLE):
+        names_endpoint = path.startswith(ENDPOINTS) and name and "/" not in name
+        if not names_endpoint or action not in (DISABLE, ENABLE):
             return Response(
                 404, f"unknown path: try {READY}, or {ENDPOINTS}ID/{DISABLE} and {ENDPOINTS}ID/{ENABLE}"
             )
@@ -127,7 +127,10 @@
 
 
 async def _read_request(connection: Connection) -> h11.Request | None:
-    """Read the head of a request; None if the client left. A body and further requests are not read."""
+    """Read the head of a request; None if the client ended the connection.
+
+    A body and further requests are not read.
+    """
     protocol = h11.Connection(h11.SERVER, MAX_HEAD_BYTES)
     while True:
         event = protocol.next_event()
--- a/pinspread/admin/status_client.py
+++ b/pinspread/admin/status_client.py
@@ -1,4 +1,4 @@
-"""`pinspread members ADDRESS` and the like: what an instance's operators' server shows, as aligned text."""
+"""The client for `pinspread members ADDRESS` and the like: formats an admin server's views as text."""
 
 import http.client
 from collections.abc import Callable, Sequence
@@ -10,10 +10,10 @@
 from pinspread.sockets import split_address
 
 REQUEST_TIMEOUT_S = 5.0
-MAX_SHOWN_BODY = 200  # characters of a response that is an error
+MAX_SHOWN_BODY = 200  # characters of an error response that are shown
 HTTP_OK = 200
 
-View = dict[str, Any]  # a service's view as the JSON has it
+View = dict[str, Any]  # the decoded JSON of a service's view
 Row = Sequence[str]
 
 
@@ -21,12 +21,12 @@
     """Fetch the view of a background service.
 
     Args:
-        address: Where the operators' server is, host:port.
+        address: The address of the admin server, host:port.
         name: The service: members, leases or copies.
 
     Raises:
         OSError: The server cannot be reached.
-        ValueError: The address is malformed, or the server answered something else.
+        ValueError: The address is malformed, the status is not 200, or the response is not JSON.
     """
     host, port = split_address(address)
     connection = http.client.HTTPConnection(host, port, timeout=REQUEST_TIMEOUT_S)
@@ -61,7 +61,7 @@
 
 
 def format_leases(view: View, now_us: int) -> list[str]:
-    """Format the leases: task, holder, token, how long that binds this voter, what this instance may do."""
+    """Format the leases: task, holder, token, seconds that bind this voter, and this instance's own lease."""
     rows = [("task", "holder", "token", "binds for s", "mine, for s")]
     for task in view["tasks"]:
         mine = f"{task['mine']}, {task['acts_for_ms'] / 1000:.1f}" if task["mine"] else "-"
@@ -74,7 +74,7 @@
 
 
 def format_copies(view: View, now_us: int) -> list[str]:
-    """Format the replication: how far each replica lags behind, and what this instance stores for others."""
+    """Format the replication state: the lag of each replica, and what this instance stores for others."""
     head = f"{view['id']}: {view['records']} records, {view['bytes']} bytes, generation {view['generation']}"
     head += f", {view['need']} copies needed"
     if view["barred"]:
@@ -90,7 +90,8 @@
     return [head, *align(replicas), *align(stored)]
 
 
-# Sub-command and service -> what formats its view at a time in microseconds on the monotonic clock.
+# Sub-command and service -> formatter of its view; the second argument is the time in microseconds on the
+# monotonic clock.
 FORMATTERS: dict[str, Callable[[View, int], list[str]]] = {
     "members": format_members,
     "leases": format_leases,
--- a/pinspread/discovery/__init__.py
+++ b/pinspread/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the platform's discovery service, which says what endpoints there are."""
+"""The client of the platform's discovery service, which lists the endpoints."""
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: a watch that is opened again whenever it breaks or falls silent."""
+"""The discovery client: keeps a watch open, and opens another whenever it breaks or falls silent."""
 
 import random
 from collections.abc import Mapping
@@ -26,16 +26,17 @@
 from pinspread.policy.events import EndpointState, UpdateScope
 from pinspread.policy.settings import Settings
 
-# What a silent watch misses counts as reported 6 s after it fell silent. An empty line comes every 2 s, so
-# these leave time for a second watch that is silent as well.
-LINE_TIMEOUT_S = 2.8  # without a complete line a watch has fallen silent
-FIRST_LINE_TIMEOUT_S = 1.0  # the same for its first line, which comes at once
-RESPONSE_TIMEOUT_S = 1.2  # until its response begins, where each instance has an agent of its own
-SHARED_RESPONSE_TIMEOUT_S = 5.0  # and where all ask one service, which works through requests in turn
-SHARED_SPREAD_S = 1.5  # over which watches of many that all fell silent are opened again there
+# A change that a silent watch misses counts as reported to the courier 6 s after the watch fell silent, so
+# another watch must be up by then. Discovery sends an empty line every 2 s. These timeouts leave time for a
+# second watch that is silent as well.
+LINE_TIMEOUT_S = 2.8  # a watch without a complete line for this time is silent
+FIRST_LINE_TIMEOUT_S = 1.0  # the same for the first line, which is sent at once
+RESPONSE_TIMEOUT_S = 1.2  # until the response begins, if each instance has a discovery agent of its own
+SHARED_RESPONSE_TIMEOUT_S = 5.0  # the same if all share one service, which handles requests in turn
+SHARED_SPREAD_S = 1.5  # with a shared service, many silent watches are opened again spread over this time
 OPEN_INTERVAL_S = 0.3  # between watches that are opened while an agent is silent
-MAX_OPENING = 4  # that wait for their responses at the same time
-MAX_LOGGED_FAILURES = 3  # in a row
+MAX_OPENING = 4  # watches that wait for their responses at the same time
+MAX_LOGGED_FAILURES = 3  # failures in a row that are logged
 
 
 class DiscoverySettings(Protocol):
@@ -47,7 +48,7 @@
 
     @property
     def disk_bytes(self) -> int:
-        """How many bytes the folder may take."""
+        """Maximum size of the state folder in bytes."""
 
     @property
     def seed(self) -> int:
@@ -55,7 +56,7 @@
 
     @property
     def cached_endpoints(self) -> Any:
-        """The endpoint list as the configuration has it."""
+        """The endpoint list in the configuration."""
 
     @property
     def policy_settings(self) -> Settings:
@@ -71,16 +72,16 @@
 
 
 class DiscoveryClient:
-    """Follows the endpoint list and hands its changes to the engine.
+    """Follows the endpoint list and passes its changes to the engine.
 
     Args:
-        address: Where discovery is, host:port.
+        address: The address of discovery, host:port.
         engine: The engine.
-        settings: The settings that are in force.
+        settings: The settings in force.
 
     Attributes:
-        sequence: The version of the list that is known; 0 for none.
-        first_answer: Set once the list as it is now has been read, or cannot be had.
+        sequence: The version of the last list or change that was read; 0 for none.
+        first_answer: Set once the current list has been read, or a watch has failed to deliver it.
     """
 
     def __init__(self, address: str, engine: DeliveryEngine, settings: DiscoverySettings) -> None:
@@ -89,26 +90,27 @@
         self.settings = settings
         self.sequence = 0
         self.first_answer = anyio.Event()
-        self._full_wanted = False  # the full list, whatever is known
-        self._failures = 0  # watches in a row that did not come up
+        self._full_requested = False  # the next watch asks for the full list, not only for changes
+        self._failures = 0  # watches in a row that failed before their response began
         self._random = random.Random(settings.seed)
-        self._current: Watch | None = None  # the watch that is followed
-        self._last_address = ""  # where the last one was up
-        self._opening: list[Watch] = []  # those that are not up yet
-        self._next_open_us = 0  # when the next may be opened
+        self._current: Watch | None = None  # the watch whose changes are applied
+        self._last_address = ""  # the address of the last watch whose response began
+        self._opening: list[Watch] = []  # watches whose response has not begun
+        self._next_open_us = 0  # earliest time of the next watch
         self._wake = anyio.Event()
         self._departed = DepartedEndpoints(settings.state, settings.disk_bytes)
 
-    # --- what the engine and the service ask ---------------------------------------------------------
+    # --- calls from the engine and the service -------------------------------------------------------
 
     def start(self) -> None:
-        """Hand over the configuration's list, and what was reported as draining or removed since.
+        """Pass the configuration's list to the engine, with endpoints reported as draining or removed since.
 
-        That list may be old, and an agent that is away reports no newer one: without the file, drains that an
-        earlier process was notified of would be forgotten, and its messages would go there.
+        That list may be old, and an unreachable agent reports no newer one. Without the file of departures,
+        drains that an earlier process learned of would be forgotten, and messages would be sent to those
+        endpoints.
 
         Raises:
-            ValueError: The configuration has no list.
+            ValueError: The configuration has no valid list.
         """
         self._departed.load()
         cached = self.settings.cached_endpoints
@@ -117,43 +119,43 @@
         self._apply(parse_update(cached), UpdateScope.CACHED)
 
     def snapshot(self) -> dict[str, str | int]:
-        """Return what another process needs to follow on from here."""
+        """Return the state from which another process can go on."""
         return {"address": self.address, "seq": self.sequence}
 
     def resume(self, snapshot: dict[str, Any]) -> None:
-        """Follow on from where another process was; its engine has handed over the list itself."""
+        """Go on from another process's state; the list itself was transferred with the engine's state."""
         self._departed.load()
         if snapshot.get("address") == self.address:
             self.sequence = snapshot["seq"]
 
     def poll(self) -> None:
-        """Answer the policy's poll with no change: the watch brings changes anyhow."""
+        """Answer the policy's poll with no change, because the watch reports changes by itself."""
         self.engine.update_endpoints(UpdateScope.DELTA, [])
 
     def apply_settings(self, settings: DiscoverySettings) -> None:
-        """Apply other settings; where kinds or zones differ, the full list is read again."""
+        """Apply other settings; if kinds or zones differ, the full list is read again."""
         old, self.settings = self.settings, settings
         if (old.kinds, old.zones) != (settings.kinds, settings.zones):
             self._request_full()
 
     def change_address(self, address: str) -> None:
-        """Follow discovery at another address; the old watch goes on until the new one is up."""
+        """Follow discovery at another address; the old watch stays until the new one's response begins."""
         if address != self.address:
             self.address = address
-            self.sequence = 0  # the versions there may differ
+            self.sequence = 0  # the versions of the list may be others there
             self._request_full()
 
     def _request_full(self) -> None:
-        self._full_wanted, self._failures, self._next_open_us = True, 0, 0
+        self._full_requested, self._failures, self._next_open_us = True, 0, 0
         opening, self._opening = self._opening, []
         for watch in opening:
             watch.scope.cancel()
         self._wake.set()
 
-    # --- when watches are opened ---------------------------------------------------------------------
+    # --- opening watches -----------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Keep a watch open until cancelled."""
         self._current, self._opening, self._next_open_us = None, [], 0
         async with anyio.create_task_group() as tasks:
             while True:
@@ -167,36 +169,37 @@
 
     @property
     def _shared(self) -> bool:
-        """Whether all instances ask one service, rather than an agent of their own."""
+        """Whether all instances share one discovery service, rather than each having an agent of its own."""
         return self.settings.policy_settings.polled_discovery
 
     def _wait_us(self) -> int:
-        """How long no further watch is wanted, in microseconds."""
+        """Return the time until another watch may be needed, in microseconds."""
         now_us: int = self.engine.clock.now()
         watch = self._current
-        followed = watch is not None and watch.address == self.address and not self._full_wanted
-        if watch is not None and followed and now_us < watch.silent_at_us:
+        sufficient = watch is not None and watch.address == self.address and not self._full_requested
+        if watch is not None and sufficient and now_us < watch.silent_at_us:
             return watch.silent_at_us - now_us
         max_opening = len({self.address, self._last_address} - {""}) if self._shared else MAX_OPENING
         if len(self._opening) >= max_opening:
-            return US_PER_S  # the end of one wakes
+            return US_PER_S  # the end of an opening watch ends this wait early
         return self._next_open_us - now_us
 
     def _open(self, tasks: TaskGroup) -> None:
-        """Open another watch in addition to those that are there.
+        """Open another watch in addition to the existing ones.
 
-        An agent that was silent may answer what waits for it once it is back, or only what is asked from then
-        on. Both are met where watches are opened side by side; the old one is followed until then.
+        An agent that was silent and recovers may answer pending requests, or only later ones. Opening several
+        watches in parallel covers both cases; the current watch is followed until one of them responds.
         """
-        if self._current and not self._full_wanted and not self._opening and not self._failures:
+        if self._current and not self._full_requested and not self._opening and not self._failures:
             log("watch_broke", address=self._current.address, error="silent")
         self._next_open_us = self.engine.clock.now() + int(OPEN_INTERVAL_S * US_PER_S)
         addresses = {self.address}
         if self._current is None and self._last_address:
-            # The old watch broke before the new address was up: better to follow the old one than none.
+            # The watch at the old address broke before one at the new address responded. Following the old
+            # address is better than following none.
             addresses.add(self._last_address)
         for address in addresses:
-            watch = Watch(address, self._full_wanted or not self.sequence)
+            watch = Watch(address, self._full_requested or not self.sequence)
             self._opening.append(watch)
             tasks.start_soon(self._follow, watch)
 
@@ -205,25 +208,26 @@
             try:
                 await self._run_watch(watch)
             except (OSError, ValueError) as error:
-                self._failed(watch, error)
+                self._schedule_after_failure(watch, error)
         if watch in self._opening:
             self._opening.remove(watch)
         if watch is self._current:
             self._current = None
         self._wake.set()
 
-    def _failed(self, watch: Watch, error: OSError | ValueError) -> None:
-        """Decide when the next is opened after one that failed by itself."""
+    def _schedule_after_failure(self, watch: Watch, error: OSError | ValueError) -> None:
+        """Log the failure of a watch, and set the earliest time of the next one."""
         if watch.scope.cancel_called or watch.address != self.address:
-            return  # another one has taken its place, or will
+            return  # another watch has replaced it, or will
         if self._failures < MAX_LOGGED_FAILURES:
             log("watch_broke", address=watch.address, error=str(error) or type(error).__name__)
         self.first_answer.set()
-        own_agent = not self._shared  # which is no burden to others
+        own_agent = not self._shared  # requests to it do not slow down other instances
         if own_agent and isinstance(error, TimeoutError):
             self._failures += 1
-            return  # the next is open already
-        # A service that rejects is asked in turns; the first watch after one that was up is opened soon.
+            return  # `run` has opened the next watch already
+        # With an agent of its own, an instance opens the next watch soon after one that had responded, or
+        # after a refused connection. Instances that share a service which rejects them ask it in turns.
         soon = own_agent and (watch.up or isinstance(error, ConnectionRefusedError))
         instances = 1 if soon else self.settings.policy_settings.senders
         delay_s = reopen_delay_s(self._failures, instances, self._random.random())
@@ -231,30 +235,30 @@
         self._failures += 1
 
     def _promote(self, watch: Watch) -> None:
-        """Follow a watch whose response has begun, in place of all others.
+        """Follow a watch whose response has begun, and end the watches that it replaces.
 
-        Closed before the new one is up, the old watch would leave drains unreported meanwhile.
+        The old watch is ended only now: if it were closed earlier, drains would go unnoticed in between.
         """
         watch.up = True
         self._opening.remove(watch)
         moved = watch.address != self.address
-        others = self._opening if not moved else [w for w in self._opening if w.address == watch.address]
-        for other in [*others, *([self._current] if self._current else ())]:
+        replaced = self._opening if not moved else [w for w in self._opening if w.address == watch.address]
+        for other in [*replaced, *([self._current] if self._current else ())]:
             other.scope.cancel()
-        self._opening = [w for w in self._opening if w not in others]
+        self._opening = [w for w in self._opening if w not in replaced]
         self._current = watch
         if not moved:
             self._last_address, self._failures = watch.address, 0
-            self._full_wanted = self._full_wanted and not watch.full
+            self._full_requested = self._full_requested and not watch.full
 
-    # --- what a watch brings -------------------------------------------------------------------------
+    # --- reading a watch -----------------------------------------------------------------------------
 
     async def _run_watch(self, watch: Watch) -> None:
         try:
             timeout_s = SHARED_RESPONSE_TIMEOUT_S if self._shared else RESPONSE_TIMEOUT_S
             exchange = await watch.request(lambda: self.sequence, timeout_s)
             if watch not in self._opening or (self._current and watch.address != self.address):
-                return  # another one is up, or discovery is elsewhere by now
+                return  # another watch has responded, or the address of discovery has changed
             self._promote(watch)
             await self._read_updates(watch, exchange)
         finally:
@@ -266,32 +270,33 @@
         while True:
             data = await exchange.read_data()
             if watch is not self._current:
-                return  # what an old watch still brings would undo the newer one's list
+                return  # later data of a replaced watch would undo the newer one's list
             if data is None:
-                raise ConnectionResetError("ended by discovery")
+                raise ConnectionResetError("discovery ended the response of the watch")
             for value in reader.feed(data):
                 if value is not None:
                     self._apply(parse_update(value), moved=watch.address != self.address)
-                self.first_answer.set()  # None, an empty line: nothing has changed
+                self.first_answer.set()  # also for None, an empty line: the list has not changed
                 self._expect_line(watch, LINE_TIMEOUT_S)
 
     def _expect_line(self, watch: Watch, timeout_s: float) -> None:
-        """Set when a watch counts as silent.
+        """Set the time at which a watch counts as silent.
 
-        Only complete lines count: half a line, or one that trickles in, says no more than silence. Where all
-        ask one service, watches that fall silent in one instant are opened again at random times.
+        Only complete lines count: part of a line, or one that arrives in small pieces, is no better than
+        silence. With a shared service a random time is added, so that watches of many instances that fall
+        silent at once are not all opened again at once.
         """
         if self._shared and self.settings.policy_settings.senders > SMALL_FLEET:
             timeout_s += SHARED_SPREAD_S * self._random.random()
         watch.silent_at_us = self.engine.clock.now() + int(timeout_s * US_PER_S)
 
     def _apply(self, update: EndpointUpdate, scope: UpdateScope | None = None, moved: bool = False) -> None:
-        """Hand an update to the engine.
+        """Pass an update to the engine.
 
         Args:
             update: The update.
-            scope: What it is, if it does not come from a watch.
-            moved: It comes from an address that discovery has left: its version says nothing.
+            scope: The scope of an update that does not come from a watch; otherwise the update tells it.
+            moved: The update comes from an old address of discovery, so its version is not kept.
         """
         endpoints = self._endpoints(update)
         if not moved:
@@ -320,7 +325,7 @@
         return endpoints
 
     def _departure(self, entry: object) -> list[tuple[Endpoint, EndpointState]]:
-        """What a malformed entry says of an endpoint that is known."""
+        """Return the known endpoint that a malformed entry reports as draining or removed, if any."""
         departure = parse_departure(entry)
         if departure is None:
             return []
--- a/pinspread/discovery/departures.py
+++ b/pinspread/discovery/departures.py
@@ -1,4 +1,4 @@
-"""Endpoints that were reported as draining or removed, kept over restarts in the file `list.left`."""
+"""Endpoints that were reported as draining or removed, stored across restarts in the file `list.left`."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -11,18 +11,18 @@
 from pinspread.policy.events import EndpointState
 
 FILE_NAME = "list.left"  # in the state folder
-DISK_FRACTION = 0.002  # of the folder's room, for each of the file and its successor
+DISK_FRACTION = 0.002  # of the state folder's maximum size, for each of the file and its replacement
 
 
 class DepartedEndpoints:
-    """The last word on each endpoint that is not ready, as discovery's own words for it.
+    """The last reported state of each endpoint that is not ready, in discovery's terms.
 
     Args:
         folder: The state folder.
-        disk_bytes: How many bytes the folder may take.
+        disk_bytes: Maximum size of the state folder in bytes.
 
     Attributes:
-        health: Endpoint id -> `draining` or `gone`, the newest last.
+        health: Endpoint id -> `draining` or `gone`, the most recently reported last.
     """
 
     def __init__(self, folder: str | Path, disk_bytes: int) -> None:
@@ -32,15 +32,15 @@
         self.load()
 
     def load(self) -> None:
-        """Read the file, which another process may have written since."""
+        """Read the file, which another process may have written in the meantime."""
         try:
             saved = orjson.loads(self.path.read_bytes())
             self.health = {id_: health for id_, health in saved.items() if health in STATES}
         except (OSError, ValueError, AttributeError, TypeError):
-            self.health = {}  # none yet, or damaged: the next full list says it all
+            self.health = {}  # there is no file, or it is damaged: the next full list has the states
 
     def apply_to(self, cached: Mapping[str, Any]) -> dict[str, Any]:
-        """Return a cached list as it reads with what was reported since."""
+        """Return a cached list with the states that were reported since."""
         return {**cached, "hosts": [self._current(entry) for entry in cached["hosts"]]}
 
     def _current(self, entry: object) -> object:
@@ -52,7 +52,7 @@
         return entry | {"health": self.health[id_]}
 
     def record(self, states: Mapping[str, EndpointState]) -> None:
-        """Note what a list has reported, by the endpoints' ids; a failure to write it is logged."""
+        """Record the states that an update reports, by endpoint id; a failure to write the file is logged."""
         before = dict(self.health)
         for id_, state in states.items():
             self.health.pop(id_, None)
@@ -61,9 +61,8 @@
         if self.health == before:
             return
         while len(data := orjson.dumps(self.health)) > self.max_bytes:
-            del self.health[
-                next(iter(self.health))
-            ]  # the oldest, which has long left other instances' lists too
+            # The oldest, which was removed from other instances' lists long ago as well.
+            del self.health[next(iter(self.health))]
         try:
             replacement = self.path.with_suffix(".new")
             replacement.write_bytes(data)
--- a/pinspread/discovery/endpoint_list.py
+++ b/pinspread/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sends it: lines of JSON, updates, and their entries. No I/O."""
+"""Parsing of the endpoint list as discovery sends it: JSON lines, updates and their entries. No I/O."""
 
 import math
 import re
@@ -13,9 +13,9 @@
 from pinspread.sockets import split_address
 
 MAX_LINE_BYTES = 4 << 20
-SHOWN_LENGTH = 100  # characters of a wrong update that the error shows
+SHOWN_LENGTH = 100  # characters of a malformed update that the error shows
 
-# Discovery's words for the state of an endpoint, which the file `list.left` has too.
+# Discovery's words for the state of an endpoint, which the file `list.left` uses too.
 STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
 HEALTH_WORDS = {state: word for word, state in STATES.items()}
 
@@ -24,22 +24,22 @@
 
 
 class LineReader:
-    """Splits the bytes of a watch into JSON objects, each of which may be indented over several lines."""
+    """Splits the bytes of a watch into JSON objects, each of which may extend over several lines."""
 
     def __init__(self) -> None:
         self._partial_line = b""
         self._lines = b""  # complete lines of an object that is not complete yet
-        self._depth = 0
+        self._depth = 0  # brackets that are open in these lines
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """Yield what is complete, in order: the value of each object, and None for an empty line.
+        """Take more bytes; yield the value of each complete object, and None for each empty line, in order.
 
         Raises:
-            ValueError: What came is not JSON, or does not end.
+            ValueError: The data is not JSON, or an object exceeds `MAX_LINE_BYTES`.
         """
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         if len(self._partial_line) + len(self._lines) > MAX_LINE_BYTES:
-            raise ValueError("a line without an end")
+            raise ValueError(f"incomplete update exceeds {MAX_LINE_BYTES} bytes")
         for line in lines:
             if not self._lines and not line.strip():
                 yield None
@@ -54,12 +54,12 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """A full list, or changes to it.
+    """A full endpoint list, or changes to the list.
 
     Attributes:
-        sequence: The version of the list with this update.
-        full: It names all endpoints that there are.
-        entries: An entry for each endpoint, as it came.
+        sequence: The version of the list after this update.
+        full: The update has all endpoints, not only those that changed.
+        entries: An unchecked entry for each endpoint.
     """
 
     sequence: int
@@ -68,22 +68,22 @@
 
 
 def parse_update(value: object) -> EndpointUpdate:
-    """Check the outer form of an update; its entries are checked one by one.
+    """Check the outer form of an update; its entries are checked later, one by one.
 
     Raises:
-        ValueError: It is not an update.
+        ValueError: The value is not an update.
     """
     if isinstance(value, dict):
         entries, sequence = value.get("hosts"), value.get("seq")
         if isinstance(entries, list) and _is_count(sequence):
             return EndpointUpdate(sequence, bool(value.get("whole")), entries)
-    raise ValueError(f"not a list of endpoints: {str(value)[:SHOWN_LENGTH]}")
+    raise ValueError(f"malformed endpoint list: {str(value)[:SHOWN_LENGTH]}")
 
 
 def parse_endpoint(entry: Any, zones: Mapping[str, int], kinds: Mapping[str, int]) -> Endpoint:
-    """Read the endpoint of an entry.
+    """Parse the endpoint of an entry.
 
-    Taken as it comes, a part of another type would end the process where it is first used.
+    All fields are checked here, because a field of a wrong type would end the process where it is first used.
 
     Args:
         entry: The entry.
@@ -91,23 +91,25 @@
         kinds: The destination kinds' numbers by their names.
 
     Raises:
-        KeyError, TypeError, ValueError: A part is missing, of another type, or out of range.
+        KeyError: A field is missing.
+        TypeError: A field has a wrong type.
+        ValueError: A field is out of range, or not a number where one is expected.
     """
     id_, address, weight = entry["host"], entry["dial"], float(entry["share"])
     texts = isinstance(id_, str) and id_ and isinstance(address, str)
     if not (texts and _is_count(entry["block"])):
-        raise TypeError("host, dial or block is not what it must be")
+        raise TypeError("host, dial or block is invalid: expected non-empty text, text and a count")
     split_address(address)
     if not (math.isfinite(weight) and weight >= 0):
-        raise ValueError(f"a share of {weight}")
+        raise ValueError(f"share is {weight}, expected a finite number of at least 0")
     zone, kind = zones.get(entry["site"], 0), kinds.get(entry["class"], 0)
     return Endpoint(id_, address, entry["block"], weight=weight, zone=zone, kind=kind)
 
 
 def parse_departure(entry: object) -> tuple[str, EndpointState] | None:
-    """Read what a malformed entry says all the same: that an endpoint is draining or removed; None if not.
+    """Return the id and state of an endpoint that a malformed entry reports as draining or removed, or None.
 
-    Passed over, that endpoint would be called for as long as the process runs.
+    If the whole entry were ignored, the endpoint would be called for as long as the process runs.
     """
     if not isinstance(entry, dict):
         return None
--- a/pinspread/discovery/watch.py
+++ b/pinspread/discovery/watch.py
@@ -1,4 +1,4 @@
-"""One watch: a request whose response brings the endpoint list and then its changes."""
+"""A watch: a request whose long-lived response carries the endpoint list and then its changes."""
 
 from collections.abc import Callable
 
@@ -12,14 +12,15 @@
     """One watch, from its opening to its end.
 
     Args:
-        address: Where it is opened, host:port.
-        full: It asks for the full list, whatever is known.
+        address: The address of discovery, host:port.
+        full: The watch asks for the full list, not only for the changes since a version.
 
     Attributes:
-        scope: Cancelled to end it.
-        up: Its response has begun.
-        silent_at_us: When it counts as silent unless something comes, in microseconds on the monotonic clock.
-        connection: Its connection, once there is one.
+        scope: The cancel scope of the watch; cancelling it ends the watch.
+        up: The response has begun.
+        silent_at_us: When the watch counts as silent unless a line arrives before, in microseconds on the
+            monotonic clock.
+        connection: The connection, once it is open.
     """
 
     __slots__ = ("address", "connection", "full", "scope", "silent_at_us", "up")
@@ -33,15 +34,16 @@
         self.connection: Connection | None = None
 
     async def request(self, sequence: Callable[[], int], timeout_s: float) -> Exchange:
-        """Ask for what comes after a version of the list, and wait for the response to begin.
+        """Request the changes after a version of the list, and wait for the response to begin.
 
         Args:
-            sequence: Gives that version once the connection is open; another watch may change it until then.
-            timeout_s: How long all of it may take.
+            sequence: Returns that version; called once the connection is open, because another watch may
+                change the version until then.
+            timeout_s: The timeout in seconds until the response begins.
 
         Raises:
             OSError: Discovery cannot be reached, or does not answer in time (TimeoutError).
-            ValueError: It answered something else.
+            ValueError: The response is malformed, or its status is not 200.
         """
         with anyio.fail_after(timeout_s):
             self.connection = await dial(self.address)
@@ -50,7 +52,7 @@
             await exchange.send_request("GET", target, self.address)
             status, _ = await exchange.read_response()
         if status != 200:
-            raise ValueError(f"discovery answered {status}")
+            raise ValueError(f"discovery answered with status {status}, expected 200")
         return exchange
 
     def close(self) -> None:
--- a/pinspread/http/__init__.py
+++ b/pinspread/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 as a client: exchanges on connections, the pool of connections, and the transport to endpoints."""
+"""HTTP/1.1 client: exchanges, the pool of idle connections, and the transport to endpoints."""
--- a/pinspread/http/bundle.py
+++ b/pinspread/http/bundle.py
@@ -1,4 +1,4 @@
-"""Several messages in one call: the body of `POST /events/bundle`, and what its response says. No I/O."""
+"""Bundles, several messages in one call: the body of `POST /events/bundle` and its response. No I/O."""
 
 from base64 import b64encode
 from collections.abc import Callable, Iterable
@@ -10,10 +10,11 @@
 from pinspread.policy.events import Outcome
 
 PATH = "/events/bundle"
-MAX_FIGURE = 1e9  # of a load report
+MAX_FIGURE = 1e9  # figures of a load report must be below this
 SHOWN_LENGTH = 60  # characters of a malformed load report that the error shows
 
-# What the response says of a message -> the result of its attempt, for the Retry-After in microseconds.
+# The state of a message in the response -> the function that makes the result of its attempt from the
+# response's Retry-After in microseconds.
 RESULTS: dict[str, Callable[[int], AttemptResult]] = {
     "ok": lambda retry_after_us: AttemptResult(Outcome.OK),
     "error": lambda retry_after_us: AttemptResult(Outcome.ERROR, retry_after_us, note="error"),
@@ -28,7 +29,7 @@
 
 
 def encode_messages(messages: Iterable[Message]) -> bytes:
-    """Encode the JSON array of a call."""
+    """Encode the messages of a call as a JSON array."""
     items = []
     for message in messages:
         item = {"id": message.id, "body": b64encode(message.body).decode()}
@@ -39,56 +40,57 @@
 
 
 def parse_results(body: bytes, ids: Iterable[str], retry_after_us: int) -> dict[str, AttemptResult]:
-    """Read the result for each message from a complete response with status 200.
+    """Parse the result of each message from a complete response with status 200.
 
     Args:
         body: The body of the response.
-        ids: The messages of the call.
+        ids: The ids of the messages of the call.
         retry_after_us: The Retry-After of the response, in microseconds; 0 for none.
 
     Returns:
-        A result for each id. A message that the response does not name, or not unambiguously, may have run.
+        A result for each id. A message without exactly one known state in the response may have run.
     """
     states = _parse_states(body)
     results = {}
     for id_ in ids:
-        make = RESULTS.get(states.get(id_, ""))
-        # Taken for proof that it never ran, a state that is missing or unknown would send a payment twice.
+        make_result = RESULTS.get(states.get(id_, ""))
+        # A missing or unknown state proves nothing. Taken as proof that the message never ran, it would lead
+        # to a second attempt, and a payment would be made twice.
         results[id_] = (
-            make(retry_after_us)
-            if make
-            else AttemptResult(Outcome.ERROR, retry_after_us, note="not told in the answer")
+            make_result(retry_after_us)
+            if make_result
+            else AttemptResult(Outcome.ERROR, retry_after_us, note="no valid state in the response")
         )
     return results
 
 
 def _parse_states(body: bytes) -> dict[str, str]:
-    """The state of each message that the response names once, and with text."""
+    """Return the state of each message that occurs exactly once in the response, with a string as state."""
     try:
-        found: Any = orjson.loads(body)
+        decoded: Any = orjson.loads(body)
     except orjson.JSONDecodeError:
         return {}
     states: dict[str, str | None] = {}
-    for item in found if isinstance(found, list) else ():
+    for item in decoded if isinstance(decoded, list) else ():
         id_ = item.get("id") if isinstance(item, dict) else None
         if isinstance(id_, str):
             state = item.get("state")
-            repeated = id_ in states  # named twice, neither is to be believed
+            repeated = id_ in states  # neither of two states for one message can be trusted
             states[id_] = state if isinstance(state, str) and not repeated else None
     return {id_: state for id_, state in states.items() if state is not None}
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """Read the named figures of a load report.
+    """Parse the named figures of a load report, such as `x0=0.4,x1=25`.
 
     Raises:
-        ValueError: It cannot be read.
+        ValueError: The report is malformed.
     """
     figures: dict[str, float] = {}
     for pair in text.split(","):
         name, sign, value = pair.strip().partition("=")
         figure = float(value)
         if not sign or not name or name in figures or not 0 <= figure < MAX_FIGURE:
-            raise ValueError(f"not a load report: {text[:SHOWN_LENGTH]!r}")
+            raise ValueError(f"malformed load report: {text[:SHOWN_LENGTH]!r}")
         figures[name] = figure
     return figures
--- a/pinspread/http/call.py
+++ b/pinspread/http/call.py
@@ -1,4 +1,4 @@
-"""What is known of one call to an endpoint while it runs, and what its response says of the attempt."""
+"""The state of a running call to an endpoint, and the results that follow from its response or failure."""
 
 from dataclasses import dataclass
 
@@ -11,7 +11,7 @@
 from pinspread.sockets import Connection
 
 RETRY_AFTER, ALL_SLOTS_TAKEN = b"retry-after", b"x-over-slots"
-MAX_NOTE = 100  # characters of an error's text
+MAX_NOTE = 100  # characters of an error's text in a result's note
 
 
 @dataclass(slots=True)
@@ -19,15 +19,17 @@
     """The state of one call.
 
     Attributes:
-        connection: Its connection, to be closed at its end; None if there is none, or the pool has it back.
+        connection: The connection, which is closed at the end of the call; None if there is none yet, or it
+            was returned to the pool.
         exchange: The exchange on that connection, once the request is being written.
         idle_us: How long the connection had been idle, in microseconds; -1 for a new one.
         opened: The connection was opened for this call.
         written: The last byte of the request was written.
-        proven: The result, once the response has shown it.
-        retry_after_us: The wait that a response's head asked for, whatever became of the rest.
-        limit_remaining: Which share of its limit the endpoint reports as left.
-        limit_per_s: The limit that it reports, in calls a second; 0 if it reports none.
+        proven_result: The result, once the response has proven it; None before.
+        retry_after_us: The Retry-After in the response's head, in microseconds, even if the rest of the
+            response fails.
+        limit_remaining: The fraction of its limit that the endpoint reports as left.
+        limit_per_s: The limit that the endpoint reports, in calls a second; 0 if it reports none.
     """
 
     connection: Connection | None = None
@@ -35,46 +37,47 @@
     idle_us: int = -1
     opened: bool = False
     written: bool = False
-    proven: AttemptResult | None = None
+    proven_result: AttemptResult | None = None
     retry_after_us: int = 0
     limit_remaining: float = 0.0
     limit_per_s: float = 0.0
 
     def annotate(self, result: AttemptResult) -> AttemptResult:
-        """Add to a result what its call has shown."""
+        """Add the connection's history and the reported limits to a result, and return it."""
         result.idle_us, result.opened = self.idle_us, self.opened
         result.limit_remaining, result.limit_per_s = self.limit_remaining, self.limit_per_s
         return result
 
     def describe_received(self, now_us: int) -> str:
-        """Say how much of the response had come when the call was given up."""
+        """Describe how much of the response had arrived when the call was abandoned."""
         if self.exchange is None or not self.exchange.received:
             return "silent"
         silent_ms = (now_us - self.exchange.last_read_us) // US_PER_MS
         return f"{len(self.exchange.received)} bytes, the last {silent_ms} ms ago"
 
     def timed_out(self, now_us: int) -> AttemptResult:
-        """Return the result of a call whose time has ended."""
-        if self.proven:
-            # The time may end between the word that proves the result and what is read or waited for behind
-            # it: a delivery, or a call that never ran, would pass for one that may have run.
-            return self.proven
+        """Return the result of a call that timed out."""
+        if self.proven_result:
+            # The time may end after the response has proven the result, while its rest is still read or a
+            # pause is running. Without this, a delivery, or a call that never ran, would count as one that
+            # may have run.
+            return self.proven_result
         if self.written:
             return AttemptResult(Outcome.TIMEOUT, self.retry_after_us, note=self.describe_received(now_us))
         return AttemptResult(Outcome.CONNECT_FAILED, note="not written in time")
 
     def failed(self, error: OSError | ValueError) -> AttemptResult:
-        """Return the result of a call that broke off."""
+        """Return the result of a call that failed with an error."""
         if not self.written:
             return AttemptResult(Outcome.CONNECT_FAILED, note=str(error))
-        # Whatever its status code says but 200, a malformed response proves nothing. The call may have run,
-        # and a payment that was sent again would take effect twice. A wait that it asked for applies.
+        # Apart from a status code of 200, a malformed response proves nothing. The call may have run, and a
+        # payment that was sent again would take effect twice. Its Retry-After still applies.
         outcome = Outcome.ERROR if isinstance(error, ValueError) else Outcome.RESET
         return AttemptResult(outcome, self.retry_after_us, note=str(error)[:MAX_NOTE])
 
 
 def result_of(response: Response) -> AttemptResult:
-    """Return what a response's status code and headers say of the attempt."""
+    """Return the result of the attempt according to the response's status code and headers."""
     status, headers = response
     if status == 200:
         return AttemptResult(Outcome.OK)
--- a/pinspread/http/exchange.py
+++ b/pinspread/http/exchange.py
@@ -11,27 +11,27 @@
 from pinspread.sockets import Connection
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_RESPONSE_BYTES = 128 * 1024  # that are read of a response at all
-FIRST_FINAL_STATUS = 200  # what is below is an informational response
+MAX_RESPONSE_BYTES = 128 * 1024  # a longer response is malformed
+FIRST_FINAL_STATUS = 200  # lower status codes are informational
 _STATUS_LINE = re.compile(rb"HTTP/1\.[0-9] ([1-9][0-9]{2})(?: [^\r\n]*)?\r?")
-_SHOWN_BYTES = 40  # of a malformed status line, in the error
+_SHOWN_BYTES = 40  # bytes of a malformed status line that the error shows
 
 Headers = Iterable[tuple[str, str]]
 
 
 class MalformedResponseError(ValueError):
-    """What came cannot be read as a response, or does not end."""
+    """The bytes received are not a valid response, or exceed a size limit."""
 
 
 class Response(NamedTuple):
-    """The head of a response: its status code, and its headers by lower-case name."""
+    """The head of a response: the status code, and the headers by lower-case name."""
 
     status: int
     headers: dict[bytes, bytes]
 
 
 def parse_status(received: bytes | bytearray) -> int | None:
-    """Read the status code of the first final response, past informational ones; None if it is not there yet.
+    """Parse the status code of the first final response, after any informational ones; None if incomplete.
 
     Raises:
         MalformedResponseError: The bytes do not start with a response.
@@ -41,19 +41,19 @@
         end = received.find(b"\n", position)
         if end < 0:
             if len(received) - position > MAX_HEAD_BYTES:
-                raise MalformedResponseError("a first line without an end")
+                raise MalformedResponseError(f"status line exceeds {MAX_HEAD_BYTES} bytes")
             return None
-        found = _STATUS_LINE.fullmatch(received, position, end)
-        if not found:
+        match = _STATUS_LINE.fullmatch(received, position, end)
+        if not match:
             shown = bytes(received[position : min(end, position + _SHOWN_BYTES)])
-            raise MalformedResponseError(f"not a first line: {shown!r}")
-        status = int(found[1])
+            raise MalformedResponseError(f"malformed status line: {shown!r}")
+        status = int(match[1])
         if status >= FIRST_FINAL_STATUS:
             return status
         end = received.find(b"\r\n\r\n", position)
         if end < 0:
             if len(received) - position > MAX_HEAD_BYTES:
-                raise MalformedResponseError("a 1xx answer without an end")
+                raise MalformedResponseError(f"informational response exceeds {MAX_HEAD_BYTES} bytes")
             return None
         position = end + 4
 
@@ -63,11 +63,11 @@
 
     Args:
         connection: An open connection on which no other exchange is running.
-        max_response_bytes: How many bytes of the response are read at the most; None for no limit.
+        max_response_bytes: The maximum length of the response in bytes; None for no limit.
 
     Attributes:
-        received: What has come until the status was known.
-        last_read_us: When the last of it came, in microseconds on the monotonic clock.
+        received: The bytes read until the status code was known.
+        last_read_us: When the last of them arrived, in microseconds on the monotonic clock.
     """
 
     def __init__(self, connection: Connection, max_response_bytes: int | None = MAX_RESPONSE_BYTES) -> None:
@@ -101,12 +101,12 @@
     async def _read(self) -> bytes:
         data = await self.connection.read()
         if not data:
-            raise ConnectionResetError("closed before the answer's end")
+            raise ConnectionResetError("connection closed before the end of the response")
         if self._remaining_bytes is not None:
-            # A response that keeps coming would take the CPU and the memory of all others.
+            # An endless response would use up CPU time and memory that all others need.
             self._remaining_bytes -= len(data)
             if self._remaining_bytes < 0:
-                raise MalformedResponseError("an answer without an end")
+                raise MalformedResponseError("response exceeds the maximum length")
         self._protocol.receive_data(data)
         return data
 
@@ -121,11 +121,11 @@
             await self._read()
 
     async def read_status(self) -> int:
-        """Read until the status code is known, which stands whatever comes behind it.
+        """Read until the status code is known; it is valid whatever follows it.
 
         Raises:
             OSError: The connection ended or broke before.
-            MalformedResponseError: What came is not the begin of a response.
+            MalformedResponseError: The bytes do not start with a response.
         """
         while self._status is None:
             self.received += await self._read()
@@ -138,7 +138,7 @@
 
         Raises:
             OSError: The connection ended or broke before.
-            MalformedResponseError: What came is not a response.
+            MalformedResponseError: The bytes are not a valid response.
         """
         while True:
             event = await self._next_event()
@@ -146,14 +146,14 @@
                 headers = {bytes(name).lower(): bytes(value) for name, value in event.headers}
                 return Response(event.status_code, headers)
             if not isinstance(event, h11.InformationalResponse):
-                raise MalformedResponseError(f"no response but {type(event).__name__}")
+                raise MalformedResponseError(f"expected a response, got {type(event).__name__}")
 
     async def read_data(self) -> bytes | None:
         """Read the next part of the body; None at its end.
 
         Raises:
             OSError: The connection ended or broke before.
-            MalformedResponseError: The body is malformed, or does not end.
+            MalformedResponseError: The body is malformed, or the response too long.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
@@ -162,19 +162,19 @@
         return None
 
     async def read_to_end(self) -> None:
-        """Read the body to its end and drop it; raises as `read_data` does."""
+        """Read the body to its end and discard it; raises the errors of `read_data`."""
         while await self.read_data() is not None:
             pass
 
     @property
     def trailing_data(self) -> bytes:
-        """What came behind the response."""
+        """The bytes that were received after the response."""
         return self._protocol.trailing_data[0]
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may follow on this connection."""
-        # What came behind this response, or the rest of it, would pass for the response to the next request.
+        """Whether another request may be sent on this connection."""
+        # Bytes after this response, or an unread rest of it, would be taken for the response to the next one.
         protocol = self._protocol
         done = protocol.their_state is h11.DONE and protocol.our_state is h11.DONE
         return self._complete and done and not self.trailing_data
--- a/pinspread/http/pool.py
+++ b/pinspread/http/pool.py
@@ -9,19 +9,20 @@
 from pinspread.core.messages import Endpoint
 from pinspread.sockets import Connection
 
-# Share of the time after which an endpoint closes idle connections: a call written later than that is lost.
+# A connection is used only within this fraction of the time after which endpoints close idle connections. A
+# call that is written after the endpoint has closed the connection is lost.
 MAX_IDLE_FRACTION = 0.8
 SWEEP_INTERVAL_S = 0.5
 
 
 class PooledConnection(NamedTuple):
-    """An idle connection on its way from one process to the next.
+    """An idle connection that one process passes to the next.
 
     Attributes:
-        endpoint_id: The endpoint that it leads to.
-        address: Its address, host:port.
-        idle_since_us: Since when it is idle, in microseconds on the monotonic clock.
-        connection: The connection itself.
+        endpoint_id: The id of the connected endpoint.
+        address: The endpoint's address, host:port.
+        idle_since_us: Since when the connection is idle, in microseconds on the monotonic clock.
+        connection: The connection.
     """
 
     endpoint_id: str
@@ -31,28 +32,28 @@
 
 
 class ConnectionPool:
-    """Idle connections by endpoint; the last one used is taken first, so that surplus ones age.
+    """Idle connections by endpoint; the most recently used is taken first, so that surplus ones time out.
 
     Args:
         clock: The clock of the process.
-        keepalive_us: After how long endpoints close idle connections, in microseconds.
+        keepalive_us: The time after which endpoints close idle connections, in microseconds.
     """
 
     def __init__(self, clock: Clock, keepalive_us: int) -> None:
         self.clock = clock
-        self.idle: dict[str, list[tuple[str, Connection]]] = {}  # endpoint id -> (address, connection) each
+        self.idle: dict[str, list[tuple[str, Connection]]] = {}  # endpoint id -> (address, connection) pairs
         self.set_keepalive(keepalive_us)
 
     def set_keepalive(self, keepalive_us: int) -> None:
-        """Apply another time after which endpoints close idle connections."""
+        """Change the time after which endpoints close idle connections, in microseconds."""
         self.max_idle_us = int(keepalive_us * MAX_IDLE_FRACTION)
 
     def acquire(self, endpoint: Endpoint) -> Connection | None:
-        """Take out an idle connection that can still be used; None if there is none."""
+        """Take a usable idle connection out of the pool; None if there is none."""
         pooled = self.idle.get(endpoint.id, [])
         while pooled:
             address, connection = pooled.pop()
-            # Written to a connection that the other side has closed, a call would count as lost.
+            # A call that is written to a connection that the endpoint has closed would be lost.
             if address == endpoint.address and self._usable(connection):
                 return connection
             connection.close()
@@ -62,9 +63,9 @@
         return self.clock.now() - connection.idle_since_us < self.max_idle_us and connection.is_idle()
 
     def release(self, endpoint: Endpoint, connection: Connection) -> None:
-        """Put a connection back after a complete exchange."""
+        """Return a connection to the pool after a complete exchange."""
         if not endpoint.usable:
-            connection.close()  # nothing more goes there
+            connection.close()  # no further calls go to this endpoint
             return
         connection.idle_since_us = self.clock.now()
         self.idle.setdefault(endpoint.id, []).append((endpoint.address, connection))
@@ -75,7 +76,7 @@
             connection.close()
 
     def detach_all(self) -> list[PooledConnection]:
-        """Give up all connections, for another process."""
+        """Remove all connections from the pool and return them, for another process."""
         detached, self.idle = self.idle, {}
         return [
             PooledConnection(id_, address, connection.idle_since_us, connection)
@@ -84,13 +85,13 @@
         ]
 
     def attach_all(self, detached: Iterable[tuple[str, str, int, Connection]]) -> None:
-        """Take over the connections of another process, with the fields of `PooledConnection` each."""
+        """Add the connections of another process, given by the fields of `PooledConnection`."""
         for id_, address, idle_since_us, connection in detached:
             connection.idle_since_us = idle_since_us
             self.idle.setdefault(id_, []).append((address, connection))
 
     def close_unusable(self) -> None:
-        """Close what has been idle for too long, or was closed by the other side."""
+        """Close connections that have been idle for too long, or that the endpoint has closed."""
         for id_, pooled in list(self.idle.items()):
             usable = []
             for address, connection in pooled:
--- a/pinspread/http/retry_after.py
+++ b/pinspread/http/retry_after.py
@@ -1,10 +1,10 @@
-"""The `Retry-After` header as endpoints send it."""
+"""The `Retry-After` header of endpoints' responses."""
 
-MAX_SECONDS = 86_400  # a day; a longer one is not taken seriously
+MAX_SECONDS = 86_400  # a day; a wait of a day or more is ignored
 
 
 def parse_retry_after_us(text: bytes) -> int:
-    """Read seconds with decimals as microseconds, rounded up; 0 if it is no such number."""
+    """Parse a number of seconds, with decimals, as microseconds, rounded up; 0 if it is invalid."""
     try:
         seconds = float(text)
     except ValueError:
--- a/pinspread/http/transport.py
+++ b/pinspread/http/transport.py
@@ -1,7 +1,7 @@
 """The transport to endpoints that take calls by HTTP/1.1.
 
-A connection carries one call at a time, and nothing is ever sent a second time by itself: the result says
-what the call proves, and the engine decides whether its message is sent again.
+A connection carries one call at a time. The transport never retries: the result says what the call proves,
+and the engine decides whether the message is sent again.
 """
 
 from collections.abc import Callable, Coroutine
@@ -24,17 +24,17 @@
 PATH, HEALTH_PATH = "/events", "/-/healthy"
 LOAD_REPORT = b"server-load"
 LIMIT_REMAINING, LIMIT_PER_S = "x0", "x1"  # the figures of a load report that are used
-SLOT_PAUSE_S = 0.05
-DRAIN_TIMEOUT_S = 0.05  # for the rest of a response with status 200, after which the connection is closed
+SLOT_PAUSE_S = 0.05  # after a response that shows that the call never ran
+DRAIN_TIMEOUT_S = 0.05  # for the rest of a response with status 200; then the connection is closed
 
 
 class HttpTransport:
-    """Endpoints that take a call for each message, by `POST /events`, or several in one.
+    """Delivers messages by `POST /events`, or several in one call by `POST /events/bundle`.
 
     Args:
         clock: The clock of the process.
         pool: The idle connections.
-        dial_us: How long opening a connection may take, in microseconds.
+        dial_us: The timeout for opening a connection, in microseconds.
         reports: Whether responses report the endpoint's limits.
     """
 
@@ -45,15 +45,17 @@
         self.reports = reports
 
     async def send(self, attempt: Attempt) -> AttemptResult:
-        """Run one attempt; what fails before its last byte is written proves that it never ran."""
+        """Run one attempt; a failure before the last byte is written proves that the call never ran."""
         state = CallState()
         result = await self._run(attempt.ends_us(), state, lambda: self._call(attempt, state))
         return state.annotate(result)
 
     async def send_many(self, attempts: list[Attempt]) -> list[AttemptResult]:
-        """Run several attempts to one endpoint as one call, which ends with the first of their times."""
+        """Run several attempts to one endpoint as one call, which has the earliest of their timeouts."""
         state = CallState()
-        results: dict[str, AttemptResult] = {}  # of those that have one of their own, by the message's id
+        results: dict[
+            str, AttemptResult
+        ] = {}  # message id -> result, for attempts with a result of their own
         ends_us = min(attempt.ends_us() for attempt in attempts)
         common = await self._run(ends_us, state, lambda: self._call_many(attempts, ends_us, state, results))
         return [state.annotate(results.get(attempt.message.id) or common) for attempt in attempts]
@@ -61,7 +63,7 @@
     async def _run(
         self, ends_us: int, state: CallState, call: Callable[[], Coroutine[Any, Any, AttemptResult]]
     ) -> AttemptResult:
-        """Run a call within its time, and close its connection if the pool has not got it back."""
+        """Run a call with its timeout, and close its connection unless it was returned to the pool."""
         try:
             with anyio.move_on_after(self._seconds_until(ends_us)):
                 return await call()
@@ -72,8 +74,8 @@
                 state.connection.close()
         return state.timed_out(self.clock.now())
 
-    def _seconds_until(self, at_us: int) -> float:
-        return max(0, at_us - self.clock.now()) / US_PER_S
+    def _seconds_until(self, time_us: int) -> float:
+        return max(0, time_us - self.clock.now()) / US_PER_S
 
     async def _open(self, endpoint: Endpoint, state: CallState) -> Connection:
         """Take a usable connection from the pool, or open one."""
@@ -85,16 +87,17 @@
             connection = state.connection = await dial(endpoint.address)
         state.opened = True
         if not connection.is_idle():
-            raise OSError("closed by the next hop before the call")
+            raise OSError("the endpoint closed the connection, or sent data, before the call")
         return connection
 
     async def _open_for_call(self, endpoint: Endpoint, state: CallState) -> Connection:
         try:
             return await self._open(endpoint, state)
         except TimeoutError:
-            raise OSError("dial timed out") from None
+            raise OSError("connecting to the endpoint timed out") from None
 
-    def _give_back(self, endpoint: Endpoint, state: CallState) -> None:
+    def _release(self, endpoint: Endpoint, state: CallState) -> None:
+        """Return the call's connection to the pool."""
         if state.connection is not None:
             self.pool.release(endpoint, state.connection)
             state.connection = None
@@ -106,7 +109,7 @@
         connection = await self._open_for_call(endpoint, state)
         reason = attempt.check_before_write()
         if reason:
-            self._give_back(endpoint, state)
+            self._release(endpoint, state)
             return AttemptResult(Outcome.NOT_SENT, note=reason)
         headers = self._headers(attempt)
         exchange = state.exchange = Exchange(connection)
@@ -114,9 +117,9 @@
         state.written = True
         if await exchange.read_status() != 200:
             return await self._read_refusal(attempt, exchange, state)
-        state.proven = AttemptResult(Outcome.OK)
+        state.proven_result = AttemptResult(Outcome.OK)
         await self._drain(exchange, endpoint, state)
-        return state.proven
+        return state.proven_result
 
     def _headers(self, attempt: Attempt) -> list[tuple[str, str]]:
         message = attempt.message
@@ -127,19 +130,20 @@
         return headers
 
     async def _read_refusal(self, attempt: Attempt, exchange: Exchange, state: CallState) -> AttemptResult:
-        """Read a response with another status than 200 to its end; only then does it prove anything."""
+        """Read a response with a status other than 200; it proves nothing until it is complete."""
         response = await self._read_response(exchange, state)
         result = result_of(response)
         self._apply_retry_after(attempt, result.retry_after_us, state)
         await exchange.read_to_end()
         trailing = exchange.trailing_data
         if trailing and not trailing.startswith(b"HTTP/1.1 %d" % response.status):
-            raise MalformedResponseError("its length does not fit")  # or noise, which looks the same
-        state.proven = result
-        self._keep(exchange, attempt.endpoint, state)
+            # Either the length of the body is wrong, or these bytes are noise: the two look the same.
+            raise MalformedResponseError(f"{len(trailing)} unexpected bytes after the response")
+        state.proven_result = result
+        self._release_if_reusable(exchange, attempt.endpoint, state)
         if result.outcome is Outcome.NOT_SENT and not result.no_longer_wanted:
-            # A call that was given up holds its slot there until its end is seen. Tried again at once, one
-            # message would spend all its attempts on the slot of another.
+            # An abandoned call holds its slot at the endpoint until the endpoint notices its end. Without
+            # this pause, a message could use up all its attempts while another message's call holds the slot.
             await anyio.sleep(SLOT_PAUSE_S)
         return result
 
@@ -148,7 +152,17 @@
     async def _call_many(
         self, attempts: list[Attempt], ends_us: int, state: CallState, results: dict[str, AttemptResult]
     ) -> AttemptResult:
-        """Run one call; `results` takes the attempts' own results, what is returned counts for the others."""
+        """Run one call.
+
+        Args:
+            attempts: The attempts.
+            ends_us: When the call times out, in microseconds on the monotonic clock.
+            state: The state of the call.
+            results: Receives the results of attempts that have one of their own, by the message's id.
+
+        Returns:
+            The result of all other attempts.
+        """
         endpoint = attempts[0].endpoint
         connection = await self._open_for_call(endpoint, state)
         written = []
@@ -159,7 +173,7 @@
             else:
                 written.append(attempt)
         if not written:
-            self._give_back(endpoint, state)
+            self._release(endpoint, state)
             return AttemptResult(Outcome.NOT_SENT)
         headers = [
             ("Content-Type", "application/json"),
@@ -172,27 +186,27 @@
         response = await self._read_response(exchange, state)
         retry_after_us = parse_retry_after_us(response.headers.get(RETRY_AFTER, b""))
         self._apply_retry_after(written[0], retry_after_us, state)
-        pieces = []
-        while (piece := await exchange.read_data()) is not None:
-            pieces.append(piece)
-        self._keep(exchange, endpoint, state)
+        chunks = []
+        while (chunk := await exchange.read_data()) is not None:
+            chunks.append(chunk)
+        self._release_if_reusable(exchange, endpoint, state)
         if response.status == 200:
             ids = [attempt.message.id for attempt in written]
-            results |= bundle.parse_results(b"".join(pieces), ids, retry_after_us)
-            return AttemptResult(Outcome.ERROR)  # for no attempt: each has a result of its own
+            results |= bundle.parse_results(b"".join(chunks), ids, retry_after_us)
+            return AttemptResult(Outcome.ERROR)  # not used: each attempt has a result of its own
         return _bundle_result(response, len(written), retry_after_us)
 
     # --- responses -----------------------------------------------------------------------------------
 
     async def _read_response(self, exchange: Exchange, state: CallState) -> Response:
-        """Read the head of a response, and note what it reports of limits."""
+        """Read the head of a response, and note the limits that its load report gives."""
         response = await exchange.read_response()
         report = response.headers.get(LOAD_REPORT) if self.reports else None
         if report is not None:
             try:
                 figures = bundle.parse_load_report(report.decode("ascii"))
             except ValueError as error:
-                log("malformed_report", error=str(error))  # the response counts all the same
+                log("malformed_report", error=str(error))  # the response is valid nevertheless
             else:
                 state.limit_remaining = figures.get(LIMIT_REMAINING, 0.0)
                 state.limit_per_s = figures.get(LIMIT_PER_S, 0.0)
@@ -201,13 +215,13 @@
     def _apply_retry_after(self, attempt: Attempt, retry_after_us: int, state: CallState) -> None:
         if retry_after_us:
             state.retry_after_us = retry_after_us
-            attempt.apply_retry_after(retry_after_us)  # from now on, though the body may take its time
+            attempt.apply_retry_after(retry_after_us)  # at once: the body may take long to arrive
 
     async def _drain(self, exchange: Exchange, endpoint: Endpoint, state: CallState) -> None:
-        """Read the rest of a response with status 200, which counts for nothing but the connection.
+        """Read the rest of a response with status 200, only so that the connection can be reused.
 
-        It may take `DRAIN_TIMEOUT_S` seconds: a head or body without an end would turn a delivery into a
-        time-out, and a payment that was made into a failed one.
+        It may take at most `DRAIN_TIMEOUT_S` seconds. Otherwise a head or body that never ends would turn a
+        delivery into a timeout, and a payment that was made into a failed one.
         """
         with anyio.move_on_after(DRAIN_TIMEOUT_S):
             try:
@@ -215,26 +229,27 @@
                 await exchange.read_to_end()
             except (OSError, ValueError):
                 return
-            self._keep(exchange, endpoint, state)
+            self._release_if_reusable(exchange, endpoint, state)
 
-    def _keep(self, exchange: Exchange, endpoint: Endpoint, state: CallState) -> None:
+    def _release_if_reusable(self, exchange: Exchange, endpoint: Endpoint, state: CallState) -> None:
         if exchange.reusable:
-            self._give_back(endpoint, state)
+            self._release(endpoint, state)
 
     # --- health checks, and the end of an endpoint ---------------------------------------------------
 
     async def check_health(self, endpoint: Endpoint, check_before_write: Callable[[], str]) -> AttemptResult:
-        """Ask an endpoint for its health by `GET /-/healthy`.
+        """Check the health of an endpoint by `GET /-/healthy`.
 
         Args:
             endpoint: The endpoint.
-            check_before_write: Asked right before the first byte; returns why nothing may be written, or "".
+            check_before_write: Called right before the first byte is written; returns why the request must
+                not be written, or "".
         """
         state = CallState()
         try:
             return await self._check_health(endpoint, check_before_write, state)
         except ValueError as error:
-            return AttemptResult(Outcome.ERROR, note=f"spoilt: {error}"[:MAX_NOTE])
+            return AttemptResult(Outcome.ERROR, note=f"malformed response: {error}"[:MAX_NOTE])
         except OSError as error:
             return AttemptResult(Outcome.CONNECT_FAILED, note=str(error))
         finally:
@@ -256,7 +271,7 @@
         result = result_of(await exchange.read_response())
         with anyio.move_on_after(DRAIN_TIMEOUT_S):
             await exchange.read_to_end()
-            self._keep(exchange, endpoint, state)
+            self._release_if_reusable(exchange, endpoint, state)
         return result
 
     def disconnect(self, endpoint: Endpoint) -> None:
@@ -267,8 +282,9 @@
 
 
 def _bundle_result(response: Response, size: int, retry_after_us: int) -> AttemptResult:
-    """What the status code of a call's response says of each message that has no result of its own."""
+    """Return the result, by the response's status code, of the messages without a result of their own."""
     if response.status in (400, 413):
         log("bundle_refused", status=response.status, size=size)
-        return AttemptResult(Outcome.OVERLOADED, retry_after_us, note=str(response.status))  # none has run
+        # The endpoint rejected the bundle as a whole: none of its messages has run.
+        return AttemptResult(Outcome.OVERLOADED, retry_after_us, note=str(response.status))
     return result_of(response)
