--- a/pinspread/resp/parser.py
+++ b/pinspread/resp/parser.py
@@ -151,21 +151,25 @@
 
 
 def _parse_options(text: bytes) -> EnqueueOptions:
-    options: dict[str, str] = {}
+    option_values: dict[str, str] = {}
     for pair in text.decode("latin-1").split(","):
         option, equals, value = pair.partition("=")
         if not equals:
             raise CommandError(f"option {pair!r} has no value")
-        if option in options:
+        if option in option_values:
             raise CommandError(f"option {option} is given twice")
-        options[option] = value
-    deadline_ms = parse_number(_required(options, DEADLINE), DEADLINE, MAX_DEADLINE_MS)
-    destination = parse_number(_required(options, DESTINATION), DESTINATION, MAX_DESTINATION)
-    class_name = _required(options, CLASS)
-    if IDEMPOTENCY_KEY in options:
-        parse_identifier(options[IDEMPOTENCY_KEY].encode("latin-1"), "idempotency key")
+        option_values[option] = value
+    deadline_ms = parse_number(_required(option_values, DEADLINE), DEADLINE, MAX_DEADLINE_MS)
+    destination = parse_number(_required(option_values, DESTINATION), DESTINATION, MAX_DESTINATION)
+    class_name = _required(option_values, CLASS)
+    if IDEMPOTENCY_KEY in option_values:
+        parse_identifier(option_values[IDEMPOTENCY_KEY].encode("latin-1"), "idempotency key")
     return EnqueueOptions(
-        deadline_ms, destination, class_name, options.get(TENANT, ""), options.get(IDEMPOTENCY_KEY, "")
+        deadline_ms,
+        destination,
+        class_name,
+        option_values.get(TENANT, ""),
+        option_values.get(IDEMPOTENCY_KEY, ""),
     )
 
 
--- a/tests/platform_helpers.py
+++ b/tests/platform_helpers.py
@@ -1,4 +1,4 @@
-"""Helpers for the tests of the platform's rules: replies of stand-ins, and a courier in its own process."""
+"""Helpers for the tests of the platform's rules: stand-ins with given replies, and a courier process."""
 
 import os
 import subprocess
@@ -25,9 +25,9 @@
 
 
 def scripted(*replies, then=OK):
-    """Answers in turn, and `then` for ever; an answer may be something to await."""
-    left = list(replies)
-    return HttpStandIn(lambda request: left.pop(0) if left else then)
+    """Return a stand-in that gives these replies in turn, then always `then`; a reply may be awaitable."""
+    remaining = list(replies)
+    return HttpStandIn(lambda request: remaining.pop(0) if remaining else then)
 
 
 async def delayed_reply(seconds, reply=OK):
@@ -36,7 +36,7 @@
 
 
 class CourierProcess:
-    """A courier as the platform starts it."""
+    """A courier in its own process, started as the platform starts it."""
 
     def __init__(self, folder, endpoint, discovery):
         self.address = own_address()
@@ -66,8 +66,9 @@
         await wait_until_answering(self.client)
         return self
 
-    async def end(self, how):
-        self.process.send_signal(how)
+    async def end(self, signal_number):
+        """Send a signal; return the exit code and the seconds until the process ended."""
+        self.process.send_signal(signal_number)
         start = time.monotonic()
         code = await anyio.to_thread.run_sync(self.process.wait)
         return code, time.monotonic() - start
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,7 @@
-"""Stand-ins on loopback for the parties of a courier, written from their public specifications."""
+"""A courier in the test's process, and stand-ins on loopback for the parties that it talks to.
+
+The stand-ins are written from the public specifications of their protocols.
+"""
 
 import os
 import socket
@@ -51,17 +54,17 @@
     "wait_until_answering",
 ]
 
-_ports = count(20_000 + os.getpid() % 750 * 16)  # under those that outgoing connections take
+_ports = count(20_000 + os.getpid() % 750 * 16)  # below the range of ports for outgoing connections
 
 
 def own_address():
-    """An address for a process to listen on, which no other run of the tests shares."""
+    """Return an address for a process to listen on, which no concurrent run of the tests uses."""
     pid = os.getpid()
     return f"127.9.{pid // 250 % 250}.{1 + pid % 250}:{next(_ports)}"
 
 
 class InProcessCourier:
-    """A courier in this process with its fronts, and what tests need of it."""
+    """A running courier in this process: its engine, the addresses of its fronts, and its task group."""
 
     def __init__(self, engine, address, amqp, tasks):
         self.engine = engine
@@ -72,7 +75,7 @@
     def update_endpoints(
         self, address, id_="s-1", dest=1, scheme="http", state=EndpointState.READY, scope=UpdateScope.DELTA
     ):
-        """Have it learn of an endpoint."""
+        """Add or change an endpoint of the courier."""
         endpoint = Endpoint(id_, address, dest, scheme=scheme, weight=500.0)
         self.engine.update_endpoints(scope, [(endpoint, state)])
 
@@ -81,7 +84,7 @@
 async def running_courier(
     state, platform="127.0.0.1:1", endpoints=(), max_clients=512, max_unread_bytes=8 << 20, **limits
 ):
-    """A courier that serves; it ends as if killed, with nothing but its journal left."""
+    """Run a courier in this process; it ends as if killed, and only its journal is left."""
     effective_settings = settings.read(configuration(state, **limits), {})
     clock = Clock()
     journal = Journal(effective_settings.state, effective_settings.disk_bytes)
@@ -118,85 +121,90 @@
 
 
 class BrokerStandIn:
-    """A broker's publishing side: counts what takes effect, and can be made to break at any point."""
+    """The publishing side of a broker: records the messages that take effect, and fails as a test wants.
+
+    `plan(broker, message id)` returns what to do with a published message: "ack" or "nack" confirms it so,
+    "return" returns it as unroutable and acknowledges it, "kill" and "lose" reset the connection, and any
+    other value sends no confirm. The message takes effect in each case but "return" and "lose".
+    """
 
     def __init__(self, plan=None):
-        self.plan = plan or (lambda broker, id_: "ack")  # what becomes of a publish
-        self.effects = []  # message ids, each time one takes effect
-        self.links = set()
+        self.plan = plan or (lambda broker, id_: "ack")
+        self.effects = []  # the id of each message that took effect, once for each time
+        self.streams = set()  # the open connections that are ready for publishing
         self.logins = set()
-        self.reading = anyio.Event()
+        self.reading = anyio.Event()  # a test replaces it by one that is not set, to stop reading
         self.reading.set()
 
     async def run(self, sock):
         async with anyio.create_task_group() as tasks:
             await sockets.accept_forever(sock, tasks, self.serve)
 
-    def kill(self, *wires):
-        """These connections, or all, end at once with a reset."""
-        for wire in wires or list(self.links):
-            wire.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            anyio.notify_closing(wire.connection.sock)
-            wire.connection.close()
-            self.links.discard(wire)
+    def kill(self, *streams):
+        """Reset these connections, or all of them."""
+        for stream in streams or list(self.streams):
+            stream.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+            anyio.notify_closing(stream.connection.sock)
+            stream.connection.close()
+            self.streams.discard(stream)
 
-    async def say(self, method):
-        """A method of the connection, to all who are connected."""
-        for wire in self.links:
-            await wire.send(method)
+    async def send_to_all(self, method):
+        """Send a method of channel 0 on each open connection."""
+        for stream in self.streams:
+            await stream.send(method)
 
     async def serve(self, connection):
-        wire = FrameStream(connection, Clock())
+        stream = FrameStream(connection, Clock())
         try:
-            if await wire.read_protocol_header() != frames.PROTOCOL_HEADER:
+            if await stream.read_protocol_header() != frames.PROTOCOL_HEADER:
                 return
-            await wire.send(commands.Connection.Start(0, 9, {}, "PLAIN", "en_US"))
-            self.logins.add((await wire.read_method("Connection.StartOk")).response)
-            await wire.send(commands.Connection.Tune(8, 4096, 1))
-            await wire.read_method("Connection.TuneOk")
-            await wire.read_method("Connection.Open")
-            await wire.send(commands.Connection.OpenOk())
-            await wire.read_method("Channel.Open")
-            await wire.send(commands.Channel.OpenOk(), 1)
-            await wire.read_method("Confirm.Select")
-            await wire.send(commands.Confirm.SelectOk(), 1)
-            self.links.add(wire)
+            await stream.send(commands.Connection.Start(0, 9, {}, "PLAIN", "en_US"))
+            self.logins.add((await stream.read_method("Connection.StartOk")).response)
+            await stream.send(commands.Connection.Tune(8, 4096, 1))
+            await stream.read_method("Connection.TuneOk")
+            await stream.read_method("Connection.Open")
+            await stream.send(commands.Connection.OpenOk())
+            await stream.read_method("Channel.Open")
+            await stream.send(commands.Channel.OpenOk(), 1)
+            await stream.read_method("Confirm.Select")
+            await stream.send(commands.Confirm.SelectOk(), 1)
+            self.streams.add(stream)
             contents, tag = ContentAssembler(), 0
             while True:
                 await self.reading.wait()
-                channel, found = await wire.read_frame()
+                channel, payload = await stream.read_frame()
                 if channel == 0:
                     continue
-                content = contents.feed(found)
+                content = contents.feed(payload)
                 if content is None:
                     continue
                 method, properties, body = content
                 tag += 1
-                await self.published(wire, tag, method, properties, body)
+                await self.handle_publish(stream, tag, method, properties, body)
         except OSError:
             pass
         finally:
-            self.links.discard(wire)
+            self.streams.discard(stream)
             connection.close()
 
-    async def published(self, wire, tag, method, properties, body):
-        """Do with a publish what the plan says."""
-        fate = self.plan(self, properties.message_id)
-        if fate == "return":
-            back = commands.Basic.Return(312, "NO_ROUTE", "", method.routing_key)
-            await wire.write(frames.marshal_content(back, properties, body, 1))
-        elif fate != "lose":
+    async def handle_publish(self, stream, tag, method, properties, body):
+        """Handle a published message as the plan says."""
+        action = self.plan(self, properties.message_id)
+        if action == "return":
+            returned = commands.Basic.Return(312, "NO_ROUTE", "", method.routing_key)
+            await stream.write(frames.marshal_content(returned, properties, body, 1))
+        elif action != "lose":
             self.effects.append(properties.message_id)
-        if fate == "nack":
-            await wire.send(commands.Basic.Nack(tag, False, False), 1)
-        elif fate in ("kill", "lose"):
-            self.kill(wire)
-        elif fate in ("ack", "return"):
-            await wire.send(commands.Basic.Ack(tag, False), 1)
+        if action == "nack":
+            await stream.send(commands.Basic.Nack(tag, False, False), 1)
+        elif action in ("kill", "lose"):
+            self.kill(stream)
+        elif action in ("ack", "return"):
+            await stream.send(commands.Basic.Ack(tag, False), 1)
 
 
 async def wait_until_answering(client):
-    """Wait until the process that the client calls answers, at most 10 s."""
+    """Wait at most 10 s until the process that the client is for answers a PING."""
     with anyio.fail_after(10):
         while True:
             try:
@@ -208,7 +216,7 @@
 
 
 class DialGate:
-    """Holds every dial to endpoints until it is opened."""
+    """Holds each connection attempt to an endpoint until `open` is set; `waiting` counts them."""
 
     def __init__(self, monkeypatch):
         self.open, self.waiting, dial = anyio.Event(), 0, http_transport.dial
@@ -222,7 +230,7 @@
 
 
 def method_frame(payload):
-    """A method frame with any payload."""
+    """Encode a method frame on channel 1 with an arbitrary payload, which may be malformed."""
     return frames.FRAME_HEAD.pack(1, 1, len(payload)) + payload + bytes([frames.FRAME_END])
 
 
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -63,7 +63,7 @@
             client = Client(courier.address)
             await client.enqueue(id_="p1")
             await wait_until(lambda: broker.effects == ["p1"])
-            await broker.say(commands.Connection.Blocked("disk"))
+            await broker.send_to_all(commands.Connection.Blocked("disk"))
             await client.enqueue(id_="p2", for_ms=500)
             await wait_until(lambda: not courier.engine.attempts and not courier.engine.open_messages)
             assert courier.engine.retry_after_until_us[1] > courier.engine.clock.now() and broker.effects == [
@@ -85,10 +85,10 @@
         await Client(courier.address).enqueue(id_="p1")
         await wait_until(lambda: broker.effects == ["p1"])
         courier.update_endpoints(address, "b", 1, "amqp", state=EndpointState.REMOVED)
-        assert not transport.connections and not transport.connect_locks and broker.links
-        for wire in broker.links:
+        assert not transport.connections and not transport.connect_locks and broker.streams
+        for wire in broker.streams:
             await wire.send(commands.Basic.Ack(1, False), 1)
-        await wait_until(lambda: not courier.engine.messages_by_id and not broker.links)
+        await wait_until(lambda: not courier.engine.messages_by_id and not broker.streams)
 
 
 async def test_a_payment_cut_short_before_its_last_byte_never_ran_and_goes_again(tmp_path):
@@ -102,7 +102,7 @@
         await wait_until(lambda: broker.effects == ["p1"])
         link = courier.engine.transports["amqp"].connections["b"]
         link.stream.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        (theirs,) = broker.links
+        (theirs,) = broker.streams
         theirs.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         broker.reading = anyio.Event()
         for n in range(2, 9):  # more than what fits into the sockets while nobody reads
@@ -124,12 +124,12 @@
         client = Client(courier.address)
         await client.enqueue(id_="p1")
         await wait_until(lambda: broker.effects == ["p1"])
-        await broker.say(commands.Connection.Blocked("low on memory"))
+        await broker.send_to_all(commands.Connection.Blocked("low on memory"))
         await anyio.sleep(0.05)
         await client.enqueue(id_="p2")
         await anyio.sleep(0.3)
         assert broker.effects == ["p1"]
-        await broker.say(commands.Connection.Unblocked())
+        await broker.send_to_all(commands.Connection.Unblocked())
         await wait_until(lambda: broker.effects == ["p1", "p2"])
 
 
