--- a/tests/test_platform_commands.py
+++ b/tests/test_platform_commands.py
@@ -1,4 +1,4 @@
-"""The platform's rules for clients' commands: accepted, rejected, malformed and repeated requests."""
+"""The platform's rules for client commands: accepted, rejected, malformed and repeated requests."""
 
 import anyio
 import pytest
@@ -19,8 +19,8 @@
             assert await client.enqueue(id_=f"m{n}", body=body) == "+OK\r\n"
             await wait_until(lambda: not courier.engine.messages_by_id)
         assert endpoint.connections == 1
-        _, method, target, headers, sent = endpoint.requests[0]
-        assert (method, target, sent, headers["idempotency-key"]) == ("POST", "/events", body, "ab12")
+        _, method, target, headers, sent_body = endpoint.requests[0]
+        assert (method, target, sent_body, headers["idempotency-key"]) == ("POST", "/events", body, "ab12")
         assert 0 < float(headers["request-timeout"]) <= 5 and headers["request-id"] == "m0"
 
 
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("full", [{"disk_mb": 0.0004}, {"mostHeld": 1}])
 async def test_without_capacity_the_answer_is_busy_with_a_time_and_nothing_is_accepted(tmp_path, full):
     async with running_courier(tmp_path, **full) as courier:
-        courier.engine.open_messages[0] = None  # one place is taken
+        courier.engine.open_messages[0] = None  # counts as one held message
         assert await Client(courier.address).enqueue() == "-BUSY 1000\r\n"
         assert not courier.engine.messages_by_id
 
--- a/tests/test_platform_delivery.py
+++ b/tests/test_platform_delivery.py
@@ -1,4 +1,4 @@
-"""The platform's rules for deliveries: responses and what they prove, Retry-After, and attempts."""
+"""The platform's rules for deliveries: what responses prove, Retry-After, and the number of attempts."""
 
 import anyio
 import pytest
@@ -11,18 +11,18 @@
 
 
 @pytest.mark.parametrize(
-    ("reply", "payments", "state"),
+    ("reply", "calls", "state"),
     [
         ((500, [], b""), 1, "failed"),
-        (None, 1, "failed"),  # the connection ends without an answer: it may have run
+        (None, 1, "failed"),  # the connection ends without a response: the payment may have run
         ((429, [("Retry-After", "0.05")], b""), 2, None),
         ((503, [], b""), 2, None),
         ((503, [("X-Over-Slots", "1")], b""), 2, None),
         ((504, [], b""), 2, None),
-        ((410, [], b""), 1, None),  # over: nothing more is owed
+        ((410, [], b""), 1, None),  # no longer wanted: it ends without a notification
     ],
 )
-async def test_a_payment_is_retried_only_after_proof_that_it_never_ran(tmp_path, reply, payments, state):
+async def test_a_payment_is_retried_only_after_proof_that_it_never_ran(tmp_path, reply, calls, state):
     endpoint, platform_stand_in = scripted(reply), acknowledging_platform()
     async with (
         serve_on_loopback(endpoint) as address,
@@ -31,7 +31,7 @@
     ):
         await Client(courier.address).enqueue()
         await wait_until(lambda: not courier.engine.messages_by_id)
-        assert len(endpoint.requests) == payments
+        assert len(endpoint.requests) == calls
         assert [line["state"] for line in platform_stand_in.lines] == ([state] if state else [])
 
 
@@ -39,7 +39,7 @@
     ("reply", "calls", "state"),
     [
         (b"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", 1, None),
-        (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000, 1, None),  # a head that does not end
+        (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000, 1, None),  # a head without an end
         (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 1, None),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na", 1, None),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * (1 << 20), 1, None),
@@ -50,7 +50,7 @@
         (b"HTTP/1.1 503 Busy\r\nContent-Length: 1\r\n\r\nabc", 1, "failed"),
         (b"HTTP/1.1 504 Spent\r\nContent-Length: ten\r\n\r\n", 1, "failed"),
         (b"HTTP/1.1 429 Wait\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * (1 << 20), 1, "failed"),
-        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n" * 2, 2, None),  # a good one, twice
+        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n" * 2, 2, None),  # two valid responses
     ],
 )
 async def test_a_status_line_with_200_delivers_and_no_other_malformed_response_proves_anything(
@@ -69,8 +69,8 @@
 
 
 async def test_bytes_after_an_answer_never_answer_the_next_call(tmp_path):
-    twice = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" * 2
-    endpoint = scripted(twice, (500, [], b""))
+    two_responses = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" * 2
+    endpoint = scripted(two_responses, (500, [], b""))
     async with (
         serve_on_loopback(endpoint) as address,
         running_courier(tmp_path, endpoints=[(address,)]) as courier,
@@ -176,14 +176,14 @@
         ]
 
 
-@pytest.mark.parametrize("where", ["accept", "send"])
-async def test_a_fault_of_one_message_does_not_end_the_courier(tmp_path, monkeypatch, where):
+@pytest.mark.parametrize("step", ["accept", "send"])
+async def test_a_fault_of_one_message_does_not_end_the_courier(tmp_path, monkeypatch, step):
     platform_stand_in = acknowledging_platform()
     async with (
         serve_on_loopback(platform_stand_in) as platform_address,
         running_courier(tmp_path, platform_address, endpoints=[("not an address",)]) as courier,
     ):
-        if where == "accept":
+        if step == "accept":
             monkeypatch.setattr(courier.engine, "accept", lambda message: 1 / 0)
             with pytest.raises(anyio.EndOfStream):
                 await Client(courier.address).enqueue()
@@ -195,20 +195,20 @@
 
 
 async def test_the_policy_learns_which_calls_had_a_connection_opened_for_them(tmp_path, monkeypatch):
-    endpoint, heard = scripted((503, [], b""), (503, [], b"")), []
+    endpoint, events = scripted((503, [], b""), (503, [], b"")), []
     async with (
         serve_on_loopback(endpoint) as address,
         running_courier(tmp_path, endpoints=[(address,)]) as courier,
     ):
         post = courier.engine.events.post
-        monkeypatch.setattr(courier.engine.events, "post", lambda event: (heard.append(event), post(event)))
+        monkeypatch.setattr(courier.engine.events, "post", lambda event: (events.append(event), post(event)))
         await Client(courier.address).enqueue()
         await wait_until(lambda: not courier.engine.messages_by_id)
-    assert [event.opened for event in heard if type(event) is AttemptCompleted] == [True, False, False]
+    assert [event.opened for event in events if type(event) is AttemptCompleted] == [True, False, False]
 
 
-@pytest.mark.parametrize("barred", [True, False], ids=["told to wait", "a silent probe"])
-async def test_a_payment_that_waits_for_a_health_check_leaves_the_loop_idle(tmp_path, barred):
+@pytest.mark.parametrize("retry_after", [True, False], ids=["a Retry-After", "a silent health check"])
+async def test_a_payment_that_waits_for_a_health_check_leaves_the_loop_idle(tmp_path, retry_after):
     async def silent():
         await anyio.sleep(2)
         return 200, [], b""
@@ -216,7 +216,7 @@
     def answer(request):
         if request[1] == "POST":
             return 503, [], b""
-        return (429, [("Retry-After", "1.0")], b"") if barred else silent()
+        return (429, [("Retry-After", "1.0")], b"") if retry_after else silent()
 
     endpoint = HttpStandIn(answer)
     async with (
@@ -224,11 +224,11 @@
         running_courier(tmp_path, endpoints=[(address,)]) as courier,
     ):
         client, turns = Client(courier.address), []
-        found = courier.engine.policy
-        await wait_until(lambda: "s-1" in found.discovery.endpoints)
-        found.discovery.endpoints["s-1"].failure_rate = 0.4
-        handle = found.handle
-        found.handle = lambda now, events: turns.append(now) or handle(now, events)
+        policy = courier.engine.policy
+        await wait_until(lambda: "s-1" in policy.discovery.endpoints)
+        policy.discovery.endpoints["s-1"].failure_rate = 0.4
+        handle = policy.handle
+        policy.handle = lambda now, events: turns.append(now) or handle(now, events)
         for _ in range(2):
             assert await client.enqueue(for_ms=3000) == "+OK\r\n"
         await anyio.sleep(0.7)
--- a/tests/test_platform_endpoint_connections.py
+++ b/tests/test_platform_endpoint_connections.py
@@ -23,8 +23,8 @@
         assert len(endpoint.requests) == endpoint.connections == 2
 
 
-@pytest.mark.parametrize("how", ["drains", "left out"])
-async def test_idle_connections_to_a_removed_endpoint_are_closed(tmp_path, how):
+@pytest.mark.parametrize("change", ["drains", "missing in a full list"])
+async def test_idle_connections_to_a_removed_endpoint_are_closed(tmp_path, change):
     endpoint = HttpStandIn()
     async with (
         serve_on_loopback(endpoint) as address,
@@ -32,7 +32,7 @@
     ):
         await Client(courier.address).enqueue()
         await wait_until(lambda: not courier.engine.messages_by_id and endpoint.open)
-        if how == "drains":
+        if change == "drains":
             courier.update_endpoints(address, state=EndpointState.DRAINING)
         else:
             courier.engine.update_endpoints(UpdateScope.FULL, [])
--- a/tests/test_platform_notifications.py
+++ b/tests/test_platform_notifications.py
@@ -1,4 +1,4 @@
-"""The platform's rules for final results: notified until they are acknowledged, in order of their keys."""
+"""The platform's rules for final results: notified until acknowledged, and in order for an ordering key."""
 
 import pytest
 from platform_helpers import ACKNOWLEDGED, delayed_reply, scripted
@@ -8,8 +8,8 @@
 
 
 async def test_the_end_of_a_message_is_notified_at_once_and_until_it_is_acknowledged(tmp_path):
-    answers = [(500, [], b""), None, ACKNOWLEDGED]
-    platform_stand_in = HttpStandIn(lambda request: answers.pop(0))
+    replies = [(500, [], b""), None, ACKNOWLEDGED]
+    platform_stand_in = HttpStandIn(lambda request: replies.pop(0))
     endpoint = HttpStandIn(lambda request: (500, [], b""))
     async with (
         serve_on_loopback(endpoint) as address,
@@ -24,16 +24,16 @@
 
 
 async def test_an_ordering_key_goes_on_only_once_its_earlier_notification_is_acknowledged(tmp_path):
-    slow = HttpStandIn(lambda request: delayed_reply(0.3, ACKNOWLEDGED))
+    slow_platform = HttpStandIn(lambda request: delayed_reply(0.3, ACKNOWLEDGED))
     endpoint = scripted(*[(500, [], b"")] * 6)
     async with (
         serve_on_loopback(endpoint) as address,
-        serve_on_loopback(slow) as platform_address,
+        serve_on_loopback(slow_platform) as platform_address,
         running_courier(tmp_path, platform_address, endpoints=[(address,)]) as courier,
     ):
         client = Client(courier.address)
         await client.enqueue("booking-change", key="77", for_ms=400)
         await client.enqueue("booking-change", id_="second", key="77")
         await wait_until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests))
-        sent = next(r[0] for r in endpoint.requests if r[3]["request-id"] == "second")
-        assert sent - slow.requests[0][0] >= 0.3
+        sent_s = next(r[0] for r in endpoint.requests if r[3]["request-id"] == "second")
+        assert sent_s - slow_platform.requests[0][0] >= 0.3
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The platform's rules for a courier's process: kills, signals, its log, and starts that fail."""
+"""The platform's rules for the courier process: kills, signals, its log, and failing starts."""
 
 import os
 import signal
@@ -55,25 +55,25 @@
             assert await process.client.enqueue(id_="more") == "-BUSY 2000\r\n"
             assert await Client(process.address).enqueue(id_="new") == "-BUSY 2000\r\n"
         assert process.process.returncode == 0
-        again = await CourierProcess(tmp_path, address, platform_address).ready()
+        restarted = await CourierProcess(tmp_path, address, platform_address).ready()
         await anyio.sleep(0.2)
-        assert len(endpoint.requests) == 1 and not platform_stand_in.lines  # delivered: nothing is owed
-        await again.client.enqueue("status-update", "hung", for_ms=20_000)
+        assert len(endpoint.requests) == 1 and not platform_stand_in.lines  # delivered: nothing is left to do
+        await restarted.client.enqueue("status-update", "hung", for_ms=20_000)
         await wait_until(lambda: len(endpoint.requests) == 2)
-        code, seconds = await again.end(signal.SIGTERM)
+        code, seconds = await restarted.end(signal.SIGTERM)
         assert code == 0 and seconds < 3.7
 
 
 async def test_sighup_moves_watch_and_notifications_and_an_unreadable_file_changes_nothing(tmp_path):
-    watches = [None, None]  # what the watches of the two discoveries have told
+    watches = [None, None]  # the target of the last watch request to each of the two discovery services
 
     def discovery(n):
         def answer(request):
             if request[2] == "/v2/finals":
                 return ACKNOWLEDGED
             watches[n] = request[2]
-            news = {"seq": 9, "whole": True, "hosts": [host("s-1", endpoints[n])]}
-            return delayed_reply(0, (200, [], orjson.dumps(news) + b"\n"))
+            update = {"seq": 9, "whole": True, "hosts": [host("s-1", endpoints[n])]}
+            return delayed_reply(0, (200, [], orjson.dumps(update) + b"\n"))
 
         return HttpStandIn(answer)
 
@@ -92,10 +92,10 @@
             process.process.send_signal(signal.SIGHUP)
             await wait_until(lambda: watches[1] == "/api/targets?watch=1&from=0")
             await anyio.sleep(0.1)
-            asked = len(old.requests)
+            old_requests = len(old.requests)
             await process.client.enqueue(id_="two")
             await wait_until(lambda: [line for line in new.lines if line["id"] == "two"])
-            assert refuses[1].requests and len(old.requests) == asked
+            assert refuses[1].requests and len(old.requests) == old_requests
             code, _ = await process.end(signal.SIGTERM)
             assert code == 0
 
@@ -105,7 +105,7 @@
     process = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE)
     assert process.wait(10) == 0
     lines = process.stdout.read().splitlines()
-    assert 0 < len(lines) < 3000  # the rest was dropped, and no line was cut
+    assert 0 < len(lines) < 3000  # the other lines were dropped, none was cut
     assert all(orjson.loads(line)["event"] == "e" for line in lines)
 
 
@@ -117,6 +117,6 @@
     (tmp_path / "c.json").write_bytes(orjson.dumps(settings_file))
     env = os.environ | {"RELAY_CONFIG": str(tmp_path / "c.json")}
     command = [sys.executable, "-m", "pinspread"]
-    ended = subprocess.run(command, env=env, capture_output=True, timeout=10, text=True)
+    finished = subprocess.run(command, env=env, capture_output=True, timeout=10, text=True)
     sock.close()
-    assert ended.returncode == 1 and ended.stderr.count("\n") == 1 and "pinspread: " in ended.stderr
+    assert finished.returncode == 1 and finished.stderr.count("\n") == 1 and "pinspread: " in finished.stderr
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -1,4 +1,7 @@
-"""What goes over wires, byte for byte as the version before the code was renamed said it."""
+"""The bytes sent on each wire, compared with recordings of an earlier version.
+
+The recordings guard against changes of the wire formats, for example by a renamed field.
+"""
 
 import json
 from pathlib import Path
@@ -22,45 +25,48 @@
 
 
 def test_members_say_what_they_said_byte_for_byte():
-    found, before = as_json(stored_cluster.members()), recorded("members")
-    assert found["datagrams"] == before["datagrams"] and found["count"] == before["count"]
+    actual, before = as_json(stored_cluster.members()), recorded("members")
+    assert actual["datagrams"] == before["datagrams"] and actual["count"] == before["count"]
     assert {d["message"]["t"] for d in before["datagrams"]} == {"ping", "ack", "nack", "ask", "sync"}
 
 
 def test_members_show_what_they_showed():
-    found, before = as_json(stored_cluster.members()), recorded("members")
-    assert found["views"] == before["views"] and found["events"] == before["events"]
+    actual, before = as_json(stored_cluster.members()), recorded("members")
+    assert actual["views"] == before["views"] and actual["events"] == before["events"]
 
 
-@pytest.mark.parametrize("at", range(len(recorded("members")["datagrams"])))
-def test_a_members_datagram_is_read_to_what_was_said(at):
-    one = recorded("members")["datagrams"][at]
-    assert stored_cluster.unpack_member(bytes.fromhex(one["bytes"]), stored_cluster.KEY) == one["message"]
+@pytest.mark.parametrize("index", range(len(recorded("members")["datagrams"])))
+def test_a_members_datagram_is_read_to_what_was_said(index):
+    datagram = recorded("members")["datagrams"][index]
+    assert (
+        stored_cluster.unpack_member(bytes.fromhex(datagram["bytes"]), stored_cluster.KEY)
+        == datagram["message"]
+    )
 
 
 # --- leases -----------------------------------------------------------------------------------------
 
 
 def test_leases_are_asked_for_and_given_byte_for_byte_as_before():
-    """The exchange plays on what it reads: a field that is misread changes what is said next."""
-    found, before = as_json(anyio.run(stored_cluster.lease_exchange)), recorded("leases")
-    assert found["datagrams"] == before["datagrams"]
-    assert found["views"] == before["views"]
+    """The exchange continues from the datagrams that it reads, so a misread field changes the later ones."""
+    actual, before = as_json(anyio.run(stored_cluster.lease_exchange)), recorded("leases")
+    assert actual["datagrams"] == before["datagrams"]
+    assert actual["views"] == before["views"]
 
 
-# --- copies -----------------------------------------------------------------------------------------
+# --- replication ------------------------------------------------------------------------------------
 
 
 def test_replicas_are_sent_and_fetched_byte_for_byte_as_before(tmp_path):
-    found, before = (
+    actual, before = (
         anyio.run(stored_cluster.replication_exchange, tmp_path, stored.replica_journals()),
         recorded("copies"),
     )
-    assert [stored_cluster.words_of(f) for f in found["frames"]] == [
+    assert [stored_cluster.words_of(f) for f in actual["frames"]] == [
         stored_cluster.words_of(f) for f in before["frames"]
     ]
-    assert found["frames"] == before["frames"]
-    assert as_json(found["views"]) == before["views"] and as_json(found["fetched"]) == before["fetched"]
+    assert actual["frames"] == before["frames"]
+    assert as_json(actual["views"]) == before["views"] and as_json(actual["fetched"]) == before["fetched"]
     kinds = {stored_cluster.words_of(f)["t"] for f in before["frames"]}
     assert kinds == {"send", "have", "data", "ack", "fetch", "copy", "read", "done", "no", "spare"}
 
@@ -72,31 +78,30 @@
     assert as_json(anyio.run(stored_cluster.voter_exchange, tmp_path / "x")) == recorded("voters")
 
 
-# --- the operators' door ----------------------------------------------------------------------------
+# --- the admin server -------------------------------------------------------------------------------
 
 
 def test_the_admin_server_answers_as_before():
     before = recorded("door")
     views = {name: before["views"][name] for name in ("members", "leases", "copies")}
     assert stored_courier.members_view() == views["members"]
-    found = anyio.run(stored_courier.calls, views)
+    actual = anyio.run(stored_courier.calls, views)
     for call, answer in before["calls"].items():
-        if (
-            call.startswith("GET /-/") and call.rpartition("/")[2] in views
-        ):  # its keys were sorted in the file
+        # The recording has the keys of views sorted, so views are compared as JSON.
+        if call.startswith("GET /-/") and call.rpartition("/")[2] in views:
             head, body = answer.split("\r\n\r\n")
-            mine, my_body = found.pop(call).split("\r\n\r\n")
-            assert (mine, json.loads(my_body)) == (head, json.loads(body))
+            actual_head, actual_body = actual.pop(call).split("\r\n\r\n")
+            assert (actual_head, json.loads(actual_body)) == (head, json.loads(body))
         else:
-            assert found.pop(call) == answer, call
-    assert not found
+            assert actual.pop(call) == answer, call
+    assert not actual
 
 
 def test_the_check_of_settings_says_what_it_said():
     assert stored_courier.summary() == recorded("door")["summary"]
 
 
-# --- packets between two processes ------------------------------------------------------------------
+# --- packets of a hot restart -----------------------------------------------------------------------
 
 
 def test_packets_of_a_hand_over_are_sent_byte_for_byte_as_before():
