--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -142,7 +142,7 @@
         """Follow discovery at another address; the old watch stays until the new one's response begins."""
         if address != self.address:
             self.address = address
-            self.sequence = 0  # the versions of the list may be others there
+            self.sequence = 0  # versions of the list may differ between addresses
             self._request_full()
 
     def _request_full(self) -> None:
@@ -295,7 +295,8 @@
 
         Args:
             update: The update.
-            scope: The scope of an update that does not come from a watch; otherwise the update tells it.
+            scope: The scope of an update that does not come from a watch; otherwise it follows from the
+                update.
             moved: The update comes from an old address of discovery, so its version is not kept.
         """
         endpoints = self._endpoints(update)
--- a/pinspread/http/transport.py
+++ b/pinspread/http/transport.py
@@ -218,10 +218,10 @@
             attempt.apply_retry_after(retry_after_us)  # at once: the body may take long to arrive
 
     async def _drain(self, exchange: Exchange, endpoint: Endpoint, state: CallState) -> None:
-        """Read the rest of a response with status 200, only so that the connection can be reused.
+        """Read the rest of a response with status 200: for its load report, and to reuse the connection.
 
-        It may take at most `DRAIN_TIMEOUT_S` seconds. Otherwise a head or body that never ends would turn a
-        delivery into a timeout, and a payment that was made into a failed one.
+        The delivery is proven already. It may take at most `DRAIN_TIMEOUT_S` seconds: a head or body that
+        never ends would turn a delivery into a timeout, and a payment that was made into a failed one.
         """
         with anyio.move_on_after(DRAIN_TIMEOUT_S):
             try:
@@ -235,7 +235,7 @@
         if exchange.reusable:
             self._release(endpoint, state)
 
-    # --- health checks, and the end of an endpoint ---------------------------------------------------
+    # --- health checks, and closing idle connections -------------------------------------------------
 
     async def check_health(self, endpoint: Endpoint, check_before_write: Callable[[], str]) -> AttemptResult:
         """Check the health of an endpoint by `GET /-/healthy`.
@@ -249,7 +249,7 @@
         try:
             return await self._check_health(endpoint, check_before_write, state)
         except ValueError as error:
-            return AttemptResult(Outcome.ERROR, note=f"malformed response: {error}"[:MAX_NOTE])
+            return AttemptResult(Outcome.ERROR, note=f"health check failed: {error}"[:MAX_NOTE])
         except OSError as error:
             return AttemptResult(Outcome.CONNECT_FAILED, note=str(error))
         finally:
--- a/pinspread/resp/session.py
+++ b/pinspread/resp/session.py
@@ -88,8 +88,8 @@
     async def _wait_committed(self) -> bool:
         """Wait until an OK may be written; false if the engine cannot confirm that the messages are safe.
 
-        If a hot restart cancels the wait, the connection cannot go on in the next process: the replies to its
-        commands are not written, and the client would take the replies to later commands for them.
+        If a hot restart cancels the wait, the connection cannot go on in the next process: replies to its
+        commands may not be written yet, and the client would take the replies to later commands for them.
         """
         can_continue, self.can_continue = self.can_continue, False
         committed = await self.handler.engine.wait_committed()
--- a/tests/test_wire_bytes.py
+++ b/tests/test_wire_bytes.py
@@ -21,22 +21,22 @@
     return json.loads(json.dumps(value))
 
 
-# --- members ----------------------------------------------------------------------------------------
+# --- membership -------------------------------------------------------------------------------------
 
 
-def test_members_say_what_they_said_byte_for_byte():
+def test_membership_datagrams_are_sent_byte_for_byte_as_before():
     actual, before = as_json(stored_cluster.members()), recorded("members")
     assert actual["datagrams"] == before["datagrams"] and actual["count"] == before["count"]
     assert {d["message"]["t"] for d in before["datagrams"]} == {"ping", "ack", "nack", "ask", "sync"}
 
 
-def test_members_show_what_they_showed():
+def test_membership_views_and_events_are_as_before():
     actual, before = as_json(stored_cluster.members()), recorded("members")
     assert actual["views"] == before["views"] and actual["events"] == before["events"]
 
 
 @pytest.mark.parametrize("index", range(len(recorded("members")["datagrams"])))
-def test_a_members_datagram_is_read_to_what_was_said(index):
+def test_a_membership_datagram_is_decoded_to_its_message(index):
     datagram = recorded("members")["datagrams"][index]
     assert (
         stored_cluster.unpack_member(bytes.fromhex(datagram["bytes"]), stored_cluster.KEY)
@@ -47,7 +47,7 @@
 # --- leases -----------------------------------------------------------------------------------------
 
 
-def test_leases_are_asked_for_and_given_byte_for_byte_as_before():
+def test_lease_datagrams_are_sent_byte_for_byte_as_before():
     """The exchange continues from the datagrams that it reads, so a misread field changes the later ones."""
     actual, before = as_json(anyio.run(stored_cluster.lease_exchange)), recorded("leases")
     assert actual["datagrams"] == before["datagrams"]
@@ -74,7 +74,7 @@
 # --- voters -----------------------------------------------------------------------------------------
 
 
-def test_voters_say_and_understand_byte_for_byte_what_they_did(tmp_path: Path):
+def test_voter_messages_are_sent_and_read_byte_for_byte_as_before(tmp_path: Path):
     assert as_json(anyio.run(stored_cluster.voter_exchange, tmp_path / "x")) == recorded("voters")
 
 
@@ -97,7 +97,7 @@
     assert not actual
 
 
-def test_the_check_of_settings_says_what_it_said():
+def test_the_settings_summary_is_as_before():
     assert stored_courier.summary() == recorded("door")["summary"]
 
 
