--- a/tests/standins.py
+++ b/tests/standins.py
@@ -140,9 +140,9 @@
         async with anyio.create_task_group() as tasks:
             await sockets.accept_forever(sock, tasks, self.serve)
 
-    def kill(self, *streams):
-        """Reset these connections, or all of them."""
-        for stream in streams or list(self.streams):
+    def kill(self, *targets):
+        """Reset these connections, or all of them if none is given."""
+        for stream in targets or list(self.streams):
             stream.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             anyio.notify_closing(stream.connection.sock)
             stream.connection.close()
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -77,9 +77,12 @@
 
         return HttpStandIn(answer)
 
-    refuses = [HttpStandIn(lambda request: (500, [], b"")) for _ in range(2)]
+    failing_endpoints = [HttpStandIn(lambda request: (500, [], b"")) for _ in range(2)]
     old, new = discovery(0), discovery(1)
-    async with serve_on_loopback(refuses[0]) as first, serve_on_loopback(refuses[1]) as second:
+    async with (
+        serve_on_loopback(failing_endpoints[0]) as first,
+        serve_on_loopback(failing_endpoints[1]) as second,
+    ):
         endpoints = [first, second]
         async with serve_on_loopback(old) as before, serve_on_loopback(new) as after:
             process = await CourierProcess(tmp_path, first, before).ready()
@@ -95,7 +98,7 @@
             old_requests = len(old.requests)
             await process.client.enqueue(id_="two")
             await wait_until(lambda: [line for line in new.lines if line["id"] == "two"])
-            assert refuses[1].requests and len(old.requests) == old_requests
+            assert failing_endpoints[1].requests and len(old.requests) == old_requests
             code, _ = await process.end(signal.SIGTERM)
             assert code == 0
 
