--- a/pinspread/hot_restart/link.py
+++ b/pinspread/hot_restart/link.py
@@ -1,8 +1,8 @@
-"""Packets between two processes: a local SOCK_SEQPACKET connection that also passes descriptors.
+"""Packets between two processes: a local SOCK_SEQPACKET connection that also passes file descriptors.
 
-A packet travels in fragments of at most `FRAGMENT_BYTES` of data. A fragment is one message of the socket:
-a byte for the packet's kind, a byte that says whether another fragment follows, and data. A descriptor rides
-with the first fragment of the packet that speaks of it.
+A packet is sent in fragments of at most `FRAGMENT_BYTES` of data. A fragment is one message of the socket:
+a byte for the packet's kind, a byte that says whether another fragment follows, and data. A packet's
+descriptor is sent with its first fragment.
 """
 
 import array
@@ -20,45 +20,45 @@
 
 SOCKET_NAME = "handover"  # in the state folder
 FRAGMENT_BYTES = 32 * 1024
-MAX_FRAGMENTS = 2048  # of one packet: 64 MB
-STEP_S = 2.0  # how long the other side may take for its next packet, in seconds
-RETRY_S = 0.03  # between two attempts to take the folder's lock, in seconds
+MAX_FRAGMENTS = 2048  # in one packet: 64 MB
+STEP_TIMEOUT_S = 2.0  # time limit for the other side's next packet, in seconds
+LOCK_RETRY_S = 0.03  # between two attempts to acquire the folder's lock, in seconds
 
 _HEADER_BYTES = 2
-_MAX_DESCRIPTORS = 4  # room for ancillary data; one is expected, surplus ones are closed
+_MAX_DESCRIPTORS = 4  # room in the ancillary data; one is expected, any others are closed
 _CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
 
 
 class PacketKind(IntEnum):
-    """What a packet says; the numbers are on the wire between versions and stay."""
+    """What a packet says. Different versions exchange these numbers, so they must not change."""
 
-    HELLO = 0  # new: the shape of the state that it understands
-    DECLINED = 1  # either: no exchange, and why
-    LEAVE = 2  # new: end, and leave the lock
+    HELLO = 0  # new: the digest of the state format that it reads (`state_codec.shape`)
+    DECLINED = 1  # either: the exchange is declined, with the reason
+    LEAVE = 2  # new: asks the old process to shut down and release the lock
     STATE = 3  # old: the pickled state
     CLIENT_CONNECTION = 4  # old: a client's connection, with its descriptor
     IDLE_CONNECTION = 5  # old: an idle connection to an endpoint, with its descriptor
     LISTENER = 6  # old: a listening socket, with its descriptor
-    LOCK = 7  # old: that was all; with the descriptor of the folder's lock
-    TAKEN_OVER = 8  # new: it owns everything
-    ATTEMPT_COMPLETED = 9  # old: how an attempt ended that was in flight there
+    LOCK = 7  # old: everything has been sent; with the descriptor of the folder's lock
+    TAKEN_OVER = 8  # new: it now owns everything
+    ATTEMPT_COMPLETED = 9  # old: the result of an attempt that was in flight there
     RETRY_AFTER = 10  # old: an endpoint gave a Retry-After
-    HEALTH_CHECK_COMPLETED = 11  # old: how a health check ended that was in flight there
+    HEALTH_CHECK_COMPLETED = 11  # old: the result of a health check that was in flight there
     SET_ENDPOINT_DISABLED = 12  # old: an operator asked it to disable or enable an endpoint
-    ENDPOINT_DISABLED = 13  # new: the answer to that
+    ENDPOINT_DISABLED = 13  # new: the answer to SET_ENDPOINT_DISABLED
 
 
 class HandoverFormatError(PinspreadError, ValueError):
-    """What came is no packet of the exchange, or no state that can be read."""
+    """What was received is not a valid packet of the exchange, or not a readable state."""
 
 
 class Packet(NamedTuple):
     """A packet as it was received.
 
     Attributes:
-        kind: A number of `PacketKind`; any other is for the reader to refuse.
-        data: What it holds.
-        descriptor: The descriptor that came with it, which its reader owns; None without one.
+        kind: A number of `PacketKind`; the caller of `receive` must refuse any other.
+        data: The packet's contents.
+        descriptor: The descriptor that came with it, now owned by the caller of `receive`; None without one.
     """
 
     kind: int
@@ -66,7 +66,7 @@
     descriptor: int | None
 
     def discard_descriptor(self) -> None:
-        """Close the descriptor, where the reader expects none."""
+        """Close the descriptor, if there is one; for packets that should have none."""
         if self.descriptor is not None:
             os.close(self.descriptor)
 
@@ -79,7 +79,11 @@
         sock.setblocking(False)
 
     async def send(self, kind: int, data: bytes = b"", descriptor: int | None = None) -> None:
-        """Send one packet, with a descriptor if there is one; OSError if the other side has ended."""
+        """Send one packet, with a descriptor if one is given.
+
+        Raises:
+            OSError: The other process has closed the connection or ended.
+        """
         view = memoryview(data)
         start = 0
         another_follows = True
@@ -107,7 +111,7 @@
 
         Raises:
             ConnectionResetError: The other process has ended the exchange.
-            HandoverFormatError: What came is no packet.
+            HandoverFormatError: What was received is not a valid packet.
         """
         data = bytearray()
         kind: int | None = None
@@ -124,7 +128,7 @@
                 if not fragment[1]:
                     on_error.pop_all()
                     return Packet(kind, bytes(data), descriptor)
-            raise HandoverFormatError("a message without an end")
+            raise HandoverFormatError(f"packet has more than {MAX_FRAGMENTS} fragments")
 
     async def _receive_fragment(self) -> tuple[bytes, list[int]]:
         size = _HEADER_BYTES + FRAGMENT_BYTES
@@ -136,8 +140,9 @@
             except BlockingIOError:
                 await anyio.wait_readable(self.sock)
             except ConnectionResetError:
-                # The other process has ended with packets of ours unread. The kernel says so once, and first;
-                # what that process had sent before is still there, and then comes its end.
+                # The other process has ended without reading all of our packets. The kernel reports this once
+                # and first: the packets that the other process sent before are still to be received, and the
+                # end of the connection follows them.
                 continue
         descriptors = _descriptors(ancillary)
         if not fragment:
@@ -146,7 +151,7 @@
         return fragment, descriptors
 
     def has_unread(self) -> bool:
-        """Whether a packet, or the end of the exchange, is there to be received."""
+        """Whether a packet, or the end of the exchange, is waiting to be received."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -161,18 +166,20 @@
 
 
 def _checked_kind(fragment: bytes, kind: int | None) -> int:
-    """The kind that a fragment names, which is that of the fragments before it."""
+    """The packet kind of a fragment, which must be that of the packet's earlier fragments (`kind`)."""
     if len(fragment) < _HEADER_BYTES or fragment[1] > 1 or kind not in (None, fragment[0]):
-        raise HandoverFormatError("not a packet of the exchange")
+        raise HandoverFormatError(
+            f"malformed fragment: {len(fragment)} bytes, header {fragment[:_HEADER_BYTES].hex()}"
+        )
     return fragment[0]
 
 
 def _descriptors(ancillary: list[tuple[int, int, bytes]]) -> list[int]:
-    found = array.array("i")
+    received_descriptors = array.array("i")
     for level, kind, data in ancillary:
         if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
-            found.frombytes(data[: len(data) - len(data) % found.itemsize])
-    return list(found)
+            received_descriptors.frombytes(data[: len(data) - len(data) % received_descriptors.itemsize])
+    return list(received_descriptors)
 
 
 def _close_all(descriptors: list[int]) -> None:
@@ -182,10 +189,10 @@
 
 @contextmanager
 def socket_path(folder: str) -> Iterator[str]:
-    """The path of the socket in the state folder, while the block runs.
+    """The path of the socket in the state folder; valid only while the block runs.
 
-    A socket's path has room for 107 bytes; by way of the folder's descriptor it is short however deep the
-    folder lies.
+    The path of a Unix socket is limited to 107 bytes. A path through the folder's descriptor is short,
+    however long the path of the folder is.
     """
     descriptor = os.open(folder, os.O_PATH | os.O_DIRECTORY)
     try:
@@ -198,7 +205,7 @@
     """Connect to the process that serves the state folder.
 
     Raises:
-        OSError: None listens there, or it belongs to another user (PermissionError).
+        OSError: No process listens there, or it runs as another user (PermissionError).
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     with ExitStack() as on_error:
@@ -214,4 +221,4 @@
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
     _, user_id, _ = _CREDENTIALS.unpack(credentials)
     if user_id != os.getuid():
-        raise PermissionError("another user's process is there")
+        raise PermissionError(f"the handover socket belongs to user {user_id}, not to {os.getuid()}")
--- a/pinspread/hot_restart/packet_codec.py
+++ b/pinspread/hot_restart/packet_codec.py
@@ -1,7 +1,7 @@
-"""The JSON that packets hold, and the types and fields of this code that it is made from.
+"""Converts between the JSON in packets and the types of this code.
 
-The keys are on the wire between two versions; only this module knows them. What the new process reads of the
-old one's reports, and the old one of the answers, is checked here, before anything acts on it.
+The JSON keys are exchanged between different versions, so they must not change; only this module knows them.
+Reports from the old process and answers from the new one are validated here, before anything acts on them.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from pinspread.policy.events import Outcome
 from pinspread.sockets import Connection, IdleConnection
 
-# The keys of an attempt's result in a packet, and the fields of `AttemptResult` that hold them.
+# The keys of an attempt's result in a packet, with the corresponding fields of `AttemptResult`.
 RESULT_FIELDS = {
     "verdict": "outcome",
     "wait_us": "retry_after_us",
@@ -26,7 +26,7 @@
     "limit": "limit_per_s",
 }
 
-# The types that the keys' values have.
+# The types allowed for the value of each key.
 _RESULT_TYPES: dict[str, tuple[type, ...]] = {
     "verdict": (int,),
     "wait_us": (int,),
@@ -38,13 +38,13 @@
     "limit": (int, float),
 }
 
-# The keys of a client's connection in a packet, and the fields of `IdleConnection` that hold them.
+# The keys of a client's connection in a packet, with the corresponding fields of `IdleConnection`.
 CONNECTION_FIELDS = {"spoke": "answered", "asked": "submitted", "errors": "errors"}
-_UNREAD_SIZE = "unread"  # how many of the bytes behind the JSON were read and not answered
+_UNREAD_SIZE = "unread"  # how many of the bytes after the JSON were received but not processed
 
 
 class AttemptReport(NamedTuple):
-    """An attempt has ended that was in flight in the old process."""
+    """An attempt that was in flight in the old process has ended."""
 
     message_number: int
     attempt_number: int
@@ -59,7 +59,7 @@
 
 
 class HealthCheckReport(NamedTuple):
-    """A health check has ended that was in flight in the old process."""
+    """A health check that was in flight in the old process has ended."""
 
     endpoint_id: str
     result: AttemptResult
@@ -74,7 +74,7 @@
 
 
 class EndpointDisabledAnswer(NamedTuple):
-    """What became of a `SetEndpointDisabledRequest`: whether the new process knows the endpoint."""
+    """The answer to a `SetEndpointDisabledRequest`: whether the new process knows the endpoint."""
 
     request_number: int
     known: bool
@@ -84,22 +84,32 @@
 
 
 def result_to_json(result: AttemptResult) -> dict[str, Any]:
-    """The result of an attempt or a health check, as a packet has it."""
+    """Convert the result of an attempt or a health check to the JSON object of a packet."""
     return {key: getattr(result, name) for key, name in RESULT_FIELDS.items()}
 
 
 def result_from_json(fields: dict[str, Any]) -> AttemptResult:
-    """The result that a packet has; KeyError, TypeError or ValueError if it is none."""
+    """Convert the JSON object of a packet to a result.
+
+    Raises:
+        KeyError: A key is unknown.
+        TypeError: The outcome is missing.
+        ValueError: The outcome is unknown.
+    """
     result = AttemptResult(**{RESULT_FIELDS[key]: value for key, value in fields.items()})
     result.outcome = Outcome(result.outcome)
     return result
 
 
 def decode_report(kind: int, data: bytes) -> Report:
-    """The report that a packet of the old process holds; HandoverFormatError if it is malformed."""
+    """Decode a report from the old process.
+
+    Raises:
+        HandoverFormatError: The packet is of another kind, or its contents are malformed.
+    """
     decode = _REPORT_DECODERS.get(kind)
     if decode is None:
-        raise HandoverFormatError(f"message {int(kind)} is out of place")
+        raise HandoverFormatError(f"unexpected packet of kind {int(kind)}: not a report")
     return decode(data)
 
 
@@ -130,45 +140,45 @@
 
 
 def encode_endpoint_disabled(answer: EndpointDisabledAnswer) -> bytes:
-    """The answer to an operator's request that the old process has passed on."""
+    """Encode the answer to an operator's request that the old process passed on."""
     return orjson.dumps(list(answer))
 
 
 def decode_endpoint_disabled(data: bytes) -> EndpointDisabledAnswer:
-    """The answer that a packet of the new process holds; HandoverFormatError if it is malformed."""
+    """Decode an answer from the new process; HandoverFormatError if it is malformed."""
     return EndpointDisabledAnswer(*_fields(data, int, bool))
 
 
 def _fields(data: bytes, *types: type) -> list[Any]:
-    """The fields of a packet, which are as many as the types, and of these."""
+    """Decode the JSON list of a packet, checking that its fields have exactly the given types."""
     try:
         fields = orjson.loads(data)
     except ValueError as error:
-        raise HandoverFormatError(f"no JSON: {error}") from None
+        raise HandoverFormatError(f"packet is not valid JSON: {error}") from None
     if not isinstance(fields, list) or [type(field) for field in fields] != list(types):
-        raise HandoverFormatError("fields are missing, superfluous or of another type")
+        raise HandoverFormatError(f"packet is not a list of {[cls.__name__ for cls in types]}")
     return fields
 
 
 def _checked_result(fields: dict[str, Any]) -> AttemptResult:
     for key, value in fields.items():
         if type(value) not in _RESULT_TYPES.get(key, ()):
-            raise HandoverFormatError(f"{key!r} of a result is unknown or of another type")
+            raise HandoverFormatError(f"result has an unknown key {key!r}, or its value has the wrong type")
     try:
         return result_from_json(fields)
     except (TypeError, ValueError) as error:
-        raise HandoverFormatError(f"no result: {error}") from None
+        raise HandoverFormatError(f"malformed result: {error}") from None
 
 
 def encode_client_connection(idle: IdleConnection) -> bytes:
-    """What goes with a client's connection: a line of JSON, then the bytes not yet dealt with."""
+    """Describe a client's connection: a line of JSON, then its unprocessed input and its unsent output."""
     fields: dict[str, Any] = {key: getattr(idle, name) for key, name in CONNECTION_FIELDS.items()}
     fields[_UNREAD_SIZE] = len(idle.unread)
     return orjson.dumps(fields) + b"\n" + idle.unread + idle.unsent
 
 
 def decode_client_connection(data: bytes, connection: Connection) -> IdleConnection:
-    """The client's connection that `encode_client_connection` has described."""
+    """Restore a client's connection from what `encode_client_connection` made of it."""
     header, _, buffered = data.partition(b"\n")
     fields = orjson.loads(header)
     size = fields.pop(_UNREAD_SIZE)
@@ -177,11 +187,11 @@
 
 
 def encode_refusal(reason: str, *, busy: bool) -> bytes:
-    """Why an exchange is declined; one that is busy may be asked again."""
+    """Encode the reason why an exchange is declined; if `busy`, the other side may ask again."""
     return orjson.dumps({"why": reason, "busy": busy})
 
 
 def decode_refusal(data: bytes) -> tuple[str, bool]:
-    """The reason of a refusal, and whether the other side may be asked again."""
+    """Decode the reason of a refusal, and whether the other side may be asked again."""
     fields = orjson.loads(data)
     return fields["why"], fields["busy"]
--- a/pinspread/hot_restart/source.py
+++ b/pinspread/hot_restart/source.py
@@ -1,6 +1,6 @@
-"""The old process's side: it waits for the next one, hands everything over, and reports until its end.
+"""The old process's side: it waits for the new one, hands everything over, and then reports until it ends.
 
-`core/handover.py` (`HandoverSource`) decides what an exchange leads to; this carries it out.
+`core/handover.py` (`HandoverSource`) decides what each step of an exchange leads to; this carries it out.
 """
 
 import os
@@ -20,8 +20,8 @@
 from pinspread.core.messages import AttemptResult
 from pinspread.hot_restart import packet_codec
 from pinspread.hot_restart.link import (
-    RETRY_S,
-    STEP_S,
+    LOCK_RETRY_S,
+    STEP_TIMEOUT_S,
     HandoverFormatError,
     Link,
     PacketKind,
@@ -32,21 +32,21 @@
 from pinspread.hot_restart.target import IdleEndpointConnection
 from pinspread.sockets import IdleConnection
 
-ADMIN_ANSWER_S = 0.8  # for the new process's answer: an operator's is due in a second
-_BACKLOG = 4  # connections that wait to be accepted
+ADMIN_ANSWER_S = 0.8  # time limit for the new process's answer; the operator's own answer is due within 1 s
+_BACKLOG = 4  # connections that may wait to be accepted
 
 
 @dataclass(slots=True)
 class HandoverPayload:
-    """All that goes over to the next process.
+    """Everything that is transferred to the next process.
 
     Attributes:
-        packed_state: What `state_codec.pack_state` gives.
-        attempts_in_flight: How many attempts go on here, for the log.
-        client_connections: Connections of clients, with what was read and not answered.
-        idle_connections: Open connections to endpoints that no attempt uses.
-        listeners: Listening sockets by the name of their front.
-        lock_descriptor: The folder's lock.
+        packed_state: The state, as `state_codec.pack_state` encodes it.
+        attempts_in_flight: How many attempts are still running in this process; for the log.
+        client_connections: Clients' connections, with the input that was received but not processed.
+        idle_connections: Open connections to endpoints that no attempt is using.
+        listeners: Listening sockets, by the name of their front.
+        lock_descriptor: The descriptor of the folder's lock.
     """
 
     packed_state: bytes
@@ -65,60 +65,64 @@
 
 
 class TransferableService(Protocol):
-    """What a hand-over asks of the process that it belongs to."""
+    """What the handover needs from the service of this process."""
 
     engine: DeliveryEngine
     lock: FolderLock
 
     async def pause_for_handover(self, successor: "Successor") -> HandoverPayload:
-        """Stop acting, and give all that goes over."""
+        """Stop all activity, and return everything that is to be transferred."""
 
     def resume_after_handover(self, payload: HandoverPayload) -> None:
-        """The next process did not take over: serve on."""
+        """Continue to serve, since the next process did not take over."""
 
     def finish_handover(self, payload: HandoverPayload) -> None:
-        """The next process owns everything."""
+        """Release what this process still holds; the next process now owns everything."""
 
-    def leave_to_successor(self) -> None:
-        """Another process waits for the folder: finish and end."""
+    def shut_down_for_successor(self) -> None:
+        """Finish and end, since another process is waiting for the folder."""
 
 
 class Successor:
-    """The process after this one, as this one's engine reaches it (`core.ports.Successor`)."""
+    """The next process, as this one's engine sees it (`core.ports.Successor`); reports to it are queued."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
         self.queue: deque[tuple[PacketKind, bytes]] = deque()
         self._packet_queued = anyio.Event()
-        self._questions: dict[int, _Question] = {}  # by their numbers
+        self._pending_requests: dict[int, _PendingRequest] = {}  # by request number
 
-    def _put(self, kind: PacketKind, *fields: object) -> None:
+    def _enqueue(self, kind: PacketKind, *fields: object) -> None:
         self.queue.append((kind, orjson.dumps(fields)))
         self._packet_queued.set()
 
     def attempt_ended(self, number: int, attempt: int, outcome: AttemptResult) -> None:
-        """Report how an attempt ended that was in flight here."""
-        self._put(PacketKind.ATTEMPT_COMPLETED, number, attempt, packet_codec.result_to_json(outcome))
+        """Report the result of an attempt that was in flight here."""
+        self._enqueue(PacketKind.ATTEMPT_COMPLETED, number, attempt, packet_codec.result_to_json(outcome))
 
     def apply_retry_after(self, id_: str, retry_after_us: int) -> None:
-        """Report that an endpoint gave a Retry-After, in microseconds."""
-        self._put(PacketKind.RETRY_AFTER, id_, retry_after_us)
+        """Report that an endpoint sent a Retry-After, in microseconds."""
+        self._enqueue(PacketKind.RETRY_AFTER, id_, retry_after_us)
 
     def health_check_ended(self, id_: str, outcome: AttemptResult) -> None:
-        """Report how a health check ended that was in flight here."""
-        self._put(PacketKind.HEALTH_CHECK_COMPLETED, id_, packet_codec.result_to_json(outcome))
+        """Report the result of a health check that was in flight here."""
+        self._enqueue(PacketKind.HEALTH_CHECK_COMPLETED, id_, packet_codec.result_to_json(outcome))
 
     async def set_blocked(self, id_: str, blocked: bool) -> bool:
-        """Pass on what an operator asks here; TimeoutError without an answer in time."""
-        number = len(self._questions)
-        question = self._questions[number] = _Question()
-        self._put(PacketKind.SET_ENDPOINT_DISABLED, id_, blocked, number)
+        """Pass on an operator's request to disable or enable an endpoint; return whether it is known.
+
+        Raises:
+            TimeoutError: The next process did not answer within `ADMIN_ANSWER_S`.
+        """
+        number = len(self._pending_requests)
+        pending = self._pending_requests[number] = _PendingRequest()
+        self._enqueue(PacketKind.SET_ENDPOINT_DISABLED, id_, blocked, number)
         with anyio.fail_after(ADMIN_ANSWER_S):
-            await question.answered.wait()
-        return question.known
+            await pending.answered.wait()
+        return pending.known
 
     async def run(self) -> None:
-        """Send the reports until the exchange ends."""
+        """Send reports and receive answers until the next process has ended."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._read_answers, tasks.cancel_scope)
             with suppress(OSError):
@@ -134,7 +138,10 @@
                 self.queue.popleft()
 
     async def _read_answers(self, scope: anyio.CancelScope) -> None:
-        """Read until the new process has ended: if the link ended earlier, this one would seem to have."""
+        """Receive answers until the new process has ended.
+
+        A malformed answer must not end this: once the link closes, the new process takes this one for ended.
+        """
         while True:
             try:
                 packet = await self.link.receive()
@@ -149,28 +156,28 @@
         scope.cancel()
 
     def _answer(self, answer: EndpointDisabledAnswer) -> None:
-        question = self._questions.get(answer.request_number)
-        if question is None:
-            raise HandoverFormatError("an answer to no request")
-        question.answer(answer.known)
+        pending = self._pending_requests.get(answer.request_number)
+        if pending is None:
+            raise HandoverFormatError(f"answer to unknown request {answer.request_number}")
+        pending.answer(answer.known)
 
 
-class _Question:
-    """An operator's request that was passed on, and whether the next process knows the endpoint."""
+class _PendingRequest:
+    """An operator's request that was passed on; its answer is whether the next process knows the endpoint."""
 
     def __init__(self) -> None:
         self.answered = anyio.Event()
         self.known = False
 
     def answer(self, known: bool) -> None:
-        """The first answer counts."""
+        """Set the answer; any after the first is ignored."""
         if not self.answered.is_set():
             self.known = known
             self.answered.set()
 
 
 class HandoverListener:
-    """The socket on which the next process asks, as long as this one serves."""
+    """Listens for the next process on a socket in the state folder, and hands over to it."""
 
     def __init__(self, service: TransferableService, folder: str) -> None:
         self.service = service
@@ -178,13 +185,13 @@
         self.source = HandoverSource("")
 
     async def run(self) -> None:
-        """Serve whoever asks, one after the other, until cancelled."""
+        """Serve the processes that connect, one after the other, until cancelled."""
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock, socket_path(self.folder) as path:
             try:
                 _bind(sock, path)
                 await self._serve_all(sock)
             except OSError as error:
-                log("no_handover", error=str(error))  # it serves all the same; an upgrade ends it first
+                log("no_handover", error=str(error))  # it still serves; an upgrade then has to end it first
 
     async def _serve_all(self, sock: socket.socket) -> None:
         while True:
@@ -200,16 +207,16 @@
                 link.close()
 
     async def _serve(self, link: Link) -> None:
-        """One exchange."""
+        """Carry out one exchange with a process that has connected."""
         self.source.shape = shape(self.service.engine.policy)
-        if not await self._agree(link):
+        if not await self._negotiate(link):
             return
         successor = Successor(link)
         payload = await self.service.pause_for_handover(successor)
         step = await self._transfer(link, payload)
         if step is HandoverStep.REACQUIRE_LOCK:
             link.close()
-            step = self.source.lock_result(await self._retake_lock())
+            step = self.source.lock_result(await self._reacquire_lock())
         if step is HandoverStep.RESUME:
             self.service.resume_after_handover(payload)
             return
@@ -218,24 +225,24 @@
         self.service.finish_handover(payload)
         await successor.run()
 
-    async def _agree(self, link: Link) -> bool:
-        """Read what the other process asks for; whether everything is to be transferred."""
+    async def _negotiate(self, link: Link) -> bool:
+        """Handle the other process's request; return whether everything is to be transferred."""
         try:
-            with anyio.fail_after(STEP_S):
+            with anyio.fail_after(STEP_TIMEOUT_S):
                 packet = await link.receive()
                 packet.discard_descriptor()
                 step = HandoverStep.DECLINE
                 if packet.kind == PacketKind.HELLO:
-                    step = await self._greet(link, packet.data.decode())
+                    step = await self._answer_hello(link, packet.data.decode())
             if packet.kind == PacketKind.LEAVE and self.source.shutdown_requested() is HandoverStep.SHUT_DOWN:
                 log("asked_to_leave")
-                self.service.leave_to_successor()
+                self.service.shut_down_for_successor()
         except (OSError, ValueError, TimeoutError) as error:
-            self._log_broken(error)
+            self._log_failure(error)
             return False
         return step is HandoverStep.TRANSFER
 
-    async def _greet(self, link: Link, other_shape: str) -> HandoverStep:
+    async def _answer_hello(self, link: Link, other_shape: str) -> HandoverStep:
         step = self.source.requested(other_shape)
         if step is HandoverStep.DECLINE:
             busy = self.source.state is not SourceState.SERVING
@@ -245,9 +252,9 @@
         return step
 
     async def _transfer(self, link: Link, payload: HandoverPayload) -> HandoverStep:
-        """Send everything and wait for the answer."""
+        """Send everything, wait for the answer, and return the next step."""
         try:
-            with anyio.fail_after(2 * STEP_S):
+            with anyio.fail_after(2 * STEP_TIMEOUT_S):
                 await self._send(link, payload)
                 packet = await link.receive()
                 packet.discard_descriptor()
@@ -255,7 +262,7 @@
                 reason, _ = packet_codec.decode_refusal(packet.data)
                 log("handover_declined", why=reason)
         except (OSError, ValueError, TimeoutError, KeyError) as error:
-            self._log_broken(error)
+            self._log_failure(error)
             return self.source.exchange_failed()
         return (
             self.source.taken_over()
@@ -263,13 +270,16 @@
             else self.source.exchange_failed()
         )
 
-    async def _retake_lock(self) -> bool:
-        """Whether the lock is this process's again: the other keeps it only if it owns everything."""
+    async def _reacquire_lock(self) -> bool:
+        """Release the lock and try to acquire it again; return whether that succeeded.
+
+        The other process keeps the lock only if it owns everything.
+        """
         lock = self.service.lock
         lock.release()
-        with anyio.move_on_after(STEP_S):
+        with anyio.move_on_after(STEP_TIMEOUT_S):
             while not lock.acquire():
-                await anyio.sleep(RETRY_S)
+                await anyio.sleep(LOCK_RETRY_S)
             return True
         return False
 
@@ -285,13 +295,13 @@
             await link.send(PacketKind.LISTENER, name.encode(), listener.fileno())
         await link.send(PacketKind.LOCK, b"", payload.lock_descriptor)
 
-    def _log_broken(self, error: Exception) -> None:
+    def _log_failure(self, error: Exception) -> None:
         log("handover_broke", error=str(error) or type(error).__name__, state=self.source.state.value)
 
 
 def _bind(sock: socket.socket, path: str) -> None:
     with suppress(FileNotFoundError):
-        os.unlink(path)  # one that was left behind, or the process before's
+        os.unlink(path)  # the socket of an earlier process
     sock.bind(path)
     os.chmod(path, 0o600)
     sock.listen(_BACKLOG)
--- a/pinspread/hot_restart/state_codec.py
+++ b/pinspread/hot_restart/state_codec.py
@@ -1,7 +1,8 @@
-"""The state that one process sends the next, as bytes: a pickle that may name only listed classes.
+"""Encodes the state that one process sends to the next: a pickle that may contain only listed classes.
 
-Two processes exchange it only if both compute the same `shape`; otherwise the old one ends and the new one
-recovers from the journal. So whatever a reader depends on belongs into the shape.
+Two processes exchange state only if both compute the same `shape`, a digest of its format; otherwise the old
+process ends and the new one recovers from the journal. The digest must therefore cover everything that
+reading the state depends on.
 """
 
 import io
@@ -27,23 +28,23 @@
 from pinspread.policy.rate_limit import RateLimitPolicy
 from pinspread.policy.retry_budget import RetryBudget
 
-POLICY_KEY = "policy"  # of the delivery policy in the state
-STATE_KEYS = (*EngineState.__annotations__, "discovery")  # the engine's state, and discovery's beside it
+POLICY_KEY = "policy"  # the delivery policy's key in the state
+STATE_KEYS = (*EngineState.__annotations__, "discovery")  # with discovery's own state
 DISCOVERY_STATE_KEYS = ("address", "seq")
 
 _SHAPE_BYTES = 16
 
 
 def _classes_of(module: ModuleType) -> tuple[type, ...]:
-    """The classes that a module defines, in the order of its text."""
+    """The classes that a module defines, in the order of their definition."""
     members = vars(module).values()
     return tuple(
         member for member in members if isinstance(member, type) and member.__module__ == module.__name__
     )
 
 
-# All that a state may be made of; the order counts for the shape.
-SENT: tuple[type, ...] = (
+# The classes that a state may contain. Their order is part of the digest.
+STATE_CLASSES: tuple[type, ...] = (
     *_classes_of(state),
     *_classes_of(settings),
     *_classes_of(events),
@@ -62,40 +63,44 @@
 
 
 class _StateUnpickler(pickle.Unpickler):
-    """Reads nothing but what a state is made of."""
+    """Unpickles a state; refuses all classes but `STATE_CLASSES`."""
 
-    allowed = {(cls.__module__, cls.__name__): cls for cls in SENT}
+    allowed = {(cls.__module__, cls.__name__): cls for cls in STATE_CLASSES}
 
     def find_class(self, module: str, name: str) -> type:
-        """The class of that name.
+        """The class of that name; HandoverFormatError if it is not listed.
 
-        Whatever else a pickle named would be called, with arguments of its author's choice: it could run any
-        code.
+        Unpickling calls whatever a pickle names, with arguments that its author chose. Without this
+        restriction it could run any code.
         """
         if (module, name) not in self.allowed:
-            raise HandoverFormatError(f"{module}.{name} is no part of a node's state")
+            raise HandoverFormatError(f"a state may not contain {module}.{name}")
         return self.allowed[module, name]
 
 
 def shape(policy: DeliveryPolicy) -> str:
-    """A digest of what a state of this version looks like.
+    """A digest of the format of this version's state.
 
-    It covers the keys of the state, the attributes of the policy and of its parts, the path and fields
-    of each class that is sent.
+    It covers the keys of the state, the attributes of the policy and of its components, and the path and the
+    fields of each class that a state may contain.
     """
     parts: list[list[str]] = [["keys", *STATE_KEYS], ["discovery", *DISCOVERY_STATE_KEYS]]
     parts += [_attributes(instance) for instance in _instances(policy)]
-    parts += [[_path(cls), *_field_names(cls)] for cls in SENT]
+    parts += [[_path(cls), *_field_names(cls)] for cls in STATE_CLASSES]
     return blake2b(orjson.dumps(parts), digest_size=_SHAPE_BYTES).hexdigest()
 
 
 def _instances(policy: DeliveryPolicy) -> list[object]:
-    """The policy, and those of its parts whose attributes no declaration names."""
-    components = [one for one in vars(policy).values() if type(one) in SENT and _is_undeclared(one)]
-    return [policy, *sorted(components, key=lambda one: _path(type(one)))]
+    """The policy, and those of its components whose attributes are not declared as fields or slots."""
+    components = [
+        attribute
+        for attribute in vars(policy).values()
+        if type(attribute) in STATE_CLASSES and _has_undeclared_attributes(attribute)
+    ]
+    return [policy, *sorted(components, key=lambda instance: _path(type(instance)))]
 
 
-def _is_undeclared(component: object) -> bool:
+def _has_undeclared_attributes(component: object) -> bool:
     cls = type(component)
     return cls is not Random and hasattr(component, "__dict__") and not is_dataclass(cls)
 
@@ -114,27 +119,27 @@
     return [str(name) for name in getattr(cls, "__slots__", ())]
 
 
-def pack_state(sent: dict[str, Any]) -> bytes:
-    """The bytes of a state."""
-    return pickle.dumps(sent, protocol=5)
+def pack_state(contents: dict[str, Any]) -> bytes:
+    """Encode a state."""
+    return pickle.dumps(contents, protocol=5)
 
 
 def read_state(data: bytes) -> dict[str, Any]:
-    """The state that the process before has sent; HandoverFormatError if it is none."""
+    """Decode the state that the old process has sent; HandoverFormatError if it is not a valid one."""
     try:
-        found = _StateUnpickler(io.BytesIO(data)).load()
+        loaded = _StateUnpickler(io.BytesIO(data)).load()
     except HandoverFormatError:
         raise
-    except Exception as error:  # whatever the bytes make of a reader
+    except Exception as error:  # malformed bytes can make the unpickler raise any exception
         raise HandoverFormatError(f"the state cannot be read: {error!r}") from None
-    return _checked(found)
+    return _checked(loaded)
 
 
-def _checked(found: object) -> dict[str, Any]:
-    if not isinstance(found, dict):
-        raise HandoverFormatError("no state")
-    if POLICY_KEY not in found:
-        raise HandoverFormatError(f"the state cannot be read: {KeyError(POLICY_KEY)!r}")
-    if type(found[POLICY_KEY]) is not DeliveryPolicy:
-        raise HandoverFormatError("no state")
-    return found
+def _checked(loaded: object) -> dict[str, Any]:
+    if not isinstance(loaded, dict):
+        raise HandoverFormatError(f"the state is of type {type(loaded).__name__}, not dict")
+    if POLICY_KEY not in loaded:
+        raise HandoverFormatError(f"the state has no key {POLICY_KEY!r}")
+    if type(loaded[POLICY_KEY]) is not DeliveryPolicy:
+        raise HandoverFormatError(f"the state's policy is of type {type(loaded[POLICY_KEY]).__name__}")
+    return loaded
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -1,7 +1,7 @@
-"""The new process's side: it takes everything over from the owner of the folder.
+"""The new process's side: it takes over everything from the process that owns the folder.
 
-`core/handover.py` (`HandoverTarget`) decides what an exchange leads to; this carries it out. What it follows
-of the old process afterwards is in `predecessor.py`.
+`core/handover.py` (`HandoverTarget`) decides what each step of an exchange leads to; this carries it out.
+`predecessor.py` follows the old process afterwards.
 """
 
 import os
@@ -20,8 +20,8 @@
 from pinspread.errors import JournalFormatError
 from pinspread.hot_restart import packet_codec
 from pinspread.hot_restart.link import (
-    RETRY_S,
-    STEP_S,
+    LOCK_RETRY_S,
+    STEP_TIMEOUT_S,
     HandoverFormatError,
     Link,
     Packet,
@@ -32,11 +32,11 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.sockets import Connection, IdleConnection
 
-BROKEN_S = 0.3  # after an exchange that broke: the old process has the lock back first
+FAILED_EXCHANGE_DELAY_S = 0.3  # after a failed exchange, so that the old process can reacquire the lock first
 
 
 class IdleEndpointConnection(NamedTuple):
-    """An open connection to an endpoint that no attempt uses; `idle_since_us` is on the monotonic clock."""
+    """An open connection to an endpoint that no attempt is using; `idle_since_us` is monotonic time."""
 
     endpoint_id: str
     address: str
@@ -46,25 +46,25 @@
 
 @dataclass
 class TransferredState:
-    """What a new process starts with; without a state it is alone, and recovers from the journal."""
+    """What a new process has received; if `state` is None, it recovers from the journal instead."""
 
     state: dict[str, Any] | None = None
     client_connections: list[IdleConnection] = field(default_factory=list)
     idle_connections: list[IdleEndpointConnection] = field(default_factory=list)
-    listeners: dict[str, socket.socket] = field(default_factory=dict)  # by the name of their front
+    listeners: dict[str, socket.socket] = field(default_factory=dict)  # by the name of the front
     link: Link | None = None
 
     def add(self, packet: Packet) -> None:
-        """Take in one packet of what is handed over; HandoverFormatError if it is none of these."""
+        """Add the contents of one packet of the transfer; HandoverFormatError if it is of another kind."""
         if packet.descriptor is not None:
             self._add_socket(packet.kind, packet.data, packet.descriptor)
         elif packet.kind == PacketKind.STATE:
             self.state = read_state(packet.data)
         else:
-            raise _out_of_place(packet.kind)
+            raise _unexpected_packet(packet.kind)
 
     def _add_socket(self, kind: int, data: bytes, descriptor: int) -> None:
-        """Take in the socket of a descriptor; it is closed if the packet is malformed."""
+        """Add the socket of a descriptor; it is closed if the packet is malformed."""
         with ExitStack() as on_error:
             sock = _socket_of(descriptor)
             on_error.callback(sock.close)
@@ -80,11 +80,11 @@
             elif kind == PacketKind.LISTENER:
                 self.listeners[data.decode()] = sock
             else:
-                raise _out_of_place(kind)
+                raise _unexpected_packet(kind)
             on_error.pop_all()
 
     def close(self) -> None:
-        """Close all that came, for the exchange came to nothing."""
+        """Close all received sockets, after an exchange that failed."""
         for client in self.client_connections:
             client.connection.close()
         for idle in self.idle_connections:
@@ -93,12 +93,12 @@
             listener.close()
 
 
-def _out_of_place(kind: int) -> HandoverFormatError:
-    return HandoverFormatError(f"message {int(kind)} is out of place")
+def _unexpected_packet(kind: int) -> HandoverFormatError:
+    return HandoverFormatError(f"unexpected packet of kind {int(kind)} in a transfer")
 
 
 def _socket_of(descriptor: int) -> socket.socket:
-    """The socket of a descriptor, which is closed if it is no socket's."""
+    """The socket of a descriptor. If it is not a socket, the descriptor is closed and OSError raised."""
     try:
         return socket.socket(fileno=descriptor)
     except OSError:
@@ -109,7 +109,7 @@
 def _connection(sock: socket.socket) -> Connection:
     try:
         return Connection(sock)
-    except OSError:  # its other side has reset it: that shows at the first use
+    except OSError:  # reset by the peer; the first use of the connection will report it
         connection = Connection.__new__(Connection)
         connection.sock, connection.unsent_bytes = sock, 0
         connection.idle_since_us, connection.finished = 0, False
@@ -119,19 +119,19 @@
 async def take_over(
     folder: str, lock: FolderLock, journal: Journal, policy: DeliveryPolicy
 ) -> TransferredState:
-    """Take over from the process that owns the folder, or find that no process does.
+    """Take over from the process that owns the folder, or acquire the folder if no process owns it.
 
-    This process holds the lock on return. Without a state in the result, it recovers from the journal.
+    This process holds the lock on return. If the result has no state, it must recover from the journal.
 
     Raises:
-        JournalFormatError: The journal is of a newer version; the old process goes on serving.
+        JournalFormatError: The journal is of a newer version; the old process continues to serve.
         OSError: The folder cannot be locked.
     """
     return await _Takeover(folder, lock, journal, policy).run()
 
 
 class _Takeover:
-    """The exchanges of one start, one after the other, until this process holds the lock."""
+    """Repeats the exchange with the old process until this process holds the lock."""
 
     def __init__(self, folder: str, lock: FolderLock, journal: Journal, policy: DeliveryPolicy) -> None:
         self.folder = folder
@@ -146,16 +146,16 @@
                 try:
                     link = connect(self.folder)
                 except OSError:
-                    await anyio.sleep(RETRY_S)  # it starts or ends, or its socket was left behind
+                    await anyio.sleep(LOCK_RETRY_S)  # it is starting or ending, or its socket was left behind
                     continue
                 transferred = await self._exchange(link)
                 if transferred is not None:
                     return transferred
-            await anyio.sleep(RETRY_S)
+            await anyio.sleep(LOCK_RETRY_S)
         return TransferredState()
 
     async def _exchange(self, link: Link) -> TransferredState | None:
-        """One exchange; None if nothing came of it."""
+        """Carry out one exchange; return None if it did not transfer everything."""
         transferred = TransferredState(link=link)
         expected_shape = shape(self.policy)
         delay_s = 0.0
@@ -170,20 +170,20 @@
                         on_failure.pop_all()
                         return transferred
             except (OSError, ValueError, TimeoutError, KeyError) as error:
-                self._broken(error)
-                delay_s = BROKEN_S
+                self._exchange_failed(error)
+                delay_s = FAILED_EXCHANGE_DELAY_S
         await anyio.sleep(delay_s)
         if self.target.state is TargetState.WAITING_FOR_LOCK:
             await _request_departure(self.folder)
         return None
 
     async def _collect(self, link: Link, transferred: TransferredState, expected_shape: str) -> int | None:
-        """Receive all that is handed over; gives the descriptor of the lock, None where it was declined."""
-        with anyio.fail_after(STEP_S):
+        """Receive the transfer; return the descriptor of the lock, or None if the exchange was declined."""
+        with anyio.fail_after(STEP_TIMEOUT_S):
             await link.send(PacketKind.HELLO, expected_shape.encode())
         self.target.request_sent()
         while True:
-            with anyio.fail_after(STEP_S):
+            with anyio.fail_after(STEP_TIMEOUT_S):
                 packet = await link.receive()
             if packet.kind == PacketKind.DECLINED:
                 packet.discard_descriptor()
@@ -196,7 +196,11 @@
             transferred.add(packet)
 
     async def _accept(self, link: Link, lock_descriptor: int, complete: bool) -> bool:
-        """Own everything, if it is complete and the journal can be read, and say so."""
+        """Take ownership and tell the old process, if the transfer is complete; return whether it was.
+
+        Raises:
+            JournalFormatError: The journal is of a newer version; the old process was told so.
+        """
         with ExitStack() as on_failure:
             on_failure.callback(os.close, lock_descriptor)
             if self.target.received(complete) is not HandoverStep.TAKE_OVER:
@@ -214,21 +218,21 @@
         await link.send(PacketKind.TAKEN_OVER)
         return True
 
-    def _broken(self, error: Exception) -> None:
+    def _exchange_failed(self, error: Exception) -> None:
         log("handover_broke", error=str(error) or type(error).__name__, state=self.target.state.value)
-        # A process that got no answer that everything was taken over serves on, or has ended and the lock is
-        # free: with the lock held here as well, there would be two owners.
+        # An old process that received no confirmation of the takeover continues to serve, or it has ended and
+        # the lock is free. If this process kept the lock, there could be two owners.
         self.lock.release()
         if isinstance(error, ValueError):
-            self.target.received(False)  # it cannot be read: it would be no better the next time
+            self.target.received(False)  # unreadable data; another exchange would give the same
         self.target.exchange_failed()
 
 
 async def _request_departure(folder: str) -> None:
-    """Ask the old process to end, on a connection of its own, once the exchange is over."""
+    """Ask the old process to end; this takes a new connection, since the exchange is over."""
     try:
         link = connect(folder)
-        with anyio.fail_after(STEP_S):
+        with anyio.fail_after(STEP_TIMEOUT_S):
             await link.send(PacketKind.LEAVE)
         link.close()
     except (OSError, TimeoutError) as error:
--- a/pinspread/service/__init__.py
+++ b/pinspread/service/__init__.py
@@ -1,4 +1,4 @@
-"""Assembles a process: engine, fronts, transports and discovery; its start, reloads, hand-over and end."""
+"""Assembles a process (engine, fronts, transports, discovery) and runs it from its start to its end."""
 
 from pinspread.service.options import ReloadedSettings, ServiceOptions
 from pinspread.service.process import Service, serve
--- a/pinspread/service/components.py
+++ b/pinspread/service/components.py
@@ -1,4 +1,4 @@
-"""The parts of a process, made and connected; other settings reach all of them here."""
+"""Creates and connects the components of a process, and applies reloaded settings to them."""
 
 from typing import TYPE_CHECKING, cast
 
@@ -25,16 +25,16 @@
 
 
 class Components:
-    """The parts of one process; none of them runs yet.
+    """The components of one process; creating them starts none.
 
     Attributes:
         clock: The clock of the process.
         lock: The lock of the state folder, not acquired.
         engine: The engine, with its fronts, transports and background services.
         pool: Idle connections to endpoints.
-        limiter: Limits of client connections, for both fronts.
+        limiter: Limits client connections; shared by both fronts.
         discovery: Reports endpoints to the engine.
-        notifications: Sends final results to the platform's clients.
+        notifications: Notifies the platform of its clients' final results.
     """
 
     def __init__(self, options: ServiceOptions) -> None:
@@ -65,12 +65,12 @@
         self.engine.transports["amqp"] = cast("Transport", transport)  # bundles go by HTTP only
 
     def recover(self) -> None:
-        """Start from what the folder holds: the last endpoint list and the journal."""
+        """Restore the endpoint list that was saved last, and recover messages from the journal."""
         self.discovery.start()
         self.engine.recover()
 
     def apply_settings(self, new: ReloadedSettings) -> None:
-        """Put other settings in force, in one step between two turns of the engine."""
+        """Apply reloaded settings to all components, in one step between two turns of the engine."""
         settings = new.settings
         self.engine.apply_settings(settings)
         self.http_transport.dial_us = settings.connect_timeout_us
@@ -91,12 +91,12 @@
 
 
 def _make_discovery(options: ServiceOptions, engine: DeliveryEngine) -> Discovery:
-    """The discovery that the options ask for, else the platform's."""
+    """The discovery that the options specify, otherwise the platform's."""
     if options.make_discovery:
         return options.make_discovery(engine)
     return DiscoveryClient(options.settings.discovery, engine, options.settings)
 
 
 def _connection_limits(settings: EffectiveSettings) -> tuple[int, int]:
-    """How many connections of clients there may be, and how many bytes for them."""
+    """The limits on client connections: their number, and the bytes of memory for them."""
     return settings.sockets * 5 // 8, settings.memory_bytes // 8
--- a/pinspread/service/handover.py
+++ b/pinspread/service/handover.py
@@ -1,6 +1,6 @@
-"""Hot restart in one process: taking over from the one before, and handing over to the next one.
+"""Hot restart in one process: taking over from the previous process, and handing over to the next one.
 
-It is loaded only where the platform holds the clients' socket, so that another process may take over.
+It is loaded only if the platform holds the clients' listening socket, which lets another process take over.
 """
 
 from typing import TYPE_CHECKING, cast
@@ -21,16 +21,16 @@
 
     from pinspread.core.ownership import EngineState
 
-HANDED_OVER_S = 10.0  # how long a process that has handed over waits for its SIGTERM
-REPORT_S = 3.2  # at SIGTERM after a hand-over, for the attempts that are still in flight here
+SIGTERM_TIMEOUT_S = 10.0  # how long a process waits for its SIGTERM after it has handed over
+REPORT_TIMEOUT_S = 3.2  # after SIGTERM, to finish and report attempts still in flight here
 REPORT_POLL_S = 0.01
 
 
 async def take_over(components: Components, folder: str) -> target.TransferredState | None:
-    """Own the folder and all that is owed; gives what a process before has handed over.
+    """Take ownership of the folder and its messages; return what a previous process handed over, if any.
 
     Raises:
-        JournalFormatError: The journal is of a newer version; the process before goes on serving.
+        JournalFormatError: The journal is of a newer version; the previous process continues to serve.
         OSError: The folder cannot be locked.
     """
     engine = components.engine
@@ -45,12 +45,12 @@
 
 
 class Handover:
-    """Hands this process over to the next one (`hot_restart.source.TransferableService`).
+    """Hands over from this process to the next one (implements `hot_restart.source.TransferableService`).
 
     Attributes:
-        engine: The engine that is handed over.
+        engine: The engine whose state is handed over.
         lock: The folder's lock, which is handed over last.
-        successor: The process that this one hands over to, once it has asked.
+        successor: The process that this one is handing or has handed over to; None without one.
     """
 
     def __init__(
@@ -71,20 +71,20 @@
         self._max_connections = max_connections
 
     def start(self, transferred: target.TransferredState | None, folder: str) -> None:
-        """Follow the reports of the process before, if it handed over, and wait for the next one."""
+        """Follow the previous process's reports, if it handed over, and listen for the next process."""
         if transferred and transferred.link:
             predecessor = Predecessor(transferred.link, self.engine, self._components.clock)
             self._tasks.start_soon(predecessor.follow)
         self._tasks.start_soon(source.HandoverListener(self, folder).run)
 
-    def leave_to_successor(self) -> None:
-        """Another process waits for the folder: finish and end."""
+    def shut_down_for_successor(self) -> None:
+        """Finish and end, since another process is waiting for the folder."""
         if self._components.resp_front.scope:
-            self._components.resp_front.scope.cancel()  # the other also serves the clients that come now
+            self._components.resp_front.scope.cancel()  # leave new clients to the other process
         self._leaving.set()
 
     async def pause_for_handover(self, successor: source.Successor) -> source.HandoverPayload:
-        """Stop acting, and give all that goes over."""
+        """Stop all activity, and return everything that is to be transferred."""
         connections = await self._serving.pause()
         self.successor = successor
         engine_state = self.engine.pause_for_handover(successor)
@@ -93,14 +93,14 @@
         return source.HandoverPayload(
             packed_state=pack_state(state),
             attempts_in_flight=len(engine_state["attempts_in_flight"]),
-            client_connections=_within_limit(connections, self._max_connections),
+            client_connections=_limit_connections(connections, self._max_connections),
             idle_connections=[target.IdleEndpointConnection(*idle) for idle in idle_connections],
             listeners={name: sock for name, sock in self._serving.listeners.items() if name != RESP},
             lock_descriptor=self.lock.fd,
         )
 
     def resume_after_handover(self, payload: source.HandoverPayload) -> None:
-        """The next process did not take over: serve on."""
+        """Continue to serve, since the next process did not take over."""
         self._components.pool.attach_all(payload.idle_connections)
         self.successor = None
         self.engine.cancel_handover()
@@ -109,25 +109,29 @@
         log("resumed", client_connections=len(payload.client_connections))
 
     def finish_handover(self, payload: source.HandoverPayload) -> None:
-        """The next process owns everything."""
+        """Release what this process still holds; the next process now owns everything."""
         payload.close_connections()
         self.lock.release()
-        self._tasks.start_soon(self._leave_in_time)
+        self._tasks.start_soon(self._stop_after_timeout)
 
     async def report_remaining(self) -> None:
-        """Wait for what is in flight here to end and to be reported to the next process."""
+        """Wait up to `REPORT_TIMEOUT_S` until calls in flight here have ended and their reports are sent."""
         successor = self.successor
-        with anyio.move_on_after(REPORT_S):
+        with anyio.move_on_after(REPORT_TIMEOUT_S):
             while self.engine.attempts or self.engine.health_checks or (successor and successor.queue):
                 await anyio.sleep(REPORT_POLL_S)
 
-    async def _leave_in_time(self) -> None:
-        await anyio.sleep(HANDED_OVER_S)
+    async def _stop_after_timeout(self) -> None:
+        await anyio.sleep(SIGTERM_TIMEOUT_S)
         self._leaving.set()
 
 
-def _within_limit(connections: list[IdleConnection], limit: int) -> list[IdleConnection]:
-    """As many connections as may be open twice for a moment; first those go that wait for nothing."""
+def _limit_connections(connections: list[IdleConnection], limit: int) -> list[IdleConnection]:
+    """Keep at most `limit` connections, since they are briefly open in both processes; close the others.
+
+    Connections with unprocessed input or unsent output are kept first, then those whose clients have
+    submitted messages, then those that were answered before.
+    """
     connections.sort(
         key=lambda idle: (not (idle.unread or idle.unsent), not idle.submitted, not idle.answered)
     )
--- a/pinspread/service/listeners.py
+++ b/pinspread/service/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets: the one that the platform holds for all processes of a node, and this process's own."""
+"""Listening sockets: the one that the platform holds for all processes of a node, and the process's own."""
 
 import errno
 import os
@@ -9,15 +9,15 @@
 from pinspread import sockets
 from pinspread.core.log import log
 
-LISTEN_RETRY_S = 0.05  # between attempts to listen where another process still does
+LISTEN_RETRY_S = 0.05  # between attempts to listen on an address that another process still uses
 LISTEN_ATTEMPTS = 40
 
 
 async def listen(address: str, leaving: anyio.Event) -> socket.socket:
-    """A listening socket; a process that is just ending may still hold the address.
+    """Open a listening socket, retrying for 2 s while the address is in use by a process that is ending.
 
     Raises:
-        OSError: The address cannot be had in 2 s, or not before `leaving` is set.
+        OSError: The address cannot be bound, or is still in use after 2 s or once `leaving` is set.
     """
     for _ in range(LISTEN_ATTEMPTS):
         try:
@@ -31,7 +31,7 @@
 
 
 def inherited_listener(descriptor: int | None) -> socket.socket | None:
-    """The listening socket that the platform holds for all processes of a node; None if there is none."""
+    """The listening socket that the platform passed; None if it passed none, or one that is unusable."""
     if descriptor is None:
         return None
     try:
@@ -44,6 +44,6 @@
 def _listening_copy(descriptor: int) -> socket.socket:
     sock = socket.socket(fileno=os.dup(descriptor))
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        raise OSError("it does not listen")
+        raise OSError("descriptor is not a listening socket")
     sock.setblocking(False)
     return sock
--- a/pinspread/service/options.py
+++ b/pinspread/service/options.py
@@ -1,4 +1,4 @@
-"""What a process is made of, as the command line passes it in."""
+"""The options with which the command line starts a service."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -15,27 +15,27 @@
 
 
 class ReloadedSettings(NamedTuple):
-    """What applies after SIGHUP: the settings, where discovery is, and the notifications' address."""
+    """The result of a reload: the settings, the source of discovery, and the notifications' address."""
 
     settings: EffectiveSettings
-    discovery_source: Any  # an address of the platform's, or the records of DNS-SD
+    discovery_source: Any  # the platform's address, or DNS-SD `Records`
     notification_address: str
 
 
 @dataclass(slots=True)
 class ServiceOptions:
-    """What a process is made of.
+    """The options of a service.
 
     Attributes:
         settings: The settings at the start.
-        amqp: Where the AMQP front listens.
+        amqp: The AMQP front's address and heartbeat.
         reload: Reads the configuration again, given the settings in force; SettingsError if it is unusable.
-        make_discovery: Makes another discovery than the platform's.
-        amqp_login: The PLAIN response for brokers.
-        background_services: What runs next to the engine.
-        early_sighup: Not empty if SIGHUP came since before the configuration was read.
+        make_discovery: Creates the discovery; None: the platform's is used.
+        amqp_login: The response of the PLAIN mechanism, sent to brokers.
+        background_services: Services that run next to the engine.
+        early_sighup: Not empty if SIGHUP arrived while the process was starting.
         clock: The clock of the process.
-        open_signal_receiver: Receives signals in place of their default actions.
+        open_signal_receiver: Opens the receiver of signals, which replaces their default actions.
     """
 
     settings: EffectiveSettings
--- a/pinspread/service/process.py
+++ b/pinspread/service/process.py
@@ -1,7 +1,7 @@
-"""The life of one process: how it starts, serves, follows signals and shuts down.
+"""The life cycle of one process: how it starts, serves, handles signals and shuts down.
 
-What a process is made of is passed in (`ServiceOptions`). What only a configuration file turns on is imported
-where it is turned on, so that a process that does without it does not load it.
+Its options are passed in (`ServiceOptions`). Features that are off unless a configuration file turns them on
+are imported only where they are used, so that a process without them does not load their modules.
 """
 
 import signal
@@ -28,7 +28,7 @@
     from pinspread.hot_restart.target import TransferredState
     from pinspread.service.handover import Handover
 
-FIRST_LIST_S = 0.3  # how long a start waits for the present list before it sends what it recovered
+FIRST_LIST_TIMEOUT_S = 0.3  # how long a start waits for the current endpoint list before it sends messages
 
 _SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
@@ -37,22 +37,23 @@
     """Serve until SIGTERM or SIGINT; SIGHUP reloads the configuration.
 
     Raises:
-        JournalFullError: The folder has no room.
+        JournalFullError: The folder has no room for the journal.
         JournalFormatError: The journal is of a newer version.
-        OSError: An address or the folder cannot be had.
+        OSError: An address cannot be bound, or the folder cannot be acquired.
     """
     await Service(options).run()
 
 
 class Service:
-    """One process from its start to its end.
+    """One process, from its start to its end.
 
     Attributes:
         settings: The settings at the start.
         engine: The engine of `components`.
-        tasks: The task group, once it runs.
-        signals: The signals as they come, once they are received.
-        leaving: Set once SIGTERM or SIGINT came, or another process waits for the folder.
+        tasks: The task group; set once `run` has started.
+        signals: The received signals; set once `run` has opened the receiver.
+        leaving: Set when this process is to stop: on SIGTERM or SIGINT, or if another process waits for the
+            folder or has taken over.
     """
 
     tasks: "TaskGroup"
@@ -66,15 +67,15 @@
         self.signals: Any = None
         self.leaving = anyio.Event()
         self._options = options
-        self._handover: Handover | None = None  # where the platform allows a hot restart
+        self._handover: Handover | None = None  # set if hot restart is enabled
 
     async def run(self) -> None:
-        """Serve to the end; errors as `serve` has them."""
-        # The admin server is there before all else: it says "not ready" until clients are served.
+        """Serve until told to stop; raises what `serve` raises."""
+        # The admin server starts first, and reports "not ready" until clients are served.
         admin_sockets = [sockets.listen(self.settings.admin)] if self.settings.admin else []
-        # A signal without a receiver would end the process and all that it serves.
+        # Without a receiver, a signal would kill the process, with everything that it serves.
         with self._options.open_signal_receiver(*_SIGNALS) as self.signals:
-            # SIGHUP between the reading of the file and this line would otherwise be lost.
+            # Otherwise a SIGHUP between the reading of the file and this line would be lost.
             self.reloader.pending = bool(self._options.early_sighup)
             async with anyio.create_task_group() as self.tasks:
                 for sock in admin_sockets:
@@ -82,7 +83,7 @@
                         self.engine, self.settings.sockets, self.components.background_services
                     )
                     self.tasks.start_soon(server.run, sock)
-                # SIGTERM may come while another process still owns the folder, for seconds.
+                # SIGTERM may come during the start, which can wait for seconds for another process's lock.
                 self.tasks.start_soon(self._follow_signals)
                 failure = await self._start_and_serve()
                 self.tasks.cancel_scope.cancel()
@@ -98,7 +99,7 @@
                 self.leaving.set()
 
     async def _start_and_serve(self) -> Exception | None:
-        """Start, serve and shut down; gives the error that the start failed with."""
+        """Start, serve and shut down; return the error if the start failed."""
         try:
             await self._start()
         except (JournalFullError, JournalFormatError, OSError) as error:
@@ -115,29 +116,29 @@
         components.connect_brokers(self.tasks, settings.connect_timeout_us, self._options.amqp_login)
         transferred = await self._take_over()
         if self.leaving.is_set() and not transferred:
-            return  # all that is owed is in the journal
+            return  # all open messages are in the journal
         serving = ServingTasks(components, self.tasks)
         listeners = transferred.listeners if transferred else {}
         await serving.open_listeners(self._options, listeners, self.leaving)
         last_good.save(settings)
         serving.follow_discovery()
         if not transferred:
-            # Changes of the list count as notified. What was recovered would go out by the last list from
-            # before the end, to endpoints that drain or are removed, until the first answer has come.
-            with anyio.move_on_after(FIRST_LIST_S):
+            # Changes of the list count as notified. Until the first answer has come, recovered messages would
+            # be sent by the list saved before the restart, to endpoints that now drain or are removed.
+            with anyio.move_on_after(FIRST_LIST_TIMEOUT_S):
                 await components.discovery.first_answer.wait()
         for run in (self.engine.run, components.pool.run, components.limiter.run):
             self.tasks.start_soon(run)
         serving.serve_clients(transferred.client_connections if transferred else [])
         self.engine.serving = True
-        self.reloader.catch_up()
+        self.reloader.reload_if_pending()
         amqp = self._options.amqp.listen
         log("serving", name=settings.name, listen=settings.listen, amqp=amqp, admin=settings.admin)
         if self._hot_restart_enabled():
             self._start_handover(serving, transferred)
 
     async def _take_over(self) -> "TransferredState | None":
-        """Own the folder and all that is owed; gives what a process before has handed over."""
+        """Take ownership of the folder and its messages; return what a previous process handed over."""
         if self._hot_restart_enabled():
             from pinspread.service import handover
 
@@ -147,19 +148,19 @@
         return None
 
     def _hot_restart_enabled(self) -> bool:
-        """Whether the platform holds the clients' socket, so that another process may take over."""
+        """Whether the platform holds the clients' listening socket, which lets another process take over."""
         return self.settings.inherited_listener_descriptor is not None
 
     def _start_handover(self, serving: ServingTasks, transferred: "TransferredState | None") -> None:
         from pinspread.service.handover import Handover
 
-        max_connections = self.settings.sockets // 4  # they are open in both processes for a moment
+        max_connections = self.settings.sockets // 4  # they are briefly open in both processes
         self._handover = Handover(self.components, serving, self.tasks, self.leaving, max_connections)
         self._handover.start(transferred, self.settings.state)
 
     async def _shut_down(self) -> None:
-        """Announce the departure, finish what is in flight, and close what depends on that."""
-        async with anyio.create_task_group() as tasks:  # concurrently: both count in the 3.7 s
+        """Announce the departure, finish what is in flight, and then close the background services."""
+        async with anyio.create_task_group() as tasks:  # run concurrently, since both must fit into 3.7 s
             for background in self.components.background_services:
                 tasks.start_soon(background.announce_departure)
             if self.engine.serving:
@@ -179,7 +180,7 @@
 def admin_server(
     engine: EndpointAdmin, max_sockets: int, background_services: Sequence[BackgroundService] = ()
 ) -> "AdminServer":
-    """The admin server; it is loaded only where it is on."""
+    """Create the admin server; its module is loaded only if it is on."""
     from pinspread.admin.server import AdminServer
 
     return AdminServer(engine, max_sockets, background_services)
--- a/pinspread/service/reload.py
+++ b/pinspread/service/reload.py
@@ -1,4 +1,4 @@
-"""Reloads of the configuration: on SIGHUP, as a whole or not at all."""
+"""Reloads the configuration on SIGHUP, either as a whole or not at all."""
 
 from pinspread.config import last_good
 from pinspread.config.settings import SettingsError
@@ -6,48 +6,48 @@
 from pinspread.service.components import Components
 from pinspread.service.options import ReloadedSettings, ServiceOptions
 
-FIXED_SETTINGS = ("name", "listen", "state", "admin")  # they count from the next start only
+FIXED_SETTINGS = ("name", "listen", "state", "admin")  # changes to these take effect at the next start
 
 
 class SettingsReloader:
-    """Reads the configuration again and puts it in force.
+    """Reads the configuration again and applies it.
 
     Attributes:
-        pending: SIGHUP came before there was anything to change.
+        pending: SIGHUP arrived before this process was serving.
     """
 
     def __init__(self, components: Components, options: ServiceOptions) -> None:
         self.pending = False
         self._components = components
-        self._read = options.reload
-        self._in_force = options.settings
+        self._read_settings = options.reload
+        self._current_settings = options.settings
 
     def request(self) -> None:
-        """SIGHUP came: reload, or note it until this process serves."""
+        """Handle SIGHUP: reload now, or once this process serves."""
         if not self._components.engine.serving:
             self.pending = True
         else:
             self._reload_unless_handed_over()
 
-    def catch_up(self) -> None:
-        """This process serves now: reload if that was requested before."""
+    def reload_if_pending(self) -> None:
+        """Reload if that was requested before this process was serving."""
         if self.pending:
             self._reload_unless_handed_over()
 
     def _reload_unless_handed_over(self) -> None:
-        # A new configuration counts to the end: notifications of a process that stops are still owed.
+        # A process that is stopping still reloads: its remaining notifications use the new configuration.
         if not self._components.engine.successor:
             self.reload()
 
     def reload(self) -> None:
-        """Put the configuration in force that was written since: whole, or not at all."""
-        old = self._in_force
+        """Apply the configuration as it is now; if it is unusable, keep the settings in effect and log it."""
+        old = self._current_settings
         try:
-            reloaded = self._read(old)
+            reloaded = self._read_settings(old)
         except SettingsError as error:
-            log("configuration_unusable", error=str(error), instead="what was in force")
+            log("configuration_unusable", error=str(error), instead="the settings in effect")
             return
-        self._in_force = reloaded.settings
+        self._current_settings = reloaded.settings
         self._components.apply_settings(reloaded)
         last_good.save(reloaded.settings)
         at_restart = [
--- a/pinspread/service/serving.py
+++ b/pinspread/service/serving.py
@@ -1,4 +1,4 @@
-"""The tasks that serve clients and follow the endpoint list; a hand-over pauses them."""
+"""The tasks that serve clients and follow the endpoint list; a handover pauses them."""
 
 import socket
 from collections.abc import Awaitable, Callable, Mapping
@@ -18,10 +18,10 @@
 
 
 class ServingTasks:
-    """Starts, pauses and resumes what acts towards clients and discovery.
+    """Starts, pauses and resumes the tasks that serve clients and follow discovery.
 
     Attributes:
-        listeners: The listening sockets of clients, by the name of their front.
+        listeners: The listening sockets for clients, by the name of the front.
     """
 
     def __init__(self, components: Components, tasks: "TaskGroup") -> None:
@@ -33,7 +33,7 @@
     async def open_listeners(
         self, options: ServiceOptions, transferred: Mapping[str, socket.socket], leaving: anyio.Event
     ) -> None:
-        """Listen for clients: from here on PING is answered, since all that is owed is known again."""
+        """Listen for clients. From here on PING is answered, since all open messages are known again."""
         settings, amqp = options.settings, options.amqp.listen
         if settings.listen:
             inherited = inherited_listener(settings.inherited_listener_descriptor)
@@ -42,19 +42,19 @@
             self.listeners[AMQP] = transferred.get(AMQP) or await listen(amqp, leaving)
 
     def follow_discovery(self) -> None:
-        """Follow the endpoint list, and send notifications."""
+        """Start to follow the endpoint list and to send notifications."""
         self._start_pausable(self._components.notifications.run)
         self._start_pausable(self._components.discovery.run)
 
     def serve_clients(self, connections: list[IdleConnection]) -> None:
-        """Accept clients, and serve those whose connections are there already."""
+        """Start to accept clients, and to serve the connections that are already open."""
         if RESP in self.listeners:
             self._tasks.start_soon(self._components.resp_front.run, self.listeners[RESP], connections)
         if AMQP in self.listeners:
             self._start_pausable(self._components.amqp_front.run, self.listeners[AMQP])
 
     async def pause(self) -> list[IdleConnection]:
-        """Stop acting; returns the connections of RESP clients, with what was read and not answered."""
+        """Stop the tasks; return the RESP clients' connections with the input that was not processed."""
         await self._components.amqp_front.close()
         scopes, self._pausable = self._pausable, []
         for scope in scopes:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""The state that one process hands the next: what its shape covers, and what a reader lets in."""
+"""The state that one process hands over to the next: what its digest covers, and what the reader accepts."""
 
 import gc
 import os
@@ -29,12 +29,12 @@
     assert state_codec.shape(policy) == state_codec.shape(pickle.loads(pickle.dumps(policy)))
 
 
-@pytest.mark.parametrize("cls", state_codec.SENT)
+@pytest.mark.parametrize("cls", state_codec.STATE_CLASSES)
 def test_a_class_of_another_module_gives_another_shape(policy, monkeypatch, cls):
     before = state_codec.shape(policy)
     moved = SimpleNamespace(__module__=f"{cls.__module__}_moved", __qualname__=cls.__qualname__)
     path_of = state_codec._path
-    monkeypatch.setattr(state_codec, "_path", lambda one: path_of(moved if one is cls else one))
+    monkeypatch.setattr(state_codec, "_path", lambda other: path_of(moved if other is cls else other))
     assert state_codec.shape(policy) != before
 
 
@@ -55,9 +55,13 @@
 
 def test_another_field_or_class_gives_another_shape(policy, monkeypatch):
     before = state_codec.shape(policy)
-    for n in range(len(state_codec.SENT)):
+    for n in range(len(state_codec.STATE_CLASSES)):
         with monkeypatch.context() as patch:
-            patch.setattr(state_codec, "SENT", state_codec.SENT[:n] + state_codec.SENT[n + 1 :])
+            patch.setattr(
+                state_codec,
+                "STATE_CLASSES",
+                state_codec.STATE_CLASSES[:n] + state_codec.STATE_CLASSES[n + 1 :],
+            )
             assert state_codec.shape(policy) != before
 
 
@@ -67,8 +71,8 @@
         state = rig.engine.pause_for_handover(SimpleNamespace())
         assert {*state, "discovery"} == set(state_codec.STATE_KEYS)
         assert state[state_codec.POLICY_KEY] is rig.engine.policy
-        found = DiscoveryClient("127.0.0.1:1", rig.engine, rig.engine.settings).snapshot()
-        assert set(found) == set(state_codec.DISCOVERY_STATE_KEYS)
+        snapshot = DiscoveryClient("127.0.0.1:1", rig.engine, rig.engine.settings).snapshot()
+        assert set(snapshot) == set(state_codec.DISCOVERY_STATE_KEYS)
         rig.engine.cancel_handover()
 
 
@@ -80,7 +84,7 @@
         client = Client(rig.address)
         await client.enqueue(id_="before")
         number = rig.engine.messages_by_id["before"].number
-        await until(lambda: not rig.engine.messages_by_id)  # it ended, and nothing is owed for it
+        await until(lambda: not rig.engine.messages_by_id)  # it ended, and its final result was acknowledged
         state = rig.engine.pause_for_handover(SimpleNamespace())
         rig.engine.cancel_handover()
         rig.engine.resume_from_handover(state)
@@ -101,7 +105,7 @@
         for descriptor in (os.dup(ours.fileno()), os.open(os.devnull, os.O_RDONLY)):
             with suppress(Exception):
                 transferred.add(Packet(kind, data, descriptor))
-    transferred.close()  # closes what was well-formed
+    transferred.close()  # closes the sockets of well-formed packets
     ours.close()
     theirs.close()
     assert open_descriptors() == before
@@ -110,14 +114,14 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize("kind", [PacketKind.HELLO, PacketKind.LOCK, PacketKind.TAKEN_OVER])
 async def test_a_descriptor_that_the_new_process_sends_is_closed(tmp_path, kind):
-    here, there = (Link(one) for one in socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET))
+    old_link, new_link = (Link(end) for end in socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET))
     handover = source.HandoverListener(SimpleNamespace(), str(tmp_path))
     before = open_descriptors()
-    await there.send(kind, b"another shape", here.sock.fileno())
-    assert not await handover._agree(here)
+    await new_link.send(kind, b"another shape", old_link.sock.fileno())
+    assert not await handover._negotiate(old_link)
     assert open_descriptors() == before
-    here.close()
-    there.close()
+    old_link.close()
+    new_link.close()
 
 
 def test_a_state_is_read_as_it_was_packed(policy):
