--- a/pinspread/__init__.py
+++ b/pinspread/__init__.py
@@ -1,4 +1,4 @@
-"""pinspread: the decisions of a sender that delivers calls to many outside destinations."""
+"""pinspread: a courier that accepts messages and delivers each to an endpoint of its destination."""
 
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.settings import Settings
--- a/pinspread/config/amqp_front.py
+++ b/pinspread/config/amqp_front.py
@@ -1,4 +1,4 @@
-"""The file under deploy/ that turns the AMQP front on."""
+"""The file deploy/amqp.toml, which turns the AMQP front on."""
 
 import tomllib
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
     """Where the AMQP front listens, and how often it sends heartbeats.
 
     Attributes:
-        listen: host:port; empty: the front is off.
+        listen: The address, as host:port; if empty, the front is off.
         heartbeat_s: Seconds between heartbeats; 0 turns them off.
     """
 
@@ -23,7 +23,11 @@
 
 
 def amqp_file(path: str | Path = AMQP_FILE) -> AmqpFile:
-    """The file's settings; without a file, the front is off. SettingsError if it cannot be used."""
+    """Read the file; if there is none, the front is off.
+
+    Raises:
+        SettingsError: The file cannot be read, or its contents are invalid.
+    """
     try:
         with open(path, "rb") as file:
             return AmqpFile(**tomllib.load(file))
--- a/pinspread/config/application.py
+++ b/pinspread/config/application.py
@@ -1,6 +1,7 @@
-"""One application's configuration file, and the settings of a node that come from it.
+"""One application's configuration file, and the node's settings derived from it.
 
-The file is TOML. Off the platform it says all that the platform would tell a node.
+The file is TOML. A node that runs without the platform reads from it everything that the platform would
+provide.
 """
 
 import os
@@ -13,9 +14,9 @@
 from pinspread.config.settings import EffectiveSettings, SettingsError
 from pinspread.core.time_units import NS_PER_S
 
-# What a file does not say. A destination that was out has a fifth of its capacity at first, all of it 9 s
-# later, and is overloaded at twice what it has; an endpoint takes nothing new 250 ms after its drain was
-# notified.
+# Settings that an application's file does not have. A destination that comes back after an outage starts at a
+# fifth of its capacity, has all of it after 9 s, and is overloaded at twice its capacity. An endpoint accepts
+# nothing new from 250 ms after its drain was notified.
 _RULES = {
     "drainGraceNs": NS_PER_S // 4,
     "coldFrom": 0.2,
@@ -25,24 +26,28 @@
 
 
 def load(path: str) -> File:
-    """A file that is well; SettingsError with all problems otherwise."""
+    """Read and validate a file.
+
+    Raises:
+        SettingsError: The file cannot be read or is invalid; the text lists all problems.
+    """
     try:
         with open(path, "rb") as file:
             text = file.read().decode()
     except (OSError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from None
-    found = problems(text)
-    if found:
-        raise SettingsError("\n".join(f"{path}: {line}" for line in found))
+    problem_lines = problems(text)
+    if problem_lines:
+        raise SettingsError("\n".join(f"{path}: {line}" for line in problem_lines))
     return File.model_validate(tomllib.loads(text))
 
 
 def effective_settings(file: File, seed: int) -> EffectiveSettings:
-    """A node's settings from its application's file, by way of the platform's form.
+    """Convert an application's file to the platform's format, and read the node's settings from that.
 
     Args:
-        file: A file that is well.
-        seed: Of the node's random numbers.
+        file: A valid file.
+        seed: The seed of the node's random numbers.
     """
     document = {
         "name": file.application.name,
@@ -59,12 +64,12 @@
 
 
 def random_seed() -> int:
-    """A seed that no other node has."""
+    """A random 64-bit seed, so that nodes have different ones."""
     return int.from_bytes(os.urandom(8))
 
 
 def notification_address(file: File) -> str:
-    """Where final results are sent; empty if the file does not say."""
+    """The address to which final results are sent; empty if the file has none."""
     return file.notices.address if file.notices else ""
 
 
@@ -72,7 +77,7 @@
     limits = file.limits
     return {
         "balancers": limits.couriers,
-        "lanes": [_lane(one) for one in file.classes],
+        "lanes": [_lane(message_class) for message_class in file.classes],
         "projects": [
             {"name": tenant.name, "quotaRps": tenant.quota_per_s, "share": tenant.share}
             for tenant in file.tenants
@@ -99,17 +104,17 @@
     }
 
 
-def _lane(one: Class) -> dict[str, Any]:
+def _lane(message_class: Class) -> dict[str, Any]:
     return {
-        "name": one.name,
-        "aimNs": _nanoseconds(one.aim_s),
-        "deadlineNs": _nanoseconds(one.deadline_s),
-        "effect": one.effect,
+        "name": message_class.name,
+        "aimNs": _nanoseconds(message_class.aim_s),
+        "deadlineNs": _nanoseconds(message_class.deadline_s),
+        "effect": message_class.effect,
         "group": "all",
-        "windowNs": _nanoseconds(one.window_s),
-        "serialByKey": one.in_order,
-        "value": one.worth,
-        "lateShare": one.late_share,
+        "windowNs": _nanoseconds(message_class.window_s),
+        "serialByKey": message_class.in_order,
+        "value": message_class.worth,
+        "lateShare": message_class.late_share,
     }
 
 
--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -1,7 +1,7 @@
-"""Endpoints by DNS-SD (RFC 6763), from a zone file or a server, and the node's own records.
+"""Discovery of endpoints by DNS-SD (RFC 6763), from a zone file or a server; also the node's own records.
 
-An instance's TXT record names its destination (`dest`) and may give `rate` (calls a second that the
-destination takes), `kind`, `state=draining`, and for brokers `exchange`, `routing_key` and `vhost`.
+An instance's TXT record names its destination (`dest`). It may also give `rate` (how many calls per second
+the destination accepts), `kind`, `state=draining`, and for brokers `exchange`, `routing_key` and `vhost`.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -27,13 +27,13 @@
 
 QUERY_TIMEOUT_S = 2.0
 ROUTE_KEYS = ("exchange", "routing_key", "vhost")
-MAX_RATE_PER_S = 1e6  # calls a second; a rate must be below it
+MAX_RATE_PER_S = 1e6  # in calls per second; a rate must be lower than this
 
 FoundEndpoint = tuple[Endpoint, EndpointState]
 
 
 class Records:
-    """Answers to questions about names: from a zone file, read again each time, or from a server."""
+    """Looks up DNS records, in a zone file that `refresh` reads again, or at a server."""
 
     def __init__(self, domain: str, zone_file: str = "", server: str = "") -> None:
         self.domain = dns.name.from_text(domain)
@@ -47,13 +47,21 @@
             self.resolver.lifetime = QUERY_TIMEOUT_S
 
     def refresh(self) -> None:
-        """Read the zone file; one that cannot be read is an error (OSError, ValueError, DNSException)."""
+        """Read the zone file, if there is one.
+
+        Raises:
+            OSError, ValueError, DNSException: The file cannot be read, or is not a valid zone.
+        """
         if self.zone_file:
             with open(self.zone_file) as file:
                 self.zone = dns.zone.from_file(file, self.domain, relativize=False, check_origin=False)
 
     def ask(self, name: dns.name.Name, kind: str) -> list[Any]:
-        """The records of that kind; none if there are none. DNSException if the server does not answer."""
+        """Look up the records of a type (`kind`); empty if the name has none.
+
+        Raises:
+            DNSException: The server does not answer.
+        """
         if self.zone_file:
             return self._from_zone(name, kind)
         try:
@@ -68,45 +76,45 @@
 
 
 def text_pairs(rdata: Any) -> dict[str, str]:
-    """A TXT record's pairs: names in lower case, the first of a name counts (RFC 6763, 6.4)."""
-    found: dict[str, str] = {}
+    """A TXT record's key-value pairs: keys in lower case, the first of equal keys counts (RFC 6763, 6.4)."""
+    first_values: dict[str, str] = {}
     for string in rdata.strings:
         name, _, value = string.decode("utf-8", "replace").partition("=")
-        if name and name.lower() not in found:
-            found[name.lower()] = value
-    return found
+        if name and name.lower() not in first_values:
+            first_values[name.lower()] = value
+    return first_values
 
 
 def browse(records: Records, services: Sequence[str], kinds: Mapping[str, int]) -> list[FoundEndpoint]:
-    """All instances of the services, with their states. A malformed instance is logged and left out.
+    """Find all instances of the services, with their states. A malformed instance is logged and left out.
 
     Raises:
-        OSError, ValueError, DNSException: The records cannot be had.
+        OSError, ValueError, DNSException: The records cannot be read or looked up.
     """
     records.refresh()
-    found = []
+    discovered = []
     for service in services:
         scheme = service.split(".")[0].removeprefix("_")
         for pointer in records.ask(dns.name.from_text(service, records.domain), "PTR"):
             try:
-                found.append(_instance(records, pointer.target, scheme, kinds))
+                discovered.append(_instance(records, pointer.target, scheme, kinds))
             except ValueError as error:
                 log("malformed_instance", instance=str(pointer.target), error=str(error))
-    return found
+    return discovered
 
 
 def _instance(records: Records, name: dns.name.Name, scheme: str, kinds: Mapping[str, int]) -> FoundEndpoint:
-    """One instance; ValueError with what is malformed."""
+    """Look up one instance; ValueError if its records are missing or malformed."""
     services = records.ask(name, "SRV")
     if not services:
-        raise ValueError("no SRV record")
+        raise ValueError("instance has no SRV record")
     service = min(services, key=lambda record: (record.priority, -record.weight))
     texts = records.ask(name, "TXT")
     pairs = text_pairs(texts[0]) if texts else {}
     destination, rate_per_s = _destination(pairs), _rate(pairs)
     addresses = records.ask(service.target, "A")
     if not addresses:
-        raise ValueError(f"no A record for {service.target}")
+        raise ValueError(f"SRV target {service.target} has no A record")
     endpoint = Endpoint(
         id=str(name),
         address=f"{addresses[0].address}:{service.port}",
@@ -133,12 +141,12 @@
     except ValueError:
         rate_per_s = 0.0
     if not 0 < rate_per_s < MAX_RATE_PER_S:
-        raise ValueError(f"TXT: rate must be above 0, not {pairs['rate']!r}")
+        raise ValueError(f"TXT: rate must be above 0 and below {MAX_RATE_PER_S:g}, not {pairs['rate']!r}")
     return rate_per_s
 
 
 class DnsSdDiscovery:
-    """Keeps the engine's list of endpoints as DNS-SD has it (`core.ports.Discovery`)."""
+    """Keeps the engine's list of endpoints up to date from DNS-SD (implements `core.ports.Discovery`)."""
 
     def __init__(
         self, engine: DeliveryEngine, records: Records, services: Sequence[str], refresh_s: float
@@ -151,28 +159,28 @@
         self.first_answer = anyio.Event()
 
     def start(self) -> None:
-        """Nothing is known before the first answer."""
+        """Do nothing, since no endpoint is known before the first answer."""
 
     def snapshot(self) -> dict[str, Any]:
-        """What another process needs apart from the list: nothing, it reads the records itself."""
+        """Return an empty snapshot, since another process reads the records itself."""
         return {}
 
     def resume(self, found: dict[str, Any]) -> None:
-        """Another process has handed over its list."""
+        """Do nothing, since the records are read anyway."""
 
     def poll(self) -> None:
-        """The policy asks for the list's changes: they come with the next refresh."""
+        """Answer the policy's poll with no changes; changes come with the next refresh."""
         self.engine.update_endpoints(UpdateScope.DELTA, [])
 
     def apply_settings(self, settings: EffectiveSettings) -> None:
-        """The engine has other settings: kinds are read by them at the next refresh."""
+        """Do nothing, since the next refresh reads the kinds from the engine's settings."""
 
     def change_address(self, records: Records) -> None:
-        """The records are to be had elsewhere from now on."""
+        """Use other records from now on."""
         self.records = records
 
     async def run(self) -> None:
-        """Refresh until cancelled; while the records cannot be had, the list stays as it was."""
+        """Refresh the list until cancelled; if the records cannot be read, the list stays as it was."""
         while True:
             try:
                 await self._refresh()
@@ -183,20 +191,21 @@
 
     async def _refresh(self) -> None:
         kinds = cast(EffectiveSettings, self.engine.settings).kinds
-        found = await anyio.to_thread.run_sync(
+        discovered = await anyio.to_thread.run_sync(
             browse, self.records, self.services, kinds, abandon_on_cancel=True
         )
-        if found == self.last:
+        if discovered == self.last:
             return
-        self.last = found
-        # The engine marks endpoints as not usable in place, and the next comparison needs them as read.
-        endpoints = [(replace(endpoint), state) for endpoint, state in found]
+        self.last = discovered
+        # The engine marks endpoints as not usable in place, but the next comparison needs them as they were
+        # read, so the engine is given copies.
+        endpoints = [(replace(endpoint), state) for endpoint, state in discovered]
         self.engine.update_endpoints(UpdateScope.FULL, endpoints)
-        log("endpoint_list", scope="FULL", endpoints=len(found))
+        log("endpoint_list", scope="FULL", endpoints=len(discovered))
 
 
 def node_records(file: File) -> str:
-    """The records under which others find this node, as lines of a zone file."""
+    """The records by which others find this node, as lines of a zone file."""
     name, domain = file.application.name, file.discovery.domain
     lines = [f"$ORIGIN {domain}", "$TTL 60"]
     for service, address in (("_pinspread._tcp", file.listen.resp), ("_amqp._tcp", file.listen.amqp)):
@@ -210,7 +219,7 @@
 
 
 def _member_lines(file: File) -> Iterator[str]:
-    """The records by which members find this one's seed address."""
+    """The records by which other members find this member as a seed."""
     members = file.members
     if not members or not members.service:
         return
--- a/pinspread/config/last_good.py
+++ b/pinspread/config/last_good.py
@@ -1,6 +1,6 @@
-"""The copy of the last configuration that could be used, for a start that finds the file broken.
+"""Keeps a copy of the last usable configuration, for a start at which the configuration file is unusable.
 
-Without it, such a start would end, and all that is owed would wait for staff.
+Without the copy such a start would fail, and open messages would wait until an operator repairs the file.
 """
 
 import zlib
@@ -13,41 +13,41 @@
 from pinspread.config.settings import EffectiveSettings, SettingsError
 from pinspread.core.log import log
 
-FILE_NAME = "configuration.good"  # in the state folder; its content is stored data
-MAX_DISK_FRACTION = 0.015  # of the folder's room, for each of the file and the one that replaces it
+FILE_NAME = "configuration.good"  # in the state folder; its format is stored data and must stay readable
+MAX_DISK_FRACTION = 0.015  # of the folder's disk_bytes, for the copy and for its replacement each
 
 
 def load_at_start(environment: Mapping[str, str]) -> EffectiveSettings:
-    """The configuration at a start: the file, or the last good one where that is broken.
+    """Load the configuration at a start: the file, or the last good copy if the file is unusable.
 
     Raises:
-        SettingsError: Neither can be used; the text is about the file.
+        SettingsError: Neither is usable; the text is about the file.
     """
     try:
         return settings.from_environment(environment)
     except SettingsError as error:
         copy = Path(environment.get("RELAY_STATE", "")) / FILE_NAME
-        found = _load(copy, environment)
-        if found is None:
+        loaded = _load(copy, environment)
+        if loaded is None:
             raise
         log("configuration_unusable", error=str(error), instead=str(copy))
-        return found
+        return loaded
 
 
 def _load(copy: Path, environment: Mapping[str, str]) -> EffectiveSettings | None:
     try:
         raw = zlib.decompress(copy.read_bytes())
-        found = settings.read(orjson.loads(raw), environment)
+        loaded = settings.read(orjson.loads(raw), environment)
     except (OSError, ValueError, zlib.error):
         return None
-    found.raw = raw
-    return found
+    loaded.raw = raw
+    return loaded
 
 
 def save(effective: EffectiveSettings) -> None:
-    """Keep what is in force; where there is no room, only the log says so."""
+    """Save the settings in effect as the last good copy; a failure is only logged."""
     if not effective.raw:
-        return  # an application's file, which is no platform's
+        return  # from an application's file, which is not the platform's
     packed = zlib.compress(effective.raw)
     try:
         _write(packed, effective)
@@ -57,7 +57,9 @@
 
 def _write(packed: bytes, effective: EffectiveSettings) -> None:
     if len(packed) > effective.disk_bytes * MAX_DISK_FRACTION:
-        raise OSError(f"{len(packed)} bytes are not kept")
+        raise OSError(
+            f"{len(packed)} bytes are more than {MAX_DISK_FRACTION:.1%} of {effective.disk_bytes} bytes"
+        )
     copy = Path(effective.state) / FILE_NAME
     new_copy = copy.with_suffix(".new")
     new_copy.write_bytes(packed)
--- a/pinspread/config/models.py
+++ b/pinspread/config/models.py
@@ -1,7 +1,7 @@
-"""The tables and keys of an application's TOML file, with what each may hold.
+"""The tables and keys of an application's TOML file, with their types and limits.
 
-The names of fields are the keys of the file, and the names of classes show in pydantic's messages to whoever
-writes one: both stay. Times are seconds unless their name says otherwise.
+The names of fields are the keys of the file, and the names of classes appear in pydantic's messages to the
+author of a file, so neither may change. Times are in seconds unless their name says otherwise.
 """
 
 from typing import Annotated, Literal
@@ -13,14 +13,14 @@
 
 def _address(text: str) -> str:
     if text and not 0 < split_address(text)[1] < 65_536:
-        raise ValueError("the port must be from 1 to 65535")
+        raise ValueError(f"the port must be from 1 to 65535: {text!r}")
     return text
 
 
 def _domain(text: str) -> str:
     labels = text.rstrip(".").split(".")
     if not all(0 < len(label) < 64 for label in labels):
-        raise ValueError("not a domain name")
+        raise ValueError(f"not a domain name: {text!r}")
     return text.rstrip(".") + "."
 
 
@@ -31,7 +31,7 @@
 
 
 class Table(BaseModel):
-    """A table of the file: no unknown names, no guessed types."""
+    """A table of the file; unknown keys and values of another type are refused."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
@@ -52,14 +52,14 @@
 
 
 class Journal(Table):
-    """The folder that lasts, and its room."""
+    """The persistent folder, and its limit of disk space."""
 
     folder: Annotated[str, Field(min_length=1)]
     disk_mb: Annotated[float, Field(ge=0.1, le=1024)] = 3
 
 
 class Limits(Table):
-    """How much the node holds, sends and waits."""
+    """Limits on messages and attempts, and the node's time limits."""
 
     calls_out: Annotated[int, Field(ge=1, le=512)] = 16
     most_held: Annotated[int, Field(ge=1, le=100_000)] = 200
@@ -71,7 +71,7 @@
 
 
 class Discovery(Table):
-    """Where the endpoints are found by DNS-SD."""
+    """Where endpoints are discovered by DNS-SD."""
 
     domain: Domain
     zone_file: str = ""
@@ -81,10 +81,10 @@
 
 
 class Brokers(Table):
-    """How to log in where an endpoint is an AMQP broker."""
+    """The login for endpoints that are AMQP brokers."""
 
     user: Annotated[str, Field(min_length=1)] = "guest"
-    password_file: str = ""  # read at the start; the password does not stand in this file
+    password_file: str = ""  # read at the start, so that the password is not in this file
 
 
 class Members(Table):
@@ -92,9 +92,9 @@
 
     id: Name
     listen: Address
-    advertise: Address = ""  # where the others reach this one; the listen address if empty
+    advertise: Address = ""  # the address at which others reach this node; if empty, `listen`
     seeds: list[Address] = []
-    service: Annotated[str, Field(pattern=r"^(_[a-z0-9-]{1,15}\._udp)?$")] = ""  # seeds by DNS-SD as well
+    service: Annotated[str, Field(pattern=r"^(_[a-z0-9-]{1,15}\._udp)?$")] = ""  # more seeds, by DNS-SD
     fleet: Name  # datagrams of nodes of another fleet are ignored
     period_s: Annotated[float, Field(ge=0.05, le=60)] = 1.0
     timeout_s: Annotated[float, Field(ge=0.01, le=30)] = 0.4
@@ -105,19 +105,19 @@
     sync_s: Annotated[float, Field(ge=0.1, le=3600)] = 5.0
     forget_s: Annotated[float, Field(ge=1, le=86_400)] = 120.0
     most_health: Annotated[int, Field(ge=0, le=8)] = 8  # Lifeguard: 0 turns local health off
-    clock_offset_ms: Annotated[int, Field(ge=-3_600_000, le=3_600_000)] = 0  # for the testbed
-    clock_rate: Annotated[float, Field(ge=0.5, le=2)] = 1.0  # likewise
+    clock_offset_ms: Annotated[int, Field(ge=-3_600_000, le=3_600_000)] = 0  # for tests with the testbed
+    clock_rate: Annotated[float, Field(ge=0.5, le=2)] = 1.0  # for tests with the testbed, too
 
 
 class Voter(Table):
-    """A node that has a vote on leases, and where its `[leases] advertise` is."""
+    """A node that votes on leases, with the address of its `[leases] advertise`."""
 
     id: Name
     address: Address
 
 
 class LeaseTask(Table):
-    """A task of the fleet; with an address, its holder calls it every `every_s`."""
+    """A fleet-wide task; if it has an address, the holder of its lease calls that every `every_s`."""
 
     name: Name
     address: Address = ""
@@ -128,27 +128,27 @@
     """Leases for fleet-wide tasks; off unless the file has this table, which needs `[members]`."""
 
     listen: Address
-    advertise: Address = ""  # where the others reach this one; the listen address if empty
+    advertise: Address = ""  # the address at which others reach this node; if empty, `listen`
     lease_s: Annotated[float, Field(ge=0.2, le=3600)] = 10.0
     renew_s: Annotated[float, Field(ge=0.05, le=3600)] = 3.0
     retry_s: Annotated[float, Field(ge=0.05, le=60)] = 0.5
-    drift_s: Annotated[float, Field(ge=0, le=600)] = 0.5  # a clock's gain or loss in the course of a lease
-    margin_s: Annotated[float, Field(ge=0, le=600)] = 0.2  # between the check and the act's effect
+    drift_s: Annotated[float, Field(ge=0, le=600)] = 0.5  # how much a clock may gain or lose during a lease
+    margin_s: Annotated[float, Field(ge=0, le=600)] = 0.2  # from the check of a lease to its action's effect
     election_s: Annotated[float, Field(ge=0.1, le=60)] = 0.5
-    sync: bool = False  # a voter's log is on its disk before a message speaks of it
+    sync: bool = False  # a voter's log is synced to disk before any message refers to it
     voters: Annotated[list[Voter], Field(alias="voter", min_length=1)]
     tasks: Annotated[list[LeaseTask], Field(alias="task", max_length=64)] = []
 
 
 class Copies(Table):
-    """Replication of what this node holds; off unless the file has this table; needs `[leases]`."""
+    """Replication of this node's messages; off unless the file has this table, which needs `[leases]`."""
 
-    listen: Address  # the same port on all nodes; others reach it at the host of `[members] advertise`
-    folder: str = ""  # copies of others' work; below the journal's folder if empty
-    count: Annotated[int, Field(ge=1, le=8)] = 2  # R
-    need: Annotated[int, Field(ge=1, le=8)] = 1  # W
+    listen: Address  # all nodes use the same port; others reach it at the host of `[members] advertise`
+    folder: str = ""  # for replicas of other nodes' journals; if empty, below the journal's folder
+    count: Annotated[int, Field(ge=1, le=8)] = 2  # R, how many replicas
+    need: Annotated[int, Field(ge=1, le=8)] = 1  # W, how many must acknowledge
     ack_s: Annotated[float, Field(ge=0.01, le=10)] = 0.3
-    alone: bool = False  # promise on one disk where too few copies are to be had
+    alone: bool = False  # accept messages on one disk if too few replicas are available
     check_s: Annotated[float, Field(ge=0.5, le=86_400)] = 30.0
     stagger_s: Annotated[float, Field(ge=0, le=600)] = 0.5
     patience_s: Annotated[float, Field(ge=0, le=3600)] = 10.0
--- a/pinspread/config/policy_settings.py
+++ b/pinspread/config/policy_settings.py
@@ -1,7 +1,8 @@
-"""The policy's settings, read from path=value lines.
+"""Reads the policy's settings from path=value lines.
 
-That is the form of the simulator's wire; the platform's configuration file has the same settings nested, and
-`flatten` gives their lines. Keys and values are the platform's: they are mapped to the policy's fields here.
+The simulator's wire carries settings in this format. The platform's configuration file has the same settings
+as nested objects, which `flatten` converts to such lines. Keys and values are named by the platform; this
+module maps them to the policy's fields.
 """
 
 import math
@@ -18,17 +19,17 @@
     TrafficClass,
 )
 
-_MAX_COUNT = 10_000  # of items that the settings number
+_MAX_COUNT = 10_000  # largest number of items in a numbered list
 
 T = TypeVar("T")
 
 
 class PolicySettingsError(PinspreadError, ValueError):
-    """A line of the settings is missing or cannot be read; the text names its path."""
+    """A line of the settings is missing or malformed; the text names its path."""
 
 
 def flatten(value: object, path: str = "") -> Iterator[str]:
-    """Nested settings as the path=value lines of the simulator's wire."""
+    """Convert nested settings to the path=value lines of the simulator's wire."""
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from flatten(inner, f"{path}.{name}" if path else name)
@@ -37,19 +38,19 @@
         for n, inner in enumerate(value):
             yield from flatten(inner, f"{path}.{n}")
     elif isinstance(value, list):
-        yield f"{path}={','.join(map(_plain, value))}"
+        yield f"{path}={','.join(map(_format_value, value))}"
     else:
-        yield f"{path}={_plain(value)}"
+        yield f"{path}={_format_value(value)}"
 
 
-def _plain(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
 class _SettingLines:
-    """The path=value lines of the settings; a missing or ill-formed key is named."""
+    """The path=value lines of the settings; errors name the path of a missing or malformed line."""
 
     def __init__(self, text: bytes) -> None:
         try:
@@ -59,7 +60,11 @@
         self.values = dict(line.split("=", 1) for line in lines if "=" in line)
 
     def get(self, path: str, parse: Callable[[str], T], default: T | None = None) -> T:
-        """The value of a path; one without a default must be there."""
+        """The parsed value of a path, or `default` if the path is missing.
+
+        Raises:
+            PolicySettingsError: The path is missing and has no default, or its value is malformed.
+        """
         if path not in self.values:
             if default is not None:
                 return default
@@ -70,7 +75,7 @@
             raise PolicySettingsError(f"settings: {path} cannot be {self.values[path]!r}") from None
 
     def count(self, path: str, default: int | None = None) -> int:
-        """How many numbered items there are below a path."""
+        """The number of items in the numbered list at a path."""
         return self.get(f"{path}.count", _count, default)
 
 
@@ -109,11 +114,11 @@
 
 
 def read_settings(text: bytes) -> tuple[Settings, tuple[str, ...]]:
-    """Read the settings of an instance: the policy's settings and the names of the report fields.
+    """Read the settings of an instance: the policy's settings, and the names of the load report's fields.
 
     Raises:
-        PolicySettingsError: A line is missing or cannot be read.
-        ValueError: The settings do not fit together.
+        PolicySettingsError: A line is missing or malformed.
+        ValueError: The settings are inconsistent.
     """
     lines = _SettingLines(text)
     get = lines.get
@@ -156,13 +161,13 @@
 def _read_class(lines: _SettingLines, lane: str) -> TrafficClass:
     get = lines.get
     effect = get(lane + "effect", Idempotency)
-    keyed = effect is Idempotency.WITH_KEY
+    idempotent_by_key = effect is Idempotency.WITH_KEY
     return TrafficClass(
         latency_objective_ns=get(lane + "aimNs", int),
         deadline_ns=get(lane + "deadlineNs", int),
         effect=effect,
-        group=get(lane + "group", DeduplicationScope) if keyed else DeduplicationScope.ALL,
-        deduplication_window_ns=get(lane + "windowNs", int) if keyed else 0,
+        group=get(lane + "group", DeduplicationScope) if idempotent_by_key else DeduplicationScope.ALL,
+        deduplication_window_ns=get(lane + "windowNs", int) if idempotent_by_key else 0,
         late_value_share=get(lane + "lateShare", _number, 0.0),
         priority_weight=get(lane + "value", _number, 1.0),
         in_order=get(lane + "serialByKey", _flag, False),
@@ -177,4 +182,4 @@
     bundle_sizes = lines.get("specifics.bundleMax", _integers)
     limits_per_endpoint = lines.get("specifics.kindApart", _flags)
     pairs = zip(limits_per_endpoint, bundle_sizes, strict=False)
-    return [DestinationKind(apart, bundle_size) for apart, bundle_size in pairs]
+    return [DestinationKind(separate_limits, bundle_size) for separate_limits, bundle_size in pairs]
--- a/pinspread/config/settings.py
+++ b/pinspread/config/settings.py
@@ -1,7 +1,7 @@
 """The platform's configuration, read from the file that `RELAY_CONFIG` names.
 
-The file's keys and the names in the environment are the platform's; this module maps them to the fields of
-`EffectiveSettings`, and by way of `policy_settings.py` to the policy's settings.
+The file's keys and the environment variables are named by the platform. This module maps them to the fields
+of `EffectiveSettings`; `policy_settings.py` maps those that concern the policy.
 """
 
 import re
@@ -20,11 +20,11 @@
 BYTES_PER_MB = 1_000_000
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
-LIMIT_REPORT_FIELDS = {"x0", "x1"}  # what is left of a limit, and the limit
+LIMIT_REPORT_FIELDS = {"x0", "x1"}  # the unused part of a limit, and the limit
 
 
 class SettingsError(PinspreadError, ValueError):
-    """The configuration cannot be used; the text names the place."""
+    """The configuration is unusable; the text names the file or the setting."""
 
 
 @dataclass(slots=True)
@@ -33,26 +33,27 @@
 
     Attributes:
         name: The node's name.
-        listen: Where clients are served over RESP2, as host:port; empty: not at all.
-        discovery: The platform's address, for the endpoint list and notifications.
-        state: The folder that lasts.
-        seed: Of the random numbers.
-        disk_bytes: Room in that folder.
+        listen: The address for clients over RESP2, as host:port; if empty, they are not served.
+        discovery: The platform's address, for the endpoint list and for notifications.
+        state: The persistent state folder.
+        seed: The seed of the random numbers.
+        disk_bytes: How much disk space the state folder may take.
         sockets: How many descriptors the node may use.
         memory_bytes: How much memory it may use.
-        cached_endpoints: The endpoint list of the file, which may be old.
-        policy_settings: What the delivery policy goes by.
-        delivery_rules: By the name of a class, the rules of what is accepted under it.
-        tenants: By name, the place in the policy's settings; so are `kinds` and `zones`.
-        kinds: Kinds of destinations.
-        zones: Zones of endpoints.
-        connect_timeout_us: For a connection to an endpoint, in microseconds.
+        cached_endpoints: The endpoint list in the file, which may be out of date.
+        policy_settings: The settings of the delivery policy.
+        delivery_rules: The rules for messages of each class, by its name.
+        tenants: The index of each tenant in the policy's settings, by its name.
+        kinds: The index of each kind of destination, by its name.
+        zones: The index of each zone of endpoints, by its name.
+        connect_timeout_us: Time limit to connect to an endpoint, in microseconds.
         keepalive_us: How long idle connections to endpoints are kept, in microseconds.
-        admin: Where the admin server listens; empty: it is off.
-        load_reports_enabled: Answers tell what is left of a limit, and the limit.
-        inherited_listener_descriptor: Of a listening socket that the platform holds; None without one.
-        setting_paths: Paths of the settings in the file that are no lists.
-        raw: The file as it was read; empty if there was none.
+        admin: The address of the admin server; if empty, it is off.
+        load_reports_enabled: Whether answers report a limit and its unused part.
+        inherited_listener_descriptor: The descriptor of a listening socket that the platform holds; None
+            without one.
+        setting_paths: The paths of the settings in the file, without those inside lists.
+        raw: The contents of the file; empty if the settings come from elsewhere.
     """
 
     name: str
@@ -79,25 +80,25 @@
 
     @property
     def max_retry_after_ms(self) -> int:
-        """The longest Retry-After that clients are given, in milliseconds."""
+        """The longest Retry-After that is sent to clients, in milliseconds."""
         return self.policy_settings.max_retry_after_ns // NS_PER_MS
 
 
 def from_environment(
     environment: Mapping[str, str], last: EffectiveSettings | None = None
 ) -> EffectiveSettings:
-    """The configuration file, with the environment's word where both speak (but for discovery).
+    """Read the configuration file; except for discovery, environment variables override its values.
 
     Args:
-        environment: Names the file by `RELAY_CONFIG`.
-        last: The settings in force; a file that lacks a setting of those is refused.
+        environment: The environment variables; `RELAY_CONFIG` names the file.
+        last: The settings in effect; a file that lacks one of their paths is refused.
 
     Raises:
-        SettingsError: The file cannot be read or used.
+        SettingsError: The file cannot be read, or is unusable.
     """
     path = environment.get("RELAY_CONFIG")
     if not path:
-        raise SettingsError("RELAY_CONFIG names no configuration file")
+        raise SettingsError("RELAY_CONFIG is not set; it must name the configuration file")
     try:
         with open(path, "rb") as file:
             raw = file.read()
@@ -111,14 +112,14 @@
 
 
 def _check_complete(effective: EffectiveSettings, last: EffectiveSettings, path: str) -> None:
-    """Refuse a file that has lost settings: many have a default, which would count unnoticed."""
+    """Refuse a file that lacks settings which the last one had: defaults would replace them unnoticed."""
     missing = sorted(last.setting_paths - effective.setting_paths)
     if missing:
-        raise SettingsError(f"{path}: {', '.join(missing)} is missing; the settings in force have it")
+        raise SettingsError(f"{path}: {', '.join(missing)} is missing, but is set in the settings in effect")
 
 
 def read(document: dict[str, Any], environment: Mapping[str, str]) -> EffectiveSettings:
-    """The configuration from its JSON object; SettingsError if it cannot be used."""
+    """Read the configuration from its JSON object; SettingsError if it is unusable."""
     try:
         return _read(document, environment)
     except KeyError as error:
@@ -135,7 +136,7 @@
     return EffectiveSettings(
         name=environment.get("RELAY_NAME") or document["name"],
         listen=environment.get("RELAY_LISTEN") or document["listen"],
-        # The file is replaced while the process runs, and its environment still has the old word.
+        # The file may be replaced while the process runs, when its environment still has the old address.
         discovery=document["discovery"] if "discovery" in document else environment["RELAY_DISCOVERY"],
         state=environment.get("RELAY_STATE") or document["state"],
         seed=int(str(document["seed"]), 16),
@@ -161,13 +162,13 @@
     rules: dict[str, DeliveryRules] = {}
     for lane, traffic_class in zip(lanes, policy_settings.classes, strict=True):
         if lane["name"] in rules:
-            raise ValueError(f"class {lane['name']!r} is named twice")
+            raise ValueError(f"class name {lane['name']!r} is used twice")
         rules[lane["name"]] = DeliveryRules(traffic_class, policy_settings.max_attempts)
     return rules
 
 
 def _setting_paths(settings: dict[str, Any], path: str = "") -> Iterator[str]:
-    """The paths of what is no list: those may grow and shrink."""
+    """The paths of all settings, without the contents of lists, since lists may grow and shrink."""
     for name, inner in settings.items():
         yield path + name
         if isinstance(inner, dict):
@@ -175,7 +176,7 @@
 
 
 def _descriptor(text: str | None) -> int | None:
-    """The number that a descriptor is named by, alone or behind other words; None without one."""
+    """The descriptor number in a text, which is the last number there; None if there is none."""
     numbers = re.findall(r"\d+", text or "")
     return int(numbers[-1]) if numbers else None
 
--- a/pinspread/config/summary.py
+++ b/pinspread/config/summary.py
@@ -1,4 +1,4 @@
-"""What `pinspread config check` says of a platform's file: what the node will go by, a line each."""
+"""The summary that `pinspread config check` prints of a platform's file: the settings that take effect."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
 
 
 def summary(effective: EffectiveSettings) -> Iterator[str]:
-    """The lines, for whoever checks a deployment before it is served."""
+    """Yield the lines of the summary, for the operator who checks a deployment before it starts."""
     policy = effective.policy_settings
     for name, rules in effective.delivery_rules.items():
         yield _class_line(name, rules)
--- a/pinspread/config/template.py
+++ b/pinspread/config/template.py
@@ -1,8 +1,8 @@
-"""A new application's file."""
+"""The template of a new application's file."""
 
 
 def template(name: str) -> str:
-    """A new application's file, which is well as it is."""
+    """The text of a new application's file, which is valid as it is."""
     return f'''# The node of the application "{name}". Check it with: python -m pinspread config check FILE
 
 [application]
--- a/pinspread/errors.py
+++ b/pinspread/errors.py
@@ -1,16 +1,16 @@
-"""The errors of pinspread that callers are expected to handle."""
+"""Exceptions of the package that callers are expected to handle."""
 
 
 class PinspreadError(Exception):
-    """Base class of the package's own errors."""
+    """Base class of the package's own exceptions."""
 
 
 class RejectedError(PinspreadError):
-    """A message was not accepted, or an operator's request not carried out; it may be sent again later.
+    """A message was not accepted, or an operator's request was not carried out; it may be sent again later.
 
     Attributes:
-        retry_after_ms: When to try again, in milliseconds from now; 0 where no time is given.
-        reason: What went wrong, in plain words for the log.
+        retry_after_ms: How long to wait before trying again, in milliseconds; 0 if no time is given.
+        reason: What went wrong, as text for the log.
     """
 
     def __init__(self, retry_after_ms: int, reason: str):
@@ -24,4 +24,4 @@
 
 
 class JournalFormatError(PinspreadError):
-    """The journal was written by a newer version, whose records this one does not know."""
+    """The journal was written by a newer version, and has records that this version does not know."""
--- a/pinspread/hot_restart/state_codec.py
+++ b/pinspread/hot_restart/state_codec.py
@@ -97,7 +97,7 @@
         for attribute in vars(policy).values()
         if type(attribute) in STATE_CLASSES and _has_undeclared_attributes(attribute)
     ]
-    return [policy, *sorted(components, key=lambda instance: _path(type(instance)))]
+    return [policy, *sorted(components, key=lambda part: _path(type(part)))]
 
 
 def _has_undeclared_attributes(component: object) -> bool:
--- a/pinspread/simhost.py
+++ b/pinspread/simhost.py
@@ -1,4 +1,4 @@
-"""Hosts delivery policies on the simulator's wire: `python -m pinspread.simhost`. No decisions."""
+"""Runs delivery policies for the simulator: `python -m pinspread.simhost`. It makes no decisions itself."""
 
 import sys
 from typing import BinaryIO
@@ -11,7 +11,7 @@
 
 
 def read_exactly(stream: BinaryIO, size: int, what: str) -> bytes:
-    """Read `size` bytes; WireError if the input ends before."""
+    """Read `size` bytes; WireError if the input ends before that."""
     return _complete(stream.read(size), size, what)
 
 
@@ -22,14 +22,14 @@
 
 
 class Host:
-    """The instances of this process, each with a policy of its own."""
+    """The simulated instances that this process runs, each with its own policy."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
         self._policies: dict[int, DeliveryPolicy] = {}
 
     def answer(self, now_ns: int, count: int, payload: bytes) -> bytes:
-        """Decode one batch, let each instance decide on its events, and give the reply."""
+        """Decode one batch, let each instance's policy handle its events, and return the encoded reply."""
         turns = self._turns(count, payload)
         records: list[bytes] = []
         for instance, events in turns.items():
@@ -40,7 +40,7 @@
         return encoder.reply(records)
 
     def _turns(self, count: int, payload: bytes) -> dict[int, list[Event]]:
-        """The events of each instance; those that start or stop are carried out on the way."""
+        """The events of each instance, in order; starts and stops of instances are carried out here."""
         turns: dict[int, list[Event]] = {}
         for instance, event in self._decoder.batch(count, payload):
             if isinstance(event, Start):
@@ -56,7 +56,7 @@
         return turns
 
     def _actions(self, instance: int, now_ns: int, events: list[Event]) -> list[bytes]:
-        """The records of an instance's actions, or of its failure, which ends no other instance."""
+        """The records of an instance's actions; an exception becomes a record, and other instances go on."""
         try:
             return [encoder.encode(action) for action in self._policies[instance].handle(now_ns, events)]
         except Exception as error:
@@ -64,7 +64,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batch after batch until the input ends; WireError on bad input."""
+    """Answer batches until the input ends; WireError on malformed input."""
     host = Host()
     frame = 0
     while header := source.read(BATCH_HEADER.size):
@@ -83,7 +83,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; plain words and a non-zero exit on bad input."""
+    """Serve on standard input and output; on malformed input, print one line and return non-zero."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/pinspread/simulator_wire/__init__.py
+++ b/pinspread/simulator_wire/__init__.py
@@ -1,5 +1,6 @@
-"""The simulator's wire: batches of events in, replies of actions out. No decisions.
+"""The simulator's wire protocol: batches of events come in, replies with actions go out. No decisions.
 
-Times are nanoseconds, but a Retry-After is in milliseconds on the wire. Keys and codes are the simulator's;
-only this package knows them. The settings that a batch carries are read by `config/policy_settings.py`.
+Times on the wire are in nanoseconds, except that a Retry-After is in milliseconds. Keys and codes are defined
+by the simulator; only this package knows them. The settings in a batch are read by
+`config/policy_settings.py`.
 """
--- a/pinspread/simulator_wire/decoder.py
+++ b/pinspread/simulator_wire/decoder.py
@@ -1,7 +1,7 @@
 """Decodes batches into events of the policy.
 
-A batch is decoded as a whole before anything acts on it; whatever is malformed raises `WireError` with one
-line that says what and where.
+A batch is decoded as a whole before anything acts on it. Malformed data raises `WireError` with a one-line
+text that says what is malformed, and where.
 """
 
 import math
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class Start:
-    """An instance begins: its seed and settings, and the names of the fields in load reports."""
+    """An instance starts, with its seed, its settings and the names of the fields in load reports."""
 
     seed: int
     settings: Settings
@@ -58,35 +58,38 @@
 
 
 class _Reader:
-    """Walks over a batch's records and refuses to read past its end."""
+    """Reads a batch's records in order, and refuses to read past its end."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.position = 0
 
     def take(self, layout: struct.Struct, what: str) -> tuple[Any, ...]:
-        """The values of one layout; `what` names the record in an error."""
+        """Read the values of one layout; `what` names the record in an error."""
         end = self.position + layout.size
         if end > len(self.data):
             left = len(self.data) - self.position
-            raise WireError(f"byte {self.position}: {what} needs {layout.size} bytes, {left} are left")
+            raise WireError(f"byte {self.position}: {what} needs {layout.size} bytes, but {left} are left")
         values = layout.unpack_from(self.data, self.position)
         self.position = end
         return values
 
     def take_bytes(self, count: int, what: str) -> bytes:
-        """So many bytes, as the record itself counts them."""
+        """Read `count` bytes, a number that the record itself gives; `what` names the record in an error."""
         end = self.position + count
         if end > len(self.data):
             left = len(self.data) - self.position
-            raise WireError(f"byte {self.position}: {what} counts {count} bytes, {left} are left")
-        piece = self.data[self.position : end]
+            raise WireError(f"byte {self.position}: {what} counts {count} bytes, but {left} are left")
+        taken_bytes = self.data[self.position : end]
         self.position = end
-        return piece
+        return taken_bytes
 
 
 class Decoder:
-    """Turns batches into (instance, event) pairs; keeps the numbered lists and the names of report fields."""
+    """Decodes batches into (instance, event) pairs.
+
+    It keeps what later batches refer to: the numbered endpoint lists and the names of report fields.
+    """
 
     def __init__(self) -> None:
         self._lists: dict[int, list[EndpointEntry]] = {}
@@ -107,7 +110,7 @@
     def batch(self, count: int, payload: bytes) -> list[tuple[int, Event]]:
         """Decode one batch's records, in order."""
         reader = _Reader(payload)
-        found: list[tuple[int, Event]] = []
+        decoded_events: list[tuple[int, Event]] = []
         instance: int | None = None
         for record in range(count):
             (code,) = reader.take(_U8, f"record {record} of {count}")
@@ -119,18 +122,18 @@
                 else:
                     instance, event = self._event(code, reader, instance)
                     if event is not None:
-                        found.append((instance, event))
+                        decoded_events.append((instance, event))
             except WireError as error:
                 raise WireError(f"record {record} (code {code}): {error}") from None
         if reader.position != len(payload):
             left = len(payload) - reader.position
             raise WireError(f"{left} bytes are left after the last of {count} records")
-        return found
+        return decoded_events
 
     def _event(self, code: int, reader: _Reader, instance: int | None) -> tuple[int, Event | None]:
-        """The event of one record, if it has one, with the instance that it is for."""
+        """The event of one record, with its instance; the event is None for records that are skipped."""
         if instance is None:
-            raise WireError("an event before any ON")
+            raise WireError("an event before any ON, which names the instance")
         read = self._read_event.get(code)
         if read is None:
             raise WireError("unknown event code")
@@ -159,7 +162,7 @@
         if scope is UpdateScope.FAILED:
             return EndpointsChanged(scope, [])
         if number not in self._lists:
-            raise WireError(f"FLEET refers to list {number}, which never came")
+            raise WireError(f"FLEET refers to endpoint list {number}, which never came")
         return EndpointsChanged(scope, self._lists[number])
 
     def _read_result(self, reader: _Reader, instance: int) -> AttemptCompleted:
@@ -187,7 +190,7 @@
         return HealthCheckCompleted(endpoint, _member(Outcome, code, "verdict"), elapsed_ns)
 
     def _read_report(self, reader: _Reader, size: int, instance: int) -> tuple[float, float]:
-        """The fraction of the limit that is left, and the limit, where the load report holds them."""
+        """The unused fraction of the limit, and the limit; each is 0 if the load report lacks it."""
         values = struct.unpack(f">{size}f", reader.take_bytes(4 * size, "load report"))
         named = dict(zip(self._report_fields.get(instance, ()), values, strict=False))
         return named.get("x0", 0.0), named.get("x1", 0.0)
@@ -200,8 +203,10 @@
 
 def _read_job_in(reader: _Reader, instance: int) -> MessageAccepted:
     request, class_index, tenant, key, deadline_ns, _, destination, _ = reader.take(_JOB, "JOB_IN")
-    known = math.isfinite(destination)
-    return MessageAccepted(request, class_index, int(destination) if known else -1, deadline_ns, key, tenant)
+    has_destination = math.isfinite(destination)
+    return MessageAccepted(
+        request, class_index, int(destination) if has_destination else -1, deadline_ns, key, tenant
+    )
 
 
 def _read_wakeup(reader: _Reader, instance: int) -> TimerFired:
@@ -217,12 +222,12 @@
 
 
 def _skip_started(reader: _Reader, instance: int) -> None:
-    """No class here is streamed."""
+    """Skip the record, since no traffic class here is streamed."""
     reader.take(_STARTED, "STARTED")
 
 
 def _skip_neighbour_says(reader: _Reader, instance: int) -> None:
-    """Other instances are not listened to."""
+    """Skip the record, since messages from other instances are not used."""
     reader.take(_U32, "NEIGHBOUR_SAYS")
     (size,) = reader.take(_U16, "NEIGHBOUR_SAYS")
     reader.take_bytes(size, "NEIGHBOUR_SAYS")
--- a/pinspread/simulator_wire/encoder.py
+++ b/pinspread/simulator_wire/encoder.py
@@ -22,13 +22,13 @@
 
 
 def fault(text: str) -> bytes:
-    """The record that declares that the policy's code failed."""
+    """The record that reports an exception in the policy's code."""
     data = text.encode("utf-8", "replace")[:_MAX_FAULT_BYTES]
     return _FAULT.pack(ActionCode.FAULT, len(data)) + data
 
 
 def encode(action: Action) -> bytes:
-    """One action as a record; TypeError if it is none."""
+    """Encode an action as a record; TypeError if it is not an action."""
     encoder = _ENCODERS.get(type(action))
     if encoder is None:
         raise TypeError(f"no record for {action!r}")
@@ -47,7 +47,7 @@
 
 
 def reply(records: Iterable[bytes]) -> bytes:
-    """A whole reply of encoded records."""
+    """Encode a whole reply from its records."""
     encoded = list(records)
     body = b"".join(encoded)
     return REPLY_HEADER.pack(len(body), len(encoded)) + body
--- a/pinspread/simulator_wire/protocol.py
+++ b/pinspread/simulator_wire/protocol.py
@@ -5,9 +5,9 @@
 
 from pinspread.errors import PinspreadError
 
-BATCH_HEADER = struct.Struct(">IIQ")  # records, bytes, clock
-REPLY_HEADER = struct.Struct(">II")  # bytes, records
-MAX_BATCH_BYTES = 1 << 30  # no honest batch comes near this size
+BATCH_HEADER = struct.Struct(">IIQ")  # number of records, size in bytes, time in nanoseconds
+REPLY_HEADER = struct.Struct(">II")  # size in bytes, number of records
+MAX_BATCH_BYTES = 1 << 30  # far larger than any valid batch
 
 
 class EventCode(IntEnum):
--- a/pinspread/standalone.py
+++ b/pinspread/standalone.py
@@ -1,6 +1,6 @@
-"""Serving off the platform: a node made from an application's file.
+"""Serving without the platform: a node that is configured by an application's file.
 
-Membership, leases and replication are imported only where the file has their tables.
+Membership, leases and replication are imported only if the file has their tables.
 """
 
 import os
@@ -25,11 +25,11 @@
 
 
 def service_options(path: str, seed: int, early_sighup: Sequence[bool]) -> ServiceOptions:
-    """What a process that serves this file is made of; its state folder is made if it is not there.
+    """The options of a service that is configured by this file; its state folder is created if missing.
 
     Raises:
-        SettingsError: The file, or the password's file that it names, cannot be used.
-        OSError: The state folder cannot be made.
+        SettingsError: The file is unusable, or the password file that it names cannot be read.
+        OSError: The state folder cannot be created.
     """
     file = application.load(path)
     Path(file.journal.folder).mkdir(parents=True, exist_ok=True)
@@ -54,12 +54,12 @@
 
 
 def records(file: File) -> Records:
-    """The source of the file's DNS-SD records."""
+    """The source of DNS-SD records that the file names."""
     return Records(file.discovery.domain, file.discovery.zone_file, file.discovery.server)
 
 
 def amqp_login(brokers: Brokers) -> str:
-    """The response of AMQP's PLAIN mechanism; SettingsError if the password cannot be read."""
+    """The response of AMQP's PLAIN mechanism; SettingsError if the password file cannot be read."""
     if not brokers.password_file:
         return f"\0{brokers.user}\0guest"
     try:
@@ -70,7 +70,7 @@
 
 
 def background_services(file: File) -> list[BackgroundService]:
-    """Membership, leases and replication, as far as the file turns them on; each needs those before it."""
+    """Membership, leases and replication, if the file turns them on; each needs those before it."""
     services: list[BackgroundService] = []
     if file.members:
         from pinspread.membership.service import MembershipService
@@ -91,7 +91,7 @@
 
 
 def membership_config(members: Members) -> "MembershipConfig":
-    """What `pinspread.membership` runs by."""
+    """The configuration of `pinspread.membership`."""
     from pinspread.membership.service import MembershipConfig
     from pinspread.membership.swim import SwimConfig
 
@@ -120,7 +120,7 @@
 
 
 def lease_config(leases: Leases, folder: str) -> "LeaseConfig":
-    """What `pinspread.leases` runs by; what lasts goes below `folder`."""
+    """The configuration of `pinspread.leases`, which stores its data below `folder`."""
     from pinspread.leases.service import LeaseConfig, LeaseTask
     from pinspread.leases.state_machine import LeaseTerms
 
@@ -145,7 +145,7 @@
 
 
 def replication_config(copies: Copies, folder: str) -> "ReplicationConfig":
-    """What `pinspread.replication` runs by; what lasts goes below `folder` unless the file names another."""
+    """The configuration of `pinspread.replication`; it stores data below `folder` or where the file says."""
     from pinspread.replication.config import ReplicationConfig
 
     return ReplicationConfig(
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -71,8 +71,8 @@
         state = rig.engine.pause_for_handover(SimpleNamespace())
         assert {*state, "discovery"} == set(state_codec.STATE_KEYS)
         assert state[state_codec.POLICY_KEY] is rig.engine.policy
-        snapshot = DiscoveryClient("127.0.0.1:1", rig.engine, rig.engine.settings).snapshot()
-        assert set(snapshot) == set(state_codec.DISCOVERY_STATE_KEYS)
+        discovery_state = DiscoveryClient("127.0.0.1:1", rig.engine, rig.engine.settings).snapshot()
+        assert set(discovery_state) == set(state_codec.DISCOVERY_STATE_KEYS)
         rig.engine.cancel_handover()
 
 
