--- a/tests/test_predecessor_reports.py
+++ b/tests/test_predecessor_reports.py
@@ -1,4 +1,4 @@
-"""What a new process makes of the old one's reports: two engines and their real link in one process."""
+"""How a new process handles the old one's reports: two engines and their real link in one process."""
 
 import socket
 from collections import Counter
@@ -16,9 +16,9 @@
 
 pytestmark = pytest.mark.anyio
 
-SETTLE_S = 0.3  # a message that may be sent again goes out well within it
-RUNNING = "running"  # the message whose call goes on in the old process
-ANSWERED = "answered"  # the message whose call the endpoint answers at once after the hand-over
+SETTLE_S = 0.3  # a message that may be sent again is sent well within this time
+RUNNING = "running"  # the message whose call is still running in the old process
+ANSWERED = "answered"  # the message whose call the endpoint answers right after the handover
 
 MALFORMED_REPORTS = {
     "not JSON": (PacketKind.ATTEMPT_COMPLETED, b"[1, 0, {"),
@@ -48,7 +48,7 @@
 
 
 class Endpoint(HttpStandIn):
-    """Answers the first call of each message when the test says so, and all others at once."""
+    """Answers the first call of each message once the test releases it, and all others at once."""
 
     def __init__(self):
         super().__init__(self.answer)
@@ -65,7 +65,7 @@
 
 
 class Upgrade:
-    """An old and a new engine, the old one's calls still in flight; the test sends its reports by hand."""
+    """An old and a new engine, with the old one's calls still in flight; the test sends its reports."""
 
     def __init__(self, endpoint, new, new_link, successor):
         self.endpoint = endpoint
@@ -75,26 +75,26 @@
         self.link = successor.link
 
     async def report_queued(self):
-        """Send the reports that the old engine has made."""
+        """Send the reports that the old engine has queued."""
         while self.successor.queue:
             await self.link.send(*self.successor.queue.popleft())
 
     async def end_call(self, id_):
-        """Have the endpoint answer, and the old engine's report of that sent."""
+        """Have the endpoint answer a call, and send the old engine's report of that."""
         self.endpoint.released[id_].set()
         await until(lambda: self.successor.queue)
         await self.report_queued()
 
     def is_over(self, id_):
-        """Whether nothing is owed for a message any more."""
+        """Whether a message has ended and its final result was acknowledged."""
         return id_ not in self.new.engine.messages_by_id
 
 
 @asynccontextmanager
 async def upgraded(folder, monkeypatch, ids=(RUNNING, ANSWERED), class_name="status-update", **message):
-    """A hand-over with a call of each of these messages in flight in the old engine."""
+    """Hand over while a call of each of these messages is in flight in the old engine."""
     endpoint = Endpoint()
-    ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    old_socket, new_socket = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     platform = HttpStandIn(lambda request: (204 if request[2] == "/v2/finals" else 503, [], b""))
     async with (
         standing(endpoint) as address,
@@ -105,9 +105,9 @@
         for id_ in ids:
             assert await client.enqueue(class_name, id_, **message) == "+OK\r\n"
             await until(lambda id_=id_: endpoint.calls[id_])
-        successor = source.Successor(Link(ours))
+        successor = source.Successor(Link(old_socket))
         packed = state_codec.pack_state(dict(old.engine.pause_for_handover(successor)))
-        monkeypatch.setattr(old.engine.journal, "close", lambda: None)  # the hand-over has closed it
+        monkeypatch.setattr(old.engine.journal, "close", lambda: None)  # the handover has already closed it
 
         def resume(new_engine):
             new_engine.journal.read()
@@ -115,10 +115,10 @@
 
         monkeypatch.setattr(DeliveryEngine, "recover", resume)
         async with engine(folder, platform_address) as new:
-            link = Link(theirs)
+            link = Link(new_socket)
             new.tasks.start_soon(Predecessor(link, new.engine, new.engine.clock).follow)
             yield Upgrade(endpoint, new, link, successor)
-        ours.close()
+        old_socket.close()
 
 
 @pytest.mark.parametrize("name", MALFORMED_REPORTS)
@@ -130,7 +130,7 @@
         await upgrade.end_call(ANSWERED)
         await until(lambda: upgrade.is_over(ANSWERED))
         assert not upgrade.is_over(RUNNING)
-        upgrade.link.close()  # the end of the old process, and only that
+        upgrade.link.close()  # only this is the end of the old process
         await until(lambda: upgrade.is_over(RUNNING))
         assert upgrade.endpoint.calls == {RUNNING: 2, ANSWERED: 1}
 
@@ -139,7 +139,7 @@
 async def test_a_malformed_fragment_sends_nothing_again(tmp_path, monkeypatch, fragment):
     async with upgraded(tmp_path, monkeypatch) as upgrade:
         upgrade.link.sock.send(fragment)
-        upgrade.link.sock.send(b"\x0a\x00[]")  # of another kind than a fragment that is to be continued
+        upgrade.link.sock.send(b"\x0a\x00[]")  # its kind differs from that of a fragment that it continues
         await anyio.sleep(SETTLE_S)
         await upgrade.end_call(ANSWERED)
         await until(lambda: upgrade.is_over(ANSWERED))
@@ -173,7 +173,7 @@
     async with upgraded(tmp_path, monkeypatch) as upgrade:
 
         async def without_answer(id_):
-            raise TimeoutError  # as when this process hands over itself, and the next one hangs
+            raise TimeoutError  # as when this process has handed over too, and the next process hangs
 
         monkeypatch.setattr(upgrade.new.engine, "disable", without_answer)
         await upgrade.link.send(PacketKind.SET_ENDPOINT_DISABLED, b'["s-1", true, 0]')
@@ -185,27 +185,27 @@
 
 @pytest.mark.parametrize("data", [b"", b"[", b"7", b"[0]", b"[9, true]", b"[[], true]", b'[0, "yes"]'])
 async def test_a_malformed_answer_does_not_end_the_old_processs_reports(data):
-    here, there = (Link(one) for one in socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET))
-    successor = source.Successor(here)
+    successor_link, peer_link = (
+        Link(socket_end) for socket_end in socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    )
+    successor = source.Successor(successor_link)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(successor.run)
-        await there.send(PacketKind.ENDPOINT_DISABLED, data)
+        await peer_link.send(PacketKind.ENDPOINT_DISABLED, data)
         await anyio.sleep(0.05)
         successor.apply_retry_after("s-1", 7)
         with anyio.fail_after(1):
-            assert (await there.receive()).kind == PacketKind.RETRY_AFTER
+            assert (await peer_link.receive()).kind == PacketKind.RETRY_AFTER
         tasks.cancel_scope.cancel()
-    here.close()
-    there.close()
+    successor_link.close()
+    peer_link.close()
 
 
 async def test_reports_count_though_the_old_process_ended_with_an_answer_unread(tmp_path, monkeypatch):
     async with upgraded(tmp_path, monkeypatch, (ANSWERED,), "payment") as upgrade:
         upgrade.endpoint.released[ANSWERED].set()
         await until(lambda: upgrade.successor.queue)
-        upgrade.new_link.sock.send(
-            b"\x0d\x00[0,true]"
-        )  # before the reports, so that they lie behind the reset
+        upgrade.new_link.sock.send(b"\x0d\x00[0,true]")  # before the reports, so that the reset precedes them
         await upgrade.report_queued()
         upgrade.link.close()
         message = upgrade.new.engine.messages_by_id[ANSWERED]
@@ -216,7 +216,7 @@
 @pytest.mark.parametrize("end", ["its report", "the end of its process"])
 async def test_a_returned_message_is_not_accepted_again_while_its_call_may_go_on(tmp_path, monkeypatch, end):
     async with upgraded(tmp_path, monkeypatch, (RUNNING,), for_ms=400) as upgrade:
-        await until(lambda: upgrade.is_over(RUNNING))  # returned, and the client has heard it
+        await until(lambda: upgrade.is_over(RUNNING))  # returned, and the client was notified
         client = Client(upgrade.new.address)
         assert (await client.enqueue("status-update", RUNNING)).startswith("-BUSY")
         assert await client.enqueue("status-update", ANSWERED) == "+OK\r\n"
