--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration tool and DNS-SD, from a zone file and from a stand-in server on loopback."""
+"""The configuration tool; and DNS-SD, from a zone file and from a stand-in server on loopback."""
 
 import socket
 import threading
@@ -50,7 +50,7 @@
     path = str(tmp_path / "booking.toml")
     assert main(["config", "write", "booking", "--file", path]) == 0
     assert main(["config", "check", path]) == 0
-    assert main(["config", "write", "booking", "--file", path]) == 2  # not over what is there
+    assert main(["config", "write", "booking", "--file", path]) == 2  # an existing file is not overwritten
     assert main(["config", "write", "no name", "--file", path + "2"]) == 2
     assert main(["config", "check", path + "3"]) == 2
     assert "application.name" in capsys.readouterr().err
@@ -127,7 +127,7 @@
     effective_settings = application.effective_settings(application.load(str(path)), seed=1)
     assert (
         effective_settings.inherited_listener_descriptor is None
-    )  # so no second process ever binds membership's port beside the first
+    )  # so that no second process binds membership's port while the first runs
 
 
 def test_the_couriers_own_records_are_a_zone_that_leads_to_it(tmp_path, capsys):
@@ -202,7 +202,7 @@
         await client.publish("b1", dest=3)
         states = dict([((await client.end())[0]["id"], n) for n in range(2)])
         assert set(states) == {"h1", "b1"} and broker.effects == ["b1"] and len(http_endpoint.requests) == 1
-        (tmp_path / "z").write_text("not a zone")  # the list stays as it was
+        (tmp_path / "z").write_text("not a zone")  # the endpoint list stays as it was
         await until(lambda: rig.engine.endpoints)
         assert rig.engine.endpoints["Lodge\\032One._http._tcp.partners.example."].usable
 
@@ -237,21 +237,21 @@
 )
 def test_a_command_answers_to_its_standard_name_as_to_its_former_one(standard, former, capsys):
     assert main(standard) == main(former)
-    said, before = capsys.readouterr().err.splitlines()
-    assert said.replace(standard[0], former[0]) == before
+    output, former_output = capsys.readouterr().err.splitlines()
+    assert output.replace(standard[0], former[0]) == former_output
 
 
 @pytest.mark.parametrize(("standard", "former"), [("simulate", "fleet"), ("testbed", "stage")])
 def test_a_tool_answers_to_its_standard_name_as_to_its_former_one(standard, former, capsys):
-    said = []
+    output = []
     for name in (standard, former):
         assert main([name, "--help"]) == 0
-        said.append(capsys.readouterr().out.replace(f"pinspread {name}", "pinspread NAME"))
-    assert "Usage" in said[0] and said[0].split() == said[1].split()
+        output.append(capsys.readouterr().out.replace(f"pinspread {name}", "pinspread NAME"))
+    assert "Usage" in output[0] and output[0].split() == output[1].split()
 
 
 def test_the_help_shows_the_standard_names(capsys):
     with pytest.raises(SystemExit):
         main(["--help"])
-    said = capsys.readouterr().out
-    assert all(name in said for name in ("simulate (fleet)", "testbed (stage)", "replication (copies)"))
+    output = capsys.readouterr().out
+    assert all(name in output for name in ("simulate (fleet)", "testbed (stage)", "replication (copies)"))
--- a/tests/test_loaded_modules.py
+++ b/tests/test_loaded_modules.py
@@ -1,4 +1,4 @@
-"""Which modules a process loads: nothing that serves needs the simulation or the cluster parts."""
+"""Which modules a process loads: serving must not load the simulation or the cluster packages."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 
 
 def loaded_by(code):
-    """The modules that a process has loaded once it has run the code."""
+    """The names of the modules that a new process has loaded after it has run `code`."""
     run = subprocess.run(
         [sys.executable, "-c", f"import sys\n{code}\nprint(*sys.modules)"],
         capture_output=True,
@@ -38,7 +38,7 @@
         "msgpack",
         "xxhash",
         "pysyncobj",
-    )  # membership only where a file turns it on
+    )  # loaded only if a file turns them on
     assert "pinspread.core.engine" in loaded
     assert [name for name in loaded if name.startswith(heavy)] == []
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change under load: what is refused whole, and which rules a message keeps."""
+"""Settings that change under load: which files are refused as a whole, and which rules a message keeps."""
 
 import copy
 import signal
@@ -23,40 +23,40 @@
 pytestmark = pytest.mark.anyio
 
 
-def lane(name="payment", **more):
-    """A class of the configuration's form."""
-    found = next(n for n in configuration("")["settings"]["lanes"] if n["name"] == "payment")
-    return found | {"name": name} | more
+def lane(name="payment", **overrides):
+    """The settings of a message class, in the platform's format."""
+    payment = next(n for n in configuration("")["settings"]["lanes"] if n["name"] == "payment")
+    return payment | {"name": name} | overrides
 
 
 def test_a_file_cut_off_at_any_byte_is_refused(tmp_path):
     file = tmp_path / "c.json"
     env = {"RELAY_CONFIG": str(file)}
-    whole = orjson.dumps(configuration(tmp_path))
-    file.write_bytes(whole)
+    complete_file = orjson.dumps(configuration(tmp_path))
+    file.write_bytes(complete_file)
     last = settings.from_environment(env)
-    for size in range(len(whole)):
-        file.write_bytes(whole[:size])
+    for size in range(len(complete_file)):
+        file.write_bytes(complete_file[:size])
         with pytest.raises(settings.SettingsError):
             settings.from_environment(env, last)
-    file.write_bytes(whole)
+    file.write_bytes(complete_file)
     assert settings.from_environment(env, last).delivery_rules == last.delivery_rules
 
 
-def without(path):
+def without_key(path):
     def broken(raw_settings):
-        *way, name = path.split(".")
-        for step in way:
+        *parents, name = path.split(".")
+        for step in parents:
             raw_settings = raw_settings[step]
         del raw_settings[name]
 
     return broken
 
 
-def having(path, value):
+def with_value(path, value):
     def broken(raw_settings):
-        *way, name = path.split(".")
-        for step in way:
+        *parents, name = path.split(".")
+        for step in parents:
             raw_settings = raw_settings[int(step) if step.isdigit() else step]
         raw_settings[name] = value
 
@@ -64,16 +64,26 @@
 
 
 BROKEN = [
-    *(without(name) for name in ("settings", "limits", "seed", "known", "settings.lanes", "settings.rules")),
-    *(without(f"settings.{name}") for name in ("weights", "balancers", "projects", "policyLimits.probes")),
-    *(having(f"settings.lanes.1.{n}", v) for n in ("deadlineNs", "aimNs") for v in (0, -1, None, "x", [])),
-    *(having("settings.policyLimits.sendCap", v) for v in (0, -2, None, "many", {}, float("nan"))),
-    having("settings.lanes.1.name", "payment"),
-    having("settings.lanes.1.effect", "sometimes"),
-    having("settings.lanes", []),
-    having("settings.lanes", 7),
-    having("settings", []),
-    having("limits", 3),
+    *(
+        without_key(name)
+        for name in ("settings", "limits", "seed", "known", "settings.lanes", "settings.rules")
+    ),
+    *(
+        without_key(f"settings.{name}")
+        for name in ("weights", "balancers", "projects", "policyLimits.probes")
+    ),
+    *(
+        with_value(f"settings.lanes.1.{n}", v)
+        for n in ("deadlineNs", "aimNs")
+        for v in (0, -1, None, "x", [])
+    ),
+    *(with_value("settings.policyLimits.sendCap", v) for v in (0, -2, None, "many", {}, float("nan"))),
+    with_value("settings.lanes.1.name", "payment"),
+    with_value("settings.lanes.1.effect", "sometimes"),
+    with_value("settings.lanes", []),
+    with_value("settings.lanes", 7),
+    with_value("settings", []),
+    with_value("limits", 3),
 ]
 
 
@@ -104,13 +114,16 @@
 async def test_new_messages_follow_the_new_settings_and_open_ones_keep_theirs(tmp_path):
     down = HttpStandIn(lambda request: (500, [], b""))
     raw_settings = configuration(tmp_path)
-    async with standing(platform()) as heard, standing(down) as address:
-        async with engine(tmp_path, heard, endpoints=[(address,), (address, "s-2", 2)]) as rig:
+    async with standing(platform()) as platform_address, standing(down) as address:
+        async with engine(tmp_path, platform_address, endpoints=[(address,), (address, "s-2", 2)]) as rig:
             client, core = Client(rig.address), rig.engine
             assert await client.enqueue("status-update", "old", for_ms=3500) == "+OK\r\n"
             await until(lambda: down.requests)
             new = copy.deepcopy(raw_settings)
-            new["settings"]["lanes"] = [lane("refund", effect="once"), lane("status-update", effect="once")]
+            new["settings"]["lanes"] = [
+                lane("refund", effect="once"),
+                lane("status-update", effect="once"),
+            ]
             new["settings"]["policyLimits"]["sendCap"] = 1
             core.apply_settings(settings.read(new, {}))
             assert (await client.enqueue("payment")).startswith("-ERR unknown class")
@@ -123,16 +136,17 @@
 async def test_rules_of_a_class_that_was_dropped_last_over_a_restart(tmp_path):
     answers = []
     endpoint = HttpStandIn(lambda request: answers.pop(0) if answers else (500, [], b""))
-    async with standing(platform()) as heard, standing(endpoint) as address:
-        async with engine(tmp_path, heard) as rig:
+    async with standing(platform()) as platform_address, standing(endpoint) as address:
+        async with engine(tmp_path, platform_address) as rig:
             raw_settings = configuration(tmp_path)
             raw_settings["settings"]["lanes"].append(lane("refund", effect="once"))
             rig.engine.apply_settings(settings.read(raw_settings, {}))
             rig.update_endpoints(address, state=0)
             assert await Client(rig.address).enqueue("refund", "kept") == "+OK\r\n"
-        async with engine(tmp_path, heard, endpoints=[(address,)]) as rig:  # whose settings know no refund
+        # The settings of this start have no class refund.
+        async with engine(tmp_path, platform_address, endpoints=[(address,)]) as rig:
             await until(lambda: not rig.engine.messages_by_id)
-    assert len(endpoint.requests) == 1  # an error may have run, and the class must not repeat
+    assert len(endpoint.requests) == 1  # a call that failed may have run, and this class must not be repeated
 
 
 CLASSES = st.builds(
@@ -157,11 +171,11 @@
         journal.recover()
         for n, (step, what) in enumerate(steps, 1):
             if step == "take":
-                t = Message(n, f"id{n}", "c", "", 1, 0, "", 10**15, b"x" * 300, rules=what)
+                message = Message(n, f"id{n}", "c", "", 1, 0, "", 10**15, b"x" * 300, rules=what)
                 try:
-                    journal.message_accepted(t)
+                    journal.message_accepted(message)
                 except JournalFullError:
-                    assert len(wanted) > 14  # so many of this size fill the room for what is owed
+                    assert len(wanted) > 14  # that many fill the journal's room for open messages
                 else:
                     wanted[n] = what
             elif step == "end" and wanted:
@@ -170,26 +184,26 @@
                 journal.message_ended(journal.open_messages[number])
             elif step == "rewrite":
                 journal._rewrite()
-            elif step == "fill":  # up to where the next record makes the file too long
+            elif step == "fill":  # until another record would make the file too long
                 while journal.size_bytes < journal.limit_bytes - 30 * (what + 1):
                     journal.endpoint_blocked("e", bool(journal.size_bytes % 2))
             elif step == "restart":
                 journal.close()
                 journal = Journal(folder, 20_000)
                 journal.recover()
-            assert {n: t.rules for n, t in journal.open_messages.items()} == wanted
+            assert {n: message.rules for n, message in journal.open_messages.items()} == wanted
         journal.close()
 
 
 async def test_a_reload_under_load_and_a_start_with_a_broken_file(tmp_path):
     endpoint = HttpStandIn()
-    async with standing(endpoint) as address, standing(HttpStandIn(lambda r: HEARD)) as heard:
-        process = await Process(tmp_path, address, heard).ready()
+    async with standing(endpoint) as address, standing(HttpStandIn(lambda r: HEARD)) as platform_address:
+        process = await Process(tmp_path, address, platform_address).ready()
         lanes = [*process.configuration["settings"]["lanes"], lane("refund")]
         good = copy.deepcopy(process.configuration)
         process.configure(settings=process.configuration["settings"] | {"lanes": lanes})
-        whole = process.file.read_bytes()
-        for raw in (b"", whole[:-9], whole):  # in quick succession: the last file counts
+        complete_file = process.file.read_bytes()
+        for raw in (b"", complete_file[:-9], complete_file):  # in quick succession: the last file counts
             process.file.write_bytes(raw)
             process.process.send_signal(signal.SIGHUP)
         with anyio.fail_after(5):
@@ -211,8 +225,8 @@
     raw_settings = configuration(tmp_path)
     (tmp_path / "c.json").write_bytes(orjson.dumps(raw_settings))
     assert main(["config", "check", str(tmp_path / "c.json")]) == 0
-    said = capsys.readouterr().out
-    assert "class payment: once" in said and "nothing new 250 ms after a drain" in said
+    output = capsys.readouterr().out
+    assert "class payment: once" in output and "nothing new 250 ms after a drain" in output
     del raw_settings["settings"]["rules"]["drainGraceNs"]
     (tmp_path / "c.json").write_bytes(orjson.dumps(raw_settings))
     assert main(["config", "check", str(tmp_path / "c.json")]) == 2
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: quiet end, plain words on bad input, FAULT on an exception."""
+"""The simulator host as a process: it ends silently; bad input gives one line, and exceptions give FAULT."""
 
 import io
 import struct
@@ -50,8 +50,8 @@
 
 
 def test_empty_batch_and_quiet_end():
-    done = run(frame())
-    assert (done.returncode, done.stdout, done.stderr) == (0, bytes(8), b"")
+    completed = run(frame())
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, bytes(8), b"")
 
 
 def test_a_message_goes_out():
@@ -59,10 +59,10 @@
     rows = b"\x0a" + struct.pack(">HI", 0, 1) + row
     fleet = b"\x01" + struct.pack(">QHB", 1, 0, 2)
     job = b"\x02" + struct.pack(">QBIQQQfH", 99, 0, 0, 0, 10_000_000_000, 0, 57.0, 0)
-    done = run(frame(rows, ON, configure(), fleet, job))
-    size, count = protocol.REPLY_HEADER.unpack(done.stdout[:8])
-    assert done.returncode == 0 and size == len(done.stdout) - 8 and count == 2
-    assert done.stdout[8:12] == encoder.source(3) + b"\x01"  # the call itself
+    completed = run(frame(rows, ON, configure(), fleet, job))
+    size, count = protocol.REPLY_HEADER.unpack(completed.stdout[:8])
+    assert completed.returncode == 0 and size == len(completed.stdout) - 8 and count == 2
+    assert completed.stdout[8:12] == encoder.source(3) + b"\x01"  # the record of the call
 
 
 @pytest.mark.parametrize(
@@ -83,11 +83,11 @@
     ],
 )
 def test_bad_input_is_reported_plainly(data, words):
-    done = run(data)
-    assert done.returncode != 0
-    assert any(word in done.stderr for word in words.split(b"|"))
-    assert done.stderr.count(b"\n") == 1 and b"Traceback" not in done.stderr
-    assert len(done.stdout) % 8 == 0  # whole replies only
+    completed = run(data)
+    assert completed.returncode != 0
+    assert any(word in completed.stderr for word in words.split(b"|"))
+    assert completed.stderr.count(b"\n") == 1 and b"Traceback" not in completed.stderr
+    assert len(completed.stdout) % 8 == 0  # only complete replies
 
 
 def test_exception_in_the_decisions_becomes_a_fault(monkeypatch):
