--- a/pinspread/amqp/server.py
+++ b/pinspread/amqp/server.py
@@ -37,7 +37,7 @@
     """
 
     reports_delivery = True
-    ordered_by_notice = False  # a key goes on once its result is in the journal: consumers may be long away
+    ordered_by_ack = False  # a key goes on once its result is in the journal: consumers may be long away
 
     def __init__(
         self,
--- a/pinspread/core/notifications.py
+++ b/pinspread/core/notifications.py
@@ -39,7 +39,7 @@
 
     def expect(self, message: Message) -> None:
         """Have the key's next message wait for this one's notification, where its front orders them so."""
-        if self._context.fronts[message.front].ordered_by_notice:
+        if self._context.fronts[message.front].ordered_by_ack:
             self.pending[message.key] = self.pending.get(message.key, 0) + 1
 
     def start(self, message: Message) -> None:
@@ -57,7 +57,7 @@
 
     def release(self, message: Message) -> None:
         """Notify nobody of this message, for another node does."""
-        if self._context.fronts[message.front].ordered_by_notice:
+        if self._context.fronts[message.front].ordered_by_ack:
             self._acknowledged(message.key)
 
     async def _notify(self, message: Message, final: FinalResult) -> None:
@@ -72,7 +72,7 @@
         await front.notify(message, final)
         if self._is_released(message):
             return  # while the notification was under way; `release` has done what is left to do here
-        if front.ordered_by_notice:
+        if front.ordered_by_ack:
             self._acknowledged(message.key)
         self.end(message)
 
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -101,12 +101,12 @@
 
     Attributes:
         reports_delivery: Whether clients are notified of DELIVERED too.
-        ordered_by_notice: Whether the next message of a key waits until the client has acknowledged the
+        ordered_by_ack: Whether the next message of a key waits until the client has acknowledged the
             notification of the one before.
     """
 
     reports_delivery: bool
-    ordered_by_notice: bool
+    ordered_by_ack: bool
 
     async def notify(self, message: Message, final: FinalResult) -> None:
         """Notify the client; return once it has acknowledged, and retry until then."""
--- a/pinspread/resp/front.py
+++ b/pinspread/resp/front.py
@@ -41,7 +41,7 @@
     """
 
     reports_delivery = False  # the platform sees a delivery by itself
-    ordered_by_notice = True
+    ordered_by_ack = True
 
     def __init__(
         self,
