--- a/pinspread/core/ownership.py
+++ b/pinspread/core/ownership.py
@@ -159,7 +159,7 @@
         attempt = self._attempts.in_flight.get((number, attempt_number))
         if attempt is not None:
             self._messages.unreported_attempts[number, attempt_number] = attempt.message.id
-            self._attempts.complete(attempt, AttemptResult(Outcome.TIMEOUT, note="its process did not tell"))
+            self._attempts.complete(attempt, AttemptResult(Outcome.TIMEOUT, note="not reported in time"))
 
     def predecessor_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
         """Apply a Retry-After that an endpoint gave the process before."""
--- a/tests/upgrade_deployment.py
+++ b/tests/upgrade_deployment.py
@@ -18,7 +18,7 @@
 from pinspread.policy.events import Outcome
 
 CLOCKS_APART_US = 10_000  # at most, between the Unix times of two processes' logs: each sets its own at start
-UNTOLD = "its process did not tell"  # the note of an attempt that the new process gave up for the old one
+UNTOLD = "not reported in time"  # the note of an attempt that the new process gave up for the old one
 
 
 class Deployment:
