--- a/pinspread/core/journal.py
+++ b/pinspread/core/journal.py
@@ -1,7 +1,7 @@
-"""The journal: an append-only file of what is owed, in the folder that outlasts the process.
+"""The journal: an append-only file of the pending messages, in the state folder.
 
-`journal_records` has the form of its records. Nothing is synced to the disk: written data outlasts the
-process, which is what it has to survive.
+`journal_records` defines the format of the records. Nothing is synced to the disk, because the data only has
+to survive the end of the process, and written data does.
 """
 
 import os
@@ -40,26 +40,28 @@
 from pinspread.core.ports import JournalObserver
 from pinspread.errors import JournalFormatError, JournalFullError
 
-NO_FILE = -1  # in place of a descriptor
-# While the file is rewritten the old one and the new one both count, each in whole blocks of the disk: their
-# sum must stay under the limit. Of one file's share, accepted messages may fill so much and finished ids so
-# much; the rest is for attempts and ends, which are never refused.
-FILE_PERCENT = 48
-OPEN_PERCENT = 85
-FINISHED_PERCENT = 5
+NO_FILE = -1  # value of a descriptor while no file is open
+# During a rewrite the old and the new file exist together, each in whole blocks of the disk, and their sum
+# must stay under the limit. The rest of a file is for records of attempts and ends, which are never refused.
+FILE_PERCENT = 48  # maximum size of one file, of the limit
+OPEN_PERCENT = 85  # of this size, the maximum for pending messages
+FINISHED_PERCENT = 5  # of this size, the maximum for finished ids
 
 
 class Journal:
-    """One file, rewritten with what is still owed when it has grown; old and new together stay in bounds.
+    """One file, rewritten with only its current content when it has grown to its limit.
+
+    The old and the new file together stay within the limit on disk space.
 
     Attributes:
-        path: The file.
-        limit_bytes: How large the file may grow before it is rewritten.
-        size_bytes: How large it is.
-        observer: Is given every byte that is written, if there is one.
-        open_messages: The messages that are owed, by number, in the order in which they were accepted.
-        finished_ids: Ids of messages that have ended, oldest first, with the sizes of their records.
-        blocked_endpoints: Ids of endpoints that operators have taken out of use; the values mean nothing.
+        path: The path of the file.
+        limit_bytes: The size at which the file is rewritten.
+        size_bytes: The current size of the file.
+        observer: Receives every byte that is written, if set.
+        open_messages: The pending messages by number, in the order in which they were accepted; a message is
+            pending until its client has acknowledged the final result.
+        finished_ids: The ids of ended messages, oldest first, with the sizes of their records.
+        blocked_endpoints: The ids of endpoints that operators have disabled; the values are unused.
     """
 
     def __init__(self, folder: str, limit_bytes: int) -> None:
@@ -69,32 +71,32 @@
         self._new_path = Path(folder) / "journal.new"
         self._fd = NO_FILE
         self.resize(limit_bytes)
-        self._forget()
+        self._reset()
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self.size_bytes = 0
         self.open_messages: dict[int, Message] = {}
         self.finished_ids: dict[str, int] = {}
         self.blocked_endpoints: dict[str, None] = {}
-        self._reserved_bytes: dict[int, int] = {}  # of each open message, its progress included
+        self._reserved_bytes: dict[int, int] = {}  # of each pending message, including its progress
         self._open_bytes = 0
         self._finished_bytes = 0
-        self._rules_numbers: dict[DeliveryRules, int] = {}  # of the rules that records name
+        self._rules_numbers: dict[DeliveryRules, int] = {}  # of the rules that records refer to
         self._latest_rules: DeliveryRules | None = None
-        self._rules_read: dict[int, DeliveryRules] = {}  # by number, while the file is read
+        self._rules_read: dict[int, DeliveryRules] = {}  # by number, filled while the file is read
 
     def resize(self, limit_bytes: int) -> None:
-        """Have another limit count from now on; a file that is over it is rewritten at its next record.
+        """Change the limit; a file that exceeds the new limit is rewritten with its next record.
 
         Args:
-            limit_bytes: What the journal may take of the disk.
+            limit_bytes: The disk space that the journal may take.
         """
         self.limit_bytes = limit_bytes * FILE_PERCENT // 100
         self._max_open_bytes = self.limit_bytes * OPEN_PERCENT // 100
         self._max_finished_bytes = self.limit_bytes * FINISHED_PERCENT // 100
 
     def recover(self) -> list[Message]:
-        """Return what is owed, in the order in which it was accepted, and start a new file with it.
+        """Return the pending messages in the order in which they were accepted, and rewrite the file.
 
         Raises:
             JournalFormatError: A newer version wrote the file.
@@ -105,13 +107,13 @@
         return list(self.open_messages.values())
 
     def read(self) -> None:
-        """Read what is owed; nothing is written.
+        """Read the file without writing to it.
 
         Raises:
             JournalFormatError: A newer version wrote the file.
         """
         data = self.path.read_bytes() if self.path.exists() else b""
-        self._forget()
+        self._reset()
         for payload in payloads(data):
             try:
                 record = decode(payload)
@@ -121,47 +123,47 @@
                 self._replay(record, HEADER_BYTES + len(payload))
 
     def begin(self) -> None:
-        """Start a new file with what is owed; from now on this process is the one that writes.
+        """Replace the file by one with the current state; from now on, only this process may write to it.
 
         Raises:
-            JournalFullError: The file can't be written; the old one is still whole.
+            JournalFullError: The new file can't be written; the old one is intact.
         """
-        self._new_path.unlink(missing_ok=True)  # it was never renamed: the old file is still whole
+        self._new_path.unlink(missing_ok=True)  # from an unfinished rewrite; the old file is intact
         self._rewrite()
 
     def close(self) -> None:
-        """Write nothing any more."""
+        """Close the file; nothing can be recorded until `begin` is called."""
         os.close(self._fd)
         self._fd = NO_FILE
 
-    # --- records: all raise JournalFullError where nothing was written ----------------------------
+    # --- records: all raise JournalFullError if nothing was written -------------------------------
 
     def message_accepted(self, message: Message) -> None:
-        """Record a message before its client is answered that it was accepted."""
+        """Record a message before the client is told that it was accepted."""
         record = self._accepted_record(message)
-        reserved_bytes = self._reservation(record)
+        reserved_bytes = self._reserved_size(record)
         self._append(record)
-        self._hold(message, reserved_bytes)
+        self._add_open_message(message, reserved_bytes)
 
     def message_taken_over(self, message: Message) -> None:
-        """Record a message that another node accepted, with what is known of its attempts."""
+        """Record a message that another node accepted, with the known state of its attempts."""
         record = self._accepted_record(message)
-        reserved_bytes = self._reservation(record)
+        reserved_bytes = self._reserved_size(record)
         known = message.attempts or message.may_have_run_unix_us
         self._append(record + (encode_progress(message) if known else b""))
-        self._hold(message, reserved_bytes)
+        self._add_open_message(message, reserved_bytes)
         if message.final:
             self.final_result(message, message.final)
 
     def release(self, messages: Iterable[Message]) -> None:
-        """Drop these: another node took them over. Their ids are finished; the next rewrite has it so."""
+        """Drop messages that another node took over, and mark their ids as finished, for the next rewrite."""
         for message in messages:
             del self.open_messages[message.number]
-            self._free(message)
+            self._free_reservation(message)
             self._add_finished_id(message.id)
 
     def attempt_started(self, message: Message, attempt: int, unix_us: int) -> None:
-        """Record an attempt before the last byte of its call is written, at this Unix time."""
+        """Record an attempt as written at this Unix time, before the last byte of its call is written."""
         message.in_flight_since_unix_us = unix_us
         message.attempts = max(message.attempts, attempt + 1)
         if zone := encode_zone(message):
@@ -169,49 +171,53 @@
         self._append(encode_attempt_started(message, attempt, unix_us))
 
     def attempt_ended(self, message: Message, attempt: int, may_have_run: bool) -> None:
-        """Record that an attempt which was written has ended without ending its message."""
+        """Record that an attempt that was written has ended, and that its message has not."""
         _end_attempt(message, may_have_run)
         self._append(encode_attempt_ended(message, attempt, may_have_run))
 
     def final_result(self, message: Message, result: FinalResult) -> None:
-        """Record a final result that is decided, and of which the client is still to be notified."""
+        """Record a final result, which the client has not been notified of yet."""
         message.final = result
         self._append(encode_final_result(message, result))
 
     def message_ended(self, message: Message) -> None:
-        """Record that nothing is owed for a message any more."""
+        """Record that a message has ended and no notification of it is pending."""
         if self.open_messages.pop(message.number, None) is None:
             return
-        self._free(message)
-        self._remember(message)
+        self._free_reservation(message)
+        self._keep_id_unless_returned(message)
         self._append(encode_message_ended(message))
 
     def endpoint_blocked(self, endpoint_id: str, blocked: bool) -> None:
-        """Record that an endpoint is taken out of use, or back, before the operator is answered."""
+        """Record that an endpoint is disabled or enabled, before the operator gets the reply."""
         self._append(encode_endpoint_blocked(endpoint_id, blocked))
         self._set_blocked(endpoint_id, blocked)
 
-    # --- what is owed -----------------------------------------------------------------------------
+    # --- state ------------------------------------------------------------------------------------
+
+    def _reserved_size(self, record: bytes) -> int:
+        """Return the bytes to reserve for a message in a rewritten file, whatever its progress will be.
 
-    def _reservation(self, record: bytes) -> int:
-        """How many bytes a message needs in a rewritten file, whatever becomes of its attempts."""
+        Raises:
+            JournalFullError: The space for pending messages is used up.
+        """
         reserved_bytes = len(record) + PROGRESS_BYTES
         if self._open_bytes + reserved_bytes > self._max_open_bytes:
-            raise JournalFullError("what is owed fills the journal")
+            raise JournalFullError("the journal has no room for another pending message")
         return reserved_bytes
 
-    def _hold(self, message: Message, reserved_bytes: int) -> None:
+    def _add_open_message(self, message: Message, reserved_bytes: int) -> None:
         self.open_messages[message.number] = message
         self._reserved_bytes[message.number] = reserved_bytes
         self._open_bytes += reserved_bytes
 
-    def _free(self, message: Message) -> None:
+    def _free_reservation(self, message: Message) -> None:
         self._open_bytes -= self._reserved_bytes.pop(message.number)
 
-    def _remember(self, message: Message) -> None:
-        # A publisher that lost its connection before the confirm publishes the same id again, and without
-        # this a payment that had ended by then would go a second time, after a restart too. A message that
-        # was returned may come again under its id: it must not be taken for such a duplicate.
+    def _keep_id_unless_returned(self, message: Message) -> None:
+        # A publisher that lost its connection before the confirm publishes the same id again. Without the ids
+        # of finished messages, a payment that had ended by then would be sent a second time, after a restart
+        # too. A returned message may be submitted again under its id, and must not be taken for a duplicate.
         if message.final is None or message.final.state is not FinalState.RETURNED:
             self._add_finished_id(message.id)
 
@@ -232,7 +238,7 @@
         return encode_accepted(message, number)
 
     def _written_rules_number(self, rules: DeliveryRules) -> int:
-        """The number of these rules, whose record stands in the file before the number is used."""
+        """Return the number of these rules, and write their record first if the file does not have it."""
         self._latest_rules = rules
         if rules not in self._rules_numbers:
             number = self._next_rules_number()
@@ -253,7 +259,7 @@
         except OSError as error:
             raise JournalFullError(str(error)) from None
         if written < len(record):
-            # Replay ends at a torn record: all that would be appended after it would be lost.
+            # Replay ends at a truncated record, so everything appended after it would be lost.
             os.ftruncate(self._fd, self.size_bytes)
             raise JournalFullError("a record was cut short")
         self.size_bytes += written
@@ -273,21 +279,21 @@
             self.observer.rewritten(data)
 
     def _renumber_rules(self) -> None:
-        """Have numbers for the rules that the new file needs, and no others."""
-        # Settings change all day: rules that nothing goes by any more would fill the file. The latest stay,
-        # for the record that is about to name them may be what made the file too long.
+        """Keep the numbers of the rules that the new file needs, and drop all others."""
+        # Settings change all day, and rules that are no longer used would fill the file. The latest rules are
+        # kept, because the record that is about to refer to them may be the one that triggered this rewrite.
         used = {message.rules for message in self.open_messages.values()} | {self._latest_rules}
         self._rules_numbers = {
             rules: number for rules, number in self._rules_numbers.items() if rules in used
         }
-        # What an older version accepted has its rules from the settings: a number given only while the new
-        # file is being written would be named in it and explained nowhere.
+        # Messages that an older version accepted have got their rules from the settings. If their rules were
+        # numbered only while the new file is written, it would refer to a number that it does not define.
         for rules in used - self._rules_numbers.keys():
             if rules is not None:
                 self._rules_numbers[rules] = self._next_rules_number()
 
     def _snapshot(self) -> Iterator[bytes]:
-        """Yield the records of a file that holds what is owed and nothing else."""
+        """Yield the records of a file that holds only the current state."""
         for message_id in self.finished_ids:
             yield encode_finished_id(message_id)
         for endpoint_id in self.blocked_endpoints:
@@ -302,7 +308,7 @@
                 yield encode_final_result(message, message.final)
 
     def _write_new_file(self, data: bytes) -> int:
-        """Write the file that is to replace the present one, and return its descriptor."""
+        """Write the file that is to replace the current one, and return its descriptor."""
         fd = NO_FILE
         try:
             fd = os.open(self._new_path, os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_APPEND, 0o600)
@@ -326,7 +332,7 @@
         match record:
             case Accepted(message, rules_number):
                 message.rules = self._rules_read.get(rules_number)
-                self._hold(message, record_bytes + PROGRESS_BYTES)
+                self._add_open_message(message, record_bytes + PROGRESS_BYTES)
             case FinishedId(message_id):
                 self._add_finished_id(message_id)
             case EndpointBlocked(endpoint_id, blocked):
@@ -342,8 +348,8 @@
     def _replay_progress(self, message: Message, record: ProgressRecord) -> None:
         match record:
             case AttemptStarted(_, attempt, unix_us):
-                # One that was in flight when the process was killed has no end here; without this, the next
-                # attempt would hide that it may have run.
+                # An attempt that was in flight when the process was killed has no record of its end. Without
+                # this, the next attempt's record would hide that the earlier one may have run.
                 message.may_have_run_unix_us = message.may_have_run_unix_us or message.in_flight_since_unix_us
                 message.attempts = max(message.attempts, attempt + 1)
                 message.in_flight_since_unix_us = unix_us
@@ -359,8 +365,8 @@
                 message.zone = zone
             case MessageEnded():
                 del self.open_messages[message.number]
-                self._free(message)
-                self._remember(message)
+                self._free_reservation(message)
+                self._keep_id_unless_returned(message)
 
 
 def _end_attempt(message: Message, may_have_run: bool) -> None:
--- a/pinspread/core/journal_records.py
+++ b/pinspread/core/journal_records.py
@@ -1,9 +1,8 @@
-"""The form of the journal's records: pure functions that encode and decode them. No I/O, no clock.
+"""The format of the journal's records: pure functions that encode and decode them. No I/O, no clock.
 
-A record is its payload's length and CRC-32 (little-endian u32 each), then the payload: a kind byte, a number
-(u64) and the fields of the kind. The number is the message's, that of delivery rules, or 0. Times are
-microseconds of Unix time. Stored keys keep the words they were first written with; they are mapped to the
-code's names here only.
+A record consists of its payload's length and CRC-32 (little-endian u32 each) and the payload: a kind byte, a
+number (u64) and the fields of the kind. The number is that of a message, that of delivery rules, or 0. Times
+are microseconds of Unix time. Stored keys never change; only this module maps them to the names in the code.
 """
 
 import struct
@@ -20,7 +19,7 @@
 
 
 class RecordKind(IntEnum):
-    """What a record tells; the numbers are stored."""
+    """The kinds of records; the values are stored."""
 
     ACCEPTED = 1
     ATTEMPT_STARTED = 2
@@ -36,14 +35,14 @@
 
 
 class Accepted(NamedTuple):
-    """A message was accepted under the delivery rules of this number, 0 where an older version wrote none."""
+    """A message was accepted under the delivery rules of this number; 0 if an older version wrote none."""
 
     message: Message
     rules_number: int
 
 
 class AttemptStarted(NamedTuple):
-    """An attempt was about to be written to its connection."""
+    """An attempt was about to be written to its connection, at this Unix time."""
 
     number: int
     attempt: int
@@ -51,7 +50,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt that was written ended without ending its message."""
+    """An attempt that was written has ended, and its message has not."""
 
     number: int
     attempt: int
@@ -59,20 +58,20 @@
 
 
 class FinalResultDecided(NamedTuple):
-    """The final result was decided, and its notification is pending."""
+    """The final result of the message was decided, and its notification is pending."""
 
     number: int
     result: FinalResult
 
 
 class MessageEnded(NamedTuple):
-    """Nothing is owed for the message any more."""
+    """The message has ended, and no notification of it is pending."""
 
     number: int
 
 
 class Progress(NamedTuple):
-    """What the attempts of a message came to, in place of their own records."""
+    """The state of a message's attempts, which replaces the records of the attempts in a rewritten file."""
 
     number: int
     attempts: int
@@ -81,51 +80,51 @@
 
 
 class FinishedId(NamedTuple):
-    """A message of this id was accepted and has ended."""
+    """The message with this id was accepted and has ended."""
 
     message_id: str
 
 
 class EndpointBlocked(NamedTuple):
-    """An operator took an endpoint out of use, or back into it."""
+    """An operator disabled an endpoint, or enabled it again."""
 
     endpoint_id: str
     blocked: bool
 
 
 class RulesNumbered(NamedTuple):
-    """Delivery rules that later records name by their number."""
+    """Delivery rules, which later records refer to by their number."""
 
     rules_number: int
     rules: DeliveryRules
 
 
 class AttemptZone(NamedTuple):
-    """The zone of a message's attempt, for those whose duplicates are dropped zone by zone."""
+    """The zone of a message's attempt, for messages whose duplicates are dropped per zone."""
 
     number: int
     zone: int
 
 
-# Records of what becomes of a message that was accepted.
+# Records of the progress of an accepted message.
 ProgressRecord = AttemptStarted | AttemptEnded | FinalResultDecided | MessageEnded | Progress | AttemptZone
 Record = Accepted | FinishedId | EndpointBlocked | RulesNumbered | ProgressRecord
 
 _HEADER = struct.Struct("<II")  # length of the payload, its CRC-32
-_NUMBER = struct.Struct("<BQ")  # kind and number, with which all payloads begin
-_ACCEPTED = struct.Struct("<BQH")  # length of the JSON that comes before the body
-_ATTEMPT_STARTED = struct.Struct("<BQBQ")  # attempt, when it was written
-_ATTEMPT_ENDED = struct.Struct("<BQBB")  # attempt, whether it may have run
-_FINAL_RESULT = struct.Struct("<BQBI")  # state, milliseconds until the client may come back
-_PROGRESS = struct.Struct("<BQBQQ")  # attempts, first that may have run, the one in flight
+_NUMBER = struct.Struct("<BQ")  # kind and number, at the start of every payload
+_ACCEPTED = struct.Struct("<BQH")  # length of the JSON text that precedes the body
+_ATTEMPT_STARTED = struct.Struct("<BQBQ")  # attempt number, Unix time at which it was written
+_ATTEMPT_ENDED = struct.Struct("<BQBB")  # attempt number, whether it may have run
+_FINAL_RESULT = struct.Struct("<BQBI")  # state, Retry-After for the client in milliseconds
+_PROGRESS = struct.Struct("<BQBQQ")  # attempts, times of the first that may have run and of that in flight
 _ZONE = struct.Struct("<BQB")  # zone
 
 HEADER_BYTES = _HEADER.size
 MAX_PAYLOAD_BYTES = 1 << 20
-# What the records of a message's progress may add to that of its acceptance when the file is rewritten.
+# Maximum size of the records that follow a message's `Accepted` record in a rewritten file.
 PROGRESS_BYTES = 3 * HEADER_BYTES + _PROGRESS.size + _FINAL_RESULT.size + _ZONE.size
 
-# The stored keys of an accepted message, and the fields of `Message` that hold them.
+# The stored keys of an accepted message, and the fields of `Message` for them.
 _MESSAGE_KEYS = {
     "id": "id",
     "cls": "class_name",
@@ -159,16 +158,16 @@
 
 
 def payloads(data: bytes | bytearray | memoryview) -> Iterator[memoryview]:
-    """Yield the payloads of the complete records at the start of the data; a damaged one ends them."""
+    """Yield the payloads of the complete records at the start of the data, up to the first damaged one."""
     view = memoryview(data)
-    at = 0
-    while at + HEADER_BYTES <= len(view):
-        size, checksum = _HEADER.unpack_from(view, at)
-        payload = view[at + HEADER_BYTES : at + HEADER_BYTES + size]
+    offset = 0
+    while offset + HEADER_BYTES <= len(view):
+        size, checksum = _HEADER.unpack_from(view, offset)
+        payload = view[offset + HEADER_BYTES : offset + HEADER_BYTES + size]
         if not 0 < size <= MAX_PAYLOAD_BYTES or len(payload) < size or zlib.crc32(payload) != checksum:
             return
         yield payload
-        at += HEADER_BYTES + size
+        offset += HEADER_BYTES + size
 
 
 def complete_bytes(data: bytes | bytearray | memoryview) -> int:
@@ -176,19 +175,19 @@
     return sum(HEADER_BYTES + len(payload) for payload in payloads(data))
 
 
-def is_truncated(data: bytes | bytearray | memoryview, at: int) -> bool:
-    """Return whether what follows the last complete record, which ends at `at`, looks like one cut short."""
-    if len(data) - at < HEADER_BYTES:
+def is_truncated(data: bytes | bytearray | memoryview, offset: int) -> bool:
+    """Return whether the data after the last complete record, from `offset`, looks like a truncated one."""
+    if len(data) - offset < HEADER_BYTES:
         return True
-    size, _ = _HEADER.unpack_from(data, at)
-    return bool(0 < size <= MAX_PAYLOAD_BYTES and at + HEADER_BYTES + size > len(data))
+    size, _ = _HEADER.unpack_from(data, offset)
+    return bool(0 < size <= MAX_PAYLOAD_BYTES and offset + HEADER_BYTES + size > len(data))
 
 
 # --- encoding -------------------------------------------------------------------------------------
 
 
 def encode_accepted(message: Message, rules_number: int | None) -> bytes:
-    """Return the record of an accepted message, whose delivery rules have this number if they are known."""
+    """Return the record of an accepted message; `rules_number` is None if its rules are not known."""
     stored = {key: getattr(message, field) for key, field in _MESSAGE_KEYS.items()}
     if rules_number is not None:
         stored["rules"] = rules_number
@@ -202,7 +201,7 @@
 
 
 def encode_attempt_ended(message: Message, attempt: int, may_have_run: bool) -> bytes:
-    """Return the record of an attempt that ended without ending its message."""
+    """Return the record of an attempt that was written and has ended, while its message has not."""
     return frame(_ATTEMPT_ENDED.pack(RecordKind.ATTEMPT_ENDED, message.number, attempt, may_have_run))
 
 
@@ -213,12 +212,12 @@
 
 
 def encode_message_ended(message: Message) -> bytes:
-    """Return the record of a message for which nothing is owed any more."""
+    """Return the record of a message that has ended and whose notification is not pending."""
     return frame(_NUMBER.pack(RecordKind.MESSAGE_ENDED, message.number))
 
 
 def encode_progress(message: Message) -> bytes:
-    """Return what stands in place of the records of a message's attempts."""
+    """Return the records that replace those of a message's attempts in a rewritten file."""
     progress = _PROGRESS.pack(
         RecordKind.PROGRESS,
         message.number,
@@ -230,7 +229,7 @@
 
 
 def encode_zone(message: Message) -> bytes:
-    """Return the record of the zone of a message's attempt; empty where duplicates aren't dropped by zone."""
+    """Return the record of the zone of a message's attempt; empty unless duplicates are dropped per zone."""
     rules = message.rules
     if (
         rules is None
@@ -247,13 +246,13 @@
 
 
 def encode_endpoint_blocked(endpoint_id: str, blocked: bool) -> bytes:
-    """Return the record of an endpoint that an operator took out of use, or back into it."""
+    """Return the record of an endpoint that an operator disabled, or enabled again."""
     kind = RecordKind.ENDPOINT_BLOCKED if blocked else RecordKind.ENDPOINT_UNBLOCKED
     return frame(_NUMBER.pack(kind, 0) + endpoint_id.encode())
 
 
 def encode_rules(rules_number: int, rules: DeliveryRules) -> bytes:
-    """Return the record of delivery rules and the number by which later records name them."""
+    """Return the record of delivery rules and the number by which later records refer to them."""
     traffic_class = {key: getattr(rules.traffic_class, field) for key, field in _TRAFFIC_CLASS_KEYS.items()}
     text = orjson.dumps({"cls": traffic_class, "max_attempts": rules.max_attempts})
     return frame(_NUMBER.pack(RecordKind.DELIVERY_RULES, rules_number) + text)
@@ -263,25 +262,25 @@
 
 
 def decode(payload: memoryview) -> Record | None:
-    """Return what a record tells; None for kind 0, which no version has written.
+    """Decode the payload of a record; return None for kind 0, which no version has written.
 
     Raises:
-        JournalFormatError: The kind is one of a newer version.
+        JournalFormatError: The kind is unknown, so a newer version wrote the record.
     """
     kind = payload[0]
     if kind > max(RecordKind):
-        # Passed over, what a newer version recorded would be done again, or never.
-        raise JournalFormatError(f"a record of kind {kind} of a newer version: start that one")
+        # If the record was skipped, what it says was done would be done again, or never be done.
+        raise JournalFormatError(f"a record of kind {kind} of a newer version; start that version")
     decoder = _DECODERS.get(kind)
     return decoder(payload) if decoder else None
 
 
 def _decode_accepted(payload: memoryview) -> Accepted:
     _, number, size = _ACCEPTED.unpack_from(payload)
-    body_at = _ACCEPTED.size + size
-    stored = orjson.loads(payload[_ACCEPTED.size : body_at])
+    body_offset = _ACCEPTED.size + size
+    stored = orjson.loads(payload[_ACCEPTED.size : body_offset])
     fields = {field: stored[key] for key, field in _MESSAGE_KEYS.items() if key in stored}
-    return Accepted(Message(number, body=bytes(payload[body_at:]), **fields), stored.get("rules", 0))
+    return Accepted(Message(number, body=bytes(payload[body_offset:]), **fields), stored.get("rules", 0))
 
 
 def _decode_attempt_started(payload: memoryview) -> AttemptStarted:
