--- a/pinspread/core/folder_lock.py
+++ b/pinspread/core/folder_lock.py
@@ -1,4 +1,4 @@
-"""The lock of the folder that outlasts the process: whoever holds it may write there."""
+"""The lock of the state folder, which outlives the process; only the lock's holder may write there."""
 
 import errno
 import fcntl
@@ -6,12 +6,12 @@
 from pathlib import Path
 
 FILE_NAME = "owner"
-NOT_HELD = -1  # in place of a descriptor
+NOT_HELD = -1  # value of `fd` while the lock is not held
 HELD_ELSEWHERE = (errno.EAGAIN, errno.EACCES)
 
 
 class FolderLock:
-    """One process's hold on a folder: an open descriptor, which ends with the process and can be passed on.
+    """A lock on a folder, held by an open descriptor that ends with the process or can be passed to another.
 
     Attributes:
         folder: The folder that is locked.
@@ -23,10 +23,13 @@
         self.fd = NOT_HELD
 
     def acquire(self) -> bool:
-        """Try to lock the folder, without waiting; return whether this process owns it now.
+        """Try to lock the folder without waiting.
+
+        Returns:
+            Whether this process holds the lock now; False if another process holds it.
 
         Raises:
-            OSError: Whether it is free can't be found out.
+            OSError: The lock file can't be opened or locked for another reason.
         """
         fd = os.open(Path(self.folder) / FILE_NAME, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
@@ -40,12 +43,12 @@
         return True
 
     def adopt_descriptor(self, fd: int) -> None:
-        """Hold the lock by a descriptor that another process has passed on."""
+        """Hold the lock through a descriptor that another process has passed to this one."""
         self.release()
         self.fd = fd
 
     def release(self) -> None:
-        """Hold it no longer; another process that was passed the descriptor still does."""
+        """Close the descriptor; a process that was passed a copy of it still holds the lock."""
         if self.fd >= 0:
             os.close(self.fd)
             self.fd = NOT_HELD
--- a/pinspread/core/handover.py
+++ b/pinspread/core/handover.py
@@ -1,29 +1,29 @@
-"""Ownership during a hand-over between two processes: who owns the messages at each moment. No I/O, no clock.
+"""State machines of a hand-over: which of two processes owns the messages at each moment. No I/O, no clock.
 
-`docs/daily.md` has the steps. Each state machine takes what happened and returns what to do next.
+`docs/daily.md` describes the steps. Each method takes an event and returns the step to perform next.
 """
 
 from enum import Enum
 
 
 class HandoverStep(Enum):
-    """What the side that asked its state machine is to do now."""
+    """What the caller of a state machine is to do next."""
 
     WAIT = "wait"
     TRANSFER = "transfer"  # pause and send everything
     DECLINE = "decline"  # refuse, with the reason
-    REACQUIRE_LOCK = "reacquire lock"  # release the lock and ask for it again
-    RESUME = "resume"  # go on serving
-    SHUT_DOWN = "shut down"  # hand nothing over, finish and end
-    FINISH = "finish"  # report what is still in flight, then end
+    REACQUIRE_LOCK = "reacquire lock"  # release the lock and try to acquire it again
+    RESUME = "resume"  # continue serving
+    SHUT_DOWN = "shut down"  # do not hand over; finish and exit
+    FINISH = "finish"  # report the outcomes of attempts still in flight, then exit
     TAKE_OVER = "take over"  # adopt the lock, read the journal
-    SERVE = "serve"  # it owns everything: say so, then act
-    REQUEST_SHUTDOWN = "request shutdown"  # have the old process end, and recover from the journal
-    GIVE_UP = "give up"  # end; the old process goes on serving
+    SERVE = "serve"  # it owns the messages: confirm that, then serve
+    REQUEST_SHUTDOWN = "request shutdown"  # ask the old process to exit, then recover from the journal
+    GIVE_UP = "give up"  # exit; the old process continues serving
 
 
 class SourceState(Enum):
-    """Where the old process stands; the values are the words of the log."""
+    """The state of the old process; the values appear in the log."""
 
     SERVING = "serving"
     PAUSED = "at rest"
@@ -32,7 +32,7 @@
 
 
 class TargetState(Enum):
-    """Where the new process stands; the values are the words of the log."""
+    """The state of the new process; the values appear in the log."""
 
     REQUESTING = "asking"
     RECEIVING = "collecting"
@@ -43,11 +43,12 @@
 
 
 class HandoverSource:
-    """The old process: owner until the new one reports that it took over, and paused during the transfer.
+    """The old process: it owns the messages until the new one has taken over, and pauses for the transfer.
 
     Attributes:
-        shape: A fingerprint of the state that this process would send; only an equal one can be read.
-        state: Where the hand-over stands.
+        shape: A fingerprint of the format of the state that this process sends; a new process can read the
+            state only if its own fingerprint is equal.
+        state: The state of the hand-over.
         decline_reason: Why the last request was declined.
     """
 
@@ -62,7 +63,7 @@
         return self.state in (SourceState.SERVING, SourceState.SHUTTING_DOWN)
 
     def requested(self, shape: str) -> HandoverStep:
-        """A new process, which reads states of this shape, asks for everything."""
+        """Handle a new process's request for the transfer; `shape` is the fingerprint that it can read."""
         if self.state is not SourceState.SERVING:
             self.decline_reason = f"busy: {self.state.value}"
             return HandoverStep.DECLINE
@@ -73,37 +74,38 @@
         return HandoverStep.TRANSFER
 
     def shutdown_requested(self) -> HandoverStep:
-        """A new process can't take over as things are, and wants the lock."""
+        """Handle a new process's request to exit: it can't take over the state, and waits for the lock."""
         if self.state is not SourceState.SERVING:
             return HandoverStep.WAIT
         self.state = SourceState.SHUTTING_DOWN
         return HandoverStep.SHUT_DOWN
 
     def taken_over(self) -> HandoverStep:
-        """The new process says that it owns everything."""
+        """Handle the new process's confirmation that it owns the messages."""
         if self.state is not SourceState.PAUSED:
-            return HandoverStep.WAIT  # malformed: nothing was transferred
+            return HandoverStep.WAIT  # a protocol error: nothing was transferred
         self.state = SourceState.HANDED_OVER
         return HandoverStep.FINISH
 
     def exchange_failed(self) -> HandoverStep:
-        """The exchange ended early, was declined or took too long."""
+        """Handle that the exchange ended early, was declined or timed out."""
         if self.state is SourceState.PAUSED:
             return HandoverStep.REACQUIRE_LOCK
         return HandoverStep.FINISH if self.state is SourceState.HANDED_OVER else HandoverStep.WAIT
 
     def lock_result(self, acquired: bool) -> HandoverStep:
-        """It has released the lock and asked for it again: whoever holds it instead owns everything."""
-        # A confirmation that was sent and not received would leave two owners; the lock has one holder.
+        """Handle the result of reacquiring the lock; another process that holds it owns the messages."""
+        # The lock has only one holder. If a confirmation decided instead, one that was sent but not received
+        # would leave two owners.
         self.state = SourceState.SERVING if acquired else SourceState.HANDED_OVER
         return HandoverStep.RESUME if acquired else HandoverStep.FINISH
 
 
 class HandoverTarget:
-    """The new process: it owns nothing until it has the lock and has said that it took over.
+    """The new process: it owns nothing until it has the lock and has confirmed that it took over.
 
     Attributes:
-        state: Where the hand-over stands.
+        state: The state of the hand-over.
     """
 
     def __init__(self) -> None:
@@ -115,18 +117,18 @@
         return self.state is TargetState.OWNER
 
     def request_sent(self) -> None:
-        """The old process has been asked for everything."""
+        """Handle that the transfer was requested from the old process."""
         self.state = TargetState.RECEIVING
 
     def declined(self, retry: bool) -> HandoverStep:
-        """The old process declines; one that says so for now only may be asked again."""
+        """Handle that the old process declines; `retry` says whether it may be asked again."""
         if retry:
             return HandoverStep.WAIT
         self.state = TargetState.WAITING_FOR_LOCK
         return HandoverStep.REQUEST_SHUTDOWN
 
     def received(self, readable: bool) -> HandoverStep:
-        """Everything was sent; `readable` says whether the state could be read."""
+        """Handle that the transfer is complete; `readable` says whether the state could be read."""
         if not readable:
             self.state = TargetState.WAITING_FOR_LOCK
             return HandoverStep.REQUEST_SHUTDOWN
@@ -134,12 +136,12 @@
         return HandoverStep.TAKE_OVER
 
     def lock_received(self, journal_readable: bool) -> HandoverStep:
-        """It was passed the lock; `journal_readable` says whether it can read the journal."""
+        """Handle that the lock was received; `journal_readable` says whether the journal could be read."""
         self.state = TargetState.OWNER if journal_readable else TargetState.GIVEN_UP
         return HandoverStep.SERVE if journal_readable else HandoverStep.GIVE_UP
 
     def exchange_failed(self) -> HandoverStep:
-        """The exchange ended before everything had come: the old process has ended, or goes on serving."""
+        """Handle that the exchange ended early: the old process has exited, or continues serving."""
         if self.state not in (TargetState.WAITING_FOR_LOCK, TargetState.GIVEN_UP):
-            self.state = TargetState.REQUESTING  # its confirmation was not received
+            self.state = TargetState.REQUESTING  # the old process did not receive the confirmation
         return HandoverStep.WAIT
--- a/pinspread/core/health_checks.py
+++ b/pinspread/core/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: asking an endpoint how it is, when the policy wants to know."""
+"""Health checks, which query an endpoint's health when the policy asks for it."""
 
 import anyio
 
@@ -13,11 +13,11 @@
 
 
 class HealthChecks:
-    """Runs health checks and tells the policy how they ended.
+    """Runs health checks and reports their results to the policy.
 
     Attributes:
-        in_flight: Since when a check of an endpoint has been in flight, by the endpoint's id, in microseconds
-            of the monotonic clock; those of a predecessor process are included.
+        in_flight: When each check in flight was started, by the endpoint's id, in microseconds of the
+            monotonic clock; those of a predecessor process are included.
     """
 
     def __init__(self, context: EngineContext, registry: EndpointRegistry) -> None:
@@ -52,7 +52,7 @@
             )
         )
 
-    def complete_predecessors(self, endpoint_id: str, result: AttemptResult) -> None:
-        """Handle the end of a check that the process before had in flight."""
+    def complete_from_predecessor(self, endpoint_id: str, result: AttemptResult) -> None:
+        """Handle the end of a check that the predecessor process had in flight."""
         if endpoint_id in self.in_flight and endpoint_id in self._registry.endpoints:
             self.complete(self._registry.endpoints[endpoint_id], self.in_flight[endpoint_id], result)
--- a/pinspread/core/ownership.py
+++ b/pinspread/core/ownership.py
@@ -1,4 +1,4 @@
-"""Hot restart: what the engine hands over to the next process, and takes over from the one before."""
+"""Hot restart: the state that the engine hands over to a successor, and takes over from a predecessor."""
 
 from collections.abc import Collection, Iterable
 from typing import TypedDict
@@ -15,25 +15,25 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import Event, MessageAccepted, Outcome
 
-# An attempt in flight: its message's number, its own, its endpoint, when it started and its time-out in
-# microseconds.
+# An attempt in flight: number of the message, number of the attempt, endpoint, start (microseconds of the
+# monotonic clock) and time-out (microseconds).
 TransferredAttempt = tuple[int, int, Endpoint, int, int]
 
 
 class EngineState(TypedDict):
-    """What the next process needs apart from the journal, under the names by which it is sent.
+    """What the successor needs besides the journal; the keys are part of the format that is sent.
 
     Attributes:
-        policy: The policy.
-        pending_events: Events that the policy has not taken yet.
-        timers: When its timers are due, and their tags.
-        retry_after_until_us: Until when destinations and endpoints asked not to be called.
+        policy: The policy with its state.
+        pending_events: Events that the policy has not handled yet.
+        timers: The due times and tags of the policy's timers.
+        retry_after_until_us: When the Retry-After of each destination or endpoint ends.
         endpoints: The endpoints.
-        destinations: The destinations that the list has named.
+        destinations: The destinations that have been listed.
         next_message_number: The number of the next message.
-        attempts_made: How many attempts each open message has had, by the message's number.
+        attempts_made: The number of attempts of each open message, by the message's number.
         attempts_in_flight: The attempts in flight.
-        health_checks: Since when health checks have been in flight, by the endpoint's id.
+        health_checks: When each health check in flight was started, by the endpoint's id.
     """
 
     policy: DeliveryPolicy
@@ -49,7 +49,7 @@
 
 
 class Ownership:
-    """Moves the ownership of all pending messages between two processes; `handover` decides when."""
+    """Moves the ownership of all pending messages between two processes, when `handover` says so."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
     # --- the old process --------------------------------------------------------------------------
 
     def pause(self, policy: DeliveryPolicy, successor: Successor) -> EngineState:
-        """Stop acting, and return what the successor needs apart from the journal, which is closed."""
+        """Stop all activity, close the journal, and return what the successor needs besides it."""
         self._context.successor = successor
         self._context.journal.close()
         return EngineState(
@@ -89,7 +89,7 @@
         )
 
     def cancel(self) -> None:
-        """Serve on, for the successor did not take over.
+        """Continue serving after the successor did not take over.
 
         Raises:
             JournalFullError: The journal can't be rewritten.
@@ -102,7 +102,7 @@
     # --- the new process --------------------------------------------------------------------------
 
     def resume(self, state: EngineState) -> None:
-        """Take over from the process before; the journal has been read.
+        """Take over from the predecessor; the journal has been read.
 
         Raises:
             JournalFullError: The journal can't be rewritten.
@@ -134,27 +134,27 @@
         self, transferred: Iterable[TransferredAttempt], messages: dict[int, Message]
     ) -> None:
         for number, attempt_number, endpoint, started_us, timeout_us in transferred:
-            # A message that has ended may have an attempt in flight all the same: its slot is taken until
-            # that ends.
+            # A message that has ended may still have an attempt in flight, which uses a slot until it ends.
             message = messages.get(number) or _ended_message(number, endpoint.destination)
             known = self._registry.endpoints.get(endpoint.id, endpoint)
             attempt = Attempt(message, attempt_number, known, started_us, timeout_us)
             self._attempts.in_flight[number, attempt_number] = attempt
 
-    # --- what the process before reports ----------------------------------------------------------
+    # --- reports of the predecessor ---------------------------------------------------------------
 
     def predecessor_attempt_ended(self, number: int, attempt_number: int, result: AttemptResult) -> None:
-        """Handle the end of an attempt that the process before had in flight."""
+        """Handle the end of an attempt that the predecessor had in flight."""
         self._messages.unreported_attempts.pop((number, attempt_number), None)
         attempt = self._attempts.in_flight.get((number, attempt_number))
         if attempt is not None:
             self._attempts.complete(attempt, result)
 
     def predecessor_attempt_unreported(self, number: int, attempt_number: int) -> None:
-        """Handle that the process before has not reported the end of an attempt in time.
+        """Handle that the predecessor has not reported the end of an attempt in time.
 
-        It ends here, but may go on there. Its message is not sent again, as its time is over, and must not be
-        accepted again under its id either before the attempt is reported, or that process has ended.
+        The attempt ends here, but may still run in the predecessor. Its message is not sent again, because
+        its time is over. It must not be accepted again under its id either, until the attempt is reported or
+        the predecessor has exited.
         """
         attempt = self._attempts.in_flight.get((number, attempt_number))
         if attempt is not None:
@@ -162,18 +162,18 @@
             self._attempts.complete(attempt, AttemptResult(Outcome.TIMEOUT, note="not reported in time"))
 
     def predecessor_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
-        """Apply a Retry-After that an endpoint gave the process before."""
+        """Apply a Retry-After that an endpoint gave the predecessor."""
         if endpoint_id in self._registry.endpoints:
             self._registry.apply_retry_after(self._registry.endpoints[endpoint_id], retry_after_us)
 
     def predecessor_health_check_ended(self, endpoint_id: str, result: AttemptResult) -> None:
-        """Handle the end of a health check that the process before had in flight."""
-        self._health_checks.complete_predecessors(endpoint_id, result)
+        """Handle the end of a health check that the predecessor had in flight."""
+        self._health_checks.complete_from_predecessor(endpoint_id, result)
 
     def predecessor_lost(self, attempts: Iterable[AttemptId], health_checks: Collection[str]) -> None:
-        """Handle that the process before has ended, and what it had in flight is not reported any more."""
+        """Handle that the predecessor has exited and will not report what it had in flight."""
         for number, attempt_number in attempts:
-            # It may have run, or still run.
+            # The attempt may have run, or may still be running.
             lost = AttemptResult(Outcome.RESET, note="its process ended")
             self.predecessor_attempt_ended(number, attempt_number, lost)
         for endpoint_id in health_checks:
