--- a/pinspread/core/acceptance.py
+++ b/pinspread/core/acceptance.py
@@ -1,4 +1,4 @@
-"""Acceptance: which messages the engine is to deliver, from clients, the journal and other nodes."""
+"""Acceptance: admits messages for delivery from clients, the journal and other nodes."""
 
 from collections.abc import Collection, Iterable
 
@@ -11,8 +11,8 @@
 from pinspread.errors import JournalFullError, RejectedError
 from pinspread.policy.events import ClientCancelled, MessageAccepted
 
-REJECTED_RETRY_MS = 1000  # Retry-After if there is no room: about the wait that clients choose themselves
-SHOWN_NAME_LENGTH = 32  # characters of an unknown name that the client is shown
+REJECTED_RETRY_MS = 1000  # Retry-After of a rejection: about the wait that clients choose by themselves
+SHOWN_NAME_LENGTH = 32  # characters of an unknown name that the error for the client repeats
 
 
 class Acceptance:
@@ -32,22 +32,21 @@
     # --- from clients -----------------------------------------------------------------------------
 
     def unknown_reason(self, class_name: str, tenant: str, destination: int) -> str:
-        """Return which of these names nothing can be decided for; empty if all are known."""
+        """Return which of these names is unknown, as an error text for the client; empty if all are known."""
         settings = self._context.settings
         if class_name not in settings.delivery_rules or tenant not in settings.tenants:
             shown = class_name[:SHOWN_NAME_LENGTH], tenant[:SHOWN_NAME_LENGTH]
             return f"unknown class or tenant: {shown[0]!r}, {shown[1]!r}"
-        # Accepted for a destination that does not exist, a message would take up a place until its time is
-        # up.
+        # A message for a destination that does not exist would count against the capacity until its deadline.
         if self._registry.destinations and destination not in self._registry.destinations:
             return f"unknown dest: {destination}"
         return ""
 
     def accept(self, message: Message) -> None:
-        """Accept a message; it is in the journal when this returns. One that is known changes nothing.
+        """Accept a message; it is in the journal when this returns. A duplicate is ignored.
 
         Raises:
-            RejectedError: It was not accepted, and says when to try again.
+            RejectedError: The message was not accepted; the error says when to try again.
         """
         self._check_replication()
         if self._is_duplicate(message):
@@ -62,7 +61,7 @@
         except JournalFullError as error:
             raise RejectedError(REJECTED_RETRY_MS, str(error)) from None
         self._messages.add_open(message)
-        self._announce(message)
+        self._post_accepted(message)
         log(
             "accepted",
             id=message.id,
@@ -77,20 +76,26 @@
         )
 
     def _check_replication(self) -> None:
-        # This holds for messages that are known as well: another node may have taken them over meanwhile.
+        # Duplicates are checked as well: another node may have taken over the known message meanwhile.
         replication = self._context.replication
         if replication and (reason := replication.blocked_reason()):
             raise RejectedError(REJECTED_RETRY_MS, reason)
 
     def _is_duplicate(self, message: Message) -> bool:
-        """Whether the message was accepted already and is sent once more, as on a new connection."""
+        """Return whether the message was accepted before, for example on a connection that was then lost.
+
+        Raises:
+            RejectedError: The message was returned, and can't be accepted again yet.
+        """
         known = self._messages.by_id.get(message.id)
         if known is not None and known.final is not None and known.final.state is FinalState.RETURNED:
-            raise RejectedError(REJECTED_RETRY_MS, "it was returned, and that has not been heard yet")
+            raise RejectedError(REJECTED_RETRY_MS, "the notification that it was returned is still pending")
         if known is not None or message.id in self._context.journal.finished_ids:
             return True
         if self._messages.may_still_run(message.id):
-            raise RejectedError(REJECTED_RETRY_MS, "it was returned, and an attempt of it may still run")
+            raise RejectedError(
+                REJECTED_RETRY_MS, "it was returned, but an attempt of it may still be running"
+            )
         return False
 
     def _check_capacity(self) -> None:
@@ -98,7 +103,7 @@
         if self._context.stopping:
             raise RejectedError(settings.max_retry_after_ms, "shutting down")
         if len(self._messages.open) >= settings.policy_settings.max_held_messages:
-            raise RejectedError(REJECTED_RETRY_MS, "holds all it may")
+            raise RejectedError(REJECTED_RETRY_MS, "the maximum number of held messages is reached")
 
     def withdraw(self, message: Message) -> None:
         """Drop a message that its client has withdrawn."""
@@ -109,29 +114,35 @@
     # --- from other nodes -------------------------------------------------------------------------
 
     def take_over(self, messages: Iterable[Message]) -> int:
-        """Take over what another node accepted, in its state there; return how many messages were new here.
+        """Take over messages that another node accepted, with the state that they had there.
+
+        Returns:
+            How many of the messages were not known here.
 
         Raises:
-            JournalFullError: One can't be recorded; those before it are taken over.
+            JournalFullError: A message can't be recorded; those before it have been taken over.
         """
         new = 0
         for message in messages:
             if message.id in self._messages.by_id or message.id in self._context.journal.finished_ids:
                 continue
             message.number = self._messages.next_number()
-            _end_unknown_attempt(message)
+            _mark_attempt_unresolved(message)
             self._apply_rules(message)
             self._context.journal.message_taken_over(message)
             new += 1
-            self._hold(message)
+            self._register(message)
             if message.final is not None:
                 self._notifications.start(message)
             else:
-                self._announce(message, recovered=True)
+                self._post_accepted(message, recovered=True)
         return new
 
     def release(self, ids: Collection[str]) -> int:
-        """Drop these, for another node has taken them over; return how many were pending here.
+        """Drop the messages with these ids, because another node has taken them over.
+
+        Returns:
+            How many of them were pending here.
 
         Raises:
             JournalFullError: The journal can't be rewritten without them.
@@ -155,40 +166,41 @@
         in_flight: Collection[int] = (),
         known_to_policy: Collection[int] = (),
     ) -> None:
-        """Take up the messages that the journal has as pending.
+        """Resume the messages that are pending in the journal.
 
         Args:
-            messages: The open messages of the journal.
-            in_flight: Numbers of those with an attempt in flight in another process.
-            known_to_policy: Numbers of those that the policy has accepted before.
+            messages: The pending messages of the journal.
+            in_flight: Numbers of the messages with an attempt in flight in the predecessor process.
+            known_to_policy: Numbers of the messages that the policy knows, or will learn of from a queued
+                event.
         """
         self._registry.load_blocklist(self._context.journal.blocked_endpoints)
         self._messages.continue_numbers_after(messages)
         for message in messages:
             if message.number not in in_flight:
-                _end_unknown_attempt(message)
+                _mark_attempt_unresolved(message)
             self._apply_rules(message)
-            self._hold(message)
+            self._register(message)
             if message.final is None and message.number not in known_to_policy:
-                self._announce(message, recovered=True)
+                self._post_accepted(message, recovered=True)
 
     def _apply_rules(self, message: Message) -> None:
-        """Have the settings' rules count for what an older version accepted without recording its own."""
+        """Use the rules of the settings for a message whose own rules an older version did not record."""
         message.rules = message.rules or self._context.settings.delivery_rules.get(message.class_name)
         if message.final is None and message.rules is None:
-            message.final = FinalResult(FinalState.FAILED)  # and the settings have changed since
+            message.final = FinalResult(FinalState.FAILED)  # its class is no longer in the settings either
 
-    def _hold(self, message: Message) -> None:
+    def _register(self, message: Message) -> None:
         if message.final is not None:
             self._messages.by_id[message.id] = message
-            self._notifications.expect(message)
+            self._notifications.add_pending(message)
         else:
             self._messages.add_open(message)
 
-    def _announce(self, message: Message, recovered: bool = False) -> None:
+    def _post_accepted(self, message: Message, recovered: bool = False) -> None:
         rules = message.rules
         if rules is None:
-            raise ValueError(f"{message.id}: accepted without delivery rules")
+            raise ValueError(f"message {message.id} has no delivery rules")
         clock = self._context.clock
         may_have_run_unix_us = message.may_have_run_unix_us
         self._context.events.post(
@@ -211,8 +223,8 @@
         )
 
 
-def _end_unknown_attempt(message: Message) -> None:
-    # An attempt that was in flight when its process ended, or where another node took over, may have run or
-    # still run.
+def _mark_attempt_unresolved(message: Message) -> None:
+    # The attempt was in flight when its process ended or another node took the message over. It may have run,
+    # or may still be running.
     message.may_have_run_unix_us = message.may_have_run_unix_us or message.in_flight_since_unix_us
     message.in_flight_since_unix_us = 0
--- a/pinspread/core/attempts.py
+++ b/pinspread/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: from the policy's decision to send, over the call, to the outcome that the policy gets."""
+"""Attempts: from the policy's decision to send, through the call, to the outcome reported to the policy."""
 
 from collections.abc import Callable
 
@@ -17,17 +17,17 @@
 from pinspread.policy.actions import Send
 from pinspread.policy.events import AttemptCompleted, Outcome
 
-NOTIFICATION_POLL_S = 0.005  # between two questions whether an attempt still waits for its key
-BUNDLING_SCHEME = "http"  # the one scheme whose calls carry several messages
+NOTIFICATION_POLL_S = 0.005  # between two checks whether an attempt still waits for its ordering key
+BUNDLING_SCHEME = "http"  # the only scheme whose calls can carry several messages
 
 
 class AttemptRunner:
-    """Runs attempts, each in a task of its own or with others in one call, and handles what becomes of them.
+    """Runs attempts, each in a task of its own or bundled with others in one call, and handles outcomes.
 
     Attributes:
         in_flight: The attempts that have been started and have not ended, those of a predecessor process
             included.
-        delayed_results: Attempts that ended here after this process had handed over, and how.
+        delayed_results: Attempts that ended in this process after it had handed over, with their results.
     """
 
     def __init__(
@@ -43,12 +43,12 @@
         self._registry = registry
         self._notifications = notifications
         self._write_check = WriteCheck(context, registry, notifications)
-        self._starting: dict[str, list[Attempt]] = {}  # what this turn has started, by endpoint
+        self._starting: dict[str, list[Attempt]] = {}  # the attempts started in this turn, by endpoint
 
     # --- starting ---------------------------------------------------------------------------------
 
     def start(self, action: Send, now_us: int) -> None:
-        """Start an attempt as the policy decided; it runs from the end of the turn on."""
+        """Register an attempt that the policy decided on; `launch` runs it at the end of the turn."""
         message = self._messages.open[action.request]
         endpoint = self._registry.endpoints[str(action.endpoint)]
         attempt = Attempt(message, message.attempts, endpoint, now_us, action.timeout_ns // NS_PER_US)
@@ -62,7 +62,7 @@
         return lambda retry_after_us: self._registry.apply_retry_after(endpoint, retry_after_us)
 
     def launch(self) -> None:
-        """Run the attempts that this turn has started; those at one endpoint share calls where they may."""
+        """Run the attempts started in this turn; attempts at the same endpoint share calls where allowed."""
         starting, self._starting = self._starting, {}
         for attempts in starting.values():
             for call in group_into_calls(attempts, self._max_call_size(attempts[0].endpoint)):
@@ -85,7 +85,7 @@
             else:
                 results = [AttemptResult(Outcome.NOT_SENT, note="not replicated") for _ in attempts]
         except Exception as error:
-            # As for a single attempt; those that were written may have run.
+            # As for a single attempt: attempts that were recorded as started may have run.
             log("fault", where="call", error=repr(error))
             results = [_result_of_fault(attempt) for attempt in attempts]
         for attempt, result in zip(attempts, results, strict=True):
@@ -96,13 +96,13 @@
         try:
             result = await self._send(attempt)
         except Exception as error:
-            # A transport's fault must neither end the process nor pass for proof that nothing ran.
+            # A fault in a transport must not end the process, nor be taken as proof that nothing ran.
             log("fault", where="attempt", error=repr(error))
             result = _result_of_fault(attempt)
         self.complete(attempt, result)
 
     async def _wait_for_key(self, attempt: Attempt) -> None:
-        """Wait until the key's earlier messages have been acknowledged, on fronts that order by that."""
+        """Wait until no earlier notification of the key is pending, on fronts that order messages by that."""
         if not self._waits_for_key(attempt):
             return
         with anyio.move_on_after(self._context.seconds_to(attempt.ends_us())):
@@ -115,23 +115,26 @@
 
     async def _send(self, attempt: Attempt) -> AttemptResult:
         if self._waits_for_key(attempt):
-            # Its time is over: a transport would find none left to connect in, and blame the destination.
-            return AttemptResult(Outcome.NOT_SENT, note="its key waits for a notification")
+            # The attempt's time has run out. The transport would time out at once, and that would count
+            # against the destination.
+            return AttemptResult(Outcome.NOT_SENT, note="an earlier notification of its key is pending")
         if not await self._record_and_replicate([attempt]):
             return AttemptResult(Outcome.NOT_SENT, note="not replicated")
         return await self._context.transports[attempt.endpoint.scheme].send(attempt)
 
     async def _record_and_replicate(self, attempts: list[Attempt]) -> bool:
-        """Record attempts as started, and have that replicated, before their transport is called.
+        """Record attempts as started and wait until that is replicated, before their transport is called.
 
-        Without replication that is left to the check right before the write. Returns whether they may be
-        sent.
+        Without replication, the check right before the write records them instead.
+
+        Returns:
+            Whether the attempts may be sent.
         """
         if self._context.replication is None:
             return True
-        # Each refusal by the transport would count as an attempt: a message whose work is not this node's for
-        # a while, or not replicated, would be given up. So the messages' deadlines bound the wait, and the
-        # endpoint's time begins after it.
+        # Each refusal by the transport would count as an attempt, so a message could be given up only because
+        # this node lacks the lease for it, or is not replicated, for a while. Therefore the wait may last
+        # until the messages' deadlines, and the attempt's time-out begins after it.
         clock = self._context.clock
         until_us = min(clock.monotonic(attempt.message.deadline_unix_us) for attempt in attempts)
         if not await self._wait_unblocked(until_us):
@@ -157,7 +160,7 @@
         for attempt in attempts:
             message = attempt.message
             if message.in_flight_since_unix_us or message.number not in self._messages.open:
-                continue  # the check right before the write says why not
+                continue  # the check right before the write refuses this attempt and gives the reason
             try:
                 self._write_check.record_started(attempt, unix_us)
             except JournalFullError:
@@ -217,7 +220,7 @@
         )
 
     def _advance(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Do what an outcome means for a message that is open."""
+        """Apply an outcome to its message, which is open."""
         message, context = attempt.message, self._context
         if result.outcome is Outcome.OK:
             self._notifications.finish(message, FinalResult(FinalState.DELIVERED))
@@ -229,7 +232,7 @@
             context.record(context.journal.attempt_ended, message, attempt.number, may_have_run)
 
     def apply_delayed_results(self) -> None:
-        """Handle what ended here while another process was to take over, for it did not."""
+        """Handle the attempts that ended during a hand-over, after the successor failed to take over."""
         delayed, self.delayed_results = self.delayed_results, []
         for attempt, result in delayed:
             self.in_flight[attempt.message.number, attempt.number] = attempt
--- a/pinspread/core/bundling.py
+++ b/pinspread/core/bundling.py
@@ -1,10 +1,10 @@
-"""Which attempts of one turn share a call. No I/O, no clock."""
+"""Decides which attempts of one turn share a call. No I/O, no clock."""
 
 from collections.abc import Iterable
 
 from pinspread.core.messages import Attempt
 
-SIMILAR_TIMEOUT_FRACTION = 0.9  # of the longest time-out of a call, from which an attempt may join it
+SIMILAR_TIMEOUT_FRACTION = 0.9  # smallest time-out that may join a call, relative to the call's longest
 
 
 def group_into_calls(attempts: Iterable[Attempt], max_size: int) -> list[list[Attempt]]:
@@ -12,14 +12,14 @@
 
     Args:
         attempts: Attempts at the same endpoint.
-        max_size: How many attempts one call may carry.
+        max_size: The maximum number of attempts in one call.
 
     Returns:
-        The calls, those with the longest time-outs first; within a call the attempts are in the order of
-        their messages' numbers.
+        The calls, ordered by time-out from the longest; the attempts within a call are ordered by their
+        messages' numbers.
     """
-    # An attempt whose time is nearly up would cut its whole call short, and the others' part may have run: so
-    # only attempts with similar time-outs share a call.
+    # The whole call ends at the earliest time-out of its attempts, when the others may have run. So only
+    # attempts with similar time-outs share a call.
     calls: list[list[Attempt]] = []
     for attempt in sorted(attempts, key=lambda attempt: -attempt.timeout_us):
         call = calls[-1] if calls else []
--- a/pinspread/core/clock.py
+++ b/pinspread/core/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: whole microseconds on the monotonic clock, read once a turn of the event loop."""
+"""The process's only clock: monotonic time in whole microseconds, read once per turn of the event loop."""
 
 import asyncio
 import time
@@ -7,10 +7,10 @@
 
 
 class Clock:
-    """Time that stands still during a turn of the event loop; Unix time is it plus a constant offset.
+    """Time that is constant during a turn of the event loop; Unix time is this plus a constant offset.
 
     Attributes:
-        offset_us: Unix time less monotonic time, in microseconds.
+        offset_us: Unix time minus monotonic time, in microseconds.
     """
 
     def __init__(self) -> None:
@@ -20,19 +20,19 @@
     def now(self) -> int:
         """Return the monotonic time of this turn in microseconds.
 
-        It is read at its first use and forgotten when the next turn begins, so that all that one turn does
-        happens at the same time and costs one call.
+        The time is read at its first use and cached until the next turn begins, so that everything in one
+        turn happens at the same time and costs one system call.
         """
         if not self._now_us:
             self._now_us = time.monotonic_ns() // NS_PER_US
-            asyncio.get_running_loop().call_soon(self._forget)
+            asyncio.get_running_loop().call_soon(self._reset)
         return self._now_us
 
-    def _forget(self) -> None:
+    def _reset(self) -> None:
         self._now_us = 0
 
     def unix(self, monotonic_us: int) -> int:
-        """Return the Unix time of a monotonic time, which means nothing after the next boot."""
+        """Return the Unix time of a monotonic time, which itself is meaningless after a reboot."""
         return monotonic_us + self.offset_us
 
     def monotonic(self, unix_us: int) -> int:
--- a/pinspread/core/context.py
+++ b/pinspread/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one delivery engine share."""
+"""The state that the components of one delivery engine share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -15,28 +15,28 @@
 from pinspread.core.time_units import US_PER_S
 from pinspread.errors import JournalFullError
 
-POLL_S = 0.02  # between two questions whether replication still blocks what waits for it
+POLL_S = 0.02  # between two checks whether replication still blocks waiting attempts and notifications
 
 P = ParamSpec("P")
 
 
 @dataclass(slots=True)
 class EngineContext:
-    """The surroundings of the engine, and where its process stands.
+    """What the engine's components use in common, and the state of the process.
 
     Attributes:
         settings: The settings in effect.
         clock: The clock of the process.
-        journal: Where all that is owed is recorded.
+        journal: The record of all pending messages.
         events: The events for the policy's next turn.
-        messages: What has been accepted and not ended.
-        fronts: The fronts, by the name that messages bear.
-        transports: The transports, by the scheme that endpoints name.
-        replication: Replicates the journal, where a file turns that on.
-        successor: The process that owns everything from now on, once this one has handed over.
-        serving: All that is owed is known, and clients are served.
-        stopping: The process is to end: nothing is accepted or sent any more.
-        tasks: Where the engine's tasks run; it is there as long as the engine runs.
+        messages: The messages that have been accepted and have not ended.
+        fronts: The fronts, by the name that `Message.front` holds.
+        transports: The transports, by the scheme that `Endpoint.scheme` holds.
+        replication: Replicates the journal, if the application's file turns that on.
+        successor: The process that owns all messages, once this one has handed over to it.
+        serving: Whether recovery is complete and clients are served.
+        stopping: Whether the process is shutting down; nothing is accepted or sent any more.
+        tasks: The task group of the engine, which exists as long as the engine runs.
     """
 
     settings: EngineSettings
@@ -52,15 +52,15 @@
     stopping: bool = False
     tasks: TaskGroup = field(init=False)
 
-    def seconds_to(self, at_us: int) -> float:
-        """Return the seconds until a time of the monotonic clock, which may have passed."""
-        return max(0, at_us - self.clock.now()) / US_PER_S
+    def seconds_to(self, due_us: int) -> float:
+        """Return the seconds until a time of the monotonic clock, 0 if it has passed."""
+        return max(0, due_us - self.clock.now()) / US_PER_S
 
     def record(self, write: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
-        """Write to the journal what has happened whether it can be recorded or not."""
+        """Write an event to the journal; it has happened already, so a full journal is only logged."""
         if self.successor:
-            return  # two processes would write to one file; the successor records what is reported to it
+            return  # else two processes would write to one file; the successor records what it is sent
         try:
             write(*args, **kwargs)
         except JournalFullError as error:
-            log("journal_full", error=str(error))  # the next rewrite holds what memory holds
+            log("journal_full", error=str(error))  # the next rewrite saves the state in memory
--- a/pinspread/core/endpoint_blocklist.py
+++ b/pinspread/core/endpoint_blocklist.py
@@ -1,17 +1,17 @@
-"""Which endpoints operators have taken out of use, and how their state reads then. No I/O, no clock."""
+"""The endpoints that operators have disabled, and the state that results from it. No I/O, no clock."""
 
 from collections.abc import Iterable
 
 from pinspread.policy.events import EndpointState
 
-MAX_ID_LENGTH = 512  # characters of an id that may be blocked; the list's own are far shorter
+MAX_ID_LENGTH = 512  # characters of an id that can be blocked; ids in the endpoint list are far shorter
 
 
 class EndpointBlocklist:
-    """The ids that are blocked; one call to unblock undoes any number of calls to block.
+    """The ids of blocked endpoints; one call to unblock undoes any number of calls to block.
 
     Attributes:
-        ids: The blocked ids, in the order in which they were blocked; the values mean nothing.
+        ids: The blocked ids, in the order in which they were blocked; the values are unused.
     """
 
     def __init__(self, ids: Iterable[str] = ()) -> None:
@@ -32,8 +32,8 @@
         return True
 
     def effective_state(self, endpoint_id: str, reported: EndpointState) -> EndpointState:
-        """Return the state by which the policy is to go for an endpoint that the list shows as `reported`."""
-        # A list that names a blocked endpoint as ready, late or anew, would have it called while it is
-        # restarted.
+        """Return the state that the policy is to use for an endpoint that is listed as `reported`."""
+        # A delayed or repeated list entry that shows a blocked endpoint as ready must not cause calls to it
+        # while it is restarted.
         blocked = reported is EndpointState.READY and endpoint_id in self.ids
         return EndpointState.DRAINING if blocked else reported
--- a/pinspread/core/endpoint_registry.py
+++ b/pinspread/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints: what discovery and operators say of them, and for how long they said to wait."""
+"""The endpoints: their state according to discovery and operators, and their Retry-After times."""
 
 from collections.abc import Iterable
 
@@ -9,19 +9,19 @@
 from pinspread.errors import JournalFullError, RejectedError
 from pinspread.policy.events import EndpointEntry, EndpointsChanged, EndpointState, UpdateScope
 
-NOT_SERVING_RETRY_MS = 1000  # when an operator may ask again
+NOT_SERVING_RETRY_MS = 1000  # when an operator may repeat a request
 
-RetryAfterScope = int | str  # a destination's number, or an endpoint's id where limits are its own
+RetryAfterScope = int | str  # a destination's number, or an endpoint's id if limits are per endpoint
 
 
 class EndpointRegistry:
-    """Keeps the endpoints as they read now, and tells the policy of each change.
+    """Keeps the current state of the endpoints, and reports each change to the policy.
 
     Attributes:
-        endpoints: The endpoints that the list names, by id.
-        destinations: The destinations that the list has ever named, with endpoints just now or without.
-        blocklist: The endpoints that operators have taken out of use.
-        retry_after_until_us: Until when a destination or endpoint said to wait, in microseconds of the
+        endpoints: The endpoints in the endpoint list, by id.
+        destinations: All destinations that have been listed, including those without endpoints at present.
+        blocklist: The endpoints that operators have disabled.
+        retry_after_until_us: When the Retry-After of a destination or endpoint ends, in microseconds of the
             monotonic clock.
     """
 
@@ -35,7 +35,12 @@
     # --- the list ---------------------------------------------------------------------------------
 
     def update(self, scope: UpdateScope, endpoints: Iterable[tuple[Endpoint, EndpointState]]) -> None:
-        """Take in a change of the list, or the whole list: endpoints and their listed states."""
+        """Apply a change of the endpoint list, or a whole list.
+
+        Args:
+            scope: Whether `endpoints` is a whole list, a cached one or only a change.
+            endpoints: The endpoints, with their listed states.
+        """
         removed = set(self.endpoints) if scope in (UpdateScope.FULL, UpdateScope.CACHED) else set()
         entries = []
         for reported_endpoint, reported in endpoints:
@@ -56,36 +61,36 @@
         self._context.events.post(EndpointsChanged(scope, entries))
 
     def _merge(self, endpoint: Endpoint, reported: EndpointState, state: EndpointState) -> Endpoint:
-        """Return the object that stands for an endpoint from now on."""
+        """Return the object that represents an endpoint from now on."""
         endpoint.listed = reported
         endpoint.usable = state is EndpointState.READY
         known = self.endpoints.get(endpoint.id)
-        # An attempt that is being connected holds the object that it began with. If each list replaced it,
-        # that object would miss all but the next change: that it drains or is blocked would not be seen right
-        # before the write.
+        # An attempt that is being connected refers to the object that it started with. If each list replaced
+        # the object, the attempt's one would miss all changes after the next, and the check right before the
+        # write would not see that the endpoint is draining or blocked.
         if known is not None and known.same_address_as(endpoint):
             known.update_from(endpoint)
             endpoint = known
         elif known is not None:
-            known.usable = False  # it is elsewhere by now
+            known.usable = False  # the endpoint now has another address
         self.endpoints[endpoint.id] = endpoint
         self.destinations.add(endpoint.destination)
         return endpoint
 
     def _remove(self, endpoint_id: str) -> None:
-        # Endpoints are replaced all day under new ids; what each leaves behind would fill the memory.
+        # Endpoints are replaced under new ids all day: anything kept for removed ones would fill the memory.
         endpoint = self.endpoints.pop(endpoint_id)
         endpoint.usable = False
         if endpoint.scheme in self._context.transports:
             self._context.transports[endpoint.scheme].forget(endpoint)
 
     def _disconnect_if_unusable(self, endpoint: Endpoint) -> None:
-        """Close idle connections that serve nobody any more; what is in flight finishes."""
+        """Close the idle connections to an endpoint that is not usable; attempts in flight finish."""
         if not endpoint.usable and endpoint.scheme in self._context.transports:
             self._context.transports[endpoint.scheme].disconnect(endpoint)
 
     def disconnect(self, endpoint_id: str) -> None:
-        """Close the idle connections to an endpoint, unless it has been removed and they with it."""
+        """Close the idle connections to an endpoint, if it is still listed."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is not None:
             self._context.transports[endpoint.scheme].disconnect(endpoint)
@@ -93,14 +98,14 @@
     # --- operators --------------------------------------------------------------------------------
 
     def load_blocklist(self, ids: Iterable[str]) -> None:
-        """Block the endpoints that the journal says are blocked."""
+        """Block the endpoints that are blocked according to the journal."""
         self.blocklist = EndpointBlocklist(ids)
         for endpoint in self.endpoints.values():
             if endpoint.id in self.blocklist.ids:
                 self._report_state(endpoint)
 
     async def disable(self, endpoint_id: str) -> bool:
-        """Take an endpoint out of use until it is enabled again; see `ports.EndpointAdmin`."""
+        """Disable an endpoint until it is enabled again; see `ports.EndpointAdmin`."""
         if self._context.successor:
             return await self._context.successor.set_blocked(endpoint_id, True)
         if not self._is_known(endpoint_id):
@@ -117,7 +122,7 @@
         return True
 
     async def enable(self, endpoint_id: str) -> bool:
-        """Use an endpoint again, as one that has just been started; see `ports.EndpointAdmin`."""
+        """Enable an endpoint again, and treat it as just started; see `ports.EndpointAdmin`."""
         if self._context.successor:
             return await self._context.successor.set_blocked(endpoint_id, False)
         if not self._is_known(endpoint_id):
@@ -136,16 +141,16 @@
         return endpoint_id in self.endpoints or endpoint_id in self.blocklist.ids
 
     def _report_state(self, endpoint: Endpoint, restarted: bool = False) -> None:
-        """Tell the policy how an endpoint reads now that it was blocked or unblocked."""
+        """Report the state of an endpoint to the policy after it was blocked or unblocked."""
         state = self.blocklist.effective_state(endpoint.id, endpoint.listed)
         endpoint.usable = state is EndpointState.READY
         self._disconnect_if_unusable(endpoint)
         self._context.events.post(EndpointsChanged(UpdateScope.DELTA, [_entry(endpoint, state, restarted)]))
 
-    # --- what binds calls -------------------------------------------------------------------------
+    # --- what may be called -----------------------------------------------------------------------
 
     def apply_retry_after(self, endpoint: Endpoint, retry_after_us: int) -> None:
-        """Call nothing that shares the endpoint's limit for so many microseconds; 0: no time."""
+        """Block calls to all that shares the endpoint's limit for so many microseconds; 0 does nothing."""
         if not retry_after_us:
             return
         if self._context.successor:
@@ -155,7 +160,7 @@
         self.retry_after_until_us[scope] = max(self.retry_after_until_us.get(scope, 0), until_us)
 
     def blocked_reason(self, endpoint: Endpoint) -> str:
-        """Return why nothing may go to an endpoint at present, whatever it is; empty if it may."""
+        """Return why no request of any kind may be sent to an endpoint at present; empty if it may."""
         if self._context.successor:
             return "handed over"
         if self._context.stopping:
@@ -167,7 +172,7 @@
         return ""
 
     def _retry_after_scope(self, endpoint: Endpoint) -> RetryAfterScope:
-        """What Retry-After binds: the destination, or one endpoint where limits are each endpoint's own."""
+        """Return what a Retry-After applies to: the destination, or the endpoint if it has its own limit."""
         kind = self._context.settings.policy_settings.kind(endpoint.kind)
         return endpoint.id if kind.limits_per_endpoint else endpoint.destination
 
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -1,4 +1,4 @@
-"""The delivery engine: collects events, lets the policy decide once a turn, and performs what it decides."""
+"""The delivery engine: collects events, calls the policy once per turn, and performs its actions."""
 
 from collections.abc import Callable, Collection, Iterable
 from typing import Any
@@ -32,8 +32,8 @@
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointState, Event, SettingsChanged, UpdateScope
 
-DRAIN_US = 3_000_000  # after SIGTERM, before connections are closed; the process is killed 3.7 s after it
-LINGER_US = 500_000  # new clients keep arriving for a while and must get a rejection
+DRAIN_US = 3_000_000  # from SIGTERM until connections are closed; the process is killed 3.7 s after SIGTERM
+LINGER_US = 500_000  # new clients still connect during this time and must get a rejection
 ACKNOWLEDGEMENT_POLL_S = 0.005
 
 
@@ -44,11 +44,12 @@
 class DeliveryEngine:
     """One node's engine: messages in, attempts out, one final result for each message.
 
-    Its parts each own their state; what fronts, discovery, replication and hot restart call stands here.
+    Each component owns its state. This class has the methods that fronts, discovery, replication and hot
+    restart call.
 
     Attributes:
-        policy: Decides what to send when and where; it does no I/O.
-        subscribe: Asks discovery for the list's changes, for the policy.
+        policy: Decides which message is sent when and where; it does no I/O.
+        subscribe: Asks discovery for changes of the endpoint list, when the policy wants them.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
             Subscribe: self._subscribe,
         }
 
-    # --- what it is made of -----------------------------------------------------------------------
+    # --- components -------------------------------------------------------------------------------
 
     @property
     def settings(self) -> EngineSettings:
@@ -90,7 +91,7 @@
 
     @property
     def journal(self) -> Journal:
-        """Where all that is owed is recorded."""
+        """The record of all pending messages."""
         return self.context.journal
 
     @property
@@ -100,22 +101,22 @@
 
     @property
     def fronts(self) -> dict[str, Front]:
-        """The fronts, by the name that messages bear; whoever assembles the process adds them."""
+        """The fronts, by the name that `Message.front` holds; the service adds them at start."""
         return self.context.fronts
 
     @property
     def transports(self) -> dict[str, Transport]:
-        """The transports, by the scheme that endpoints name; whoever assembles the process adds them."""
+        """The transports, by the scheme that `Endpoint.scheme` holds; the service adds them at start."""
         return self.context.transports
 
     @property
     def tasks(self) -> TaskGroup:
-        """Where tasks run that are to end with the engine; it is there as long as the engine runs."""
+        """The task group of the engine, which exists as long as the engine runs and ends with it."""
         return self.context.tasks
 
     @property
     def replication(self) -> ReplicationService | None:
-        """Replicates the journal, where a file turns that on."""
+        """Replicates the journal, if the application's file turns that on."""
         return self.context.replication
 
     @replication.setter
@@ -124,7 +125,7 @@
 
     @property
     def serving(self) -> bool:
-        """Whether all that is owed is known, and clients are served."""
+        """Whether recovery is complete and clients are served."""
         return self.context.serving
 
     @serving.setter
@@ -133,7 +134,7 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether the process is to end: nothing is accepted or sent any more."""
+        """Whether the process is shutting down; nothing is accepted or sent any more."""
         return self.context.stopping
 
     @stopping.setter
@@ -142,10 +143,10 @@
 
     @property
     def successor(self) -> Successor | None:
-        """The process that owns everything from now on, once this one has handed over."""
+        """The process that owns all messages, once this one has handed over to it."""
         return self.context.successor
 
-    # --- what it holds ----------------------------------------------------------------------------
+    # --- state ------------------------------------------------------------------------------------
 
     @property
     def open_messages(self) -> dict[int, Message]:
@@ -154,12 +155,12 @@
 
     @property
     def messages_by_id(self) -> dict[str, Message]:
-        """The messages for which something is owed, by id."""
+        """The messages that have not ended, or whose notification is pending, by id."""
         return self.context.messages.by_id
 
     @property
     def pending_notifications(self) -> dict[int, int]:
-        """How many notifications of each key are not acknowledged yet."""
+        """The number of notifications of each key that are not acknowledged yet."""
         return self.notifications.pending
 
     @property
@@ -169,28 +170,28 @@
 
     @property
     def health_checks(self) -> dict[str, int]:
-        """Since when health checks have been in flight, by the endpoint's id, in microseconds."""
+        """When each health check in flight was started, by the endpoint's id, in monotonic microseconds."""
         return self.health_check_runner.in_flight
 
     @property
     def endpoints(self) -> dict[str, Endpoint]:
-        """The endpoints that the list names, by id."""
+        """The endpoints in the endpoint list, by id."""
         return self.registry.endpoints
 
     @property
     def blocklist(self) -> EndpointBlocklist:
-        """The endpoints that operators have taken out of use."""
+        """The endpoints that operators have disabled."""
         return self.registry.blocklist
 
     @property
     def retry_after_until_us(self) -> dict[RetryAfterScope, int]:
-        """Until when destinations and endpoints said to wait, in microseconds of the monotonic clock."""
+        """When the Retry-After of a destination or endpoint ends, in microseconds of the monotonic clock."""
         return self.registry.retry_after_until_us
 
-    # --- what fronts and replication call ---------------------------------------------------------
+    # --- calls from fronts and replication --------------------------------------------------------
 
     def recover(self) -> None:
-        """Take up again all messages that the journal has as pending.
+        """Resume all messages that are pending in the journal.
 
         Raises:
             JournalFormatError: A newer version wrote the journal.
@@ -202,31 +203,31 @@
         log("recovered", open=open_count, notifications=len(recorded) - open_count)
 
     def unknown_reason(self, class_name: str, tenant: str, destination: int) -> str:
-        """Return which of these names nothing can be decided for; empty if all are known."""
+        """Return which of these names is unknown, as an error text for the client; empty if all are known."""
         return self.acceptance.unknown_reason(class_name, tenant, destination)
 
     def accept(self, message: Message) -> None:
-        """Accept a message; it is in the journal when this returns. One that is known changes nothing.
+        """Accept a message; it is in the journal when this returns. A duplicate is ignored.
 
         Raises:
-            RejectedError: It was not accepted, and says when to try again.
+            RejectedError: The message was not accepted; the error says when to try again.
         """
         self.acceptance.accept(message)
 
     async def wait_committed(self) -> bool:
-        """Return whether what was accepted by now may be promised: at once, or once it is replicated."""
+        """Wait for replication, if it is on; return whether what was accepted so far may be acknowledged."""
         return self.replication is None or await self.replication.wait_replicated()
 
     def take_over(self, messages: Iterable[Message]) -> int:
-        """Take responsibility for what another node accepted; return how many messages were new here.
+        """Take over messages that another node accepted; return how many were not known here.
 
         Raises:
-            JournalFullError: One can't be recorded; those before it are taken over.
+            JournalFullError: A message can't be recorded; those before it have been taken over.
         """
         return self.acceptance.take_over(messages)
 
     def release(self, ids: Collection[str]) -> int:
-        """Drop these, for another node has taken them over; return how many were pending here.
+        """Drop messages that another node has taken over; return how many were pending here.
 
         Raises:
             JournalFullError: The journal can't be rewritten without them.
@@ -237,17 +238,17 @@
         """Drop a message that its client has withdrawn."""
         self.acceptance.withdraw(message)
 
-    # --- what discovery, settings and operators change --------------------------------------------
+    # --- changes from discovery, settings and operators -------------------------------------------
 
     def apply_settings(self, settings: EngineSettings) -> None:
-        """Have other settings count from now on; open messages keep the rules of their acceptance."""
+        """Apply other settings from now on; open messages keep the rules that they were accepted under."""
         self.context.settings = settings
         self.events.post(SettingsChanged(settings.policy_settings))
 
     def update_endpoints(
         self, scope: UpdateScope, endpoints: Iterable[tuple[Endpoint, EndpointState]]
     ) -> None:
-        """Take in a change of the list, or the whole list: endpoints and their listed states."""
+        """Apply a change of the endpoint list, or a whole list: endpoints and their listed states."""
         self.registry.update(scope, endpoints)
 
     def ready(self) -> bool:
@@ -255,46 +256,46 @@
         return self.serving and not self.stopping and not self.successor
 
     async def disable(self, id_: str) -> bool:
-        """Take an endpoint out of use until it is enabled again; see `ports.EndpointAdmin`."""
+        """Disable an endpoint until it is enabled again; see `ports.EndpointAdmin`."""
         return await self.registry.disable(id_)
 
     async def enable(self, id_: str) -> bool:
-        """Use an endpoint again, as one that has just been started; see `ports.EndpointAdmin`."""
+        """Enable an endpoint again, and treat it as just started; see `ports.EndpointAdmin`."""
         return await self.registry.enable(id_)
 
     # --- hot restart ------------------------------------------------------------------------------
 
     def pause_for_handover(self, successor: Successor) -> EngineState:
-        """Stop acting, and return what the successor needs apart from the journal, which is closed."""
+        """Stop all activity, close the journal, and return what the successor needs besides it."""
         return self.ownership.pause(self.policy, successor)
 
     def cancel_handover(self) -> None:
-        """Serve on, for the successor did not take over."""
+        """Continue serving after the successor did not take over."""
         self.ownership.cancel()
 
     def resume_from_handover(self, state: EngineState) -> None:
-        """Take over from the process before; the journal has been read."""
+        """Take over from the predecessor; the journal has been read."""
         self.policy = state["policy"]
         self.ownership.resume(state)
 
     def predecessor_attempt_ended(self, number: int, attempt_number: int, result: AttemptResult) -> None:
-        """Handle the end of an attempt that the process before had in flight."""
+        """Handle the end of an attempt that the predecessor had in flight."""
         self.ownership.predecessor_attempt_ended(number, attempt_number, result)
 
     def predecessor_attempt_unreported(self, number: int, attempt_number: int) -> None:
-        """Handle that the process before has not reported the end of an attempt in time."""
+        """Handle that the predecessor has not reported the end of an attempt in time."""
         self.ownership.predecessor_attempt_unreported(number, attempt_number)
 
     def predecessor_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
-        """Apply a Retry-After that an endpoint gave the process before."""
+        """Apply a Retry-After that an endpoint gave the predecessor."""
         self.ownership.predecessor_retry_after(endpoint_id, retry_after_us)
 
     def predecessor_health_check_ended(self, endpoint_id: str, result: AttemptResult) -> None:
-        """Handle the end of a health check that the process before had in flight."""
+        """Handle the end of a health check that the predecessor had in flight."""
         self.ownership.predecessor_health_check_ended(endpoint_id, result)
 
     def predecessor_lost(self, attempts: Iterable[AttemptId], health_checks: Collection[str]) -> None:
-        """Handle that the process before has ended, and what it had in flight is not reported any more."""
+        """Handle that the predecessor has exited and will not report what it had in flight."""
         self.ownership.predecessor_lost(attempts, health_checks)
 
     # --- the turn loop ----------------------------------------------------------------------------
@@ -309,7 +310,7 @@
                 self.turn()
 
     def turn(self) -> None:
-        """Tell the policy everything that has happened, and perform what it decides."""
+        """Pass the queued events to the policy, and perform the actions that it returns."""
         if self.successor:
             return
         now_us = self.clock.now()
@@ -328,7 +329,7 @@
         self.events.set_timer(now_us + max(1, action.delay_ns // NS_PER_US), action.tag)
 
     def _send(self, action: Send, now_us: int) -> None:
-        if not self.stopping:  # what is not sent now stays in the journal for the next start
+        if not self.stopping:  # an unsent message stays in the journal for the next start
             self.attempt_runner.start(action, now_us)
 
     def _reject(self, action: Reject, now_us: int) -> None:
@@ -349,10 +350,10 @@
     def _subscribe(self, action: Subscribe, now_us: int) -> None:
         self.subscribe()
 
-    # --- the end of the process -------------------------------------------------------------------
+    # --- shutdown ---------------------------------------------------------------------------------
 
     async def stop(self) -> None:
-        """Reject messages from now on; return when all that is in flight has ended, or time is short."""
+        """Reject messages from now on; return when nothing is in flight or pending, or after `DRAIN_US`."""
         log("stopping", in_flight=len(self.attempts), open=len(self.open_messages))
         self.stopping = True
         self.events.wake()
--- a/pinspread/core/message_fields.py
+++ b/pinspread/core/message_fields.py
@@ -1,6 +1,6 @@
-"""Limits and checks of what clients give with a message, the same on all protocols.
+"""Limits and checks of the fields that clients submit with a message, the same on all protocols.
 
-The texts of the errors go to the clients, so they are part of the protocols.
+The error texts are sent to the clients, so they are part of the protocols.
 """
 
 MAX_BODY_BYTES = 64 * 1024
@@ -9,20 +9,20 @@
 MAX_IDENTIFIER_LENGTH = 64
 MAX_KEY_DIGITS = 16
 MAX_NUMBER_DIGITS = 10
-SHOWN_LENGTH = 32  # characters of a wrong value that an error shows
+SHOWN_LENGTH = 32  # characters of an invalid value that an error repeats
 FIRST_VISIBLE, LAST_VISIBLE = 33, 126  # of ASCII
 _HEX_DIGITS = frozenset(b"0123456789abcdefABCDEF")
 
 
 class InvalidFieldError(ValueError):
-    """A client gave a field that cannot be used; the text is for the client."""
+    """A client submitted an invalid field; the text is sent to the client."""
 
 
 def parse_key(text: bytes) -> int:
-    """Read an ordering key, which is up to 16 hexadecimal digits; 0 stands for none.
+    """Parse an ordering key of up to 16 hexadecimal digits; 0 means no key.
 
     Raises:
-        InvalidFieldError: It is no such key.
+        InvalidFieldError: The text is not such a key.
     """
     if not 1 <= len(text) <= MAX_KEY_DIGITS or not _HEX_DIGITS.issuperset(text):
         raise InvalidFieldError("the key must be up to 16 hexadecimal digits")
@@ -30,14 +30,14 @@
 
 
 def parse_identifier(view: bytes | memoryview, field: str) -> str:
-    """Read an id of visible ASCII characters only, since it becomes the value of an HTTP header.
+    """Parse an id; it must consist of visible ASCII characters, because it becomes an HTTP header value.
 
     Args:
-        view: The bytes that the client gave.
-        field: What they are, for the error.
+        view: The bytes that the client submitted.
+        field: The name of the field, for the error.
 
     Raises:
-        InvalidFieldError: It is empty, too long, or has other characters.
+        InvalidFieldError: The id is empty, too long, or contains other characters.
     """
     fits = 1 <= len(view) <= MAX_IDENTIFIER_LENGTH
     if not fits or not all(FIRST_VISIBLE <= byte <= LAST_VISIBLE for byte in view):
@@ -46,15 +46,15 @@
 
 
 def parse_number(text: str, field: str, maximum: int) -> int:
-    """Read a whole number from 0 to `maximum`.
+    """Parse an integer from 0 to `maximum`.
 
     Args:
-        text: The text that the client gave.
-        field: What it is, for the error.
-        maximum: The largest number that is allowed.
+        text: The text that the client submitted.
+        field: The name of the field, for the error.
+        maximum: The largest allowed number.
 
     Raises:
-        InvalidFieldError: It is no such number.
+        InvalidFieldError: The text is not such a number.
     """
     digits = text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS
     if not digits or int(text) > maximum:
--- a/pinspread/core/messages.py
+++ b/pinspread/core/messages.py
@@ -14,16 +14,16 @@
 
     DELIVERED = 0
     FAILED = 1
-    RETURNED = 2  # undelivered; sending it again is harmless
+    RETURNED = 2  # not delivered; the client can safely submit it again
 
 
 @dataclass(slots=True)
 class FinalResult:
-    """What the client is notified of at the end of a message.
+    """The final result of a message, which its client is notified of.
 
     Attributes:
-        state: How it ended.
-        retry_after_ms: When the client may send it again after RETURNED, in milliseconds from now.
+        state: How the message ended.
+        retry_after_ms: After RETURNED, when the client may submit it again, in milliseconds from now.
     """
 
     state: FinalState
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DeliveryRules:
-    """What a message was accepted under: its traffic class as the settings had it then, and its attempts."""
+    """The rules that a message was accepted under: its traffic class and its maximum number of attempts."""
 
     traffic_class: TrafficClass
     max_attempts: int
@@ -40,26 +40,28 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message that was accepted, until its client has been notified of the final result.
+    """An accepted message, kept until its client has been notified of the final result.
 
     Attributes:
-        number: The policy's name for it: the order in which messages were accepted.
-        id: The client's name for it.
+        number: The number by which the policy identifies it; messages are numbered as they are accepted.
+        id: The id that the client gave it.
         class_name: The name of its traffic class.
         tenant: The name of its tenant.
-        destination: The destination that is to get it.
-        key: Messages of one key go in order; 0: none.
-        idempotency_key: By which the destination drops duplicates; empty: none.
-        deadline_unix_us: Until when it may be delivered, in microseconds of Unix time.
-        body: What is delivered.
-        front: The front that accepted it, which also notifies the client.
-        reply: What that front needs for the notification.
-        attempts: How many have been started so far, over restarts.
-        may_have_run_unix_us: When the first attempt that may have run was written; 0: none may have.
-        in_flight_since_unix_us: When the attempt that is in flight was written; 0: none is.
-        zone: The zone of the latest attempt, and of the first that may have run once there is one.
+        destination: The number of the destination that it is delivered to.
+        key: The ordering key; messages with the same key are delivered in order. 0: no key.
+        idempotency_key: The key by which the destination drops duplicates; empty: no key.
+        deadline_unix_us: The deadline for delivery, in microseconds of Unix time.
+        body: The content to deliver.
+        front: The name of the front that accepted it, and that notifies the client.
+        reply: Data that the front needs for the notification.
+        attempts: The number of attempts started so far, including those before restarts.
+        may_have_run_unix_us: When the first attempt that may have run was written, in microseconds of Unix
+            time; 0: no attempt may have run.
+        in_flight_since_unix_us: When the attempt in flight was written, in microseconds of Unix time; 0: none
+            is in flight.
+        zone: The zone of the first attempt that may have run; until there is one, that of the latest attempt.
         final: The final result, once it is decided.
-        rules: What it was accepted under; None where the journal of an older version does not say.
+        rules: The rules it was accepted under; None if an older version did not record them in the journal.
     """
 
     number: int
@@ -86,16 +88,16 @@
     """One endpoint of a destination, as discovery reports it.
 
     Attributes:
-        id: The list's name for it.
-        address: Host and port, with a colon between them.
-        destination: The destination that it belongs to.
-        usable: Whether it may be called: it is listed as ready, and no operator has blocked it.
-        scheme: Which transport reaches it.
-        route: What that transport needs beyond the address.
-        weight: Its share of the destination's capacity, or that capacity, as the settings say.
-        zone: The zone that it is in.
-        kind: The place of its kind in the settings.
-        listed: Its state in the list, whatever operators have blocked.
+        id: Its id in the endpoint list.
+        address: Host and port, separated by a colon.
+        destination: The number of the destination that it belongs to.
+        usable: Whether it may be called, that is, it is listed as ready and no operator has blocked it.
+        scheme: The scheme of the transport that reaches it.
+        route: What the transport needs in addition to the address.
+        weight: Its share of the destination's capacity, or its own capacity, depending on the settings.
+        zone: The number of its zone.
+        kind: The index of its kind in the settings.
+        listed: Its state in the endpoint list, regardless of whether operators have blocked it.
     """
 
     id: str
@@ -110,11 +112,11 @@
     listed: EndpointState = EndpointState.READY
 
     def same_address_as(self, other: "Endpoint") -> bool:
-        """Return whether the other is the same endpoint at the same place."""
+        """Return whether the other has the same scheme, address and route."""
         return (self.scheme, self.address, self.route) == (other.scheme, other.address, other.route)
 
     def update_from(self, other: "Endpoint") -> None:
-        """Become equal to the other, which the list has named since."""
+        """Copy all fields from the other, which a newer list contained."""
         for name in self.__slots__:
             setattr(self, name, getattr(other, name))
 
@@ -124,14 +126,14 @@
     """How an attempt or a health check ended.
 
     Attributes:
-        outcome: What the policy goes by.
-        retry_after_us: For how long the endpoint said to wait; 0: it did not say.
-        no_longer_wanted: The endpoint says that nothing is owed for the message any more.
+        outcome: The outcome that is reported to the policy.
+        retry_after_us: The endpoint's Retry-After in microseconds; 0: none was given.
+        no_longer_wanted: Whether the endpoint reported that the message is no longer to be delivered.
         note: Details for the log.
-        idle_us: How long the connection had been idle; -1: it was new.
-        opened: A connection was opened for it, and came up.
-        limit_remaining: The share of the endpoint's limit that is left, as it reported.
-        limit_per_s: The endpoint's limit in calls a second, as it reported; 0: it did not.
+        idle_us: How long the connection had been idle, in microseconds; -1: the connection was new.
+        opened: Whether a connection was opened for the attempt and was established.
+        limit_remaining: The remaining fraction of the endpoint's limit, as the endpoint reported it.
+        limit_per_s: The endpoint's limit in calls per second, as the endpoint reported it; 0: not reported.
     """
 
     outcome: Outcome
@@ -144,12 +146,12 @@
     limit_per_s: float = 0.0
 
 
-# The outcomes that prove that an attempt never ran.
+# The outcomes which prove that an attempt did not run.
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 def _refuse_write() -> str:
-    return "nothing waits for this attempt"
+    return "the attempt is detached"
 
 
 def _ignore_retry_after(retry_after_us: int) -> None:
@@ -161,16 +163,17 @@
     """One attempt at delivering a message.
 
     Attributes:
-        message: What is delivered.
+        message: The message to deliver.
         number: The attempt's number within the message, from 0.
-        endpoint: Where it goes.
+        endpoint: The endpoint to deliver it to.
         started_us: When it was started, in microseconds of the monotonic clock.
-        timeout_us: How long its outcome is waited for.
-        check_before_write: The transport asks this right before the first byte: empty if it may write, else
-            why it must not. If it may, the attempt is in the journal as started when this returns.
-        apply_retry_after: The transport reports by this, at once, for how many microseconds the endpoint said
-            to wait, whatever else becomes of the attempt.
-        recorded: It is in the journal as started before its transport was called.
+        timeout_us: The time-out for its outcome, in microseconds.
+        check_before_write: Called by the transport right before it writes the first byte. Returns an empty
+            string if it may write, and then the attempt is in the journal as started; else the reason
+            against it.
+        apply_retry_after: Called by the transport with the endpoint's Retry-After in microseconds, as soon as
+            that is received, whatever the outcome of the attempt.
+        recorded: Whether it was recorded as started in the journal before its transport was called.
     """
 
     message: Message
@@ -183,10 +186,10 @@
     apply_retry_after: Callable[[int], None] = _ignore_retry_after
 
     def ends_us(self) -> int:
-        """Return when its outcome is no longer waited for, in microseconds of the monotonic clock."""
+        """Return when the attempt times out, in microseconds of the monotonic clock."""
         return self.started_us + self.timeout_us
 
     def detach(self) -> None:
-        """Break the references to whatever started it, which name it: without them it is freed at once."""
+        """Drop the callbacks, which refer back to the attempt: without the cycle it is freed at once."""
         self.check_before_write = _refuse_write
         self.apply_retry_after = _ignore_retry_after
--- a/pinspread/core/notifications.py
+++ b/pinspread/core/notifications.py
@@ -1,4 +1,4 @@
-"""Final results: how messages end, and how their clients are notified of it."""
+"""Final results: how messages end, and how their clients are notified."""
 
 import anyio
 
@@ -8,10 +8,11 @@
 
 
 class Notifications:
-    """Decides final results, and keeps each message until its client has acknowledged the notification.
+    """Records final results, and keeps each message until its client has acknowledged the notification.
 
     Attributes:
-        pending: How many notifications of each key are not acknowledged, on fronts that order by that.
+        pending: The number of unacknowledged notifications of each key, for fronts that order messages by
+            acknowledgement.
     """
 
     def __init__(self, context: EngineContext) -> None:
@@ -20,7 +21,7 @@
         self._messages = context.messages
 
     def finish(self, message: Message, final: FinalResult) -> None:
-        """Decide the final result; the message ends once its front says that the client acknowledged it."""
+        """Set the final result and notify the client; the message ends once the client acknowledges it."""
         context = self._context
         del self._messages.open[message.number]
         log("final_result", id=message.id, state=final.state.name, retry_after_ms=final.retry_after_ms)
@@ -29,7 +30,7 @@
             return
         message.final = final
         context.record(context.journal.final_result, message, final)
-        self.expect(message)
+        self.add_pending(message)
         self._start(message, final)
 
     def end(self, message: Message) -> None:
@@ -37,18 +38,18 @@
         self._context.record(self._context.journal.message_ended, message)
         del self._messages.by_id[message.id]
 
-    def expect(self, message: Message) -> None:
-        """Have the key's next message wait for this one's notification, where its front orders them so."""
+    def add_pending(self, message: Message) -> None:
+        """Count this message's notification as pending for its key, if its front orders messages by that."""
         if self._context.fronts[message.front].ordered_by_ack:
             self.pending[message.key] = self.pending.get(message.key, 0) + 1
 
     def start(self, message: Message) -> None:
-        """Notify the client of a message that came with a final result."""
+        """Notify the client of a message that was taken over or recovered with a final result."""
         if message.final is not None:
             self._start(message, message.final)
 
     def start_all(self) -> None:
-        """Notify the clients of all messages that have a final result, as an earlier process left them."""
+        """Notify the clients of all messages that a previous process left with a final result."""
         for message in self._messages.by_id.values():
             self.start(message)
 
@@ -56,31 +57,32 @@
         self._context.tasks.start_soon(self._notify, message, final)
 
     def release(self, message: Message) -> None:
-        """Notify nobody of this message, for another node does."""
+        """Stop counting this message's notification as pending, because another node sends it."""
         if self._context.fronts[message.front].ordered_by_ack:
-            self._acknowledged(message.key)
+            self._remove_pending(message.key)
 
     async def _notify(self, message: Message, final: FinalResult) -> None:
         context = self._context
         front = context.fronts[message.front]
         if context.replication:
-            # A successor that finds no result in its replica, or has taken the work over, would give another.
+            # A node that takes over without this result in its replica, or that has taken over already, would
+            # determine another result.
             while context.replication.blocked_reason() or not await context.replication.wait_replicated():
                 await anyio.sleep(POLL_S)
             if self._is_released(message):
-                return  # the node that has taken it over notifies
+                return  # the node that has taken it over notifies the client
         await front.notify(message, final)
         if self._is_released(message):
-            return  # while the notification was under way; `release` has done what is left to do here
+            return  # during the notification; `release` has done the cleanup
         if front.ordered_by_ack:
-            self._acknowledged(message.key)
+            self._remove_pending(message.key)
         self.end(message)
 
     def _is_released(self, message: Message) -> bool:
         """Return whether another node has taken the message over since its result was decided."""
         return self._messages.by_id.get(message.id) is not message
 
-    def _acknowledged(self, key: int) -> None:
+    def _remove_pending(self, key: int) -> None:
         self.pending[key] -= 1
         if not self.pending[key]:
             del self.pending[key]
--- a/pinspread/core/write_check.py
+++ b/pinspread/core/write_check.py
@@ -1,4 +1,4 @@
-"""The last check of an attempt, right before its first byte is written."""
+"""The final check of an attempt, right before its first byte is written."""
 
 from pinspread.core.context import EngineContext
 from pinspread.core.endpoint_registry import EndpointRegistry
@@ -10,10 +10,10 @@
 
 
 class WriteCheck:
-    """Says whether an attempt may still be written, and records that it is about to be.
+    """Checks whether an attempt may still be written, and if so records it as started.
 
-    Connecting takes time, and what was allowed when the policy decided may not be any more: without this
-    check, a message could be written twice, too late, or to an endpoint that drains.
+    Connecting takes time, and what the policy decided before may no longer be allowed. Without this check, a
+    message could be written twice, too late, or to an endpoint that is draining.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self._notifications = notifications
 
     def check(self, attempt: Attempt) -> str:
-        """Return why an attempt must not be written; empty if it may: the journal has it as started then."""
+        """Return why an attempt must not be written; empty if it may, and was recorded as started."""
         return (
             self._message_reason(attempt)
             or self._attempt_reason(attempt)
@@ -38,29 +38,29 @@
         )
 
     def _message_reason(self, attempt: Attempt) -> str:
-        """Why the message is not to be sent now."""
+        """Return why the message must not be sent at present; empty if it may."""
         message, clock = attempt.message, self._context.clock
         if message.number not in self._messages.open:
             return "already ended"
         if clock.now() >= min(attempt.ends_us(), clock.monotonic(message.deadline_unix_us)):
-            return "out of time"
+            return "past its deadline or time-out"
         if message.key and message.key in self._notifications.pending:
-            return "its key waits for a notification"
+            return "an earlier notification of its key is pending"
         return ""
 
     def _attempt_reason(self, attempt: Attempt) -> str:
-        """Why the message is not to be sent there, whatever the policy says."""
+        """Return why the endpoint must not get the message, whatever the policy decided; empty if it may."""
         message, endpoint = attempt.message, attempt.endpoint
         if message.in_flight_since_unix_us and not attempt.recorded:
             return "another attempt is in flight"
         if endpoint.destination != message.destination:
-            return "not its destination"
+            return "the endpoint belongs to another destination"
         if not self._may_repeat(message, endpoint):
-            return "a duplicate may take effect there"
+            return "the endpoint might not drop a duplicate"
         return ""
 
     def _may_repeat(self, message: Message, endpoint: Endpoint) -> bool:
-        """Whether a further attempt does no harm there now, after one that may have run."""
+        """Return whether another attempt at the endpoint is safe now, even if an earlier one may have run."""
         if not message.may_have_run_unix_us:
             return True
         if message.rules is None:
@@ -68,8 +68,7 @@
         traffic_class = message.rules.traffic_class
         if traffic_class.effect is Idempotency.IDEMPOTENT:
             return True
-        # The policy chose in time, but connecting may outlast the window in which the destination drops
-        # duplicates.
+        # The policy decided in time, but the deduplication window may have ended while connecting.
         window_end_us = message.may_have_run_unix_us + traffic_class.deduplication_window_ns // NS_PER_US
         in_time = self._context.clock.unix(self._context.clock.now()) < window_end_us
         in_scope = traffic_class.group is not DeduplicationScope.ZONE or endpoint.zone == message.zone
@@ -78,7 +77,7 @@
     def _replication_reason(self, attempt: Attempt) -> str:
         if not self._context.replication:
             return ""
-        # The lease of this work may have ended while the attempt was replicated or connected.
+        # The lease for the message may have ended while the attempt was replicated or connected.
         return self._context.replication.blocked_reason() or ("" if attempt.recorded else "not replicated")
 
     def _record(self, attempt: Attempt) -> str:
@@ -94,7 +93,7 @@
         """Record an attempt as started at this Unix time.
 
         Raises:
-            JournalFullError: It can't be recorded, and must not be written.
+            JournalFullError: The attempt can't be recorded, and must not be written.
         """
         message = attempt.message
         if not message.may_have_run_unix_us:
