--- a/tests/stored.py
+++ b/tests/stored.py
@@ -1,8 +1,8 @@
-"""Stored data: what the files under `tests/data/stored/` were written from, and what they must be read to.
+"""Stored data: the inputs of the files under `tests/data/stored/`, and the content that they must be read to.
 
-Stored keys and bytes never change; names in the code do. The section "adapter" maps the one to the other, and
-is the only part that a rename in the code touches. `tools/stored_data.py` writes the files by the functions
-behind it; the tests compare with them.
+Stored keys and bytes never change, but names in the code do. The section "adapter" maps stored names to those
+of the code, and is the only part that a rename in the code affects. `tools/stored_data.py` writes the files
+with the functions after it; the tests compare the code's results with the files.
 """
 
 import json
@@ -29,7 +29,7 @@
     "front": "front",
     "reply": "reply",
 }
-PROGRESS_FIELDS = {  # in records of other kinds than TAKEN
+PROGRESS_FIELDS = {  # in the records that follow an `Accepted` record
     "attempts": "attempts",
     "may_have_run_unix_us": "may_have_run_unix_us",
     "out_since_unix_us": "in_flight_since_unix_us",
@@ -48,7 +48,7 @@
 
 
 def rules(stored_rules):
-    """The code's object for `{"cls": {...}, "max_attempts": n}`, or None."""
+    """Return the delivery rules for `{"cls": {...}, "max_attempts": n}`, or None."""
     if stored_rules is None:
         return None
     fields = {CLASS_FIELDS[name]: value for name, value in stored_rules["cls"].items()}
@@ -57,45 +57,51 @@
     return DeliveryRules(TrafficClass(**fields), stored_rules["max_attempts"])
 
 
-def rules_as_stored(found):
-    """The reverse."""
-    if found is None:
+def rules_as_stored(delivery_rules):
+    """Return delivery rules in the form that `rules` reads."""
+    if delivery_rules is None:
         return None
-    fields = {name: getattr(found.traffic_class, at) for name, at in CLASS_FIELDS.items()}
+    fields = {name: getattr(delivery_rules.traffic_class, field) for name, field in CLASS_FIELDS.items()}
     fields |= {"effect": fields["effect"].value, "group": fields["group"].value}
-    return {"cls": fields, "max_attempts": found.max_attempts}
+    return {"cls": fields, "max_attempts": delivery_rules.max_attempts}
 
 
-def message(number, fields_as_stored, body="", of=None, **progress):
-    """The code's object for what a TAKEN record holds, its body and what is known of its attempts."""
+def make_message(number, fields_as_stored, body="", stored_rules=None, **progress):
+    """Return the message for the fields of an `Accepted` record, its body, rules and progress."""
     fields = {MESSAGE_FIELDS[name]: value for name, value in fields_as_stored.items()}
     fields |= {PROGRESS_FIELDS[name]: value for name, value in progress.items()}
-    return Message(number, body=body.encode("latin-1"), rules=rules(of), **fields)
+    return Message(number, body=body.encode("latin-1"), rules=rules(stored_rules), **fields)
 
 
-def message_as_stored(t):
-    """The reverse, as the expected content has it."""
-    found = {"number": t.number, "body": t.body.decode("latin-1"), "rules": rules_as_stored(t.rules)}
-    found["told"] = {name: getattr(t, at) for name, at in MESSAGE_FIELDS.items()}
-    found |= {name: getattr(t, at) for name, at in PROGRESS_FIELDS.items()}
-    return found | {"final": [int(t.final.state), t.final.retry_after_ms] if t.final else None}
+def message_as_stored(message):
+    """Return a message in the form of the expected content."""
+    stored_message = {
+        "number": message.number,
+        "body": message.body.decode("latin-1"),
+        "rules": rules_as_stored(message.rules),
+    }
+    stored_message["told"] = {name: getattr(message, field) for name, field in MESSAGE_FIELDS.items()}
+    stored_message |= {name: getattr(message, field) for name, field in PROGRESS_FIELDS.items()}
+    return stored_message | {
+        "final": [int(message.final.state), message.final.retry_after_ms] if message.final else None
+    }
 
 
 class Steps:
-    """The journal's operations, by names that stay; a message is named by its number."""
+    """The journal's operations, under names that do not change; messages are identified by their numbers."""
 
     def __init__(self, folder, limit_bytes=1 << 20):
         self.journal = Journal(str(folder), limit_bytes)
-        self.known = {t.number: t for t in self.journal.recover()}
+        self.known = {message.number: message for message in self.journal.recover()}
 
-    def taken(self, number, fields_as_stored, body, of):
-        self.known[number] = message(number, fields_as_stored, body, of)
+    def taken(self, number, fields_as_stored, body, stored_rules):
+        self.known[number] = make_message(number, fields_as_stored, body, stored_rules)
         self.journal.message_accepted(self.known[number])
 
-    def adopted(self, number, fields_as_stored, body, of, progress, final):
-        self.known[number] = t = message(number, fields_as_stored, body, of, **progress)
-        t.final = FinalResult(FinalState(final[0]), final[1]) if final else None
-        self.journal.message_taken_over(t)
+    def adopted(self, number, fields_as_stored, body, stored_rules, progress, final):
+        self.known[number] = message = make_message(number, fields_as_stored, body, stored_rules, **progress)
+        message.final = FinalResult(FinalState(final[0]), final[1]) if final else None
+        self.journal.message_taken_over(message)
 
     def attempt_started(self, number, attempt, unix_us, zone):
         self.known[number].zone = zone
@@ -110,19 +116,19 @@
     def ended(self, number):
         self.journal.message_ended(self.known[number])
 
-    def banned(self, id_, out):
-        self.journal.endpoint_blocked(id_, out)
+    def banned(self, id_, blocked):
+        self.journal.endpoint_blocked(id_, blocked)
 
     def close(self):
         self.journal.close()
 
 
 def content(folder):
-    """What a journal is read to, in neutral words; nothing is written."""
+    """Return the content that a journal is read to, under keys that do not change; nothing is written."""
     journal = Journal(str(folder), 1 << 20)
     journal.read()
     return {
-        "open": [message_as_stored(t) for t in journal.open_messages.values()],
+        "open": [message_as_stored(message) for message in journal.open_messages.values()],
         "over": list(journal.finished_ids),
         "bans": list(journal.blocked_endpoints),
     }
@@ -134,37 +140,37 @@
 
 
 def _write(folder, steps):
-    found = Steps(folder)
-    for name, *words in steps:
-        getattr(found, name)(*words)
-    found.close()
+    operations = Steps(folder)
+    for name, *arguments in steps:
+        getattr(operations, name)(*arguments)
+    operations.close()
     return (Path(folder) / "journal").read_bytes()
 
 
 def journals(folder):
-    """Bytes of each of `JOURNAL_FILES`, as the present code writes them in an empty folder."""
+    """Return the bytes of each of `JOURNAL_FILES`, as the current code writes them in an empty folder."""
     steps = json.loads((DATA / "journal.json").read_bytes())
-    found = {"appended": _write(folder, steps["appended"]), "rewritten": _write(folder, [])}
-    found["continued"] = _write(folder, steps["continued"])
-    found["torn"] = found["continued"][: -steps["torn_by"]]
+    files = {"appended": _write(folder, steps["appended"]), "rewritten": _write(folder, [])}
+    files["continued"] = _write(folder, steps["continued"])
+    files["torn"] = files["continued"][: -steps["torn_by"]]
     (Path(folder) / "journal").unlink()
-    return found | {"without-rules": _write(folder, steps["without-rules"])}
+    return files | {"without-rules": _write(folder, steps["without-rules"])}
 
 
 def replica_journals():
-    """Three pieces of journals, to be replicated."""
+    """Return the bytes of three journals, to be replicated."""
     rewritten, old = ((DATA / "journal" / name).read_bytes() for name in ("rewritten", "without-rules"))
     return rewritten, old, old[:30]
 
 
 def kinds(data):
-    """The kinds of a journal's records, in order; read by the layout alone."""
-    found, at = [], 0
-    while at + 8 <= len(data):
-        size, checksum = struct.unpack_from("<II", data, at)
-        payload = data[at + 8 : at + 8 + size]
+    """Return the kinds of a journal's records in order, parsed without the code under test."""
+    record_kinds, offset = [], 0
+    while offset + 8 <= len(data):
+        size, checksum = struct.unpack_from("<II", data, offset)
+        payload = data[offset + 8 : offset + 8 + size]
         if len(payload) < size or zlib.crc32(payload) != checksum:
             break
-        found.append(payload[0])
-        at += 8 + size
-    return found
+        record_kinds.append(payload[0])
+        offset += 8 + size
+    return record_kinds
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -1,6 +1,6 @@
-"""A courier's folder and log as a process leaves them when it is killed, and its other kept files and wires.
+"""A courier's state folder and log as a killed process leaves them, its other stored files and its protocols.
 
-As `stored.py`: the section "adapter" names the code's parts. `leave_behind` runs the program itself.
+As in `stored.py`, only the section "adapter" refers to names of the code. `run_and_kill` runs the program.
 """
 
 import json
@@ -49,14 +49,14 @@
 
 
 def load_settings(state):
-    """What a start finds where its file is broken: the bytes, and some of what they say."""
+    """Return what a start with an unusable file loads: the bytes, and some of the settings in them."""
     environment = {"RELAY_CONFIG": str(Path(state) / "none"), "RELAY_STATE": str(state)}
     loaded = last_good.load_at_start(environment)
     return loaded.raw, {"name": loaded.name, "seed": loaded.seed, "disk_bytes": loaded.disk_bytes}
 
 
 def departed_endpoints(state):
-    """The endpoints that an endpoint list has shown as draining or gone, kept over restarts."""
+    """Return the endpoints that an endpoint list has shown as draining or gone, kept over restarts."""
     return departures.DepartedEndpoints(str(state), 3_000_000)
 
 
@@ -67,8 +67,8 @@
 }
 
 
-def admin_server_of(companions):
-    """An admin server with these background services, by name, and their views."""
+def admin_server_of(views_by_name):
+    """Return an admin server with background services of these names, which show these views."""
 
     class EndpointAdmin:
         def ready(self):
@@ -84,33 +84,33 @@
         "leases": LeaseService.name,
         "copies": ReplicationService.name,
     }
-    views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in companions.items()]
+    views = [SimpleNamespace(name=names[n], view=lambda v=v: v) for n, v in views_by_name.items()]
     return admin_server.AdminServer(EndpointAdmin(), background_services=views)
 
 
 def members_view():
-    """A member's own view, as the admin server shows it, but for the time."""
+    """Return a member's own view, as the admin server shows it, with the times set to 0."""
     plan = MembershipConfig("a", "127.0.0.1:7001", "127.0.0.1:7001", (), b"fleet-a", SwimConfig())
-    found = MembershipService(plan, seed=1).view()
-    for one in found["members"]:
-        one["since_us"] = 0
-    return found
+    view = MembershipService(plan, seed=1).view()
+    for member in view["members"]:
+        member["since_us"] = 0
+    return view
 
 
 def summary():
-    """What `pinspread config check` says of `SETTINGS`."""
+    """Return the output of `pinspread config check` for `SETTINGS`, as a list of lines."""
     return list(settings_summary(settings.read(orjson.loads(SETTINGS), {})))
 
 
 def recorded_trace(logs, path):
-    """The JSON object of a trace of these logs, written to a file."""
-    found = trace_recording.record_trace(logs, TRACE_KEY)
-    trace.write_trace(found, str(path))
-    return trace.to_document(found)
+    """Record a trace of these logs to a file, and return it as a JSON object."""
+    recorded = trace_recording.record_trace(logs, TRACE_KEY)
+    trace.write_trace(recorded, str(path))
+    return trace.to_document(recorded)
 
 
 def read_trace(path):
-    """The JSON object of a trace file."""
+    """Return a trace file as a JSON object."""
     return trace.to_document(trace.read_trace(path))
 
 
@@ -148,31 +148,35 @@
 
 
 def outcome(verdict, **stored_fields):
-    """How an attempt ended: its words as the packet between processes has them."""
-    words = {"FULL": Outcome.OVERLOADED, "OK": Outcome.OK}
-    return AttemptResult(words[verdict], **{RESULT[name]: value for name, value in stored_fields.items()})
+    """Return the result of an attempt from its fields in a packet between processes."""
+    outcomes = {"FULL": Outcome.OVERLOADED, "OK": Outcome.OK}
+    return AttemptResult(outcomes[verdict], **{RESULT[name]: value for name, value in stored_fields.items()})
 
 
 def outcome_as_stored(packet):
-    found = packet_codec.result_from_json(packet)
-    return {"verdict": int(found.outcome)} | {name: getattr(found, at) for name, at in RESULT.items()}
+    result = packet_codec.result_from_json(packet)
+    return {"verdict": int(result.outcome)} | {name: getattr(result, field) for name, field in RESULT.items()}
 
 
 def connected():
-    """Both ends of a connection on loopback."""
+    """Return both ends of a connection on loopback."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         a = socket.create_connection(server.getsockname())
         return a, server.accept()[0]
 
 
 async def send_handover(link_socket):
-    """Send what an old process hands over, but for the state's own bytes."""
+    """Send what an old process hands over, with a placeholder for the engine's state."""
     a, b = connected()
-    kept = sockets.IdleConnection(sockets.Connection(a), True, True, 2, b"unread", b"unsent")
-    idle = target.IdleEndpointConnection("s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b))
+    client_connection = sockets.IdleConnection(sockets.Connection(a), True, True, 2, b"unread", b"unsent")
+    endpoint_connection = target.IdleEndpointConnection(
+        "s-1", "127.0.0.1:9", 5_000_000, sockets.Connection(b)
+    )
     lock = os.open(os.devnull, os.O_RDONLY)
     listening = socket.socket()
-    payload = source.HandoverPayload(b"state", 0, [kept], [idle], {"resp": listening}, lock)
+    payload = source.HandoverPayload(
+        b"state", 0, [client_connection], [endpoint_connection], {"resp": listening}, lock
+    )
     link = Link(link_socket)
     await source.HandoverListener(SimpleNamespace(), "")._send(link, payload)
     successor = source.Successor(link)
@@ -188,25 +192,28 @@
             pass
         tasks.cancel_scope.cancel()
     os.close(lock)
-    for one in (a, b, listening):
-        one.close()
+    for connection in (a, b, listening):
+        connection.close()
 
 
 async def receive_handover(link_socket, count):
-    """The same read by the code of a new process."""
-    link, found = Link(link_socket), target.TransferredState()
+    """Receive the same with the code of a new process, and return the connections and listeners."""
+    link, received = Link(link_socket), target.TransferredState()
     for _ in range(count):
         kind, data, fd = await link.receive()
         if kind in (PACKETS["LEG"], PACKETS["IDLE"], PACKETS["SOCKET"]):
-            found.add(Packet(kind, data, fd))
+            received.add(Packet(kind, data, fd))
         elif fd is not None:
             os.close(fd)
-    connections = {"idle": [list(i[:3]) for i in found.idle_connections], "sockets": list(found.listeners)}
+    connections = {
+        "idle": [list(i[:3]) for i in received.idle_connections],
+        "sockets": list(received.listeners),
+    }
     connections["legs"] = [
         [k.answered, k.submitted, k.errors, k.unread.decode(), k.unsent.decode()]
-        for k in found.client_connections
+        for k in received.client_connections
     ]
-    found.close()
+    received.close()
     return connections
 
 
@@ -216,10 +223,10 @@
 
 
 def write_departures(folder):
-    """The bytes of the kept list after `LEFT_TOLD`."""
-    found = departed_endpoints(folder)
-    for one in DEPARTURES:
-        found.record({id_: LEFT_STATES[state] for id_, state in one.items()})
+    """Return the bytes of the stored list after the reports in `DEPARTURES`."""
+    departures_file = departed_endpoints(folder)
+    for report in DEPARTURES:
+        departures_file.record({id_: LEFT_STATES[state] for id_, state in report.items()})
     return (Path(folder) / LEFT_FILE).read_bytes()
 
 
@@ -228,16 +235,16 @@
 
 
 def unpacked_trace(path):
-    """A trace file's payload, by its layout alone."""
+    """Return a trace file's payload, parsed without the code under test."""
     data = Path(path).read_bytes()
     assert data[:10] == b"PINTRACE\x00\x01" and len(data) == 50 + int.from_bytes(data[10:18], "big")
     return zlib.decompress(data[50:])
 
 
 def logs():
-    """The recorded logs, as (name, lines)."""
-    found = sorted((DATA / "logs").glob("*.log"))
-    return [(p.name, p.read_bytes().splitlines()) for p in found]
+    """Return the recorded logs as pairs of name and lines."""
+    paths = sorted((DATA / "logs").glob("*.log"))
+    return [(p.name, p.read_bytes().splitlines()) for p in paths]
 
 
 # --- the admin server ---------------------------------------------------------------------------------------
@@ -257,36 +264,36 @@
 ]
 
 
-async def calls(companions):
-    """What the admin server answers to each of `CALLS`."""
-    found = {}
+async def calls(views_by_name):
+    """Return the admin server's reply to each of `CALLS`."""
+    replies = {}
     for call in CALLS:
-        said = bytearray()
+        reply = bytearray()
 
         async def read(call=call):
             return f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
 
-        async def write(data, said=said):
-            said.extend(data)
+        async def write(data, reply=reply):
+            reply.extend(data)
 
-        async def part():
+        async def do_nothing():
             pass
 
-        connection = SimpleNamespace(read=read, write=write, linger=part, close=lambda: None)
-        await admin_server_of(companions).serve(connection, None)
-        found[call] = said.decode()
-    return found
+        connection = SimpleNamespace(read=read, write=write, linger=do_nothing, close=lambda: None)
+        await admin_server_of(views_by_name).serve(connection, None)
+        replies[call] = reply.decode()
+    return replies
 
 
 # --- packets between processes ----------------------------------------------------------------------
 
 
 async def packets():
-    """The packets of a hand-over, as they lie on the socket."""
+    """Return the packets of a hand-over, as they are sent on the socket."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     await send_handover(ours)
     theirs.setblocking(False)
-    found = []
+    found_packets = []
     while True:
         try:
             data, fds, _, _ = socket.recv_fds(theirs, 40_000, 4)
@@ -296,20 +303,20 @@
             break
         for fd in fds:
             os.close(fd)
-        found.append([data[0], data[1], data[2:].decode("latin-1"), len(fds)])
+        found_packets.append([data[0], data[1], data[2:].decode("latin-1"), len(fds)])
     ours.close()
     theirs.close()
-    return found
+    return found_packets
 
 
 async def handed_over():
-    """What the new process makes of them."""
+    """Return what the new process reads from the packets of a hand-over."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     await send_handover(ours)
-    found = await receive_handover(theirs, 5)
+    received = await receive_handover(theirs, 5)
     ours.close()
     theirs.close()
-    return found
+    return received
 
 
 # --- a courier's folder -----------------------------------------------------------------------------
@@ -317,20 +324,22 @@
 
 @contextmanager
 def process(folder, hosts, platform, log):
-    """The program on the folder's `state`; ends as if killed."""
+    """Run the program on the folder's `state`; it is killed at the end."""
     folder = Path(folder)
     raw_settings = configuration(folder / "state") | {"listen": own_address(), "discovery": platform}
     raw_settings["known"]["hosts"] = hosts
     (folder / "config.json").write_bytes(orjson.dumps(raw_settings))
     (folder / "state").mkdir(exist_ok=True)
     admin_address = own_address()
-    more = {
+    environment = {
         "RELAY_CONFIG": str(folder / "config.json"),
         "RELAY_STATE": str(folder / "state"),
         "RELAY_ADMIN_ADDR": admin_address,
     }
     with open(log, "wb") as out:
-        running = subprocess.Popen([sys.executable, "-m", "pinspread"], env=os.environ | more, stdout=out)
+        running = subprocess.Popen(
+            [sys.executable, "-m", "pinspread"], env=os.environ | environment, stdout=out
+        )
         running.listen, running.admin_address = raw_settings["listen"], admin_address
         try:
             yield running
@@ -340,7 +349,7 @@
 
 
 async def listening(running):
-    """Wait until its admin server answers that it is ready."""
+    """Wait until the process's admin server replies that it is ready."""
     with anyio.fail_after(10):
         while True:
             try:
@@ -352,7 +361,7 @@
 
 
 async def call_admin(address, call):
-    """One call to the admin server."""
+    """Send one request to the admin server, and return the reply."""
     host_, port = address.split(":")
     async with await anyio.connect_tcp(host_, int(port)) as stream:
         await stream.send(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -360,21 +369,21 @@
 
 
 class Platform(HttpStandIn):
-    """Discovery with one endpoint list, and a receiver of notifications that may not answer."""
+    """Discovery with one endpoint list, and a receiver of notifications that may not acknowledge them."""
 
-    def __init__(self, news, hears):
+    def __init__(self, endpoint_list, acknowledges):
         super().__init__()
-        self.news, self.hears = news, hears
+        self.endpoint_list, self.acknowledges = endpoint_list, acknowledges
 
     def reply(self, request, connection, first):
         if request[2].startswith("/api/targets"):
-            line = orjson.dumps(self.news) + b"\n" if self.news else b"\n"
+            line = orjson.dumps(self.endpoint_list) + b"\n" if self.endpoint_list else b"\n"
             body = b"%x\r\n%s\r\n" % (len(line), line)
             return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + body
-        return (204, [], b"") if self.hears else None
+        return (204, [], b"") if self.acknowledges else None
 
     def ends(self):
-        """Ids, states and Retry-After times of the final results that it was notified of."""
+        """Return the ids, states and Retry-After times of the final results that it was notified of."""
         lines = [orjson.loads(x) for r in self.requests if r[2] == "/v2/finals" for x in r[4].splitlines()]
         return {(x["id"], x["state"], x.get("after_ms", 0)) for x in lines}
 
@@ -395,27 +404,27 @@
 }
 
 
-def endpoint_stand_in(calls_, plan):
-    """An endpoint that records which ids came, and answers by the id as `plan` says."""
+def endpoint_stand_in(called, plan):
+    """Return an endpoint that records the ids of its calls, and answers as `plan` says for the id."""
 
     def answer(request):
         id_ = request[3].get("request-id")
         if id_ is None:
             return 200, [], b""
-        calls_.append(id_)
+        called.append(id_)
         return plan(id_)
 
     return HttpStandIn(answer)
 
 
-def hosts_at(places, other):
-    """The file's list: all ready, those without a place at another."""
-    return [host(id_, places.get(id_, other), dest) for id_, dest in HOSTS.items()]
+def hosts_at(addresses, other):
+    """Return the file's endpoint list: all ready, and at address `other` unless `addresses` has another."""
+    return [host(id_, addresses.get(id_, other), dest) for id_, dest in HOSTS.items()]
 
 
-async def leave_behind(folder):
-    """Run the program and kill it with all kinds of messages open; its log is at `log`."""
-    had, elsewhere = [], []
+async def run_and_kill(folder):
+    """Run the program and kill it with all kinds of messages open; its log is written to `log`."""
+    called, called_elsewhere = [], []
 
     def for_ms(id_):
         return 300 if id_ == "returned" else 20_000
@@ -430,46 +439,46 @@
     gone = host("s-3", "127.0.0.1:3", 1, "gone")
     platform = Platform({"seq": 2, "whole": False, "hosts": [gone]}, False)
     async with (
-        standing(endpoint_stand_in(had, plan)) as at,
-        standing(endpoint_stand_in(elsewhere, plan)) as other,
+        standing(endpoint_stand_in(called, plan)) as address,
+        standing(endpoint_stand_in(called_elsewhere, plan)) as other,
         standing(platform) as platform_at,
     ):
-        hosts = hosts_at({"s-1": at, "s-4": "127.0.0.1:1", "s-5": at}, other)
+        hosts = hosts_at({"s-1": address, "s-4": "127.0.0.1:1", "s-5": address}, other)
         with process(folder, hosts, platform_at, Path(folder) / "log") as running:
             await listening(running)
             state = Path(folder) / "state"
             await until(lambda: (state / "list.left").exists())
             assert "200" in await call_admin(running.admin_address, "PUT /-/endpoints/s-2/disable")
             client = Client(running.listen)
-            for n in range(8):  # calls that go well, for the log
+            for n in range(8):  # successful calls, for the log
                 assert await client.enqueue("status-update", f"well-{n}", for_ms=20_000) == "+OK\r\n"
             for id_, (cls, key, dest) in MESSAGES.items():
-                await until(lambda: len(had) >= 8)
+                await until(lambda: len(called) >= 8)
                 assert await client.enqueue(cls, id_, key, for_ms(id_), dest) == "+OK\r\n"
-            want = {"out-payment", "out-keyed", "out-repeatable", "answered", "failed", "refused"}
-            await until(lambda: want <= set(had))
+            expected_ids = {"out-payment", "out-keyed", "out-repeatable", "answered", "failed", "refused"}
+            await until(lambda: expected_ids <= set(called))
             await until(lambda: b'"RETURNED"' in (Path(folder) / "log").read_bytes())
-    return had, elsewhere
+    return called, called_elsewhere
 
 
-# --- a journal's times, by its layout alone ---------------------------------------------------------
+# --- a journal's times, parsed without the code under test ------------------------------------------
 
 
 def payloads(data):
-    at = 0
-    while at < len(data):
-        (size,) = struct.unpack_from("<I", data, at)
-        yield data[at + 8 : at + 8 + size]
-        at += 8 + size
+    offset = 0
+    while offset < len(data):
+        (size,) = struct.unpack_from("<I", data, offset)
+        yield data[offset + 8 : offset + 8 + size]
+        offset += 8 + size
 
 
-def times(data):
-    """When the first attempt was written, Unix microseconds."""
+def first_attempt_unix_us(data):
+    """Return when the first attempt was written, in microseconds of Unix time."""
     return min(struct.unpack_from("<Q", p, 10)[0] for p in payloads(data) if p[0] == 2)
 
 
 def shifted(data, by_us):
-    """The same journal written later: deadlines and the times of attempts."""
+    """Return the journal with its deadlines and the times of its attempts shifted."""
     out = b""
     for p in payloads(data):
         if p[0] == 1:
@@ -486,20 +495,20 @@
     return out
 
 
-def come_back_ms(data):
-    """The Retry-After time of the one final result that has one."""
-    found = {struct.unpack_from("<I", p, 10)[0] for p in payloads(data) if p[0] == 4}
-    (retry_after_ms,) = found - {0}
+def returned_retry_after_ms(data):
+    """Return the Retry-After of the only final result that has one, in milliseconds."""
+    values = {struct.unpack_from("<I", p, 10)[0] for p in payloads(data) if p[0] == 4}
+    (retry_after_ms,) = values - {0}
     return retry_after_ms
 
 
 def open_ids(data):
-    """Ids that TAKEN records name and no ENDED ends."""
-    found = {}
+    """Return the ids of messages that were accepted and have not ended."""
+    ids = {}
     for p in payloads(data):
         (number,) = struct.unpack_from("<Q", p, 1)
         if p[0] == 1:
-            found[number] = json.loads(p[11 : 11 + struct.unpack_from("<H", p, 9)[0]])["id"]
+            ids[number] = json.loads(p[11 : 11 + struct.unpack_from("<H", p, 9)[0]])["id"]
         elif p[0] == 5:
-            found.pop(number, None)
-    return set(found.values())
+            ids.pop(number, None)
+    return set(ids.values())
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Stored data of the version before the code was renamed: the same content read, the same bytes written."""
+"""Data stored by earlier versions is read to the same content, and the same bytes are written."""
 
 import json
 import shutil
@@ -46,13 +46,13 @@
         assert data == (stored.DATA / "journal" / name).read_bytes(), name
 
 
-# --- copies kept for others -------------------------------------------------------------------------
+# --- replicas of other nodes ------------------------------------------------------------------------
 
 
 def test_stored_replicas_are_read_to_the_same_content(tmp_path):
     shutil.copytree(stored.DATA / "copies", tmp_path / "copies")
-    for owner, told in expected("copies").items():
-        assert stored_cluster.replica_as_stored(tmp_path / "copies", owner) == told
+    for owner, content in expected("copies").items():
+        assert stored_cluster.replica_as_stored(tmp_path / "copies", owner) == content
         stored_cluster.rewrite_replica(tmp_path / "copies", owner)
     assert stored_cluster.files(tmp_path / "copies") == stored_cluster.files(stored.DATA / "copies")
 
@@ -64,7 +64,7 @@
 
 
 def test_a_generation_that_was_stored_is_the_one_that_a_restart_goes_by(tmp_path):
-    """An older copy elsewhere must not take the place of the own journal, nor a newer one be passed over."""
+    """An older replica must not replace the node's own journal, and a newer one must not be ignored."""
     own = stored.replica_journals()[1]
     stamp = int((stored.DATA / "copies.generation").read_text())
     for generation, restored in ((stamp - 1, False), (stamp, False), (stamp + 1, True)):
@@ -135,9 +135,8 @@
         raw,
         {"name": "n0", "seed": 0x1F, "disk_bytes": 3_000_000},
     )
-    stored_courier.save_settings(
-        tmp_path, stored_courier.SETTINGS
-    )  # its bytes differ with the library that packs them
+    # The compressed bytes depend on the library.
+    stored_courier.save_settings(tmp_path, stored_courier.SETTINGS)
     assert zlib.decompress((tmp_path / "configuration.good").read_bytes()) == raw
 
 
@@ -145,7 +144,7 @@
 
 
 def rounded(value):
-    """A mean's last digits differ with the library that adds."""
+    """Return the value with floats rounded: the last digits of a mean depend on the library."""
     if isinstance(value, dict):
         return {k: rounded(v) for k, v in value.items()}
     if isinstance(value, list | tuple):
@@ -170,52 +169,54 @@
     )
 
 
-# --- an upgrade from that version -------------------------------------------------------------------
+# --- an upgrade from an earlier version -------------------------------------------------------------
 
 SENT_AGAIN = {"unreached", "unreached-keyed", "refused", "out-keyed", "behind-keyed", "out-repeatable"}
-TOLD = {"out-payment": "failed", "failed": "failed", "returned": "returned"}
+FINAL_STATES = {"out-payment": "failed", "failed": "failed", "returned": "returned"}
 
 
 def test_this_version_recovers_the_folder_of_a_killed_process_of_that_one(tmp_path):
-    """Nothing is lost, and what may have run and must not run twice is not sent again."""
-    anyio.run(goes_on, tmp_path)
+    """No message is lost, and none that may have run and must not run twice is sent again."""
+    anyio.run(check_recovery, tmp_path)
 
 
-async def goes_on(folder):
+async def check_recovery(folder):
     def accept(id_):
         return 200, [], b""
 
     data = (stored.DATA / "state" / "journal").read_bytes()
-    assert stored_courier.open_ids(data) == SENT_AGAIN | set(TOLD)
+    assert stored_courier.open_ids(data) == SENT_AGAIN | set(FINAL_STATES)
     shutil.copytree(stored.DATA / "state", folder / "state")
-    after_ms = {"returned": stored_courier.come_back_ms(data)}  # as it was decided then
-    ends = {(id_, state, after_ms.get(id_, 0)) for id_, state in TOLD.items()}
-    by_us = time.time_ns() // 1000 - 1_000_000 - stored_courier.times(data)
-    (folder / "state" / "journal").write_bytes(stored_courier.shifted(data, by_us))
-    had, elsewhere = [], []
+    after_ms = {"returned": stored_courier.returned_retry_after_ms(data)}  # as decided before the kill
+    ends = {(id_, state, after_ms.get(id_, 0)) for id_, state in FINAL_STATES.items()}
+    shift_us = time.time_ns() // 1000 - 1_000_000 - stored_courier.first_attempt_unix_us(data)
+    (folder / "state" / "journal").write_bytes(stored_courier.shifted(data, shift_us))
+    called, called_elsewhere = [], []
     platform = stored_courier.Platform(None, True)
     async with AsyncExitStack() as stack:
-        at = await stack.enter_async_context(standing(stored_courier.endpoint_stand_in(had, accept)))
-        other = await stack.enter_async_context(standing(stored_courier.endpoint_stand_in(elsewhere, accept)))
-        platform_at = await stack.enter_async_context(standing(platform))
-        hosts = stored_courier.hosts_at({"s-1": at, "s-4": at, "s-5": at}, other)
-        with stored_courier.process(folder, hosts, platform_at, folder / "log") as running:
+        address = await stack.enter_async_context(standing(stored_courier.endpoint_stand_in(called, accept)))
+        other = await stack.enter_async_context(
+            standing(stored_courier.endpoint_stand_in(called_elsewhere, accept))
+        )
+        platform_address = await stack.enter_async_context(standing(platform))
+        hosts = stored_courier.hosts_at({"s-1": address, "s-4": address, "s-5": address}, other)
+        with stored_courier.process(folder, hosts, platform_address, folder / "log") as running:
             await stored_courier.listening(running)
             client = Client(running.listen)
-            again = ("answered", *sorted(SENT_AGAIN))  # a client that lost its connection says them once more
-            for id_ in again:
+            resubmitted = ("answered", *sorted(SENT_AGAIN))  # as from a client that lost its connection
+            for id_ in resubmitted:
                 cls, key, dest = stored_courier.MESSAGES[id_]
                 assert await client.enqueue(cls, id_, key, 20_000, dest=dest) == "+OK\r\n"
-            await until(lambda: set(had) >= SENT_AGAIN and platform.ends() >= ends, 8)
+            await until(lambda: set(called) >= SENT_AGAIN and platform.ends() >= ends, 8)
             for n in range(8):
                 assert await client.enqueue("status-update", f"new-{n}", for_ms=9_000) == "+OK\r\n"
-            await until(lambda: len([i for i in had if i.startswith("new-")]) == 8)
+            await until(lambda: len([i for i in called if i.startswith("new-")]) == 8)
             await anyio.sleep(0.3)
             assert "404" not in await stored_courier.call_admin(
                 running.admin_address, "PUT /-/endpoints/s-2/enable"
             )
-    assert sorted(i for i in had if not i.startswith("new-")) == sorted(SENT_AGAIN)  # each of them once
-    assert had.index("out-keyed") < had.index("behind-keyed")
-    assert elsewhere == []  # neither the endpoint that was banned, nor the one that has gone
+    assert sorted(i for i in called if not i.startswith("new-")) == sorted(SENT_AGAIN)  # each exactly once
+    assert called.index("out-keyed") < called.index("behind-keyed")
+    assert called_elsewhere == []  # neither the blocked endpoint, nor the removed one
     assert platform.ends() == ends
     assert stored_courier.open_ids((folder / "state" / "journal").read_bytes()) == set()
--- a/tools/stored_data.py
+++ b/tools/stored_data.py
@@ -1,8 +1,8 @@
 """Write the stored data that tests compare with: `python tools/stored_data.py NAME...`, from the root.
 
-It was run before names in the code changed, and what it wrote is the record of those versions' bytes. Run it
-for a form that is new; a file that is there already is left alone, for the tests hold the code to it. Names:
-as in `WRITERS`. Inputs and the adapter to the code's names stand in `tests/stored.py`.
+It was run before names in the code changed, so the files have the bytes that those versions wrote. Run it for
+new formats only. Existing files are not changed, because the tests compare the code with them. NAME is a key
+of `WRITERS`. The inputs, and the adapter to the names in the code, are in `tests/stored.py`.
 """
 
 import json
@@ -19,9 +19,9 @@
 
 
 def put(path: Path, data: bytes):
-    """Write a file that is not there yet."""
+    """Write a file, unless it exists."""
     if path.exists():
-        print(f"{path}: is there already, left as it is")
+        print(f"{path}: exists, not changed")
         return
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(data)
@@ -29,12 +29,12 @@
 
 
 def put_json(path: Path, value):
-    """The same for a value."""
+    """Write a value as JSON, unless the file exists."""
     put(path, json.dumps(value, indent=1, ensure_ascii=False, sort_keys=True).encode() + b"\n")
 
 
 def journal():
-    """The courier's journal, and what each file is read to."""
+    """Write the courier's journals, and the content that each is read to."""
     with tempfile.TemporaryDirectory() as folder:
         expected = {}
         for name, data in stored.journals(folder).items():
@@ -45,17 +45,17 @@
 
 
 def members():
-    """Membership's datagrams, and the table of the admin server."""
+    """Write the datagrams of membership, and the view of the admin server."""
     put_json(stored.DATA / "wire" / "members.json", stored_cluster.members())
 
 
 def leases():
-    """The datagrams of leases, and the view of the admin server."""
+    """Write the datagrams of leases, and the view of the admin server."""
     put_json(stored.DATA / "wire" / "leases.json", anyio.run(stored_cluster.lease_exchange))
 
 
 def copies():
-    """The frames of replication, the view of the admin server, and a replica's files, with what they hold."""
+    """Write the frames of replication, the view of the admin server, and replicas' files and content."""
     with tempfile.TemporaryDirectory() as folder:
         found = anyio.run(stored_cluster.replication_exchange, folder, stored.replica_journals())
         for name, data in found.pop("files").items():
@@ -70,7 +70,7 @@
 
 
 def voters():
-    """Voters' frames, their log, and the dump of their table."""
+    """Write the frames and logs of voters, and the dump of their table."""
     with tempfile.TemporaryDirectory() as folder:
         folder = Path(folder)
         put_json(stored.DATA / "wire" / "voters.json", anyio.run(stored_cluster.voter_exchange, folder / "x"))
@@ -86,14 +86,14 @@
         put_json(stored.DATA / "voters.expected.json", expected)
 
 
-PROBED = b'{"at_us":%d,"event":"probe","hop":"s-1","verdict":"OK","note":""}\n'  # as the courier logs one
+PROBED = b'{"at_us":%d,"event":"probe","hop":"s-1","verdict":"OK","note":""}\n'  # a logged health check
 
 
 def folder():
-    """A folder and log as a killed process leaves them; other kept files; what readers make of logs."""
+    """Write the state folder and log of a killed process, other stored files, and the traces made of logs."""
     with tempfile.TemporaryDirectory() as work:
         work = Path(work)
-        anyio.run(stored_courier.leave_behind, work)
+        anyio.run(stored_courier.run_and_kill, work)
         for name in ("journal", "list.left"):
             put(stored.DATA / "state" / name, (work / "state" / name).read_bytes())
         log = (work / "log").read_bytes()
@@ -112,7 +112,7 @@
 
 
 def door():
-    """The admin server, `config check`, and packets between two processes."""
+    """Write replies of the admin server, the output of `config check`, and packets between two processes."""
     views = {
         "members": stored_courier.members_view(),
         "leases": {"tasks": []},
