--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,12 +3,12 @@
 import policy_helpers
 import pytest
 
-# Modules of helpers whose assertions pytest explains when they fail, as it does those of test files.
+# Helper modules whose assertions pytest explains on failure, as it does those of test files.
 pytest.register_assert_rewrite("amqp_dialogue", "amqp_front_sessions", "upgrade_deployment")
 
 
 def pytest_collection_modifyitems(items):
-    """Run the long tests first, so that no worker is left alone with one at the end."""
+    """Run the long tests first, so that no worker runs one alone at the end."""
     items.sort(key=lambda item: item.get_closest_marker("long") is None)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Events that cross: each test forces the bad order on real connections (docs/crossings.md has the list)."""
+"""Race conditions (docs/crossings.md lists them): each test forces the harmful order on real connections."""
 
 import dataclasses
 import time
@@ -29,7 +29,7 @@
         gate = Gate(monkeypatch)
         await Client(rig.address).enqueue("payment")
         await until(lambda: gate.waiting)
-        rig.update_endpoints(address, scope=UpdateScope.FULL)  # as a watch does that was opened again
+        rig.update_endpoints(address, scope=UpdateScope.FULL)  # as a reopened watch does
         if change == "drain":
             rig.update_endpoints(address, state=EndpointState.DRAINING)
         elif change == "gone":
@@ -37,7 +37,7 @@
         elif change == "ban":
             assert await rig.engine.disable("s-1")
         else:
-            rig.update_endpoints("127.0.0.1:1")  # the endpoint is elsewhere by now
+            rig.update_endpoints("127.0.0.1:1")  # the endpoint has another address now
         gate.open.set()
         await until(lambda: not rig.engine.attempts)
         assert not endpoint.requests
@@ -46,27 +46,25 @@
 @pytest.mark.parametrize(
     ("answer", "behind", "ends"),
     [
-        (
-            b"HTTP/1.1 200 OK\r\nContent-Le",
-            "DRAIN_TIMEOUT_S",
-            [],
-        ),  # delivered, whatever comes or does not come behind
+        # Delivered, whatever follows or does not follow the status line.
+        (b"HTTP/1.1 200 OK\r\nContent-Le", "DRAIN_TIMEOUT_S", []),
+        # The attempt did not run.
         (
             b"HTTP/1.1 503 x\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n",
             "SLOT_PAUSE_S",
             ["returned"],
-        ),  # never ran
+        ),
     ],
 )
 async def test_what_an_answer_has_proven_stands_though_the_time_ends_after_it(
     tmp_path, monkeypatch, answer, behind, ends
 ):
-    monkeypatch.setattr(http_transport, behind, 60)  # so the message's time ends first
+    monkeypatch.setattr(http_transport, behind, 60)  # so that the message's deadline passes first
     endpoint, platform = HttpStandIn(lambda request: answer), HttpStandIn(lambda request: (204, [], b""))
     async with (
-        standing(platform) as heard,
+        standing(platform) as platform_address,
         standing(endpoint) as address,
-        engine(tmp_path, heard, endpoints=[(address,)]) as rig,
+        engine(tmp_path, platform_address, endpoints=[(address,)]) as rig,
     ):
         assert await Client(rig.address).enqueue("payment", for_ms=300) == "+OK\r\n"
         await until(lambda: not rig.engine.messages_by_id)
@@ -75,32 +73,31 @@
 
 
 async def test_a_repeat_whose_window_ends_while_it_is_dialled_is_not_written(tmp_path, monkeypatch):
-    endpoint = HttpStandIn(lambda request: None)  # every call ends as a reset: it may have run
+    endpoint = HttpStandIn(lambda request: None)  # every call ends with a reset, so it may have run
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         core = rig.engine
         await Client(rig.address).enqueue("booking-change", "keyed", for_ms=60_000)
         gate = Gate(monkeypatch)
         await until(lambda: len(endpoint.requests) == 1 and gate.waiting)
         rules = core.messages_by_id["keyed"].rules
-        core.clock.offset_us += (
-            rules.traffic_class.deduplication_window_ns // 1000
-        )  # the repeat's dial takes so long
+        # As if dialling for the repeat took as long as the deduplication window.
+        core.clock.offset_us += rules.traffic_class.deduplication_window_ns // 1000
         gate.open.set()
         await until(lambda: not core.attempts)
         assert len(endpoint.requests) == 1
 
 
 async def test_a_repeat_after_a_restart_goes_to_the_zone_that_drops_it(tmp_path):
-    waits = [anyio.sleep_forever()]  # killed with this one out: it may have run
+    waits = [anyio.sleep_forever()]  # killed with this attempt in flight: it may have run
     endpoints = [HttpStandIn(lambda request: waits.pop() if waits else (200, [], b"")), HttpStandIn()]
     async with standing(endpoints[0]) as far, standing(endpoints[1]) as near:
         for n in range(2):
             async with engine(tmp_path) as rig:
                 if n == 0:
-                    lane = rig.engine.settings.delivery_rules["booking-change"]
-                    by_zone = dataclasses.replace(lane.traffic_class, group=DeduplicationScope.ZONE)
+                    rules = rig.engine.settings.delivery_rules["booking-change"]
+                    by_zone = dataclasses.replace(rules.traffic_class, group=DeduplicationScope.ZONE)
                     rig.engine.settings.delivery_rules["booking-change"] = DeliveryRules(
-                        by_zone, lane.max_attempts
+                        by_zone, rules.max_attempts
                     )
                 rig.engine.update_endpoints(
                     UpdateScope.FULL, [(Endpoint("far", far, 1, zone=1), EndpointState.READY)]
@@ -116,12 +113,12 @@
     assert not endpoints[1].requests and len(endpoints[0].requests) == 2
 
 
-class Agent:
-    """Discovery whose watches the test writes to byte by byte; `asked` has each one's target."""
+class DiscoveryStandIn:
+    """A discovery stand-in whose watches a test writes to; `request_targets` has the target of each watch."""
 
     def __init__(self):
         self.sock, self.address = listener()
-        self.asked, self.watches = [], []
+        self.request_targets, self.watches = [], []
 
     async def run(self):
         async with anyio.create_task_group() as tasks:
@@ -130,15 +127,15 @@
     async def serve(self, connection):
         request = await connection.read()
         if not request:
-            return  # closed before it asked for anything
-        self.asked.append(request.split()[1].decode())
+            return  # closed before it sent a request
+        self.request_targets.append(request.split()[1].decode())
         self.watches.append(connection)
-        with suppress(OSError):  # the courier may close a watch over bytes that it has not read: a reset
+        with suppress(OSError):  # a reset, if the courier closes a watch that has unread bytes
             while await connection.read():
                 pass
 
     def say(self, n, text=b"", head=False):
-        """Write to watch n at once, as one segment."""
+        """Write to watch `n` as one segment."""
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" if head else b""
         self.watches[n].sock.send(head + (b"%x\r\n%s\r\n" % (len(text), text) if text else b""))
 
@@ -149,18 +146,18 @@
 
 @asynccontextmanager
 async def watched(tmp_path, monkeypatch, faster=4):
-    """A courier and its agent, with the watch's times cut to a quarter."""
+    """A courier and its discovery, with the time-outs of watches divided by `faster`."""
     for name in ("LINE_TIMEOUT_S", "FIRST_LINE_TIMEOUT_S", "RESPONSE_TIMEOUT_S", "OPEN_INTERVAL_S"):
         monkeypatch.setattr(discovery_client, name, getattr(discovery_client, name) / faster)
     monkeypatch.setattr(backoff, "REOPEN_DELAY_S", backoff.REOPEN_DELAY_S / faster)
-    agent = Agent()
-    async with engine(tmp_path, agent.address) as rig:
-        rig.tasks.start_soon(agent.run)
-        watch = discovery_client.DiscoveryClient(agent.address, rig.engine, rig.engine.settings)
+    discovery = DiscoveryStandIn()
+    async with engine(tmp_path, discovery.address) as rig:
+        rig.tasks.start_soon(discovery.run)
+        watch = discovery_client.DiscoveryClient(discovery.address, rig.engine, rig.engine.settings)
         rig.tasks.start_soon(watch.run)
-        await until(lambda: agent.watches)
-        yield rig, agent, watch
-    agent.sock.close()
+        await until(lambda: discovery.watches)
+        yield rig, discovery, watch
+    discovery.sock.close()
 
 
 S1 = host("s-1", "127.0.0.1:9")
@@ -171,70 +168,71 @@
 async def test_a_silent_watch_is_reopened_again_and_again_before_what_it_missed_counts(
     tmp_path, monkeypatch, how
 ):
-    async with watched(tmp_path, monkeypatch, 2) as (rig, agent, _):
+    async with watched(tmp_path, monkeypatch, 2) as (rig, discovery, _):
         start = time.monotonic()
 
         async def trickle(n):
-            with suppress(OSError):  # it is closed once another one is up
+            with suppress(OSError):  # the courier closes it once another watch is up
                 for byte in list_line(2, GONE) * 40:
-                    agent.say(n, bytes([byte]))
+                    discovery.say(n, bytes([byte]))
                     await anyio.sleep(0.02)
 
-        for n in range(2):  # the first watch is silent, and so is the one that follows it
-            await until(lambda n=n: len(agent.watches) > n)
+        for n in range(2):  # the first two watches are silent
+            await until(lambda n=n: len(discovery.watches) > n)
             if how != "no head":
-                agent.say(n, head=True)
+                discovery.say(n, head=True)
             if how in ("first line only", "half a line"):
-                agent.say(n, list_line(1, S1) + b"\n")
+                discovery.say(n, list_line(1, S1) + b"\n")
             if how == "half a line":
-                agent.say(n, list_line(2, GONE)[:40])
+                discovery.say(n, list_line(2, GONE)[:40])
             if how == "a trickle":
                 rig.tasks.start_soon(trickle, n)
-        await until(lambda: len(agent.watches) > 2)
-        last = len(agent.watches) - 1
-        agent.say(last, list_line(2, S1 | {"health": "draining"}) + b"\n", head=True)
+        await until(lambda: len(discovery.watches) > 2)
+        last = len(discovery.watches) - 1
+        discovery.say(last, list_line(2, S1 | {"health": "draining"}) + b"\n", head=True)
         await until(lambda: "s-1" in rig.engine.endpoints and not rig.engine.endpoints["s-1"].usable)
-        assert 2 * (time.monotonic() - start) < 6.0  # the first was silent from its first moment on
+        assert 2 * (time.monotonic() - start) < 6.0  # the first watch was silent from its start
 
 
 async def test_discovery_that_was_unreachable_is_heard_on_a_waiting_watch_or_on_a_new_one(
     tmp_path, monkeypatch
 ):
-    async with watched(tmp_path, monkeypatch) as (rig, agent, _):
-        await until(lambda: len(agent.watches) == 3)  # while it is away they are opened beside each other
-        agent.say(0, list_line(1, S1) + b"\n", head=True)  # the one that has waited longest
+    async with watched(tmp_path, monkeypatch) as (rig, discovery, _):
+        await until(lambda: len(discovery.watches) == 3)  # unanswered watches are kept open in parallel
+        discovery.say(0, list_line(1, S1) + b"\n", head=True)  # on the watch that has been open longest
         await until(lambda: rig.engine.endpoints)
-        seen = len(agent.asked)
+        seen = len(discovery.request_targets)
         await anyio.sleep(0.1)
-        assert len(agent.asked) <= seen + 1  # one that was on its way; it is followed, no more are opened
+        # At most one more watch, which was being opened; then no more are opened.
+        assert len(discovery.request_targets) <= seen + 1
 
 
 @pytest.mark.parametrize("how", ["moved", "silent"])
 async def test_late_bytes_of_an_old_watch_do_not_undo_the_newer_list(tmp_path, monkeypatch, how):
-    async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
-        agent.say(0, list_line(5, S1) + b"\n", head=True)
+    async with watched(tmp_path, monkeypatch) as (rig, discovery, watch):
+        discovery.say(0, list_line(5, S1) + b"\n", head=True)
         await until(lambda: rig.engine.endpoints)
-        new, at = agent, 1
+        newer, index = discovery, 1
         if how == "moved":
-            new, at = Agent(), 0
-            rig.tasks.start_soon(new.run)
-            watch.change_address(new.address)
-        await until(lambda: len(new.watches) > at)
-        # Both are there before the courier reads either; the newer one's are first.
-        new.say(at, list_line(9, S1 | {"health": "draining"}) + b"\n", head=True)
-        agent.say(0, list_line(6, S1, whole=False) + b"\n")
+            newer, index = DiscoveryStandIn(), 0
+            rig.tasks.start_soon(newer.run)
+            watch.change_address(newer.address)
+        await until(lambda: len(newer.watches) > index)
+        # The data of both watches has arrived before the courier reads either; the newer watch's came first.
+        newer.say(index, list_line(9, S1 | {"health": "draining"}) + b"\n", head=True)
+        discovery.say(0, list_line(6, S1, whole=False) + b"\n")
         await until(lambda: watch.sequence == 9)
         await anyio.sleep(0.05)
         assert not rig.engine.endpoints["s-1"].usable and watch.sequence == 9
-        new.sock.close()
+        newer.sock.close()
 
 
 async def test_a_watch_may_indent_its_lists_over_several_lines(tmp_path, monkeypatch):
-    async with watched(tmp_path, monkeypatch) as (rig, agent, watch):
-        news = {"seq": 5, "whole": True, "hosts": [host('"s-{[1\\"', "127.0.0.1:9"), S1]}
-        agent.say(0, b"\n" + orjson.dumps(news, option=orjson.OPT_INDENT_2) + b"\n\n", head=True)
+    async with watched(tmp_path, monkeypatch) as (rig, discovery, watch):
+        endpoint_list = {"seq": 5, "whole": True, "hosts": [host('"s-{[1\\"', "127.0.0.1:9"), S1]}
+        discovery.say(0, b"\n" + orjson.dumps(endpoint_list, option=orjson.OPT_INDENT_2) + b"\n\n", head=True)
         await until(lambda: len(rig.engine.endpoints) == 2 and watch.sequence == 5)
-        assert len(agent.asked) == 1
+        assert len(discovery.request_targets) == 1
 
 
 BAD_PARTS = [
@@ -256,20 +254,20 @@
 async def test_a_list_with_parts_of_other_types_is_logged_and_ends_nothing(tmp_path, monkeypatch, bad):
     logged = []
     monkeypatch.setattr(discovery_client, "log", lambda event, **_: logged.append(event))
-    async with watched(tmp_path, monkeypatch) as (rig, agent, _):
+    async with watched(tmp_path, monkeypatch) as (rig, discovery, _):
         entry = host("s-2", "127.0.0.1:9") | bad
-        agent.say(0, list_line(5, S1) + b"\n" + list_line(6, entry, whole=False) + b"\n", head=True)
-        agent.say(0, list_line(7, S1 | {"health": "gone", "dial": None}, whole=False) + b"\n")
-        await until(lambda: not rig.engine.endpoints)  # what it says of one that is known still counts
+        discovery.say(0, list_line(5, S1) + b"\n" + list_line(6, entry, whole=False) + b"\n", head=True)
+        discovery.say(0, list_line(7, S1 | {"health": "gone", "dial": None}, whole=False) + b"\n")
+        await until(lambda: not rig.engine.endpoints)  # its report on a known endpoint still counts
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
     assert logged.count("malformed_endpoint") == 2
 
 
 @pytest.mark.parametrize("seq", ["a b", -1, None, 1.5])
 async def test_a_version_that_is_no_number_breaks_the_watch_and_not_the_courier(tmp_path, monkeypatch, seq):
-    async with watched(tmp_path, monkeypatch) as (rig, agent, _):
-        agent.say(0, list_line(seq, S1) + b"\n", head=True)
-        await until(lambda: len(agent.watches) == 2)
+    async with watched(tmp_path, monkeypatch) as (rig, discovery, _):
+        discovery.say(0, list_line(seq, S1) + b"\n", head=True)
+        await until(lambda: len(discovery.watches) == 2)
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
 
 
@@ -277,30 +275,32 @@
 async def test_a_call_that_is_blocked_after_it_was_chosen_uses_up_no_attempt(tmp_path, monkeypatch, bar):
     longest_ns = 2000 * MS if bar == "told wait" else 50 * MS
     monkeypatch.setattr(outlier_detection, "MOST_TIMEOUT_NS", longest_ns)
-    untold = b"HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 9\r\n\r\n"  # its body never comes
-    endpoint = HttpStandIn(lambda request: (200, [], b"") if request[3]["request-id"] == "second" else untold)
+    partial = b"HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 9\r\n\r\n"  # its body never comes
+    endpoint = HttpStandIn(
+        lambda request: (200, [], b"") if request[3]["request-id"] == "second" else partial
+    )
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
         core = rig.engine
         core.settings.delivery_rules["booking-change"] = DeliveryRules(
             core.settings.delivery_rules["booking-change"].traffic_class, 2
         )
         if bar == "notice":
-            core.pending_notifications[0x77] = (
-                1  # an earlier message of the key, whose notice is not answered
-            )
+            # As if the notification of an earlier message of the key was not acknowledged.
+            core.pending_notifications[0x77] = 1
         else:
             await Client(rig.address).enqueue("status-update", "first", for_ms=1500)
-            await until(
-                lambda: core.retry_after_until_us
-            )  # heard by the transport; the module hears of it at its end
-        ended = []
-        attempt_ended = core.attempt_runner.complete
-        core.attempt_runner.complete = lambda attempt, outcome: (
-            ended.append(outcome),
-            attempt_ended(attempt, outcome),
+            # The transport reports Retry-After at once; the policy gets it only when the attempt ends.
+            await until(lambda: core.retry_after_until_us)
+        results = []
+        complete = core.attempt_runner.complete
+        core.attempt_runner.complete = lambda attempt, result: (
+            results.append(result),
+            complete(attempt, result),
         )
         assert await Client(rig.address).enqueue("booking-change", "second", key="77") == "+OK\r\n"
-        await until(lambda: len([o for o in ended if o.note]) >= 3 or "second" not in core.messages_by_id, 20)
+        await until(
+            lambda: len([r for r in results if r.note]) >= 3 or "second" not in core.messages_by_id, 20
+        )
         core.pending_notifications.pop(0x77, None)
         core.retry_after_until_us.clear()
         await until(lambda: any(r[3]["request-id"] == "second" for r in endpoint.requests), 20)
@@ -312,14 +312,14 @@
         await connection.write(b"*1\r\n$4\r\nPING\r\n")
         assert await connection.read() == b"+PONG\r\n"
         limiter = rig.engine.fronts["resp"].limiter
-        (ours,) = limiter.clients.values()
-        body = b"x" * 6000  # two of them: the second is still unread when the first is parsed
+        (client,) = limiter.clients.values()
+        body = b"x" * 6000  # so large that the second is still unread when the first is parsed
         command = b"*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$2\r\nm%d\r\n$31\r\nc=payment,t=north,d=5000,dest=1\r\n"
         connection.sock.send(b"".join(command % n + b"$6000\r\n" + body + b"\r\n" for n in (1, 2)))
-        limiter._close(ours, "idle")  # they came in this moment, and are read behind it
+        limiter._close(client, "idle")  # both commands have just arrived, and are read after this
         with suppress(ConnectionResetError):
             assert await connection.read() == b""
-        await until(lambda: ours.connection.sock.fileno() < 0)  # all of it has been read
+        await until(lambda: client.connection.sock.fileno() < 0)  # everything has been read
         assert not rig.engine.messages_by_id
 
 
@@ -328,28 +328,32 @@
     tmp_path, monkeypatch, way
 ):
     endpoint = HttpStandIn()
-    async with standing(endpoint) as address, standing(HttpStandIn(lambda request: (204, [], b""))) as heard:
+    async with (
+        standing(endpoint) as address,
+        standing(HttpStandIn(lambda request: (204, [], b""))) as platform_address,
+    ):
         ready = host("s-1", address)
-        async with watched(tmp_path, monkeypatch) as (rig, agent, _):
-            agent.say(0, list_line(5, ready) + b"\n", head=True)
+        async with watched(tmp_path, monkeypatch) as (rig, discovery, _):
+            discovery.say(0, list_line(5, ready) + b"\n", head=True)
             await until(lambda: rig.engine.endpoints)
             left_out = way == "left out"
-            news = list_line(6) if left_out else list_line(6, ready | {"health": way}, whole=False)
-            agent.say(0, news + b"\n")
+            update = list_line(6) if left_out else list_line(6, ready | {"health": way}, whole=False)
+            discovery.say(0, update + b"\n")
             await until(lambda: not any(h.usable for h in rig.engine.endpoints.values()))
             assert await Client(rig.address).enqueue("status-update", "owed", for_ms=700) == "+OK\r\n"
-        agent = Agent()  # it is away at first: whoever asks hears nothing
-        async with engine(tmp_path, heard) as rig:
-            rig.tasks.start_soon(agent.run)
-            old = {"seq": 5, "whole": True, "hosts": [ready]}  # as the configuration has it
+        discovery = DiscoveryStandIn()  # it does not answer at first
+        async with engine(tmp_path, platform_address) as rig:
+            rig.tasks.start_soon(discovery.run)
+            old = {"seq": 5, "whole": True, "hosts": [ready]}  # as in the configuration
             settings_ = dataclasses.replace(rig.engine.settings, cached_endpoints=old)
-            watch = discovery_client.DiscoveryClient(agent.address, rig.engine, settings_)
+            watch = discovery_client.DiscoveryClient(discovery.address, rig.engine, settings_)
             watch.start()
             rig.tasks.start_soon(watch.run)
-            await until(lambda: agent.watches and not rig.engine.messages_by_id)  # its time is over
+            # Until the message's deadline has passed.
+            await until(lambda: discovery.watches and not rig.engine.messages_by_id)
             assert not endpoint.requests
             assert await Client(rig.address).enqueue("status-update", "later") == "+OK\r\n"
-            agent.say(len(agent.watches) - 1, list_line(7, ready) + b"\n", head=True)
+            discovery.say(len(discovery.watches) - 1, list_line(7, ready) + b"\n", head=True)
             await until(lambda: not rig.engine.messages_by_id)
             assert [r[3]["request-id"] for r in endpoint.requests] == ["later"]
-        agent.sock.close()
+        discovery.sock.close()
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -1,4 +1,4 @@
-"""Real processes killed under load, on both fronts: for each message, was it taken, called and ended."""
+"""Real processes killed under load, on both fronts: no message is lost and no payment sent twice."""
 
 import os
 import signal
@@ -13,38 +13,38 @@
 
 pytestmark = pytest.mark.anyio
 SLOTS = 3
-AT_ONCE = 2  # a sole destination may hold as many slots as it leaves free
-HELD = 40
+AT_ONCE = 2  # a sole destination may use at most as many slots as it leaves free
+MESSAGE_COUNT = 40
 
 
 class HoldingEndpoint(HttpStandIn):
-    """Holds its answers until `held` is cleared; knows which call came in which process."""
+    """Withholds its answers until `withholding` is cleared; records which courier process made each call."""
 
     def __init__(self):
         super().__init__()
-        self.life, self.calls, self.held = 1, {}, True
+        self.process_number, self.calls, self.withholding = 1, {}, True
 
     def reply(self, request, connection, first):
         id_ = request[3]["request-id"]
-        self.calls.setdefault(id_, []).append(self.life)
-        return anyio.sleep_forever() if self.held else (200, [], b"")
+        self.calls.setdefault(id_, []).append(self.process_number)
+        return anyio.sleep_forever() if self.withholding else (200, [], b"")
 
 
 class Resp(Process):
-    """The platform's front, with few slots."""
+    """A courier with the RESP2 front, with few slots."""
 
     def start(self):
         self.configuration["settings"]["specifics"]["callsOut"] = SLOTS
         self.configure()
         super().start()
 
-    async def hand_in(self, n):
+    async def submit(self, n):
         cls = ("payment", "status-update", "booking-change")[n % 3]
         assert await self.client.enqueue(cls, f"m{n}", key=f"{n:x}", for_ms=30_000) == "+OK\r\n"
 
 
 class Amqp:
-    """An application's file with the AMQP front alone, with few slots."""
+    """A courier with only the AMQP front, set up by an application's file, with few slots."""
 
     def __init__(self, folder, endpoint_address, _):
         self.address = own_address()
@@ -68,7 +68,7 @@
                     await anyio.sleep(0.02)
         return self
 
-    async def hand_in(self, n):
+    async def submit(self, n):
         await self.client.publish(f"m{n}", ("payment", "status-update")[n % 2], for_ms=30_000, tenant="all")
         method, *_ = await self.client.next()
         assert method.name == "Basic.Ack"
@@ -131,33 +131,33 @@
         process = front(tmp_path, endpoint_address, platform)
         try:
             await process.ready()
-            for n in range(HELD):
-                await process.hand_in(n)
+            for n in range(MESSAGE_COUNT):
+                await process.submit(n)
             await until(lambda: len(endpoint.calls) >= AT_ONCE)
-            for how in ends:
-                await process.end(how)
-                endpoint.life += 1
+            for signal_number in ends:
+                await process.end(signal_number)
+                endpoint.process_number += 1
                 process.start()
                 await process.ready()
-            endpoint.held = False
-            for connection in list(endpoint.open):  # what hung from this life on ends as a reset
+            endpoint.withholding = False
+            for connection in list(endpoint.open):  # calls without an answer so far end as a reset
                 connection.shutdown()
-            tried_before = {id_ for id_, lives in endpoint.calls.items() if lives[0] < endpoint.life}
-            untried = {f"m{n}" for n in range(HELD)} - tried_before
-            assert len(untried) >= HELD - SLOTS * len(ends) - SLOTS
-            await until(lambda: untried <= endpoint.calls.keys(), 20)
+            attempted = {id_ for id_, runs in endpoint.calls.items() if runs[0] < endpoint.process_number}
+            unattempted = {f"m{n}" for n in range(MESSAGE_COUNT)} - attempted
+            assert len(unattempted) >= MESSAGE_COUNT - SLOTS * len(ends) - SLOTS
+            await until(lambda: unattempted <= endpoint.calls.keys(), 20)
             payments = Counter(
-                i for i, lives in endpoint.calls.items() if int(i[1:]) % PAYS[front] == 0 for _ in lives
+                i for i, runs in endpoint.calls.items() if int(i[1:]) % PAY_EVERY[front] == 0 for _ in runs
             )
-            assert not [i for i, calls in payments.items() if calls > 1]  # none that may have run went again
+            assert not [i for i, calls in payments.items() if calls > 1]  # none that may have run is repeated
         finally:
-            process.process.kill()  # a test that fails leaves nothing running
+            process.process.kill()  # so that a failed test leaves no process running
             process.process.wait()
 
 
-PAYS = {Resp: 3, Amqp: 2}  # every so many messages is a payment
+PAY_EVERY = {Resp: 3, Amqp: 2}  # one in this many messages is a payment
 
 
 def silent_discovery(request):
-    """Discovery is down; notices are answered all the same."""
+    """Discovery does not answer; notifications are acknowledged all the same."""
     return (204, [], b"") if request[2] == "/v2/finals" else anyio.sleep_forever()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""Restarts with messages open: what was out, what was untried, and what is remembered over two in a row."""
+"""Restarts with open messages, and the start and end of the process: connections, signals and locks."""
 
 import errno
 from contextlib import asynccontextmanager, suppress
@@ -20,41 +20,41 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_what_may_have_run_before_one_kill_may_have_run_after_the_next_one_too(tmp_path):
+async def test_that_an_attempt_may_have_run_is_kept_over_two_restarts(tmp_path):
     answers = [anyio.sleep_forever(), (429, [("Retry-After", "60")], b"")]
     endpoint = HttpStandIn(lambda request: answers.pop(0))
     async with standing(endpoint) as address:
-        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed with the first attempt out
+        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed with the first attempt in flight
             await Client(rig.address).enqueue("booking-change", for_ms=60_000)
             await until(lambda: endpoint.requests)
             written_us = rig.engine.messages_by_id["id1"].in_flight_since_unix_us
-        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed after one that surely never ran
+        async with engine(tmp_path, endpoints=[(address,)]) as rig:  # killed after one that did not run
             await until(lambda: len(endpoint.requests) == 2 and not rig.engine.attempts)
         async with engine(tmp_path) as rig:
-            t = rig.engine.messages_by_id["id1"]
-            assert (t.may_have_run_unix_us, t.attempts) == (written_us, 2)
+            message = rig.engine.messages_by_id["id1"]
+            assert (message.may_have_run_unix_us, message.attempts) == (written_us, 2)
 
 
 async def test_an_unacknowledged_notification_is_sent_again_after_a_restart(tmp_path):
-    endpoint = HttpStandIn(lambda request: (500, [], b""))  # it may have run: the payment fails
-    unheard, heard = HttpStandIn(lambda request: None), HttpStandIn(lambda request: (204, [], b""))
-    async with standing(endpoint) as address, standing(unheard) as first, standing(heard) as second:
+    endpoint = HttpStandIn(lambda request: (500, [], b""))  # the attempt may have run, so the payment fails
+    silent, answering = HttpStandIn(lambda request: None), HttpStandIn(lambda request: (204, [], b""))
+    async with standing(endpoint) as address, standing(silent) as first, standing(answering) as second:
         async with engine(tmp_path, first, endpoints=[(address,)]) as rig:
             await Client(rig.address).enqueue("payment")
-            await until(lambda: unheard.requests)  # and killed, with the notification in flight
+            await until(lambda: silent.requests)  # killed while the notification is in flight
         async with engine(tmp_path, second, endpoints=[(address,)]) as rig:
             await until(lambda: not rig.engine.messages_by_id)
-        assert [r[4] for r in heard.requests] == [unheard.requests[0][4]] and len(endpoint.requests) == 1
+        assert [r[4] for r in answering.requests] == [silent.requests[0][4]] and len(endpoint.requests) == 1
 
 
 @pytest.fixture(autouse=True)
 def clock_of_the_log(monkeypatch):
-    """A service gives the log its clock, which needs a running loop: it is taken back after the test."""
+    """Resets the log's clock after the test: a service sets one that needs a running event loop."""
     monkeypatch.setattr(core_log, "_clock", None)
 
 
 def service(folder, platform, **more):
-    """The parts of a process, in this one; `leaving` stands for SIGTERM."""
+    """The parts of a courier's process, run in this process; setting `leaving` stands for SIGTERM."""
     effective_settings = settings.read(
         configuration(folder) | {"listen": own_address(), "discovery": platform}, {}
     )
@@ -94,23 +94,23 @@
                 await connection.write(command(b"PING"))
                 assert await connection.read() == b"+PONG\r\n"
             idle = await sockets.dial(parts.settings.listen)
-            half = await sockets.dial(parts.settings.listen)
-            await half.write(ENQUEUE[:-5])
+            incomplete = await sockets.dial(parts.settings.listen)
+            await incomplete.write(ENQUEUE[:-5])
             stop = parts.engine.stop
 
-            async def stopped():
+            async def stop_then_send():
                 await stop()
-                connection.sock.send(ENQUEUE)  # it is in the kernel, unread, when the process is about to end
+                connection.sock.send(ENQUEUE)  # unread in the kernel when the process is about to end
 
-            parts.engine.stop = stopped
+            parts.engine.stop = stop_then_send
             parts.leaving.set()
             await done.wait()
-            heard = b""
-            while piece := await connection.read():  # never a reset
-                heard += piece
-            assert heard == b"-BUSY 2000\r\n"
+            received = b""
+            while chunk := await connection.read():  # never a reset
+                received += chunk
+            assert received == b"-BUSY 2000\r\n"
             assert await idle.read() == b""
-    assert not list(Journal(str(tmp_path), 3_000_000).recover())  # neither it nor the half one was taken on
+    assert not list(Journal(str(tmp_path), 3_000_000).recover())  # neither of the two was accepted
 
 
 async def test_the_process_ends_only_after_its_clients_have_seen_their_connections_end(tmp_path):
@@ -125,7 +125,7 @@
             tasks = parts.tasks
 
             def last_moment():
-                if connection.is_idle():  # this client has not seen the end: it may still ask
+                if connection.is_idle():  # the client has not seen the end, and may send a command
                     sent.append(connection.sock.send(ENQUEUE))
                 tasks.cancel_scope.cancel()
 
@@ -135,7 +135,7 @@
             await done.wait()
             with suppress(ConnectionResetError):
                 assert await connection.read() == b""
-    assert not sent  # whatever it asks then is answered by nobody
+    assert not sent  # a command sent then would get no reply
 
 
 async def test_a_connection_whose_next_command_is_there_is_not_ended_for_having_been_idle(
@@ -146,7 +146,7 @@
         await connection.write(command(b"PING"))
         assert await connection.read() == b"+PONG\r\n"
         client_limiter = rig.engine.fronts["resp"].limiter
-        monkeypatch.setattr(limiter, "IDLE_TIMEOUT_US", -1)  # it has been idle for too long just now
+        monkeypatch.setattr(limiter, "IDLE_TIMEOUT_US", -1)  # the idle time-out has just passed
         connection.sock.send(ENQUEUE)
         client_limiter.close_overdue()
         assert await connection.read() == b"+OK\r\n"
@@ -157,55 +157,55 @@
         connection = await sockets.dial(rig.address)
         client_limiter = rig.engine.fronts["resp"].limiter
         await until(lambda: client_limiter.clients)
-        (ours,) = client_limiter.clients.values()
+        (client,) = client_limiter.clients.values()
         connection.sock.send(ENQUEUE)
-        ours.waiting_since_us -= limiter.COMMAND_TIMEOUT_US + 1  # nothing ran for so long
+        client.waiting_since_us -= limiter.COMMAND_TIMEOUT_US + 1  # as if the loop had stood still so long
         client_limiter.close_overdue()
         assert await connection.read() == b"+OK\r\n"
 
 
 async def test_sigterm_is_handled_while_another_process_owns_the_folder(tmp_path):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
-        other = FolderLock(str(tmp_path))
-        assert other.acquire()
+        other_lock = FolderLock(str(tmp_path))
+        assert other_lock.acquire()
         parts = service(tmp_path, platform)
         async with running(parts) as done:
             await until(lambda: parts.signals)
             parts.leaving.set()
             with anyio.fail_after(1):
                 await done.wait()
-        assert not (tmp_path / "journal").exists()  # it never wrote there
-        other.release()
+        assert not (tmp_path / "journal").exists()  # it did not write to the folder
+        other_lock.release()
 
 
 async def test_sighup_between_the_reading_of_the_file_and_the_receiver_is_applied(tmp_path):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform:
         parts = service(tmp_path, platform, early_sighup=[True])
-        changed = []
-        parts.reloader.reload = lambda: changed.append(parts.engine.serving)
+        reloads = []
+        parts.reloader.reload = lambda: reloads.append(parts.engine.serving)
         async with running(parts):
-            await until(lambda: changed)
-    assert changed == [True]
+            await until(lambda: reloads)
+    assert reloads == [True]
 
 
 async def test_an_address_that_the_previous_process_still_holds_is_waited_for(tmp_path, monkeypatch):
     async with standing(HttpStandIn(lambda request: (204, [], b""))) as platform_address:
         parts = service(tmp_path, platform_address)
-        before = sockets.listen(parts.settings.listen)
-        said = []
+        previous_listener = sockets.listen(parts.settings.listen)
+        events = []
 
-        def heard(event, **more):
-            said.append(event)
+        def record_event(event, **fields):
+            events.append(event)
             if event == "address_in_use":
-                before.close()  # now that the new one has met it
+                previous_listener.close()  # once the new process has found the address in use
 
-        monkeypatch.setattr(listeners, "log", heard)
+        monkeypatch.setattr(listeners, "log", record_event)
         async with running(parts):
             await until(lambda: parts.engine.serving)
-    assert "address_in_use" in said
+    assert "address_in_use" in events
 
 
-async def test_an_error_of_the_network_at_accept_ends_nothing():
+async def test_network_errors_of_accept_do_not_stop_the_server():
     sock, address = listener()
 
     class Faulty:
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -1,4 +1,4 @@
-"""What waits for replication, on both fronts and towards endpoints, over real sockets."""
+"""Acknowledgements, attempts and notifications that wait for replication, over real sockets."""
 
 from contextlib import suppress
 
@@ -12,47 +12,47 @@
 pytestmark = pytest.mark.anyio
 
 
-class ReplicationService:
-    """Copies that a test holds back."""
+class ReplicationStandIn:
+    """A stand-in for replication: a test sets when it completes, its result, and why it is blocked."""
 
     def __init__(self):
-        self.why, self.open, self.ok = "", anyio.Event(), True
-        self.waited = 0
+        self.reason, self.completed, self.replicated = "", anyio.Event(), True
+        self.wait_count = 0
 
     def blocked_reason(self):
-        return self.why
+        return self.reason
 
     async def wait_replicated(self):
-        self.waited += 1
-        await self.open.wait()
-        return self.ok
+        self.wait_count += 1
+        await self.completed.wait()
+        return self.replicated
 
 
 async def test_ok_waits_for_replication_and_so_does_the_first_byte_of_an_attempt(tmp_path):
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        copies = rig.engine.replication = ReplicationService()
-        said = []
+        replication = rig.engine.replication = ReplicationStandIn()
+        replies = []
         async with anyio.create_task_group() as tasks:
 
-            async def hand_in():
-                said.append(await Client(rig.address).enqueue())
+            async def submit():
+                replies.append(await Client(rig.address).enqueue())
 
-            tasks.start_soon(hand_in)
-            await until(lambda: copies.waited >= 2)  # the answer, and the attempt
+            tasks.start_soon(submit)
+            await until(lambda: replication.wait_count >= 2)  # the answer, and the attempt
             await anyio.sleep(0.1)
-            assert said == [] and endpoint.requests == []
-            (held,) = rig.engine.journal.open_messages.values()
-            assert held.in_flight_since_unix_us  # the replicas get the attempt before the endpoint does
-            copies.open.set()
-        assert said == ["+OK\r\n"]
+            assert replies == [] and endpoint.requests == []
+            (message,) = rig.engine.journal.open_messages.values()
+            assert message.in_flight_since_unix_us  # recorded before the endpoint gets it, to be replicated
+            replication.completed.set()
+        assert replies == ["+OK\r\n"]
         await until(lambda: len(endpoint.requests) == 1)
         await until(lambda: not rig.engine.messages_by_id)
 
 
 async def test_a_connection_whose_replies_wait_for_replication_is_closed_at_a_hand_over(tmp_path):
     async with engine(tmp_path, endpoints=[("127.0.0.1:1",)]) as rig:
-        copies = rig.engine.replication = ReplicationService()
+        replication = rig.engine.replication = ReplicationStandIn()
         async with anyio.create_task_group() as tasks:
 
             async def submit():
@@ -60,73 +60,74 @@
                     await Client(rig.address).enqueue()
 
             tasks.start_soon(submit)
-            await until(lambda: copies.waited)
+            await until(lambda: replication.wait_count)
             with anyio.fail_after(1):
-                # Served on without its reply, the next one would be taken for this one.
+                # If the connection was served by the successor without this reply, the client would take the
+                # next reply for this one.
                 assert await rig.engine.fronts["resp"].detach_connections() == []
 
 
 async def test_waiting_for_replication_costs_no_attempt_and_is_not_counted_as_the_endpoints_time(tmp_path):
     endpoint, ended = HttpStandIn(), []
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        copies, handle = ReplicationService(), rig.engine.policy.handle
+        replication, handle = ReplicationStandIn(), rig.engine.policy.handle
 
-        def heard(now_ns, events):
+        def record_and_handle(now_ns, events):
             ended.extend(e for e in events if type(e) is AttemptCompleted)
             return handle(now_ns, events)
 
-        async def hand_in():
-            with suppress(anyio.EndOfStream):  # a caller does not wait so long
+        async def submit():
+            with suppress(anyio.EndOfStream):  # the connection may be closed before the reply
                 await Client(rig.address).enqueue(for_ms=9000)
 
-        rig.engine.replication, rig.engine.policy.handle = copies, heard
+        rig.engine.replication, rig.engine.policy.handle = replication, record_and_handle
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(hand_in)
-            await until(lambda: copies.waited >= 2)  # the answer, and the attempt
-            await anyio.sleep(3.5)  # longer than a call may take
-            copies.open.set()
+            tasks.start_soon(submit)
+            await until(lambda: replication.wait_count >= 2)  # the answer, and the attempt
+            await anyio.sleep(3.5)  # longer than the time-out of a call
+            replication.completed.set()
         await until(lambda: not rig.engine.messages_by_id)
-    (only,) = ended
-    assert only.outcome is Outcome.OK and only.elapsed_ns < 1_000_000_000
+    (attempt,) = ended
+    assert attempt.outcome is Outcome.OK and attempt.elapsed_ns < 1_000_000_000
 
 
 async def test_what_is_not_replicated_is_neither_acknowledged_nor_sent(tmp_path):
     endpoint = HttpStandIn()
     async with standing(endpoint) as address, engine(tmp_path, endpoints=[(address,)]) as rig:
-        copies = rig.engine.replication = ReplicationService()
-        copies.ok = False
-        copies.open.set()
+        replication = rig.engine.replication = ReplicationStandIn()
+        replication.replicated = False
+        replication.completed.set()
         with pytest.raises(anyio.EndOfStream):
-            await Client(rig.address).enqueue(id_="a")  # closed: neither answer would be true
+            await Client(rig.address).enqueue(id_="a")  # closed: neither OK nor BUSY would be true
         assert endpoint.requests == []
-        copies.why = "too few copies"
+        replication.reason = "too few copies"
         assert (await Client(rig.address).enqueue(id_="b")).startswith("-BUSY ")
-        assert (await Client(rig.address).enqueue(id_="a")).startswith("-BUSY ")  # known, but not promised
+        assert (await Client(rig.address).enqueue(id_="a")).startswith("-BUSY ")  # known, not replicated
         assert await Client(rig.address).say("PING") == "+PONG\r\n"
         assert "b" not in rig.engine.messages_by_id and endpoint.requests == []
 
 
 async def test_a_notification_waits_for_replication_and_what_was_taken_over_meanwhile_has_none(tmp_path):
     platform = HttpStandIn(lambda request: (204, [], b""))
-    async with standing(platform) as heard, engine(tmp_path, platform=heard) as rig:
-        copies = rig.engine.replication = ReplicationService()
-        copies.open.set()
+    async with standing(platform) as platform_address, engine(tmp_path, platform=platform_address) as rig:
+        replication = rig.engine.replication = ReplicationStandIn()
+        replication.completed.set()
         client = Client(rig.address)
         for id_ in ("kept", "gone"):
             assert await client.enqueue(id_=id_, for_ms=400) == "+OK\r\n"
-        copies.why = "the lease of its own work is lost"
-        await until(lambda: all(t.final for t in rig.engine.messages_by_id.values()))
+        replication.reason = "the lease of its own work is lost"
+        await until(lambda: all(message.final for message in rig.engine.messages_by_id.values()))
         await anyio.sleep(0.1)
         assert platform.requests == []
         assert rig.engine.release({"gone"}) == 1
-        copies.why = ""
+        replication.reason = ""
         await until(lambda: platform.lines)
         await anyio.sleep(0.1)
         assert [line["id"] for line in platform.lines] == ["kept"]
         assert set(rig.engine.journal.finished_ids) >= {"gone"} and not rig.engine.messages_by_id
 
 
-async def test_what_is_taken_over_while_its_notification_is_under_way_ends_nothing(tmp_path):
+async def test_a_message_taken_over_while_its_notification_is_under_way_is_not_ended_here(tmp_path):
     answered = anyio.Event()
 
     async def answer_late(_request):
@@ -134,9 +135,9 @@
         return 204, [], b""
 
     platform = HttpStandIn(answer_late)
-    async with standing(platform) as heard, engine(tmp_path, platform=heard) as rig:
-        copies = rig.engine.replication = ReplicationService()
-        copies.open.set()
+    async with standing(platform) as platform_address, engine(tmp_path, platform=platform_address) as rig:
+        replication = rig.engine.replication = ReplicationStandIn()
+        replication.completed.set()
         client = Client(rig.address)
         assert await client.enqueue(id_="gone", for_ms=100) == "+OK\r\n"
         await until(lambda: platform.requests)
@@ -150,15 +151,15 @@
 
 async def test_a_confirm_waits_for_replication_and_never_comes_without_it(tmp_path):
     async with engine(tmp_path) as rig:
-        copies = rig.engine.replication = ReplicationService()
+        replication = rig.engine.replication = ReplicationStandIn()
         client = await AmqpClient.open(rig.amqp)
         await client.publish("m1")
         with pytest.raises(TimeoutError), anyio.fail_after(0.2):
             await client.next()
-        copies.open.set()
+        replication.completed.set()
         method, _, _ = await client.next()
         assert isinstance(method, commands.Basic.Ack) and method.delivery_tag == 1
-        copies.ok = False
+        replication.replicated = False
         await client.publish("m2")
         with pytest.raises(TimeoutError), anyio.fail_after(0.2):
             await client.next()
