--- a/pinspread/core/context.py
+++ b/pinspread/core/context.py
@@ -59,7 +59,7 @@
     def record(self, write: Callable[P, None], *args: P.args, **kwargs: P.kwargs) -> None:
         """Write an event to the journal; it has happened already, so a full journal is only logged."""
         if self.successor:
-            return  # else two processes would write to one file; the successor records what it is sent
+            return  # two processes must not write to one file; the successor records what is reported
         try:
             write(*args, **kwargs)
         except JournalFullError as error:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,10 +22,14 @@
 
 
 def test_the_journals_have_records_of_every_kind():
-    found = {n: stored.kinds((stored.DATA / "journal" / n).read_bytes()) for n in stored.JOURNAL_FILES}
-    assert set(found["appended"]) | set(found["continued"]) == set(range(1, 12))
-    assert set(found["rewritten"]) == {1, 4, 6, 7, 8, 10, 11}
-    assert 10 not in found["without-rules"] and found["torn"] == found["continued"][:-1]
+    kinds_by_file = {
+        n: stored.kinds((stored.DATA / "journal" / n).read_bytes()) for n in stored.JOURNAL_FILES
+    }
+    assert set(kinds_by_file["appended"]) | set(kinds_by_file["continued"]) == set(range(1, 12))
+    assert set(kinds_by_file["rewritten"]) == {1, 4, 6, 7, 8, 10, 11}
+    assert (
+        10 not in kinds_by_file["without-rules"] and kinds_by_file["torn"] == kinds_by_file["continued"][:-1]
+    )
 
 
 @pytest.mark.parametrize("name", stored.JOURNAL_FILES)
@@ -58,9 +62,9 @@
 
 
 def test_replicas_are_written_byte_for_byte_as_before(tmp_path):
-    found = anyio.run(stored_cluster.replication_exchange, tmp_path, stored.replica_journals())
-    assert found["files"] == stored_cluster.files(stored.DATA / "copies")
-    assert found["generation_file"] == (stored.DATA / "copies.generation").read_text()
+    exchange = anyio.run(stored_cluster.replication_exchange, tmp_path, stored.replica_journals())
+    assert exchange["files"] == stored_cluster.files(stored.DATA / "copies")
+    assert exchange["generation_file"] == (stored.DATA / "copies.generation").read_text()
 
 
 def test_a_generation_that_was_stored_is_the_one_that_a_restart_goes_by(tmp_path):
@@ -153,8 +157,8 @@
 
 
 def test_recorded_logs_make_the_same_trace(tmp_path):
-    found = stored_courier.recorded_trace(stored_courier.logs(), tmp_path / "trace")
-    assert rounded(found) == rounded(expected("trace"))
+    recorded = stored_courier.recorded_trace(stored_courier.logs(), tmp_path / "trace")
+    assert rounded(recorded) == rounded(expected("trace"))
     mine, theirs = (json.loads(stored_courier.unpacked_trace(f / "trace")) for f in (tmp_path, stored.DATA))
     assert rounded(mine) == rounded(theirs) and list(mine) == list(theirs)
 
--- a/tools/stored_data.py
+++ b/tools/stored_data.py
@@ -57,11 +57,11 @@
 def copies():
     """Write the frames of replication, the view of the admin server, and replicas' files and content."""
     with tempfile.TemporaryDirectory() as folder:
-        found = anyio.run(stored_cluster.replication_exchange, folder, stored.replica_journals())
-        for name, data in found.pop("files").items():
+        exchange = anyio.run(stored_cluster.replication_exchange, folder, stored.replica_journals())
+        for name, data in exchange.pop("files").items():
             put(stored.DATA / "copies" / name, data)
-        put(stored.DATA / "copies.generation", found.pop("generation_file").encode())
-        put_json(stored.DATA / "wire" / "copies.json", found)
+        put(stored.DATA / "copies.generation", exchange.pop("generation_file").encode())
+        put_json(stored.DATA / "wire" / "copies.json", exchange)
         replicas = {
             owner: stored_cluster.replica_as_stored(Path(folder) / "b" / "copies", owner)
             for owner in ("a", "c")
@@ -118,15 +118,15 @@
         "leases": {"tasks": []},
         "copies": {"keeps": ["\u00fc"]},
     }
-    found = {
+    recorded = {
         "views": views,
         "calls": anyio.run(stored_courier.calls, views),
         "summary": stored_courier.summary(),
     }
-    put_json(stored.DATA / "wire" / "door.json", found)
-    found = {"kinds": stored_courier.PACKETS, "packets": anyio.run(stored_courier.packets)}
-    found["handed_over"] = anyio.run(stored_courier.handed_over)
-    put_json(stored.DATA / "wire" / "packets.json", found)
+    put_json(stored.DATA / "wire" / "door.json", recorded)
+    recorded = {"kinds": stored_courier.PACKETS, "packets": anyio.run(stored_courier.packets)}
+    recorded["handed_over"] = anyio.run(stored_courier.handed_over)
+    put_json(stored.DATA / "wire" / "packets.json", recorded)
 
 
 WRITERS = {f.__name__: f for f in (journal, members, leases, copies, voters, folder, door)}
