--- a/pinspread/resp/front.py
+++ b/pinspread/resp/front.py
@@ -42,7 +42,7 @@
     """
 
     reports_delivery = False  # the platform learns of deliveries without a notification
-    ordered_by_notice = True
+    ordered_by_ack = True
 
     def __init__(
         self,
--- a/tests/upgrade_deployment.py
+++ b/tests/upgrade_deployment.py
@@ -27,7 +27,7 @@
 from pinspread.policy.events import Outcome
 
 MAX_CLOCK_OFFSET_US = 10_000  # between the Unix times in two processes' logs: each sets its own at its start
-UNREPORTED_NOTE = "its process did not tell"  # the note of an attempt that the old process did not report
+UNREPORTED_NOTE = "not reported in time"  # the note of an attempt that the old process did not report
 
 
 class Deployment:
