--- a/pinspread/amqp/__init__.py
+++ b/pinspread/amqp/__init__.py
@@ -1,1 +1,1 @@
-"""AMQP 0-9-1: the front that clients use, and the transport to brokers as endpoints."""
+"""AMQP 0-9-1: the front for clients, and the transport to endpoints that are brokers."""
--- a/pinspread/amqp/broker_connection.py
+++ b/pinspread/amqp/broker_connection.py
@@ -18,10 +18,10 @@
 from pinspread.sockets import Connection
 
 CONNECTION_CHANNEL = 0
-CHANNEL = 1  # the only one that is opened
+CHANNEL = 1  # number of the only channel that is opened
 CHANNEL_MAX = 1
-PERSISTENT = 2  # the delivery mode of messages that outlive the broker's restart
-BLOCKED_RETRY_US = 1_000_000  # a broker that blocks publishers gives no time: try again after this
+PERSISTENT = 2  # delivery mode: the message survives a restart of the broker
+BLOCKED_RETRY_US = 1_000_000  # wait before a retry; a broker that blocks publishers gives no time
 BLOCKED = "the broker blocks publishers"
 CLIENT_PROPERTIES: FieldTable = {
     "product": "pinspread",
@@ -49,8 +49,9 @@
         stream: The frames of the connection.
         pending: The publishes that wait for their confirms, by their delivery tags.
         closed_reason: Why the connection is closed; empty while it is open.
-        delisted: Discovery does not list the broker any more: the connection ends with its last publish.
-        unblocked: Set while the broker takes publishes.
+        delisted: Whether discovery no longer lists the broker; the connection then closes after its last
+            pending publish.
+        unblocked: Cleared while the broker blocks publishers; also set on close, to wake waiting attempts.
     """
 
     def __init__(self, endpoint: Endpoint, connection: Connection, clock: Clock) -> None:
@@ -77,7 +78,7 @@
 
         Raises:
             OSError: The broker closes the connection.
-            AmqpError: The broker breaks the protocol.
+            AmqpError: The broker violates the protocol.
         """
         stream = self.stream
         await stream.connection.write(PROTOCOL_HEADER)
@@ -98,13 +99,13 @@
     # --- publishing -------------------------------------------------------------------------------------
 
     async def publish(self, attempt: Attempt, confirm: PendingConfirm) -> AttemptResult:
-        """Publish a message, and wait until it is known what became of it.
+        """Publish a message, and wait for the result.
 
-        Whatever cuts the write short ends the connection.
+        An error or a cancellation during the write closes the connection.
 
         Args:
             attempt: The attempt.
-            confirm: Shows at each moment how far the publish has come.
+            confirm: Tracks the progress of the publish, for a caller that stops waiting.
 
         Raises:
             OSError: The connection is lost, or was lost before.
@@ -120,7 +121,7 @@
         return await confirm.wait()
 
     def _check_open(self) -> None:
-        """Raise if the connection is closed, or the broker has just closed it."""
+        """Raise ConnectionError if the connection is closed, or the broker has just closed it."""
         connection = self.stream.connection
         if not self.closed_reason and not connection.is_idle() and connection.is_finished():
             self.close("closed by the broker")
@@ -138,14 +139,14 @@
         try:
             await connection.write(data)
         except BaseException:
-            # On a connection that went on, the next publish's bytes would be taken for the rest of this one.
+            # If the connection stayed open, the broker would read the next publish as the rest of this one.
             self.close("a publish was cut short")
             raise
         finally:
             confirm.written = not connection.unsent_bytes
 
     def _marshal(self, attempt: Attempt) -> bytes:
-        """The frames of a publish: mandatory, so that what is unroutable comes back."""
+        """Encode a publish; it is mandatory, so that the broker returns an unroutable message."""
         message = attempt.message
         remaining_us = message.deadline_unix_us - self._clock.unix(self._clock.now())
         headers: FieldTable = {
@@ -168,10 +169,10 @@
         method = commands.Basic.Publish(0, exchange, routing_key, mandatory=True)
         return marshal_content(method, properties, message.body, CHANNEL, self.stream.frame_max)
 
-    # --- what the broker sends --------------------------------------------------------------------------
+    # --- frames from the broker -------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Handle what the broker sends until the connection is closed."""
+        """Handle frames from the broker until the connection is closed."""
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._exchange_heartbeats, tasks.cancel_scope)
@@ -227,8 +228,8 @@
             self.close(f"channel closed by the broker: {method.reply_code} {method.reply_text}")
 
     def _mark_returned(self, properties: commands.Basic.Properties | None) -> None:
-        """Note that a publish was unroutable; its confirm comes behind the return."""
-        assert properties is not None  # a return is complete only with its content
+        """Mark a publish as returned as unroutable; the broker sends its confirm after the return."""
+        assert properties is not None  # the assembler passes a return on only with its content
         key = properties.message_id, (properties.headers or {}).get(names.ATTEMPT)
         for confirm in self.pending.values():
             if confirm.key == key:
@@ -236,9 +237,11 @@
 
     def _confirm(self, method: commands.Basic.Ack | commands.Basic.Nack) -> None:
         tag = method.delivery_tag or 0
-        tags = [one for one in self.pending if one <= tag] if method.multiple else [tag]
-        for one in tags:
-            confirm = self.pending.pop(one, None)
+        tags = (
+            [pending_tag for pending_tag in self.pending if pending_tag <= tag] if method.multiple else [tag]
+        )
+        for pending_tag in tags:
+            confirm = self.pending.pop(pending_tag, None)
             if confirm is not None:
                 confirm.confirm(isinstance(method, commands.Basic.Ack))
         self.close_if_unused()
@@ -246,17 +249,17 @@
     # --- closing ----------------------------------------------------------------------------------------
 
     def delist(self) -> None:
-        """Close the connection once nothing is pending: the broker is not listed any more."""
+        """Close the connection once no publish is pending, as discovery no longer lists the broker."""
         self.delisted = True
         self.close_if_unused()
 
     def close_if_unused(self) -> None:
-        """Close the connection if nothing is pending, and nothing more will go there."""
+        """Close the connection if discovery no longer lists the broker and no publish is pending."""
         if self.delisted and not self.pending and not self.closed_reason:
-            self.close("gone from the list")
+            self.close("no longer listed by discovery")
 
     def close(self, reason: str) -> None:
-        """Close the connection, and settle what is pending."""
+        """Close the connection, and resolve all pending publishes."""
         if not self.closed_reason:
             self.closed_reason = reason
             log(
--- a/pinspread/amqp/channel.py
+++ b/pinspread/amqp/channel.py
@@ -1,4 +1,4 @@
-"""The state of one channel: what is being received, its consumers and its deliveries."""
+"""The state of one channel: the content being received, its consumers and its unacknowledged deliveries."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """A result that a consumer has and has not acknowledged."""
+    """A result that was delivered to a consumer and is not acknowledged yet."""
 
     consumer: Consumer
     pending: PendingResult
@@ -29,14 +29,14 @@
 
     Args:
         number: Its number on the connection.
-        writer: Where its frames go.
+        writer: Queues its frames for writing.
 
     Attributes:
-        confirms: Publisher confirms are selected.
-        published: How many messages were published on it, which is the tag of the latest confirm.
+        confirms: Whether publisher confirms are selected.
+        published: How many messages were published on it; also the delivery tag of the latest publish.
         prefetch: How many deliveries each consumer may have unacknowledged; 0: no limit.
         consumers: Its consumers by their tags.
-        closing: A Close was sent, and its answer has not come.
+        closing: Whether Channel.Close was sent and is not answered yet.
     """
 
     def __init__(self, number: int, writer: FrameWriter) -> None:
@@ -49,10 +49,10 @@
         self.closing = False
         self._writer = writer
         self._delivery_tags = count(1)
-        self._deliveries: OrderedDict[int, Delivery] = OrderedDict()  # unacknowledged ones, by their tags
+        self._deliveries: OrderedDict[int, Delivery] = OrderedDict()  # unacknowledged, by delivery tag
 
     def deliver(self, consumer: Consumer, pending: PendingResult) -> None:
-        """Write a delivery, which is kept until its tag is acknowledged."""
+        """Send a delivery, and keep it until its tag is acknowledged."""
         tag = next(self._delivery_tags)
         self._deliveries[tag] = Delivery(consumer, pending)
         method = commands.Basic.Deliver(
@@ -62,41 +62,41 @@
         self._writer.send_content(self.number, method, properties, body)
 
     def take_deliveries(self, tag: int, multiple: bool) -> list[Delivery]:
-        """Take out the unacknowledged deliveries that a client names.
+        """Remove and return the unacknowledged deliveries that an ack, nack or reject refers to.
 
         Args:
-            tag: The delivery's tag; with `multiple`, 0 names all.
-            multiple: Whether the tag names all deliveries up to its own.
+            tag: The delivery tag; with `multiple`, 0 refers to all deliveries.
+            multiple: Whether the tag refers to all deliveries up to and including its own.
 
         Raises:
-            AmqpError: No delivery has that tag.
+            AmqpError: No unacknowledged delivery matches the tag.
         """
         if multiple:
-            tags = [one for one in self._deliveries if one <= tag or not tag]
+            tags = [delivery_tag for delivery_tag in self._deliveries if delivery_tag <= tag or not tag]
         else:
             tags = [tag] if tag in self._deliveries else []
-        names_all = multiple and not tag
-        if not tags and not names_all:
+        refers_to_all = multiple and not tag
+        if not tags and not refers_to_all:
             raise AmqpError(ReplyCode.PRECONDITION_FAILED, f"unknown delivery tag {tag}")
-        deliveries = [self._deliveries.pop(one) for one in tags]
+        deliveries = [self._deliveries.pop(delivery_tag) for delivery_tag in tags]
         for delivery in deliveries:
             delivery.consumer.unacknowledged -= 1
         return deliveries
 
     def cancel(self, consumer_tag: str) -> None:
-        """End a subscription, if there is one; what it has may still be acknowledged."""
+        """End a subscription if it exists; its deliveries may still be acknowledged."""
         consumer = self.consumers.pop(consumer_tag, None)
         if consumer is not None:
             consumer.queue.remove_consumer(consumer)
 
     def close(self) -> None:
-        """End all subscriptions, and put back what was not acknowledged."""
+        """End all subscriptions, and requeue the results that were not acknowledged."""
         for consumer in self.consumers.values():
             consumer.queue.remove_consumer(consumer)
         self.consumers = {}
-        returned: dict[FinalResultQueue, list[PendingResult]] = {}
+        unacknowledged_results: dict[FinalResultQueue, list[PendingResult]] = {}
         for delivery in self._deliveries.values():
-            returned.setdefault(delivery.consumer.queue, []).append(delivery.pending)
+            unacknowledged_results.setdefault(delivery.consumer.queue, []).append(delivery.pending)
         self._deliveries.clear()
-        for queue, results in returned.items():
+        for queue, results in unacknowledged_results.items():
             queue.requeue(results)
--- a/pinspread/amqp/channel_methods.py
+++ b/pinspread/amqp/channel_methods.py
@@ -1,4 +1,4 @@
-"""What a client may ask for on an open channel, one handler a method."""
+"""Handlers of the methods that a client may send on an open channel, one for each method."""
 
 from collections.abc import Callable
 from secrets import token_hex
@@ -14,19 +14,19 @@
 from pinspread.amqp.publishing import Publisher
 from pinspread.amqp.result_queue import ResultQueueRegistry
 
-RANDOM_NAME_BYTES = 8  # in names that the program chooses
+RANDOM_NAME_BYTES = 8  # randomness in generated queue names and consumer tags
 
 Handler = Callable[[Channel, Any], None]
-"""Carries out a method of the class under which the table has the handler."""
+"""Handles a method; its class is the handler's key in the table of handlers."""
 
 
 class ChannelMethods:
     """Carries out the methods of one connection's channels.
 
     Args:
-        publisher: Takes the publishes.
+        publisher: Handles the publishes.
         queues: The queues of final results.
-        writer: Where answers go.
+        writer: Queues the answers for writing.
         channels: The open channels, by their numbers.
     """
 
@@ -58,7 +58,7 @@
         """Carry out a method.
 
         Raises:
-            AmqpError: It is not offered, or cannot be carried out.
+            AmqpError: The method is not supported, or cannot be carried out.
         """
         method = received.method
         if isinstance(method, commands.Basic.Publish):
@@ -123,7 +123,7 @@
         self._refuse(channel, method.delivery_tag or 0, False, method.requeue)
 
     def _refuse(self, channel: Channel, tag: int, multiple: bool, requeue: bool) -> None:
-        """Put deliveries back into their queues, or forget them if the consumer wants no more of them."""
+        """Requeue deliveries, or count them as acknowledged if the client does not want them again."""
         deliveries = channel.take_deliveries(tag, multiple)
         if not requeue:
             _settle(deliveries)
@@ -133,7 +133,7 @@
 
 
 def _settle(deliveries: list[Delivery]) -> None:
-    """Count these results as acknowledged, and deliver others to the consumers that have capacity."""
+    """Mark results as acknowledged, and deliver others to the consumers that now have capacity."""
     for delivery in deliveries:
         delivery.pending.acknowledged.set()
         delivery.consumer.queue.dispatch()
--- a/pinspread/amqp/consumer.py
+++ b/pinspread/amqp/consumer.py
@@ -6,12 +6,12 @@
 
 
 class DeliveringChannel(Protocol):
-    """The channel of a consumer, as it needs it."""
+    """The part of a channel that its consumers use."""
 
     prefetch: int
 
     def deliver(self, consumer: "Consumer", pending: PendingResult) -> None:
-        """Write a delivery to the client."""
+        """Send a delivery to the client."""
         ...
 
 
@@ -24,8 +24,9 @@
         queue: The queue.
 
     Attributes:
-        prefetch: How many deliveries may be unacknowledged, as the channel had it at the start; 0: no limit.
-        unacknowledged: How many are.
+        prefetch: How many deliveries may be unacknowledged, by the channel's setting when the subscription
+            began; 0: no limit.
+        unacknowledged: How many deliveries are unacknowledged now.
     """
 
     def __init__(self, channel: DeliveringChannel, tag: str, queue: FinalResultQueue) -> None:
@@ -40,6 +41,6 @@
         return not self.prefetch or self.unacknowledged < self.prefetch
 
     def deliver(self, pending: PendingResult) -> None:
-        """Deliver a result; it stays owed until the delivery is acknowledged."""
+        """Deliver a result; it is kept until the delivery is acknowledged."""
         self.unacknowledged += 1
         self.channel.deliver(self, pending)
--- a/pinspread/amqp/content.py
+++ b/pinspread/amqp/content.py
@@ -1,4 +1,4 @@
-"""Methods as they are received, each with the content that may follow it in further frames."""
+"""Received methods, each together with the content that may follow it in further frames."""
 
 from typing import NamedTuple
 
@@ -15,8 +15,8 @@
 
     Attributes:
         method: The method.
-        properties: Properties of its content; None if it has none.
-        body: The content's body; None if there is none, or if it was over the limit and not kept.
+        properties: Properties of its content; None if it has no content.
+        body: Body of its content; None if it has no content, or if the body was over the limit.
     """
 
     method: base.Frame
@@ -25,36 +25,36 @@
 
 
 class ContentAssembler:
-    """Puts the frames of one channel together.
+    """Joins the frames of one channel into methods with their content.
 
     Args:
-        max_body: Bytes of the longest body that is kept; longer ones are read to their end. None: no limit.
+        max_body: The longest body that is kept, in bytes; a longer one is read and dropped. None: no limit.
     """
 
     def __init__(self, max_body: int | None = None) -> None:
         self.max_body = max_body
-        self.method: base.Frame | None = None  # whose content is being received
+        self.method: base.Frame | None = None  # the method whose content is being received
         self._reset()
 
     def _reset(self) -> None:
         self.method = None
         self._header: header.ContentHeader | None = None
         self._body = bytearray()
-        self._received = 0  # bytes of the body so far, kept or not
+        self._received = 0  # bytes of the body received so far, kept or not
 
     @property
     def buffered(self) -> int:
-        """Bytes that are held of a content that is not complete."""
+        """Bytes of an incomplete body that are held in memory."""
         return len(self._body)
 
     def feed(self, payload: Payload) -> ReceivedMethod | None:
-        """Take the payload of one frame.
+        """Add the payload of one frame.
 
         Returns:
-            The method that is now complete; None while its content is.
+            The method if the frame completes it; None if more of its content is to come.
 
         Raises:
-            AmqpError: The frame has no place here.
+            AmqpError: The frame is not allowed at this point, or the body is longer than announced.
         """
         if isinstance(payload, base.Frame):
             return self._feed_method(payload)
@@ -82,7 +82,7 @@
         content_header = self._header
         if content_header is None:
             raise AmqpError(ReplyCode.UNEXPECTED_FRAME, "a body before its header", method)
-        assert isinstance(data, memoryview)  # heartbeats are of channel 0
+        assert isinstance(data, memoryview)  # heartbeats belong to channel 0
         self._received += len(data)
         if self._received > content_header.body_size:
             raise AmqpError(ReplyCode.FRAME_ERROR, "a body longer than its header says", method)
@@ -94,7 +94,7 @@
         return self.max_body is not None and content_header.body_size > self.max_body
 
     def _complete(self, method: base.Frame, content_header: header.ContentHeader) -> ReceivedMethod | None:
-        """The method with its content if all of that is here, and a fresh start for the next."""
+        """Return the method once its content is complete, and reset for the next method; None before."""
         if self._received < content_header.body_size:
             return None
         body = None if self._over_limit(content_header) else bytes(self._body)
--- a/pinspread/amqp/errors.py
+++ b/pinspread/amqp/errors.py
@@ -1,4 +1,4 @@
-"""Breaches of AMQP 0-9-1, with the reply codes of the specification."""
+"""Errors of AMQP 0-9-1, with the reply codes of the specification."""
 
 from enum import IntEnum
 
@@ -7,7 +7,7 @@
 from pinspread.errors import PinspreadError
 
 MAX_REPLY_TEXT = 200  # characters: a short string on the wire holds 255 bytes
-FIRST_CONNECTION_ERROR = 500  # codes from here on close the connection, lower ones only a channel
+FIRST_CONNECTION_ERROR = 500  # codes from this on close the connection, lower ones only the channel
 
 
 class ReplyCode(IntEnum):
@@ -28,18 +28,18 @@
 
 
 class AmqpError(PinspreadError):
-    """A breach of the protocol, or a request that cannot be met.
+    """A violation of the protocol, or a request that cannot be met.
 
     Attributes:
         code: The reply code that is sent to the other side.
         text: What went wrong, short enough for the wire.
-        class_id: Class of the method that caused it; 0 if none did.
-        method_id: The method within its class; 0 if none did.
+        class_id: Class id of the method that caused the error; 0 if none did.
+        method_id: Id of that method within its class; 0 if none did.
 
     Args:
         code: The reply code that is sent to the other side.
         text: What went wrong.
-        cause: The payload of the frame that caused it; only a method has a class and an id.
+        cause: The payload of the frame that caused the error; only a method sets the two ids.
     """
 
     def __init__(self, code: ReplyCode, text: str, cause: object = None) -> None:
@@ -52,5 +52,5 @@
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the whole connection ends, and not only the channel."""
+        """Whether the error closes the whole connection, and not only the channel."""
         return self.code == ReplyCode.CONNECTION_FORCED or self.code >= FIRST_CONNECTION_ERROR
--- a/pinspread/amqp/frame_stream.py
+++ b/pinspread/amqp/frame_stream.py
@@ -1,4 +1,4 @@
-"""Frames on one connection, read by one task and written by any."""
+"""Frames on one connection: one task reads them, and any task may write."""
 
 import anyio
 from pamqp import base, commands, frame, heartbeat
@@ -17,7 +17,7 @@
 
     Args:
         connection: The TCP connection, which the caller closes.
-        clock: The clock by which the other side's silence is measured.
+        clock: Measures how long the other side has been silent.
 
     Attributes:
         frame_max: Bytes of the largest frame that the two sides have agreed on.
@@ -34,7 +34,7 @@
         self.lock = anyio.Lock()
 
     async def read_protocol_header(self) -> bytes:
-        """Read the eight bytes with which a client begins; fewer if the connection ends before."""
+        """Read the eight bytes that a client sends first; fewer if the connection ends before that."""
         size = len(PROTOCOL_HEADER)
         while len(self.buffer.view()) < size:
             if not await self.buffer.fill(self.connection):
@@ -47,11 +47,11 @@
         """Read the next frame.
 
         Returns:
-            Its channel and its payload; a body's bytes are good until the next call.
+            Its channel and its payload; the bytes of a body are valid until the next call.
 
         Raises:
             OSError: The connection has ended.
-            AmqpError: What came is no frame.
+            AmqpError: The received bytes are not a valid frame.
         """
         while (parsed := self._parse()) is None:
             if not await self.buffer.fill(self.connection):
@@ -64,11 +64,11 @@
         return parse_frame(self.buffer.view(), self.frame_max)
 
     async def read_method(self, *names: str) -> base.Frame:
-        """Read the next method on any channel, past heartbeats; it must have one of these names.
+        """Read the next method on any channel, skipping heartbeats; it must have one of the given names.
 
         Raises:
             OSError: The connection has ended, or the other side closes it.
-            AmqpError: Another frame came.
+            AmqpError: A different method or frame was received.
         """
         while True:
             _, payload = await self.read_frame()
@@ -85,7 +85,7 @@
         await self.write(frame.marshal(method, channel))
 
     async def write(self, data: bytes) -> None:
-        """Write whole frames, apart from those of other tasks."""
+        """Write whole frames, which are not mixed with those of other tasks."""
         async with self.lock:
             await self.connection.write(data)
 
@@ -104,5 +104,7 @@
             await anyio.sleep(interval_s / 2)
             silent_us = self.clock.now() - self.received_us
             if silent_us > MISSED_HEARTBEATS * interval_s * US_PER_S:
-                raise ConnectionResetError("no heartbeat")
+                raise ConnectionResetError(
+                    f"no heartbeat in {silent_us / US_PER_S:.1f} s, at an interval of {interval_s} s"
+                )
             await self.write(heartbeat.Heartbeat().marshal())
--- a/pinspread/amqp/frame_writer.py
+++ b/pinspread/amqp/frame_writer.py
@@ -1,4 +1,4 @@
-"""Frames that wait to be written to a client, so that whoever sends them need not wait."""
+"""A queue of frames to a client, so that a sender need not wait until they are written."""
 
 import anyio
 from pamqp import base, commands, frame
@@ -7,11 +7,11 @@
 from pinspread.amqp.frames import marshal_content
 from pinspread.core.log import log
 
-MAX_UNSENT_BYTES = 4 << 20  # that a client may leave unread before its connection is ended
+MAX_UNSENT_BYTES = 4 << 20  # queued for a client that does not read; above this its connection is closed
 
 
 class FrameWriter:
-    """The frames to be written to one client, in their order.
+    """The queue of frames to be written to one client.
 
     Args:
         stream: The client's connection.
@@ -23,25 +23,25 @@
         self._wake = anyio.Event()
 
     def send(self, channel: int, method: base.Frame) -> None:
-        """Have a method written."""
+        """Queue a method."""
         self._append(frame.marshal(method, channel))
 
     def send_content(
         self, channel: int, method: base.Frame, properties: commands.Basic.Properties, body: bytes
     ) -> None:
-        """Have a method with its content written."""
+        """Queue a method with its content."""
         self._append(marshal_content(method, properties, body, channel, self._stream.frame_max))
 
     def _append(self, data: bytes) -> None:
         self._unsent += data
         self._wake.set()
         if len(self._unsent) > MAX_UNSENT_BYTES:
-            # Without a limit, all that a client does not read would be kept in memory.
+            # Without a limit, the frames for a client that does not read would take up ever more memory.
             log("amqp_connection_closed", error="the client does not read")
             self._stream.connection.shutdown()
 
     async def run(self) -> None:
-        """Write what waits until cancelled, or until the connection fails with OSError."""
+        """Write queued frames until cancelled, or until the connection fails with OSError."""
         while True:
             await self._wake.wait()
             self._wake = anyio.Event()
@@ -49,10 +49,13 @@
                 await self._stream.write(self._take())
 
     async def flush(self) -> None:
-        """Write what waits now, before the last words of the connection."""
+        """Write the frames queued so far, before the Close of the connection."""
         await self._stream.write(self._take())
 
     def _take(self) -> bytes:
-        """What waits, which whoever takes it must write: left here meanwhile, it would be written twice."""
+        """Empty the queue and return its bytes, which the caller must write.
+
+        If they stayed in the queue during the write, another task could write them a second time.
+        """
         data, self._unsent = bytes(self._unsent), bytearray()
         return data
--- a/pinspread/amqp/frames.py
+++ b/pinspread/amqp/frames.py
@@ -1,4 +1,4 @@
-"""AMQP 0-9-1 frames as bytes: reading them from a buffer and writing them. The codec is pamqp's."""
+"""AMQP 0-9-1 frames as bytes: decoding them from a buffer and encoding them, by the codec of pamqp."""
 
 import struct
 from typing import NamedTuple
@@ -7,17 +7,17 @@
 
 from pinspread.amqp.errors import AmqpError, ReplyCode
 
-PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"  # with which a client opens the connection
+PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"  # the first bytes that a client sends
 FRAME_HEAD = struct.Struct(">BHI")  # type, channel, size of the payload
 FRAME_END = 0xCE
 FRAME_OVERHEAD = FRAME_HEAD.size + 1  # bytes around a payload
 METHOD, HEADER, BODY, HEARTBEAT = 1, 2, 3, 8  # frame types
 FRAME_TYPES = frozenset((METHOD, HEADER, BODY, HEARTBEAT))
-MIN_FRAME_MAX = 4096  # bytes: the least that the specification lets the sides agree on
-FRAME_MAX = 65_536  # bytes of the largest frame that this program takes or offers
+MIN_FRAME_MAX = 4096  # bytes: the smallest limit that the specification allows
+FRAME_MAX = 65_536  # bytes: the largest frame that this program accepts, and the limit that it offers
 
 Payload = base.Frame | header.ContentHeader | heartbeat.Heartbeat | memoryview
-"""What a frame holds: a method, a content header, a heartbeat, or the bytes of a body."""
+"""The payload of a frame: a method, a content header, a heartbeat, or the bytes of a body."""
 
 
 class ParsedFrame(NamedTuple):
@@ -25,8 +25,8 @@
 
     Attributes:
         channel: Number of the channel; 0 is the connection.
-        payload: What it holds; a body's bytes are a slice of the buffer.
-        size: Bytes that the frame takes, to be consumed once it is handled.
+        payload: Its payload; the bytes of a body are a slice of the buffer.
+        size: Size of the whole frame in bytes, which the caller consumes from the buffer.
     """
 
     channel: int
@@ -38,14 +38,14 @@
     """Read the frame at the start of a buffer.
 
     Args:
-        view: What has been received and not consumed.
-        frame_max: Bytes of the largest frame that was agreed on.
+        view: The bytes that have been received and not consumed.
+        frame_max: Size of the largest frame that was agreed on, in bytes.
 
     Returns:
         The frame, or None where it is not complete yet.
 
     Raises:
-        AmqpError: The bytes are no frame, are over the limit, or cannot be decoded.
+        AmqpError: The bytes are not a valid frame, or the frame is over the limit or cannot be decoded.
     """
     if len(view) < FRAME_HEAD.size:
         return None
@@ -71,11 +71,11 @@
     try:
         _, _, decoded = frame.unmarshal(data)
     except exceptions.UnmarshalingException as error:
-        broken, reason = error.args  # the error's own text may show the method object's address
+        broken, reason = error.args  # str(error) may contain the memory address of the method
         name = broken.name if isinstance(broken, base.Frame) else broken
         text = f"a frame that cannot be decoded: Could not unmarshal {name} frame: {reason}"
         raise AmqpError(ReplyCode.SYNTAX_ERROR, text) from None
-    except Exception as error:  # pamqp lets others through on hostile input
+    except Exception as error:  # malformed input can raise other exceptions in pamqp
         raise AmqpError(ReplyCode.SYNTAX_ERROR, f"a malformed frame: {type(error).__name__}") from None
     return decoded  # type: ignore[return-value]  # the frame's type was checked by the caller
 
@@ -87,7 +87,7 @@
     channel: int,
     frame_max: int = FRAME_MAX,
 ) -> bytes:
-    """Write a method with its content: the method's frame, a header, and as many bodies as it takes."""
+    """Encode a method with its content: a method frame, a header frame, and body frames as needed."""
     content_header = header.ContentHeader(0, len(data), properties)
     frames = [frame.marshal(method, channel), frame.marshal(content_header, channel)]
     step = frame_max - FRAME_OVERHEAD
--- a/pinspread/amqp/headers.py
+++ b/pinspread/amqp/headers.py
@@ -1,4 +1,4 @@
-"""Names of the headers and properties that messages have on AMQP, as the operators' pages give them."""
+"""Names of the headers and properties of messages on AMQP, as the operators' pages document them."""
 
 CLASS = "class"
 TENANT = "tenant"
@@ -6,9 +6,9 @@
 DESTINATION = "dest"
 IDEMPOTENCY_KEY = "idempotency-key"
 RETRY_AFTER_MS = "after-ms"  # on a rejected message: when it may be published again, in milliseconds
-ATTEMPT = "attempt"  # on what goes to a broker: the attempt's number
+ATTEMPT = "attempt"  # on a message published to a broker: the number of the attempt
 
-# Properties, as errors name them.
+# Properties, as error messages name them.
 MESSAGE_ID = "message-id"
 EXPIRATION = "expiration"
 REPLY_TO = "reply-to"
--- a/pinspread/amqp/pending_confirm.py
+++ b/pinspread/amqp/pending_confirm.py
@@ -1,4 +1,4 @@
-"""A publish to a broker, until it is known what became of it."""
+"""The state of a publish to a broker until its result is known."""
 
 import anyio
 
@@ -9,14 +9,14 @@
 
 
 class PendingConfirm:
-    """What is known of one publish.
+    """The state of one publish.
 
     Attributes:
-        key: Message id and attempt number, by which a return names the publish; None before it is written.
-        started: Its first byte may have been written.
-        written: Its last byte was: from now on it may take effect.
-        returned: The broker has returned it as unroutable, and its confirm is still to come.
-        result: How the attempt ended; None until that is known.
+        key: Message id and attempt number, by which a return identifies the publish; None before the write.
+        started: Whether the write has started, so that the first byte may have been written.
+        written: Whether the last byte was written; from then on the publish may take effect.
+        returned: Whether the broker returned the message as unroutable, with the confirm still to come.
+        result: The result of the attempt; None until it is known.
     """
 
     __slots__ = ("_resolved", "key", "result", "returned", "started", "written")
@@ -30,28 +30,28 @@
         self._resolved = anyio.Event()
 
     def resolve(self, outcome: Outcome, note: str = "") -> None:
-        """Settle how it ended, unless that is known already."""
+        """Set the result, unless it is known already."""
         if self.result is None:
             self.result = AttemptResult(outcome, note=note)
             self._resolved.set()
 
     async def wait(self) -> AttemptResult:
-        """Wait until it is known how it ended."""
+        """Wait until the result is known, and return it."""
         await self._resolved.wait()
-        assert self.result is not None  # it is set with the event
+        assert self.result is not None  # resolve() sets it before the event
         return self.result
 
     def proven_result(self) -> AttemptResult | None:
-        """What is proven when the time for the confirm is over; None if nothing is."""
+        """Return the result that is proven when the time for the confirm is over; None if none is."""
         if self.result is None and self.returned:
             return AttemptResult(Outcome.OVERLOADED, note=UNROUTABLE)
         return self.result
 
     def confirm(self, positive: bool) -> None:
-        """Take the broker's confirm.
+        """Handle the broker's ack (positive) or nack.
 
-        A return proves that the publish never ran, and comes before its confirm. An ack proves delivery; a
-        nack proves nothing, so the publish may have run.
+        A return proves that the message was not delivered, and comes before the confirm. An ack proves
+        delivery. A nack proves neither, so the message may have been delivered.
         """
         if self.returned:
             self.resolve(Outcome.OVERLOADED, UNROUTABLE)
@@ -61,5 +61,5 @@
             self.resolve(Outcome.ERROR, "nack")
 
     def connection_closed(self, reason: str) -> None:
-        """Take the end of the connection: what was written in full may have run, the rest never did."""
+        """Resolve the publish on the loss of the connection: only one written in full may have run."""
         self.resolve(Outcome.RESET if self.written else Outcome.CONNECT_FAILED, reason)
--- a/pinspread/amqp/publishing.py
+++ b/pinspread/amqp/publishing.py
@@ -1,4 +1,4 @@
-"""Publishes of clients: reading the message, having it accepted, and confirming or rejecting it."""
+"""Publishes from clients: reading the message, submitting it to the engine, confirming or rejecting it."""
 
 from collections.abc import Mapping
 from hashlib import blake2b
@@ -25,12 +25,15 @@
 from pinspread.core.time_units import NS_PER_MS, US_PER_MS
 from pinspread.errors import RejectedError
 
-FRONT_NAME = "amqp"  # in the journal and the log
+FRONT_NAME = "amqp"  # the name of this front in the journal and the log
 KEY_BYTES = 8
 
 
 def parse_key(text: str) -> int:
-    """Read an ordering key: hexadecimal ones are the same on all fronts, others are hashed; 0 is none."""
+    """Parse an ordering key; 0 means no key.
+
+    A hexadecimal key has the same value on all fronts; any other text is hashed.
+    """
     try:
         return message_fields.parse_key(text.encode())
     except InvalidFieldError:
@@ -38,17 +41,17 @@
 
 
 def _text(headers: Mapping[str, object], name: str) -> str:
-    """A header as text; empty if it is missing."""
+    """Return a header as text; empty if it is missing."""
     return str(headers.get(name) or "")
 
 
 def read_message(
     engine: DeliveryEngine, method: commands.Basic.Publish, properties: commands.Basic.Properties, body: bytes
 ) -> Message:
-    """Read what is to be delivered from a publish.
+    """Build the message of a publish from its properties, headers and body.
 
     Raises:
-        AmqpError: A property or header is missing or malformed, or names what is not known.
+        AmqpError: A property or header is missing or malformed, or a class, tenant or destination unknown.
     """
     try:
         return _read_message(engine, properties, body)
@@ -74,7 +77,7 @@
     expires_in_ms = _expires_in_ms(engine, class_name, properties)
     key = parse_key(str(headers.get(names.KEY) or "0"))
     return Message(
-        number=0,  # the engine gives it one
+        number=0,  # the engine assigns the number
         id=message_id,
         class_name=class_name,
         tenant=tenant,
@@ -89,7 +92,7 @@
 
 
 def _expires_in_ms(engine: DeliveryEngine, class_name: str, properties: commands.Basic.Properties) -> int:
-    """How long the message may take, in milliseconds: as the publisher says, or as its class has it."""
+    """Return the time limit of the message in milliseconds: its expiration, or the deadline of its class."""
     default_ms = engine.settings.delivery_rules[class_name].traffic_class.deadline_ns // NS_PER_MS
     return parse_number(properties.expiration or str(default_ms), names.EXPIRATION, MAX_DEADLINE_MS)
 
@@ -98,8 +101,8 @@
     """Hands the publishes of one connection to the engine, and confirms or rejects them.
 
     Args:
-        engine: What accepts the messages.
-        writer: Where confirms go.
+        engine: Accepts the messages.
+        writer: Queues the confirms for writing.
         channels: The open channels of the connection, by their numbers.
     """
 
@@ -109,14 +112,14 @@
         self._channels = channels
 
     def publish(self, channel: Channel, received: ReceivedMethod) -> None:
-        """Have a message accepted.
+        """Submit a message to the engine, and confirm or reject it.
 
         Raises:
             AmqpError: The publish is malformed, or may not be made on this channel.
         """
         method, properties, body = received
-        assert isinstance(method, commands.Basic.Publish)  # by the table of methods
-        assert properties is not None  # a publish is complete only with its content
+        assert isinstance(method, commands.Basic.Publish)  # checked by ChannelMethods.handle()
+        assert properties is not None  # the assembler passes a publish on only with its content
         if not channel.confirms:
             # Without confirms a publisher could not know which messages were accepted.
             raise AmqpError(ReplyCode.PRECONDITION_FAILED, "publisher confirms are not selected", method)
@@ -135,7 +138,7 @@
             self._confirm(channel, tag)
 
     def _reject(self, channel: Channel, tag: int, publish: ReceivedMethod, retry_after_ms: int) -> None:
-        """Return a message with when it may be published again, and refuse its confirm."""
+        """Return a message with the wait before it may be published again, and send a nack."""
         method, properties, body = publish
         assert isinstance(method, commands.Basic.Publish)
         assert properties is not None
@@ -148,14 +151,14 @@
         self._writer.send(channel.number, commands.Basic.Nack(tag, False, False))
 
     def _confirm(self, channel: Channel, tag: int) -> None:
-        """Confirm a message, which is in the journal; with replication, once it is on the replicas."""
+        """Confirm a message that is in the journal; with replication, once the replicas have it."""
         if self._engine.replication is None:
             self._writer.send(channel.number, commands.Basic.Ack(tag, False))
         else:
             self._engine.tasks.start_soon(self._confirm_when_replicated, channel, tag)
 
     async def _confirm_when_replicated(self, channel: Channel, tag: int) -> None:
-        """Confirm in time, or not at all: the publisher then publishes the message again."""
+        """Confirm a message once it is replicated; if it is not in time, the publisher publishes it again."""
         replicated = await self._engine.wait_committed()
         if replicated and self._channels.get(channel.number) is channel:
             self._writer.send(channel.number, commands.Basic.Ack(tag, False))
--- a/pinspread/amqp/result_queue.py
+++ b/pinspread/amqp/result_queue.py
@@ -13,18 +13,18 @@
 
 from pinspread.core.messages import FinalResult
 
-PERSISTENT = 2  # the delivery mode of messages that outlive a restart
+PERSISTENT = 2  # delivery mode: the message survives a restart
 
 
 @dataclass(eq=False, slots=True)
 class PendingResult:
-    """The final result of one message on its way to a consumer.
+    """The final result of one message, until a consumer acknowledges it.
 
     Attributes:
         message_id: The id that the publisher gave the message.
         result: Its final result.
-        acknowledged: Set once a consumer has acknowledged it, or wants no more of it.
-        redelivered: A consumer had it before and did not acknowledge it.
+        acknowledged: Set once a consumer has acknowledged it, or refused it without requeuing.
+        redelivered: Whether it was delivered to a consumer before and not acknowledged.
     """
 
     message_id: str
@@ -33,7 +33,7 @@
     redelivered: bool = False
 
     def content(self) -> tuple[commands.Basic.Properties, bytes]:
-        """Its properties and its JSON body, as the operators' pages name their fields."""
+        """Return its properties and its JSON body, with the fields that the operators' pages document."""
         state = self.result.state.name.lower()
         fields: FieldTable = {"state": state}
         if self.result.retry_after_ms:
@@ -49,23 +49,23 @@
 
 
 class ResultConsumer(Protocol):
-    """Whoever takes results from a queue."""
+    """A consumer of a queue, as far as the queue uses it."""
 
     def has_capacity(self) -> bool:
-        """Whether it may be given another result now."""
+        """Whether another result may be delivered to it now."""
         ...
 
     def deliver(self, pending: PendingResult) -> None:
-        """Give it a result."""
+        """Deliver a result to it."""
         ...
 
 
 class FinalResultQueue:
-    """Results that wait for a consumer, in their order.
+    """A queue of final results.
 
     Attributes:
         name: The name by which clients declare and consume it.
-        waiting: The results that no consumer has.
+        waiting: The results that are not with a consumer, in the order of delivery.
         consumers: Its consumers; the one whose turn is next comes first.
     """
 
@@ -80,7 +80,7 @@
         self.dispatch()
 
     def requeue(self, returned: Sequence[PendingResult]) -> None:
-        """Put results that were not acknowledged before all others, in their order."""
+        """Put unacknowledged results back at the head of the queue, in their order."""
         for pending in reversed(returned):
             pending.redelivered = True
             self.waiting[pending] = None
@@ -88,18 +88,18 @@
         self.dispatch()
 
     def add_consumer(self, consumer: ResultConsumer) -> None:
-        """Deliver to another consumer from now on."""
+        """Add a consumer, and deliver to it from now on."""
         self.consumers.append(consumer)
         self.dispatch()
 
     def remove_consumer(self, consumer: ResultConsumer) -> None:
-        """Deliver nothing more to a consumer; what it has is not put back by this."""
+        """Remove a consumer; its unacknowledged results are not requeued by this."""
         self.consumers.remove(consumer)
 
     def dispatch(self) -> None:
-        """Deliver to the consumers in turns while one of them has capacity."""
+        """Deliver results to the consumers in turn, as long as one of them has capacity."""
         while self.waiting:
-            consumer = next((one for one in self.consumers if one.has_capacity()), None)
+            consumer = next((candidate for candidate in self.consumers if candidate.has_capacity()), None)
             if consumer is None:
                 return
             self.consumers.remove(consumer)
@@ -111,8 +111,8 @@
 class ResultQueueRegistry:
     """The queues by their names.
 
-    Clients name queues of their own, so one that holds nothing and serves nobody must not be kept: it goes
-    with its last result and its last consumer.
+    Clients may declare queues under any name, so a queue without results and consumers must not be kept. The
+    references are weak: a queue is freed once its last result and its last consumer are.
     """
 
     def __init__(self) -> None:
@@ -127,7 +127,7 @@
         return len(self._queues)
 
     def get(self, name: str) -> FinalResultQueue:
-        """The queue of that name, which is made if there is none."""
+        """Return the queue of that name; it is created if there is none."""
         queue = self._queues.get(name)
         if queue is None:
             queue = self._queues[name] = FinalResultQueue(name)
--- a/pinspread/amqp/server.py
+++ b/pinspread/amqp/server.py
@@ -1,8 +1,8 @@
 """The AMQP 0-9-1 front: publishers submit messages, consumers of `reply-to` receive their final results.
 
-`basic.ack` says that a message is accepted and in the journal. A rejection is `basic.return`, which says when
-the message may be published again, and then `basic.nack`. Each final result is one message to the queue that
-`reply-to` names, kept in the journal until a consumer acknowledges it.
+`basic.ack` means that a message is accepted and in the journal. A rejection is `basic.return`, which says
+when the message may be published again, followed by `basic.nack`. Each final result is one message to the
+queue that `reply-to` names, kept in the journal until a consumer acknowledges it.
 """
 
 import socket
@@ -20,16 +20,16 @@
 __all__ = ["FRONT_NAME", "AmqpFront"]
 
 HEARTBEAT_S = 30
-SHUTDOWN_S = 0.05  # for the last frames to the clients to be written
+SHUTDOWN_S = 0.05  # wait for the last frames to be written to the clients
 
 
 class AmqpFront:
     """Connections of publishers and consumers, and the queues of final results.
 
     Args:
-        engine: What accepts messages.
+        engine: Accepts the messages.
         heartbeat_s: The heartbeat interval that clients are offered, in seconds.
-        limiter: The limit on client connections; by default one of its own.
+        limiter: The limit on client connections; None for a limiter that only this front uses.
 
     Attributes:
         queues: The queues that hold results or serve consumers.
@@ -37,7 +37,9 @@
     """
 
     reports_delivery = True
-    ordered_by_notice = False  # a key goes on once its result is in the journal: consumers may be long away
+    # An ordering key continues once the final result of its message is in the journal, not once a consumer
+    # has acknowledged it, as consumers may be away for a long time.
+    ordered_by_notice = False
 
     def __init__(
         self,
@@ -52,7 +54,7 @@
         self.sessions: set[Session] = set()
 
     async def run(self, sock: socket.socket) -> None:
-        """Accept and serve until cancelled; the socket is the caller's."""
+        """Accept and serve connections until cancelled; the caller closes the socket."""
         async with anyio.create_task_group() as tasks:
             await accept_forever(sock, tasks, self.serve, self.limiter)
 
@@ -64,13 +66,13 @@
         try:
             await session.run()
         except Exception as error:
-            # Raised on, one client's error would end the process and all that it serves.
+            # If it were raised, an error in the session of one client would end the process for all.
             log("internal_error", where="amqp session", error=repr(error))
         finally:
             self.sessions.discard(session)
 
     async def close(self) -> None:
-        """Tell all clients that the process ends."""
+        """Notify all clients that the process shuts down."""
         for session in list(self.sessions):
             session.announce_shutdown()
         await anyio.sleep(SHUTDOWN_S)
--- a/pinspread/amqp/session.py
+++ b/pinspread/amqp/session.py
@@ -25,12 +25,12 @@
 CONNECTION_CHANNEL = 0  # the channel of the connection's own methods
 CHANNEL_MAX = 64
 HANDSHAKE_TIMEOUT_S = 2.0
-CLOSE_TIMEOUT_S = 1.0  # for a client to answer that its connection is closed
-FRAMES_PER_TURN = 32  # that one session handles before the others have their turn
+CLOSE_TIMEOUT_S = 1.0  # for a client to answer Connection.Close
+FRAMES_PER_TURN = 32  # that one session handles before it yields to the others
 VIRTUAL_HOST = "/"
 MECHANISMS = "PLAIN ANONYMOUS"
 LOCALE = "en_US"
-# Clients look here for what goes beyond the specification before they use it.
+# Clients check here whether the server supports an extension of the specification.
 SERVER_PROPERTIES: FieldTable = {
     "product": "pinspread",
     "capabilities": {"publisher_confirms": True, "basic.nack": True},
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontServices:
-    """What all sessions of a front share.
+    """The objects that all sessions of a front share.
 
     Attributes:
-        engine: What accepts messages.
+        engine: Accepts the messages.
         queues: The queues of final results.
         limiter: The limit on client connections and the memory held for them.
     """
@@ -56,10 +56,10 @@
     """One connection of a client.
 
     Args:
-        services: What it shares with the other sessions.
-        connection: The connection, which the session closes at its end.
-        client: What the limiter knows of the connection.
-        heartbeat_s: The heartbeat interval to be offered, in seconds.
+        services: The objects shared with the other sessions.
+        connection: The connection, which the session closes when it ends.
+        client: The limiter's record of the connection.
+        heartbeat_s: The heartbeat interval that the client is offered, in seconds.
     """
 
     def __init__(
@@ -96,12 +96,12 @@
             self._connection.close()
 
     def announce_shutdown(self) -> None:
-        """Tell the client that the process ends."""
+        """Notify the client that the process shuts down."""
         close = commands.Connection.Close(ReplyCode.CONNECTION_FORCED, "shutting down", 0, 0)
         self._writer.send(CONNECTION_CHANNEL, close)
 
     async def _run_until_end(self, work: Callable[[], Awaitable[None]], scope: anyio.CancelScope) -> None:
-        """Run one task of the session; its end, or the loss of the connection, ends all tasks."""
+        """Run one task of the session; cancel all of them when it ends or the connection is lost."""
         try:
             await work()
         except OSError as error:
@@ -114,21 +114,21 @@
     # --- opening and closing the connection -------------------------------------------------------------
 
     async def _open(self) -> bool:
-        """Open the connection; whether it is to be served."""
+        """Open the AMQP connection; return whether the client has completed the handshake."""
         opened = False
         try:
             with anyio.fail_after(HANDSHAKE_TIMEOUT_S):
-                opened = await self._shake_hands()
+                opened = await self._handshake()
         except AmqpError as error:
             await self._close(error)
         except (OSError, TimeoutError):
-            pass  # the client has closed the connection, or sends nothing
+            pass  # the client has closed the connection, or was silent for too long
         return opened
 
-    async def _shake_hands(self) -> bool:
+    async def _handshake(self) -> bool:
         stream = self._stream
         if await stream.read_protocol_header() != PROTOCOL_HEADER:
-            await self._connection.write(PROTOCOL_HEADER)  # as the specification asks
+            await self._connection.write(PROTOCOL_HEADER)  # the specification's answer to other protocols
             return False
         await stream.send(commands.Connection.Start(0, 9, SERVER_PROPERTIES, MECHANISMS, LOCALE))
         await stream.read_method("Connection.StartOk")
@@ -169,7 +169,7 @@
         try:
             for handled in count(1):
                 if not handled % FRAMES_PER_TURN:
-                    # A client that always has frames would otherwise hold the event loop.
+                    # Otherwise a client that sends without a pause would keep the event loop to itself.
                     await anyio.lowlevel.checkpoint()
                 number, payload = await self._stream.read_frame()
                 if number == CONNECTION_CHANNEL:
@@ -181,7 +181,7 @@
             await self._close(error)
 
     async def _handle_on_connection(self, payload: Payload) -> bool:
-        """Handle a frame of the connection itself; false once the connection is closed."""
+        """Handle a frame of channel 0; return whether the connection is still open."""
         if isinstance(payload, heartbeat.Heartbeat):
             return True
         if isinstance(payload, commands.Connection.Close):
@@ -192,7 +192,7 @@
         raise AmqpError(ReplyCode.COMMAND_INVALID, "not a method of channel 0", payload)
 
     def _handle_on_channel(self, number: int, payload: Payload) -> None:
-        """Handle a frame of a channel, and close the channel if it breaks a rule.
+        """Handle a frame of a channel, and close the channel on an error that concerns only it.
 
         Raises:
             AmqpError: The whole connection is to be closed.
@@ -230,14 +230,14 @@
         self._writer.send(channel.number, close)
 
     def _handle_while_closing(self, channel: Channel, payload: Payload) -> None:
-        """Ignore what the client sent before it received the Close: it belongs to nothing any more."""
+        """Wait for the answer to Channel.Close; other frames, sent before it arrived, are ignored."""
         if isinstance(payload, commands.Channel.CloseOk | commands.Channel.Close):
             del self._channels[channel.number]
         if isinstance(payload, commands.Channel.Close):
             self._writer.send(channel.number, commands.Channel.CloseOk())
 
     def _feed(self, channel: Channel, payload: Payload) -> None:
-        """Add a frame to what is being received on a channel, and handle it once it is complete."""
+        """Add a frame to a channel's current method, and handle the method once it is complete."""
         received = channel.contents.feed(payload)
         if not isinstance(payload, base.Frame):
             self._reserve_contents(channel)
@@ -245,8 +245,8 @@
             self._methods.handle(channel, received)
 
     def _reserve_contents(self, channel: Channel) -> None:
-        """Have the memory counted that incomplete contents take, for all clients share a limit of it."""
-        size = sum(one.contents.buffered for one in self._channels.values())
+        """Reserve the memory of incomplete contents, which counts towards a limit for all clients."""
+        size = sum(open_channel.contents.buffered for open_channel in self._channels.values())
         if not self._limiter.reserve(self._client, size):
             text = "no room for more contents"
             raise AmqpError(ReplyCode.RESOURCE_ERROR, text, channel.contents.method)
--- a/pinspread/amqp/transport.py
+++ b/pinspread/amqp/transport.py
@@ -1,8 +1,9 @@
-"""Endpoints that are AMQP 0-9-1 brokers: one connection each, publisher confirms, and no second publish.
+"""The transport to endpoints that are AMQP 0-9-1 brokers.
 
-What a broker's answer proves: an ack, that the message was delivered; a return as unroutable, that it never
-ran; a nack, that it may have run. A connection that is lost before a publish's last byte proves that it never
-ran; after it, that it may have run.
+Each broker has one connection with publisher confirms, and each attempt is published once. An ack proves that
+the message was delivered, a return as unroutable that it never ran; after a nack it may have run. If the
+connection is lost before the last byte of a publish is written, the message never ran; after that, it may
+have run.
 """
 
 from collections.abc import Callable
@@ -28,14 +29,14 @@
 
     Args:
         clock: The clock of the process.
-        tasks: Where the tasks run that follow the connections.
+        tasks: Runs the tasks that read from the connections.
         connect_timeout_us: How long a connection may take to open, in microseconds.
         login: The response to the PLAIN mechanism.
         heartbeat_s: The longest heartbeat interval, in seconds.
 
     Attributes:
-        connections: The connections by the ids of their endpoints; each may have been lost since.
-        connect_locks: Held while a connection is opened, by the ids of endpoints.
+        connections: The connections by endpoint id; some may have been lost since they were opened.
+        connect_locks: Locks held while a connection is opened, by endpoint id.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         return self._timed_out(attempt, confirm)
 
     def _timed_out(self, attempt: Attempt, confirm: PendingConfirm) -> AttemptResult:
-        """The result of an attempt whose time is over: what is proven by then stands."""
+        """Return the result of an attempt whose time is over; a result proven by then is kept."""
         proven = confirm.proven_result()
         if proven is not None:
             return proven
@@ -84,7 +85,7 @@
 
         Args:
             endpoint: The broker.
-            check_before_write: Gives a reason not to check; empty if there is none.
+            check_before_write: Returns a reason not to check; empty if there is none.
         """
         reason = check_before_write()
         if reason:
@@ -112,7 +113,7 @@
         return max(0, time_us - self._clock.now()) / US_PER_S
 
     async def _connect(self, endpoint: Endpoint) -> BrokerConnection:
-        """The connection to a broker, opened if there is none."""
+        """Return the connection to a broker; it is opened if there is none."""
         async with self.connect_locks.setdefault(endpoint.id, anyio.Lock()):
             broker = self.connections.get(endpoint.id)
             if broker is not None and broker.address == endpoint.address and not broker.closed_reason:
