--- a/tests/amqp_dialogue.py
+++ b/tests/amqp_dialogue.py
@@ -1,4 +1,4 @@
-"""AMQP sessions: a dialogue that is recorded or compared with its recording, and the frames that it needs."""
+"""AMQP sessions: a dialogue that is recorded or compared with its recording, and frames to send in it."""
 
 import re
 
@@ -7,8 +7,8 @@
 
 from pinspread.core.messages import Message
 
-SILENCE_S = 0.1  # after which a recording takes it that the program has said all
-FRAME_MAX = 4096  # the least that may be agreed on, so that contents of a few kilobytes take several frames
+SILENCE_S = 0.1  # without bytes, after which a recording assumes that the program sends nothing more
+FRAME_MAX = 4096  # the smallest limit allowed, so that contents of a few kilobytes take several frames
 GREETING = b"AMQP\x00\x00\x09\x01"
 RANDOM_NAME = re.compile(rb"(amq\.gen-|ctag-)[0-9a-f]{16}")
 
@@ -21,43 +21,43 @@
         self.steps = []
         self.stream = None
 
-    def step(self, *found):
-        """Something that happened, which must be what happened in the recording."""
+    def add_step(self, *values):
+        """Add a step to the session; it must be equal to the recorded one, if there is a recording."""
         if self.recorded is not None:
-            assert len(self.steps) < len(self.recorded), found
-            assert list(found) == self.recorded[len(self.steps)]
-        self.steps.append(list(found))
+            assert len(self.steps) < len(self.recorded), values
+            assert list(values) == self.recorded[len(self.steps)]
+        self.steps.append(list(values))
 
-    async def say(self, *data):
+    async def write(self, *data):
         """Write bytes to the program."""
         data = b"".join(data)
-        self.step("stand-in", data.hex())
+        self.add_step("stand-in", data.hex())
         await self.stream.send(data)
 
-    async def hear(self):
-        """Read what the program says now."""
-        data = await (self._until_silent() if self.recorded is None else self._as_much())
-        self.step("program", RANDOM_NAME.sub(rb"\g<1>0000000000000000", data).hex())
+    async def read(self):
+        """Read the next bytes from the program."""
+        data = await (self._read_until_silent() if self.recorded is None else self._read_recorded_size())
+        self.add_step("program", RANDOM_NAME.sub(rb"\g<1>0000000000000000", data).hex())
 
     async def exchange(self, *data):
-        """Write bytes, and read what the program says to them."""
-        await self.say(*data)
-        await self.hear()
+        """Write bytes to the program, and read its answer."""
+        await self.write(*data)
+        await self.read()
 
-    async def closed(self):
-        """The program closes the connection and says nothing more before it."""
+    async def expect_close(self):
+        """Expect that the program closes the connection, without sending anything more."""
         with anyio.fail_after(5):
             try:
                 remaining = await self.stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 remaining = b""
-        self.step("closed", remaining.hex())
+        self.add_step("closed", remaining.hex())
 
-    async def silent(self):
-        """The program says nothing more."""
-        self.step("silent", (await self._until_silent()).hex())
+    async def expect_silence(self):
+        """Expect that the program sends nothing more for now."""
+        self.add_step("silent", (await self._read_until_silent()).hex())
 
-    async def _until_silent(self):
+    async def _read_until_silent(self):
         data = b""
         while True:
             with anyio.move_on_after(SILENCE_S) as scope:
@@ -68,7 +68,7 @@
             if scope.cancelled_caught:
                 return data
 
-    async def _as_much(self):
+    async def _read_recorded_size(self):
         assert len(self.steps) < len(self.recorded)
         size, data = len(self.recorded[len(self.steps)][-1]) // 2, b""
         with anyio.move_on_after(5):
@@ -80,28 +80,31 @@
         return data
 
 
-def method(of, channel=1):
-    return frame.marshal(of, channel)
+def method(payload, channel=1):
+    return frame.marshal(payload, channel)
 
 
 def publish(data=b"x", exchange="", channel=1, properties=None, **headers):
     """A publish with its content."""
     fields = {"class": "payment", "tenant": "north", "dest": 1} | headers
-    given = {"headers": fields, "message_id": "m1", "expiration": "60000", "reply_to": "ends"}
-    given |= properties or {}
-    step = FRAME_MAX - 8
+    all_properties = {"headers": fields, "message_id": "m1", "expiration": "60000", "reply_to": "ends"}
+    all_properties |= properties or {}
+    payload_size = FRAME_MAX - 8
     return b"".join(
         [
             method(commands.Basic.Publish(0, exchange, "partner", False), channel),
-            method(header.ContentHeader(0, len(data), commands.Basic.Properties(**given)), channel),
-            *(method(body.ContentBody(data[at : at + step]), channel) for at in range(0, len(data), step)),
+            method(header.ContentHeader(0, len(data), commands.Basic.Properties(**all_properties)), channel),
+            *(
+                method(body.ContentBody(data[offset : offset + payload_size]), channel)
+                for offset in range(0, len(data), payload_size)
+            ),
         ]
     )
 
 
 def message(id_, **changes):
-    """A message as the engine hands it to the front for its final result."""
-    given = {
+    """A message as the engine passes it to the transport and, with its final result, to the front."""
+    defaults = {
         "number": 1,
         "id": id_,
         "class_name": "payment",
@@ -114,4 +117,4 @@
         "front": "amqp",
         "reply": {"to": "ends"},
     }
-    return Message(**(given | changes))
+    return Message(**(defaults | changes))
--- a/tests/amqp_front_sessions.py
+++ b/tests/amqp_front_sessions.py
@@ -12,17 +12,17 @@
 
 @asynccontextmanager
 async def client(dialogue, courier):
-    """A connection of its own to the front."""
+    """Open a new connection to the front."""
     host, port = courier.amqp.split(":")
     async with await anyio.connect_tcp(host, int(port)) as dialogue.stream:
         yield dialogue
 
 
-async def opened(dialogue, channels=(1,), confirms=True):
+async def open_connection(dialogue, channels=(1,), confirms=True):
     """Open the connection and channels."""
     await dialogue.exchange(GREETING)
     await dialogue.exchange(method(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"), 0))
-    await dialogue.say(method(commands.Connection.TuneOk(8, FRAME_MAX, 0), 0))
+    await dialogue.write(method(commands.Connection.TuneOk(8, FRAME_MAX, 0), 0))
     await dialogue.exchange(method(commands.Connection.Open("/"), 0))
     for channel in channels:
         await dialogue.exchange(method(commands.Channel.Open(), channel))
@@ -30,15 +30,15 @@
             await dialogue.exchange(method(commands.Confirm.Select(), channel))
 
 
-async def ended(dialogue):
+async def close_connection(dialogue):
     """Close the connection as a client does."""
     await dialogue.exchange(method(commands.Connection.Close(200, "bye", 0, 0), 0))
-    await dialogue.closed()
+    await dialogue.expect_close()
 
 
 async def front_greetings(dialogue, folder):
-    """Other protocols and what is agreed on before the connection is open."""
-    early = [
+    """Other protocols, and errors while the connection is being opened."""
+    invalid_openings = [
         [commands.Connection.TuneOk(8, 1024, 0)],
         [commands.Connection.TuneOk(8, 100_000, 0)],
         [commands.Connection.TuneOk(8, 0, 0), commands.Connection.Open("other")],
@@ -47,29 +47,29 @@
     async with running_courier(folder) as courier:
         async with client(dialogue, courier):
             await dialogue.exchange(b"AMQP\0\1\0\0")
-            await dialogue.closed()
+            await dialogue.expect_close()
         async with client(dialogue, courier):
             await dialogue.exchange(GREETING)
             await dialogue.exchange(method(commands.Channel.Open(), 0))
-            await dialogue.say(method(commands.Connection.CloseOk(), 0))
-            await dialogue.closed()
-        for methods in early:
+            await dialogue.write(method(commands.Connection.CloseOk(), 0))
+            await dialogue.expect_close()
+        for methods in invalid_openings:
             async with client(dialogue, courier):
                 await dialogue.exchange(GREETING)
                 await dialogue.exchange(
                     method(commands.Connection.StartOk({}, "PLAIN", "\0a\0b", "en_US"), 0)
                 )
                 await dialogue.exchange(*(method(m, 0) for m in methods))
-                await dialogue.say(method(commands.Connection.CloseOk(), 0))
-                await dialogue.closed()
+                await dialogue.write(method(commands.Connection.CloseOk(), 0))
+                await dialogue.expect_close()
 
 
 async def front_publishing(dialogue, folder):
-    """A publisher whose messages are accepted, and rejected with when to come back."""
+    """Messages that are accepted, and others that are rejected with a time to publish them again."""
     async with running_courier(folder) as courier, client(dialogue, courier):
-        await opened(dialogue, channels=(1, 3))
+        await open_connection(dialogue, channels=(1, 3))
         await dialogue.exchange(publish())
-        await dialogue.exchange(publish())  # the same id once more: it is accepted already
+        await dialogue.exchange(publish())  # the same id again: it is already accepted
         headers = {"key": "5c0f", "idempotency-key": "k1", "class": "booking-change"}
         await dialogue.exchange(publish(b"y" * 9000, channel=3, properties={"message_id": "m2"}, **headers))
         courier.engine.stopping = True
@@ -79,40 +79,40 @@
         )
         await dialogue.exchange(publish(b"", properties={"message_id": "m5", "content_type": "text/plain"}))
         parts = publish(b"in parts", properties={"message_id": "m6"})
-        for at in range(0, len(parts), 16):
-            await dialogue.say(parts[at : at + 16])
-        await dialogue.hear()
+        for offset in range(0, len(parts), 16):
+            await dialogue.write(parts[offset : offset + 16])
+        await dialogue.read()
         await dialogue.exchange(publish())  # accepted before
         await dialogue.exchange(method(commands.Channel.Flow(True)))
         await dialogue.exchange(method(commands.Channel.Flow(False), 3))
         await dialogue.exchange(method(commands.Basic.Qos(0, 7)))
         await dialogue.exchange(method(commands.Confirm.Select(), 3))
-        await dialogue.say(method(commands.Confirm.Select(nowait=True), 3))
+        await dialogue.write(method(commands.Confirm.Select(nowait=True), 3))
         await dialogue.exchange(method(commands.Channel.Close(200, "done", 0, 0)))
         await dialogue.exchange(method(commands.Channel.Open()))
-        await ended(dialogue)
+        await close_connection(dialogue)
 
 
 async def front_queues(dialogue, folder):
     """Declaring queues and subscribing to them."""
     async with running_courier(folder) as courier, client(dialogue, courier):
-        await opened(dialogue, confirms=False)
+        await open_connection(dialogue, confirms=False)
         await dialogue.exchange(method(commands.Queue.Declare(0, "q")))
         await dialogue.exchange(method(commands.Queue.Declare(0, "")))
         await dialogue.exchange(method(commands.Basic.Consume(0, "q", "c1")))
         await dialogue.exchange(method(commands.Basic.Consume(0, "q", "")))
-        await dialogue.say(method(commands.Basic.Consume(0, "q", "c3", nowait=True)))
-        await dialogue.say(method(commands.Queue.Declare(0, "q2", nowait=True)))
+        await dialogue.write(method(commands.Basic.Consume(0, "q", "c3", nowait=True)))
+        await dialogue.write(method(commands.Queue.Declare(0, "q2", nowait=True)))
         await dialogue.exchange(method(commands.Queue.Declare(0, "q", passive=True)))
         await dialogue.exchange(method(commands.Basic.Cancel("c1")))
-        await dialogue.say(method(commands.Basic.Cancel("c3", nowait=True)))
+        await dialogue.write(method(commands.Basic.Cancel("c3", nowait=True)))
         await dialogue.exchange(method(commands.Basic.Cancel("unknown")))
         await dialogue.exchange(method(commands.Queue.Declare(0, "q", passive=True)))
-        await ended(dialogue)
+        await close_connection(dialogue)
 
 
 def soft_errors():
-    """What ends a channel: its reply code is under 500."""
+    """Frames that make the front close the channel, with a reply code under 500."""
     consume = commands.Basic.Consume
     return [
         publish(**{"class": "nonsense"}),
@@ -144,24 +144,24 @@
 async def front_soft_errors(dialogue, folder):
     """Malformed messages and requests that cannot be met end their channel; the connection goes on."""
     async with running_courier(folder) as courier, client(dialogue, courier):
-        await opened(dialogue, confirms=False)
+        await open_connection(dialogue, confirms=False)
         reopen = method(commands.Channel.CloseOk()) + method(commands.Channel.Open())
         await dialogue.exchange(publish())  # confirms are not selected
-        for wrong in soft_errors():
+        for invalid in soft_errors():
             await dialogue.exchange(reopen)
             await dialogue.exchange(method(commands.Confirm.Select()))
-            # What crosses the close is not answered.
-            await dialogue.exchange(wrong, method(commands.Basic.Qos(0, 1)))
+            # A method that the client sends before it receives the Close is not answered.
+            await dialogue.exchange(invalid, method(commands.Basic.Qos(0, 1)))
         await dialogue.exchange(method(commands.Channel.Close(200, "crossing", 0, 0)))
         await dialogue.exchange(method(commands.Channel.Open()))
-        await ended(dialogue)
+        await close_connection(dialogue)
 
 
 def hard_errors():
-    """What ends the connection."""
+    """Frames that make the front close the connection."""
     start = method(commands.Basic.Publish(0, "", "partner", False))
     size_1 = method(header.ContentHeader(0, 1, commands.Basic.Properties(message_id="m")))
-    one = method(body.ContentBody(b"x"))
+    body_1 = method(body.ContentBody(b"x"))
     return [
         method(commands.Tx.Select()),
         method(commands.Basic.Get(0, "q")),
@@ -174,9 +174,9 @@
         b"\x09\0\1\0\0\0\0\xce",
         b"\x01\0\1\x0f\0\0\0",
         b"\x03\0\1\0\0\0\1xx",
-        one,
+        body_1,
         size_1,
-        start + one,
+        start + body_1,
         start + size_1 + size_1,
         start + start,
         start + size_1 + method(body.ContentBody(b"xy")),
@@ -186,24 +186,26 @@
 
 
 async def front_hard_errors(dialogue, folder):
-    """Breaches of the protocol end the connection, by Close and CloseOk."""
+    """Violations of the protocol close the connection, by Close and CloseOk."""
     async with running_courier(folder) as courier:
-        for wrong in hard_errors():
+        for invalid in hard_errors():
             async with client(dialogue, courier):
-                await opened(dialogue)
-                await dialogue.exchange(wrong)
-                # Nothing is answered behind the Close.
-                await dialogue.say(method(commands.Basic.Qos(0, 1)), method(commands.Connection.CloseOk(), 0))
-                await dialogue.closed()
+                await open_connection(dialogue)
+                await dialogue.exchange(invalid)
+                # Nothing is answered after the Close.
+                await dialogue.write(
+                    method(commands.Basic.Qos(0, 1)), method(commands.Connection.CloseOk(), 0)
+                )
+                await dialogue.expect_close()
     (folder / "small").mkdir()
     async with (
         running_courier(folder / "small", max_unread_bytes=10_000) as courier,
         client(dialogue, courier),
     ):
-        await opened(dialogue)
+        await open_connection(dialogue)
         await dialogue.exchange(publish(b"x" * 60_000)[:-100])
-        await dialogue.say(method(commands.Connection.CloseOk(), 0))
-        await dialogue.closed()
+        await dialogue.write(method(commands.Connection.CloseOk(), 0))
+        await dialogue.expect_close()
 
 
 class Results:
@@ -222,10 +224,10 @@
         await self.front.notify(message(id_), final)
         self.acknowledged_ids.append(id_)
 
-    async def acknowledged(self, *ids):
-        """These are, and no others."""
+    async def expect_acknowledged(self, *ids):
+        """Wait until results are acknowledged, which must be these and no others."""
         await wait_until(lambda: len(self.acknowledged_ids) >= len(ids))
-        self.dialogue.step("acknowledged", *self.acknowledged_ids)
+        self.dialogue.add_step("acknowledged", *self.acknowledged_ids)
         assert set(self.acknowledged_ids) == set(ids)
         self.acknowledged_ids = []
 
@@ -245,61 +247,61 @@
         client(dialogue, courier),
         results(dialogue, courier) as queue,
     ):
-        await opened(dialogue, channels=(1, 2), confirms=False)
+        await open_connection(dialogue, channels=(1, 2), confirms=False)
         queue.put("m1", states.DELIVERED)
         queue.put("m2", states.FAILED)
         await anyio.sleep(0.02)
         await dialogue.exchange(method(commands.Queue.Declare(0, "ends", passive=True)))
         await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
         queue.put("m3", states.RETURNED, 1500)
-        await dialogue.hear()
+        await dialogue.read()
         queue.put("m4", states.RETURNED)
-        await dialogue.hear()
-        await dialogue.say(method(commands.Basic.Ack(2)))
-        await queue.acknowledged("m2")
-        await dialogue.exchange(method(commands.Basic.Nack(3, False, True)))  # m3 comes again
-        await dialogue.exchange(method(commands.Basic.Reject(1, True)))  # m1 comes again
-        await dialogue.say(method(commands.Basic.Nack(4, False, False)))  # m4 is not wanted
-        await queue.acknowledged("m4")
+        await dialogue.read()
+        await dialogue.write(method(commands.Basic.Ack(2)))
+        await queue.expect_acknowledged("m2")
+        await dialogue.exchange(method(commands.Basic.Nack(3, False, True)))  # m3 is delivered again
+        await dialogue.exchange(method(commands.Basic.Reject(1, True)))  # m1 is delivered again
+        await dialogue.write(method(commands.Basic.Nack(4, False, False)))  # m4 is not requeued
+        await queue.expect_acknowledged("m4")
         await dialogue.exchange(method(commands.Basic.Nack(6, True, True)))  # m1 and m3
-        await dialogue.say(method(commands.Basic.Ack(0, True)))
-        await queue.acknowledged("m1", "m3")
-        await dialogue.say(method(commands.Basic.Ack(0, True)))  # nothing is out: not an error
+        await dialogue.write(method(commands.Basic.Ack(0, True)))
+        await queue.expect_acknowledged("m1", "m3")
+        await dialogue.write(method(commands.Basic.Ack(0, True)))  # nothing is unacknowledged: no error
         await dialogue.exchange(method(commands.Basic.Cancel("c")))
-        # Prefetch, two consumers in turns, and what a closed channel had not acknowledged.
+        # Prefetch, two consumers in turn, and the unacknowledged deliveries of a closed channel.
         await dialogue.exchange(method(commands.Basic.Qos(0, 1)), method(commands.Basic.Qos(0, 1), 2))
         await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "d")))
         await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "e"), 2))
         for number in range(5, 9):
             queue.put(f"m{number}", states.DELIVERED)
-        await dialogue.hear()
+        await dialogue.read()
         await dialogue.exchange(method(commands.Basic.Ack(1), 2))
-        await queue.acknowledged("m6")
+        await queue.expect_acknowledged("m6")
         await dialogue.exchange(method(commands.Channel.Close(200, "done", 0, 0)))
         await dialogue.exchange(method(commands.Basic.Ack(2), 2))
-        await queue.acknowledged("m7")
+        await queue.expect_acknowledged("m7")
         await dialogue.exchange(method(commands.Basic.Ack(3, True), 2))
-        await queue.acknowledged("m5")
-        await dialogue.say(method(commands.Basic.Reject(4, False), 2))
-        await queue.acknowledged("m8")
-        await ended(dialogue)
+        await queue.expect_acknowledged("m5")
+        await dialogue.write(method(commands.Basic.Reject(4, False), 2))
+        await queue.expect_acknowledged("m8")
+        await close_connection(dialogue)
 
 
 async def front_redelivery(dialogue, folder):
-    """What a lost consumer had not acknowledged goes to the next one; at the end the process says so."""
+    """Unacknowledged results of a lost consumer go to the next one; a shutdown closes the connection."""
     async with running_courier(folder) as courier, results(dialogue, courier) as queue:
         async with client(dialogue, courier):
-            await opened(dialogue, confirms=False)
+            await open_connection(dialogue, confirms=False)
             await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
             queue.put("m1", FinalState.FAILED)
-            await dialogue.hear()
+            await dialogue.read()
         await anyio.sleep(0.05)
         async with client(dialogue, courier):
-            await opened(dialogue, confirms=False)
+            await open_connection(dialogue, confirms=False)
             await dialogue.exchange(method(commands.Basic.Consume(0, "ends", "c")))
-            await dialogue.say(method(commands.Basic.Ack(1)))
-            await queue.acknowledged("m1")
+            await dialogue.write(method(commands.Basic.Ack(1)))
+            await queue.expect_acknowledged("m1")
             await queue.front.close()
-            await dialogue.hear()
-            await dialogue.say(method(commands.Connection.CloseOk(), 0))
-            await dialogue.closed()
+            await dialogue.read()
+            await dialogue.write(method(commands.Connection.CloseOk(), 0))
+            await dialogue.expect_close()
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -33,11 +33,11 @@
     ("todo", "state", "effects", "tries"),
     [
         ("ack", "delivered", 1, 1),
-        ("nack", "failed", 1, 1),  # it may have run: never again
-        ("kill", "failed", 1, 1),  # lost after its last byte: never again
+        ("nack", "failed", 1, 1),  # it may have run: no retry
+        ("kill", "failed", 1, 1),  # connection lost after the last byte, so it may have run: no retry
         ("lose", "failed", 0, 1),
         ("hang", "failed", 1, 1),  # no confirm in time: it may have run
-        ("return", "returned", 0, None),  # unroutable: it never ran, and may be tried again
+        ("return", "returned", 0, None),  # unroutable: it never ran, so it is retried
     ],
 )
 async def test_what_a_brokers_answer_proves_of_a_payment(tmp_path, todo, state, effects, tries):
@@ -100,18 +100,18 @@
         client = Client(courier.address)
         await client.enqueue(id_="p1")
         await wait_until(lambda: broker.effects == ["p1"])
-        link = courier.engine.transports["amqp"].connections["b"]
-        link.stream.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        (theirs,) = broker.streams
-        theirs.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        broker_connection = courier.engine.transports["amqp"].connections["b"]
+        broker_connection.stream.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        (broker_stream,) = broker.streams
+        broker_stream.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         broker.reading = anyio.Event()
-        for n in range(2, 9):  # more than what fits into the sockets while nobody reads
+        for n in range(2, 9):  # more than the socket buffers hold while the broker does not read
             await client.enqueue(id_=f"p{n}", body=b"x" * 65_536)
-        await wait_until(lambda: link.stream.connection.unsent_bytes)
-        cut = link.pending[max(link.pending)].key[0]
+        await wait_until(lambda: broker_connection.stream.connection.unsent_bytes)
+        unfinished_id = broker_connection.pending[max(broker_connection.pending)].key[0]
         broker.kill()
         broker.reading.set()
-        await wait_until(lambda: cut in broker.effects)
+        await wait_until(lambda: unfinished_id in broker.effects)
         assert len(broker.effects) == len(set(broker.effects))
 
 
@@ -134,13 +134,13 @@
 
 
 async def test_no_payment_takes_effect_twice_though_broker_and_instance_are_killed(tmp_path):
-    """A few thousand payments; the broker breaks at random points, and the instance is killed too."""
-    chance, moments = random.Random(20), random.Random(21)
+    """A few thousand payments, with a broker that fails at random points and a courier that is killed."""
+    rng, kill_rng = random.Random(20), random.Random(21)
     breaks = kills = 0
 
     def plan(_, id_):
         nonlocal breaks
-        draw = chance.random()
+        draw = rng.random()
         breaks += draw < 0.03
         return "kill" if draw < 0.015 else "lose" if draw < 0.03 else "nack" if draw < 0.04 else "ack"
 
@@ -150,34 +150,34 @@
         endpoints = [(address, f"b{n}", n, "amqp") for n in range(DESTINATIONS)]
         while len(accepted) < PAYMENTS:
             restarts += 1
-            upto = min(PAYMENTS, len(accepted) + moments.randrange(150, 450))
+            target_count = min(PAYMENTS, len(accepted) + kill_rng.randrange(150, 450))
             async with running_courier(tmp_path, platform_address, endpoints=endpoints) as courier:
                 client = Client(courier.address)
-                while len(accepted) < upto:
+                while len(accepted) < target_count:
                     id_, dest = f"p{len(accepted)}", len(accepted) % DESTINATIONS
                     if (await client.enqueue(id_=id_, for_ms=20_000, dest=dest)).startswith("+OK"):
                         accepted.add(id_)
                     else:
                         await anyio.sleep(0.01)
-                    if moments.random() < 0.005:
+                    if kill_rng.random() < 0.005:
                         broker.kill()
                         kills += 1
                     await wait_until(lambda courier=courier: len(courier.engine.open_messages) < 80, 20)
-                # the instance is killed here, with whatever is in flight or queued
+                # the courier is killed here, with whatever is in flight or queued
         async with running_courier(tmp_path, platform_address, endpoints=endpoints) as courier:
             await wait_until(lambda: not courier.engine.messages_by_id, 30)
-    ended = {notice["id"] for notice in platform.lines}
+    finished_ids = {notice["id"] for notice in platform.lines}
     assert restarts > 5 and kills > 8 and breaks > 20
-    assert len(broker.effects) == len(set(broker.effects))  # zero doubles
-    assert accepted <= ended | set(broker.effects)  # and each has its end
-    assert len(set(broker.effects)) > PAYMENTS // 2  # most go through between the breaks
+    assert len(broker.effects) == len(set(broker.effects))  # no payment took effect twice
+    assert accepted <= finished_ids | set(broker.effects)  # each took effect or has a final result
+    assert len(set(broker.effects)) > PAYMENTS // 2  # most payments are delivered between the failures
 
 
 async def test_order_per_key_holds_at_a_broker_that_breaks_and_over_restarts(tmp_path):
-    chance = random.Random(7)
+    rng = random.Random(7)
 
     def plan(_, id_):
-        draw = chance.random()
+        draw = rng.random()
         return "kill" if draw < 0.03 else "lose" if draw < 0.06 else "return" if draw < 0.1 else "ack"
 
     broker, keys, sent = BrokerStandIn(plan), 5, 0
@@ -186,17 +186,17 @@
             async with running_courier(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as courier:
                 client = await AmqpClient.open(courier.amqp)
                 for _ in range(60):
-                    key = f"booking-{chance.randrange(keys)}"
+                    key = f"booking-{rng.randrange(keys)}"
                     await client.publish(f"{key}/{sent}", "booking-change", for_ms=20_000, key=key)
                     assert isinstance((await client.next())[0], commands.Basic.Ack)
                     sent += 1
                     await wait_until(lambda courier=courier: len(courier.engine.open_messages) < 40, 20)
-                # killed here, with what is held
+                # the courier is killed here, with whatever is in flight or queued
         async with running_courier(tmp_path, endpoints=[(address, "b", 1, "amqp")]) as courier:
             await wait_until(lambda: not courier.engine.open_messages, 30)
     for key in range(keys):
-        first = list(dict.fromkeys(int(e.split("/")[1]) for e in broker.effects if f"-{key}/" in e))
-        assert len(first) > 20 and first == sorted(first)
+        first_effects = list(dict.fromkeys(int(e.split("/")[1]) for e in broker.effects if f"-{key}/" in e))
+        assert len(first_effects) > 20 and first_effects == sorted(first_effects)
 
 
 async def test_a_retry_after_holds_for_messages_of_both_fronts(tmp_path):
@@ -216,7 +216,7 @@
 
 
 class Application:
-    """An instance in a process of its own, off the platform, whose only endpoint is a broker."""
+    """A courier of one application (`--app`) in a process of its own, whose only endpoint is a broker."""
 
     def __init__(self, folder, broker, platform_address):
         self.address = own_address()
@@ -239,7 +239,7 @@
         self.process = subprocess.Popen(command, stdout=subprocess.DEVNULL)
 
     async def client(self):
-        """A client, once the instance answers."""
+        """Return a client, once the courier answers."""
         client = Client(self.address)
         await wait_until_answering(client)
         return client
@@ -250,22 +250,22 @@
 
 
 async def test_a_process_killed_amid_payments_repeats_none(tmp_path):
-    chance = random.Random(3)
+    rng = random.Random(3)
     broker, platform = BrokerStandIn(), HttpStandIn(lambda request: (204, [], b""))
-    broker.plan = lambda _, id_: "kill" if chance.random() < 0.01 else "ack"
+    broker.plan = lambda _, id_: "kill" if rng.random() < 0.01 else "ack"
     accepted = set()
     async with serve_on_loopback(broker) as address, serve_on_loopback(platform) as platform_address:
         for _ in range(4):
             process = Application(tmp_path, address, platform_address)
             client = await process.client()
-            for _ in range(chance.randrange(60, 120)):
+            for _ in range(rng.randrange(60, 120)):
                 id_ = f"p{len(accepted)}"
                 answer = await client.say("ENQUEUE", "0", id_, "c=payment,t=all,d=20000,dest=1", "x")
                 accepted |= {id_} if answer.startswith("+OK") else set()
             await process.kill()
         process = Application(tmp_path, address, platform_address)
-        ended = lambda: set(broker.effects) | {notice["id"] for notice in platform.lines}  # noqa: E731
-        await wait_until(lambda: accepted <= ended(), 20)
+        finished_ids = lambda: set(broker.effects) | {notice["id"] for notice in platform.lines}  # noqa: E731
+        await wait_until(lambda: accepted <= finished_ids(), 20)
         await anyio.sleep(0.3)
         await process.kill()
     assert broker.logins == {"\0u\0s3cret"}
--- a/tests/test_amqp_bytes.py
+++ b/tests/test_amqp_bytes.py
@@ -1,9 +1,9 @@
-"""What AMQP clients and brokers see on the wire, byte for byte as recorded before the code was renamed.
+"""AMQP sessions on the wire, compared byte for byte with recordings made before the code was renamed.
 
 Each session is a script that plays one side on a real socket: `amqp_front_sessions.py` has those of
 clients and `amqp_broker_sessions.py` those of brokers. `tests/data/amqp/SESSION.json` holds the bytes
-of both sides in their order, in hexadecimal, and what the program made of them. Running this file as a
-program with names of sessions records these: that is for new sessions only.
+of both sides in their order, in hexadecimal, and the results of the program. To record new sessions, run
+this file as a program with their names; existing recordings are not to be made again.
 """
 
 import json
@@ -32,8 +32,8 @@
 DATA = Path(__file__).parent / "data" / "amqp"
 
 SESSIONS = {
-    of.__name__: of
-    for of in (
+    function.__name__: function
+    for function in (
         front_greetings,
         front_publishing,
         front_queues,
@@ -61,14 +61,14 @@
 @pytest.mark.parametrize("name", ["front_publishing", "front_deliveries", "broker_publishing"])
 async def test_a_changed_byte_is_seen(tmp_path, name):
     steps = recorded(name)
-    at = max(n for n, step in enumerate(steps) if step[0] == "program" and step[1])
-    data = bytearray.fromhex(steps[at][1])
+    index = max(n for n, step in enumerate(steps) if step[0] == "program" and step[1])
+    data = bytearray.fromhex(steps[index][1])
     data[len(data) // 2] ^= 1
-    steps[at][1] = data.hex()
+    steps[index][1] = data.hex()
     dialogue = Dialogue(steps)
     with pytest.raises((AssertionError, BaseExceptionGroup)):
         await SESSIONS[name](dialogue, tmp_path)
-    assert len(dialogue.steps) == at
+    assert len(dialogue.steps) == index
 
 
 def test_the_sessions_hold_what_clients_and_brokers_may_see():
@@ -95,19 +95,19 @@
 
 def methods_in(data):
     """The names of the methods in a stretch of whole frames."""
-    found = set()
+    names = set()
     if data[:8] == GREETING:
         data = data[8:]
     while data:
-        size, _, one = frame.unmarshal(data)
-        if isinstance(one, base.Frame):
-            found.add(one.name)
+        size, _, decoded = frame.unmarshal(data)
+        if isinstance(decoded, base.Frame):
+            names.add(decoded.name)
         data = data[size:]
-    return found
+    return names
 
 
 async def record(name):
-    """Record a session: for new ones."""
+    """Record a new session."""
     dialogue = Dialogue()
     with tempfile.TemporaryDirectory() as folder:
         await SESSIONS[name](dialogue, Path(folder))
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -41,7 +41,7 @@
         assert isinstance(method, commands.Basic.Ack) and method.delivery_tag == 1
         result, _ = await client.end()
         assert (result["id"], result["state"]) == ("m1", state)
-        await wait_until(lambda: not courier.engine.messages_by_id)  # acknowledged: nothing is owed any more
+        await wait_until(lambda: not courier.engine.messages_by_id)  # dropped once the result is acknowledged
         with pytest.raises(TimeoutError), anyio.fail_after(0.2):
             await client.end()
         assert endpoint.requests[0][3]["request-id"] == "m1"
@@ -54,8 +54,8 @@
         assert isinstance((await client.next())[0], commands.Basic.Ack)
         courier.engine.stopping = True
         await client.publish("m2", body=b"any\0body")
-        back, properties, body = await client.next()
-        assert isinstance(back, commands.Basic.Return) and body == b"any\0body"
+        returned, properties, body = await client.next()
+        assert isinstance(returned, commands.Basic.Return) and body == b"any\0body"
         assert properties.headers["after-ms"] > 0 and properties.message_id == "m2"
         method, _, _ = await client.next()
         assert isinstance(method, commands.Basic.Nack) and method.delivery_tag == 2
@@ -114,9 +114,9 @@
     async with running_courier(tmp_path) as courier:
         client = await AmqpClient.open(courier.amqp)
         declare = commands.Queue.Declare(0, "q")
-        await client.wire.write(marshal(declare) + method_frame(b"\0\0\0\0"))  # in one read of the front's
-        heard = [(await client.next())[0].name for _ in range(2)]
-        assert heard == ["Queue.DeclareOk", "Connection.Close"]
+        await client.wire.write(marshal(declare) + method_frame(b"\0\0\0\0"))  # both arrive in one read
+        names = [(await client.next())[0].name for _ in range(2)]
+        assert names == ["Queue.DeclareOk", "Connection.Close"]
 
 
 async def test_what_cannot_be_decoded_is_named_without_addresses_of_memory(tmp_path):
@@ -158,7 +158,7 @@
             "Channel.Close" if code < 500 else "Connection.Close",
             code,
         )
-        if code < 500:  # a soft error: the connection goes on with another channel
+        if code < 500:  # an error of the channel: the connection stays open for another channel
             await client.wire.send(commands.Channel.CloseOk(), 1)
             assert isinstance((await client.ask(commands.Channel.Open()))[0], commands.Channel.OpenOk)
         assert (
@@ -192,10 +192,10 @@
 async def test_a_silent_client_is_closed_and_one_with_heartbeats_stays(tmp_path):
     async with running_courier(tmp_path) as courier:
         courier.engine.fronts["amqp"].heartbeat_s = 1
-        client = await AmqpClient.open(courier.amqp)  # it chose no heartbeats
-        beating = FrameStream(client.wire.connection, client.wire.clock)
+        client = await AmqpClient.open(courier.amqp)  # the client has chosen no heartbeats
+        idle_stream = FrameStream(client.wire.connection, client.wire.clock)
         with anyio.move_on_after(0.2):
-            await beating.read_frame()
+            await idle_stream.read_frame()
         wire = FrameStream(await dial(courier.amqp), courier.engine.clock)
         await wire.connection.write(frames.PROTOCOL_HEADER)
         await wire.read_method("Connection.Start")
@@ -241,15 +241,14 @@
             await client.publish("m1", for_ms=100)
             assert (await client.next())[0].name == "Basic.Ack"
             await wait_until(lambda: not courier.engine.open_messages)
-            await client.publish("m1")  # before its end was heard
+            await client.publish("m1")  # before its final result was consumed
             methods = [(await client.next())[0].name for _ in range(2 if again else 1)]
             assert methods == (["Basic.Return", "Basic.Nack"] if again else ["Basic.Ack"])
             await client.consume()
             await client.end()
             await wait_until(lambda: not courier.engine.messages_by_id)
-        async with running_courier(
-            tmp_path
-        ) as courier:  # and over a restart: its publisher missed the confirm
+        # The same after a restart, for a publisher that missed the confirm.
+        async with running_courier(tmp_path) as courier:
             client = await AmqpClient.open(courier.amqp)
             await client.publish("m1")
             assert isinstance((await client.next())[0], commands.Basic.Ack)
@@ -267,7 +266,7 @@
             assert await silent.read() == b""
         silent.close()
         client = await AmqpClient.open(courier.amqp)
-        courier.engine.stopping = True  # each publish comes back whole
+        courier.engine.stopping = True  # each publish is returned with its body
         with pytest.raises(OSError), anyio.fail_after(10):
             for n in range(1000):
                 await client.publish(f"m{n}", body=b"x" * 60_000)
@@ -301,7 +300,9 @@
         queues = courier.engine.fronts["amqp"].queues
         client = await AmqpClient.open(courier.amqp)
         await client.publish("m1", for_ms=100)
-        await wait_until(lambda: "ends" in queues)  # it holds an end that nobody has heard yet
+        await wait_until(
+            lambda: "ends" in queues
+        )  # it holds a final result that no consumer has received yet
         for n in range(5):
             await client.ask(commands.Queue.Declare(queue=f"q{n}"))
         await client.consume()
