--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -1,9 +1,10 @@
-"""The admin server in a crowd and under load, and the time of an upgrade, on real processes on loopback.
+"""The admin server under load and among silent connections, and the time of an upgrade, on real processes.
 
     .venv/bin/python benchmarks/daily.py [--calls 200] [--silent 300] [--upgrades 3]
 
-Prints the share of answers within 1 s, their median and longest time in milliseconds, and for each upgrade how long the new
-process took to say ready, and how many messages of the load met a refused, reset or silent connection.
+All connections are on loopback. Prints the share of answers within 1 s, their median and longest time in
+milliseconds, and for each upgrade how long the new process took until it was ready, and how many messages of
+the load met a refused, reset or silent connection.
 """
 
 import argparse
@@ -27,31 +28,33 @@
 
 
 class Processes:
-    """A courier's processes one after the other, on one passed socket."""
+    """Successive processes of one courier, which inherit its listening socket."""
 
     def __init__(self, folder, endpoint, platform):
         self.sock, self.address = listener()
         self.folder = Path(folder)
         (self.folder / "state").mkdir()
-        configured = configuration(self.folder / "state")
-        configured["known"]["hosts"] = [host("s-1", endpoint)]
-        self.configuration = configured | {"listen": self.address, "discovery": platform}
+        base_configuration = configuration(self.folder / "state")
+        base_configuration["known"]["hosts"] = [host("s-1", endpoint)]
+        self.configuration = base_configuration | {"listen": self.address, "discovery": platform}
         self.count = 0
 
     def start(self):
-        """Start another process; the address of its admin server, and the process."""
+        """Start another process; return the address of its admin server, and the process."""
         self.count += 1
         admin_address = f"127.77.{os.getpid() % 250}.{self.count}:9600"
         file = self.folder / "config.json"
         file.write_bytes(orjson.dumps(self.configuration | {"admin_addr": admin_address}))
         env = os.environ | {"RELAY_CONFIG": str(file), "RELAY_PASSED_SOCKET": str(self.sock.fileno())}
         command = [sys.executable, "-m", "pinspread"]
-        quiet = subprocess.DEVNULL
-        return admin_address, subprocess.Popen(command, env=env, pass_fds=[self.sock.fileno()], stdout=quiet)
+        devnull = subprocess.DEVNULL
+        return admin_address, subprocess.Popen(
+            command, env=env, pass_fds=[self.sock.fileno()], stdout=devnull
+        )
 
 
 async def ask_ready(admin_address):
-    """Seconds until the admin server has answered `ready`, and its status; 0 without an answer."""
+    """Ask whether the process is ready; return the seconds until the answer, and its status, 0 for none."""
     began = time.monotonic()
     try:
         connection = await sockets.dial(admin_address)
@@ -64,16 +67,16 @@
     return time.monotonic() - began, status
 
 
-async def ready(admin_address):
-    """Wait until the admin server answers that the process is ready; seconds that took."""
+async def wait_until_ready(admin_address):
+    """Wait until the admin server answers that the process is ready; return the seconds that took."""
     began = time.monotonic()
     while (await ask_ready(admin_address))[1] != 200:
         await anyio.sleep(0.01)
     return time.monotonic() - began
 
 
-async def load(address, trouble, stop):
-    """Submit messages until `stop` is set; what met an error is added to `trouble`."""
+async def load(address, errors, stop):
+    """Submit messages until `stop` is set; errors of messages are added to `errors`."""
     client, n = Client(address, reconnect=True), 0
     while not stop.is_set():
         n += 1
@@ -81,41 +84,45 @@
             with anyio.fail_after(0.4):
                 await client.enqueue("status-update", f"{id(client):x}.{n}")
         except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError) as error:
-            trouble.append(repr(error))
+            errors.append(repr(error))
             client = Client(address, reconnect=True)
         await anyio.sleep(0.01)
 
 
 async def main(options):
-    """Measure the admin server under load and in a crowd, then the upgrades; print the figures."""
-    stop, trouble = anyio.Event(), []
+    """Measure the admin server under load and among silent connections, then upgrades; print the figures."""
+    stop, errors = anyio.Event(), []
     platform = HttpStandIn(lambda request: (204 if request[2] == "/v2/finals" else 503, [], b""))
     with tempfile.TemporaryDirectory() as folder:
-        async with serve_on_loopback(HttpStandIn()) as endpoint, serve_on_loopback(platform) as where:
-            processes = Processes(folder, endpoint, where)
+        async with (
+            serve_on_loopback(HttpStandIn()) as endpoint,
+            serve_on_loopback(platform) as platform_address,
+        ):
+            processes = Processes(folder, endpoint, platform_address)
             admin_address, process = processes.start()
-            await ready(admin_address)
+            await wait_until_ready(admin_address)
             async with anyio.create_task_group() as tasks:
                 for _ in range(8):
-                    tasks.start_soon(load, processes.address, trouble, stop)
-                crowd = [await sockets.dial(processes.address) for _ in range(options.silent)]
-                crowd += [await sockets.dial(admin_address) for _ in range(options.silent // 4)]
-                found = [await ask_ready(admin_address) for _ in range(options.calls)]
-                times = sorted(1000 * seconds for seconds, status in found if status == 200)
+                    tasks.start_soon(load, processes.address, errors, stop)
+                silent_connections = [await sockets.dial(processes.address) for _ in range(options.silent)]
+                silent_connections += [await sockets.dial(admin_address) for _ in range(options.silent // 4)]
+                answers = [await ask_ready(admin_address) for _ in range(options.calls)]
+                times = sorted(1000 * seconds for seconds, status in answers if status == 200)
                 share = sum(t < 1000 for t in times) / options.calls
                 print(
-                    f"door: {share:.3f} in time, median {statistics.median(times):.1f} ms, longest {times[-1]:.1f} ms"
+                    f"admin server: {share:.3f} in time,"
+                    f" median {statistics.median(times):.1f} ms, longest {times[-1]:.1f} ms"
                 )
-                for connection in crowd:
+                for connection in silent_connections:
                     connection.close()
                 for n in range(options.upgrades):
                     new_admin_address, new = processes.start()
-                    took = await ready(new_admin_address)
+                    took = await wait_until_ready(new_admin_address)
                     process.send_signal(signal.SIGTERM)
                     await anyio.to_thread.run_sync(process.wait)
                     process = new
                     print(
-                        f"upgrade {n + 1}: ready after {took:.2f} s, {len(trouble)} messages met trouble so far"
+                        f"upgrade {n + 1}: ready after {took:.2f} s, {len(errors)} messages met errors so far"
                     )
                 stop.set()
             process.send_signal(signal.SIGTERM)
--- a/benchmarks/engine.py
+++ b/benchmarks/engine.py
@@ -1,4 +1,4 @@
-"""The model's heap beside simpy: the same chains of timed events, seconds for a million.
+"""The simulation's event engine compared with simpy: seconds for a million events in the same chains.
 
 python benchmarks/engine.py
 """
@@ -13,14 +13,14 @@
 EVENTS, CHAINS = 1_000_000, 300
 
 
-def own(delays):
-    """Chains of callbacks on the model's engine."""
-    engine, left = Engine(10_000), [EVENTS]
+def run_engine(delays):
+    """Run chains of callbacks on the simulation's engine."""
+    engine, remaining = Engine(10_000), [EVENTS]
     source = iter(delays)
 
     def step():
-        if left[0]:
-            left[0] -= 1
+        if remaining[0]:
+            remaining[0] -= 1
             engine.after(next(source), step)
 
     for _ in range(CHAINS):
@@ -28,8 +28,8 @@
     engine.run(1 << 62)
 
 
-def with_simpy(delays):
-    """Chains of processes on simpy."""
+def run_simpy(delays):
+    """Run chains of processes on simpy."""
     env, source = simpy.Environment(), iter(delays)
 
     def chain():
@@ -42,15 +42,15 @@
 
 
 def main():
-    """Best of three of each."""
+    """Print the best of three times of each."""
     delays = np.random.default_rng(1).integers(100_000, 1_000_000_000, EVENTS + CHAINS).tolist()
-    for name, run in (("heap of the model", own), ("simpy", with_simpy)):
-        took = []
+    for name, run in (("engine of the simulation", run_engine), ("simpy", run_simpy)):
+        times_s = []
         for _ in range(3):
             began = time.perf_counter()
             run(delays)
-            took.append(time.perf_counter() - began)
-        print(f"{name}: {min(took):.2f} s for {EVENTS} events")
+            times_s.append(time.perf_counter() - began)
+        print(f"{name}: {min(times_s):.2f} s for {EVENTS} events")
 
 
 if __name__ == "__main__":
--- a/benchmarks/message_cost.py
+++ b/benchmarks/message_cost.py
@@ -1,11 +1,11 @@
-"""Processor time a message, memory and time of a start, of couriers of several checkouts side by side.
+"""Processor time per message, memory and start-up time of couriers of several checkouts.
 
     .venv/bin/python benchmarks/message_cost.py CHECKOUT [CHECKOUT ...] [--rounds 5] [--messages 4000]
 
-Each round starts one courier of each checkout in turn, on loopback, hands in messages on a few connections and
-waits until a stand-in endpoint has got them all. Prints, for each checkout, the medians over the rounds (and the
-least) of: milliseconds of processor time from the start to PONG, microseconds of processor time a message, and
-megabytes of resident memory at the end.
+Each round starts one courier of each checkout in turn, on loopback, submits messages on a few connections and
+waits until a stand-in endpoint has received them all. Prints, for each checkout, the median and the minimum
+over the rounds of: milliseconds of processor time from the start to PONG, microseconds of processor time per
+message, and megabytes of resident memory at the end.
 """
 
 import argparse
@@ -28,13 +28,13 @@
 
 CLIENTS = 8
 WARM_UP_MESSAGES = 500
-LIST_WEIGHT = 5000.0  # calls a second that the endpoint is listed with: no rate limit is met
+LIST_WEIGHT = 5000.0  # calls per second in the endpoint's list entry: so many that no rate limit is reached
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 TIMEOUT_S = 120.0
 
 
 class Cost(NamedTuple):
-    """What one courier took."""
+    """Processor time and memory that one courier used."""
 
     start_ms: float
     message_us: float
@@ -42,13 +42,13 @@
 
 
 def processor_s(pid: int) -> float:
-    """User and system time of a process so far, in seconds."""
+    """Return the user and system time of a process so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def resident_mb(pid: int) -> float:
-    """Resident memory of a process, in megabytes."""
+    """Return the resident memory of a process, in megabytes."""
     status = Path(f"/proc/{pid}/status").read_text().split()
     return int(status[status.index("VmRSS:") + 1]) / 1024
 
@@ -65,14 +65,14 @@
 
 
 async def submit(client: Client, prefix: str, count: int) -> None:
-    """Hand in messages one after the other; one that is rejected comes again."""
+    """Submit messages one after the other; a rejected one is submitted again."""
     for number in range(count):
         while not (await client.enqueue("status-update", f"{prefix}.{number}")).startswith("+"):
             await anyio.sleep(0.01)
 
 
 async def load(address: str, endpoint: HttpStandIn, prefix: str, count: int) -> None:
-    """Hand in messages on a few connections, and wait until the endpoint has got them all."""
+    """Submit messages on a few connections, and wait until the endpoint has received them all."""
     before = len(endpoint.requests)
     async with anyio.create_task_group() as tasks:
         for number in range(CLIENTS):
@@ -81,7 +81,7 @@
 
 
 async def measure(checkout: Path, messages: int) -> Cost:
-    """Run one courier of a checkout under the load."""
+    """Run one courier of a checkout under load, and return its cost."""
     endpoint = HttpStandIn()
     platform = HttpStandIn(lambda request: (204 if request.method == "POST" else 503, [], b""))
     sock, address = listener()
@@ -115,13 +115,13 @@
 
 def main(options: argparse.Namespace) -> None:
     """Measure all checkouts in turn, and print a line for each."""
-    found: dict[Path, list[Cost]] = {checkout: [] for checkout in options.checkouts}
+    costs_by_checkout: dict[Path, list[Cost]] = {checkout: [] for checkout in options.checkouts}
     for _ in range(options.rounds):
         for checkout in options.checkouts:
-            found[checkout].append(anyio.run(measure, checkout, options.messages))
-    for checkout, costs in found.items():
+            costs_by_checkout[checkout].append(anyio.run(measure, checkout, options.messages))
+    for checkout, costs in costs_by_checkout.items():
         columns = [
-            f"{name} {statistics.median(values):.1f} (least {min(values):.1f})"
+            f"{name} {statistics.median(values):.1f} (minimum {min(values):.1f})"
             for name, values in zip(Cost._fields, zip(*costs, strict=True), strict=True)
         ]
         print(f"{checkout}: {', '.join(columns)}")
--- a/examples/toy_partner.py
+++ b/examples/toy_partner.py
@@ -20,7 +20,7 @@
 
 
 class ToyHandler(BaseHTTPRequestHandler):
-    """Answers calls by chance, notifications always well."""
+    """Answers calls with a random status, and notifications always with success."""
 
     protocol_version = "HTTP/1.1"
 
@@ -53,7 +53,7 @@
 
 
 def draw_status() -> int:
-    """The status of one call, by chance."""
+    """Draw the status of one call at random."""
     drawn = random.random()
     if drawn < UNAVAILABLE_SHARE:
         return 503
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -30,13 +30,13 @@
         running.append(subprocess.Popen(command, stdout=subprocess.DEVNULL))
         hand_in = [python, EXAMPLES / "hand_in.py", "payment", "1", "hello", ports["6379"]]
         for _ in range(100):
-            said = subprocess.run(hand_in, capture_output=True, text=True)
-            if said.stdout:
+            completed = subprocess.run(hand_in, capture_output=True, text=True)
+            if completed.stdout:
                 break
             time.sleep(0.05)
-        assert said.stdout == "+OK\n"
+        assert completed.stdout == "+OK\n"
         assert "b'hello'" in running[0].stdout.readline()
-        running[1].send_signal(signal.SIGHUP)  # its file is read again
+        running[1].send_signal(signal.SIGHUP)  # the courier reads its configuration again
         assert subprocess.run(hand_in, capture_output=True, text=True).stdout == "+OK\n"
         time.sleep(0.2)
         assert running[1].poll() is None
--- a/tests/test_pins.py
+++ b/tests/test_pins.py
@@ -1,4 +1,4 @@
-"""The pins of pyproject.toml, what counts as installed, and the compiled package."""
+"""The pinned requirements of pyproject.toml, the record of installed ones, and the compiled package."""
 
 import importlib.util
 import os
@@ -43,7 +43,7 @@
 
     before = source.stat()
     source.write_text("value = 2\n")
-    # As a checkout may leave it: neither size nor time shows the change.
+    # A checkout may leave the source like this: neither its size nor its time shows the change.
     os.utime(source, ns=(before.st_atime_ns, before.st_mtime_ns))
     code = "import pinspread; print(pinspread.value)"
     run = subprocess.run([sys.executable, "-c", code], cwd=tmp_path, capture_output=True, text=True)
--- a/tools/lint_exceptions.py
+++ b/tools/lint_exceptions.py
@@ -2,13 +2,13 @@
 
 Usage: `python tools/lint_exceptions.py [--check | --rebase]`.
 
-Files that break rules of ruff, modules that mypy's strict mode rejects, and imports against the layers each
-stand in a list between two marker comments. The lists only ever shrink: without an option, entries that are
-no longer needed are removed, and new ones are refused (exit code 1, pyproject.toml left as it was), except
-that those of a file that has gone pay for as many of the same rule elsewhere, so that a file may be moved.
-`--check` writes nothing and exits with 1 if a list is not exactly what the tree needs. `--rebase` writes
-what the tree needs, new entries included; it is for moves that split files, and its result is to be read
-before it is committed.
+There are three lists, each between two marker comments: files that break rules of ruff, modules that mypy's
+strict mode rejects, and imports that break the order of the layers. The lists only ever shrink: without an
+option, entries that are no longer needed are removed, and new ones are refused (exit code 1, pyproject.toml
+left as it was). As an exception, each entry of a file that no longer exists allows one new entry of the same
+rule elsewhere, so that a file may be moved. `--check` writes nothing and exits with 1 if a list is not
+exactly what the tree needs. `--rebase` writes what the tree needs, new entries included; it is for moves
+that split files, and its result is to be reviewed before it is committed.
 
 Run it with the interpreter that has the pinned tools: they are taken from the folder of `sys.executable`.
 """
@@ -29,12 +29,12 @@
 ROOT = Path(__file__).resolve().parents[1]
 PYPROJECT = ROOT / "pyproject.toml"
 TOOLS = Path(sys.executable).parent
-# Exit codes of a tool that ran to its end: nothing found, something found.
+# Exit codes of a tool that completed: without findings, with findings.
 COMPLETED = (0, 1)
 
 
 class ToolError(Exception):
-    """A tool did not run to its end, or a list could not be found."""
+    """A tool failed, or a list was not found in pyproject.toml."""
 
 
 class Entry(NamedTuple):
@@ -51,15 +51,15 @@
 
     @abstractmethod
     def parse(self, block: str) -> set[Entry]:
-        """The entries that stand in a block of pyproject.toml."""
+        """The entries in a block of pyproject.toml."""
 
     @abstractmethod
     def render(self, entries: Iterable[Entry]) -> str:
-        """The block for these entries, one line each subject."""
+        """The block for these entries, with one line per subject."""
 
     @abstractmethod
     def needed(self, config: Path) -> set[Entry]:
-        """The entries that the tree needs, by a run of the tool with a configuration without exceptions."""
+        """The entries that the tree needs: what the tool finds with a configuration without exceptions."""
 
     @abstractmethod
     def exists(self, subject: str) -> bool:
@@ -67,7 +67,7 @@
 
     @property
     def pattern(self) -> re.Pattern[str]:
-        """Matches the markers and what stands between them, as groups `begin`, `block` and `end`."""
+        """Matches the markers and the text between them, as groups `begin`, `block` and `end`."""
         return re.compile(
             rf"(?P<begin>^ *# begin of {self.name} exceptions.*\n)(?P<block>(?:.*\n)*?)"
             rf"(?P<end> *# end of {self.name} exceptions\n)",
@@ -95,7 +95,7 @@
         return {Entry(file, rule) for file, rules in tomllib.loads(block).items() for rule in rules}
 
     def render(self, entries: Iterable[Entry]) -> str:
-        """One line each file."""
+        """One line per file."""
         rules = defaultdict(list)
         for file, rule in sorted(entries):
             rules[file].append(f'"{rule}"')
@@ -104,8 +104,8 @@
     def needed(self, config: Path) -> set[Entry]:
         """Run ruff without exceptions."""
         output = run("ruff", "check", ".", "--no-cache", "--output-format=json", "--config", str(config))
-        found = {(message["filename"], message["code"]) for message in json.loads(output)}
-        return {Entry(Path(file).relative_to(ROOT).as_posix(), rule) for file, rule in found}
+        violations = {(message["filename"], message["code"]) for message in json.loads(output)}
+        return {Entry(Path(file).relative_to(ROOT).as_posix(), rule) for file, rule in violations}
 
     def exists(self, subject: str) -> bool:
         """Whether the file is there."""
@@ -120,7 +120,7 @@
         return {Entry(subject, self.name) for subject in tomllib.loads(f"block = [\n{block}]")["block"]}
 
     def render(self, entries: Iterable[Entry]) -> str:
-        """One line each string."""
+        """One line per string."""
         return "".join(f'    "{entry.subject}",\n' for entry in sorted(entries))
 
 
@@ -142,15 +142,15 @@
 
 
 class ImportExceptions(ListedStrings):
-    """Imports against the layers, each as `importer -> imported`."""
+    """Imports that break the order of the layers, each as `importer -> imported`."""
 
     name = "import"
 
     def needed(self, config: Path) -> set[Entry]:
         """Run import-linter without exceptions."""
         output = run("lint-imports", "--no-cache", "--no-logo", "--config", str(config))
-        # Of a chain of imports the first one is enough: its lines after that are indented.
-        return {Entry(found, self.name) for found in re.findall(r"^- *(\S+ -> \S+)", output, re.MULTILINE)}
+        # Of a chain of imports only the first is listed; the lines of the others are indented.
+        return {Entry(chain, self.name) for chain in re.findall(r"^- *(\S+ -> \S+)", output, re.MULTILINE)}
 
     def exists(self, subject: str) -> bool:
         """Whether both modules are there."""
@@ -173,19 +173,21 @@
 
 
 def run(tool: str, *arguments: str) -> str:
-    """What a tool prints, run in the root of the tree.
+    """Run a tool in the root of the tree, and return what it prints.
 
     Raises:
-        ToolError: It failed for another reason than findings.
+        ToolError: The tool failed, and not because of findings.
     """
-    done = subprocess.run([TOOLS / tool, *arguments], cwd=ROOT, capture_output=True, text=True, check=False)
-    if done.returncode not in COMPLETED:
-        raise ToolError(f"{tool} exited with {done.returncode}:\n{done.stdout}{done.stderr}")
-    return done.stdout
+    process = subprocess.run(
+        [TOOLS / tool, *arguments], cwd=ROOT, capture_output=True, text=True, check=False
+    )
+    if process.returncode not in COMPLETED:
+        raise ToolError(f"{tool} exited with {process.returncode}:\n{process.stdout}{process.stderr}")
+    return process.stdout
 
 
 def needed_entries(text: str) -> dict[ExceptionList, set[Entry]]:
-    """What each list has to hold for the tree as it is, given the text of pyproject.toml."""
+    """Return the entries that each list needs for the present tree, given the text of pyproject.toml."""
     for exceptions in LISTS:
         text = exceptions.write(text, ())
     with tempfile.TemporaryDirectory() as folder:
@@ -195,26 +197,29 @@
 
 
 def refused(exceptions: ExceptionList, listed: set[Entry], needed: set[Entry]) -> list[Entry]:
-    """The new entries that no entry of the same rule for a subject that has gone pays for."""
-    paid = Counter(entry.rule for entry in listed - needed if not exceptions.exists(entry.subject))
-    too_many = []
+    """Return the new entries that are refused.
+
+    Each listed entry whose subject no longer exists allows one new entry of the same rule.
+    """
+    allowed = Counter(entry.rule for entry in listed - needed if not exceptions.exists(entry.subject))
+    refused_entries = []
     for entry in sorted(needed - listed):
-        if paid[entry.rule]:
-            paid[entry.rule] -= 1
+        if allowed[entry.rule]:
+            allowed[entry.rule] -= 1
         else:
-            too_many.append(entry)
-    return too_many
+            refused_entries.append(entry)
+    return refused_entries
 
 
-def report(name: str, entries: Iterable[Entry], what: str) -> int:
+def report(name: str, entries: Iterable[Entry], problem: str) -> int:
     """Print entries, and return how many there are."""
-    lines = [f"{name} exception {what}: {entry.subject} ({entry.rule})" for entry in sorted(entries)]
+    lines = [f"{name} exception {problem}: {entry.subject} ({entry.rule})" for entry in sorted(entries)]
     print("\n".join(lines), file=sys.stderr, end="\n" if lines else "")
     return len(lines)
 
 
 def check(text: str) -> int:
-    """Compare the lists with the tree; the exit code."""
+    """Compare the lists with the tree; return the exit code."""
     differences = 0
     for exceptions, needed in needed_entries(text).items():
         listed = exceptions.read(text)
@@ -224,7 +229,7 @@
 
 
 def rewrite(text: str, rebase: bool) -> int:
-    """Bring the lists to what the tree needs; the exit code."""
+    """Rewrite the lists to what the tree needs; return the exit code."""
     problems = 0
     for exceptions, needed in needed_entries(text).items():
         listed = exceptions.read(text)
@@ -239,7 +244,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Check or rewrite the lists; the exit code."""
+    """Check or rewrite the lists; return the exit code."""
     parser = argparse.ArgumentParser(description="Recompute the lists of lint exceptions in pyproject.toml.")
     modes = parser.add_mutually_exclusive_group()
     modes.add_argument(
--- a/tools/pins.py
+++ b/tools/pins.py
@@ -1,7 +1,7 @@
 """Build with the requirements pinned in pyproject.toml: `python3 tools/pins.py [--install] [EXTRA ...]`.
 
-Without `--install`, the requirements are printed for pip. With it, those that are missing are installed in
-.venv, which is made if need be, and the package is compiled for the interpreter of .venv.
+Without `--install`, the requirements are printed for pip. With it, they are installed in .venv, which is
+created if it is missing, and the package is compiled for the interpreter of .venv.
 """
 
 import subprocess
@@ -22,7 +22,7 @@
 
 
 def install(requirements):
-    """Install what .venv does not have yet, by the record of earlier installations in it."""
+    """Install the requirements in .venv, unless its record of earlier installations has all of them."""
     record = ROOT / ".venv" / "installed.txt"
     installed = set(record.read_text().split()) if record.exists() else set()
     if set(requirements) <= installed:
@@ -30,7 +30,7 @@
     if not (ROOT / ".venv").exists():
         subprocess.run([sys.executable, "-m", "venv", ROOT / ".venv"], check=True)
     subprocess.run([ROOT / ".venv/bin/pip", "-q", "install", *requirements], check=True)
-    # Danger: an older pin left in the record would count as installed when a change is taken back.
+    # The record drops older pins: one that stayed would count as installed when a change is reverted.
     names = {pin.split("==")[0] for pin in requirements}
     others = {pin for pin in installed if pin.split("==")[0] not in names}
     record.write_text("\n".join(sorted(others | set(requirements))) + "\n")
@@ -39,8 +39,9 @@
 def compile_package():
     """Write the bytecode caches of pinspread, which no process writes under PYTHONDONTWRITEBYTECODE.
 
-    An import checks them by the hash of the source. By its size and time in whole seconds, as is the default,
-    a cache would still be run after a change within the second, or where a checkout has reset the time.
+    An import compares them with the source by its hash. By default it compares the size and the time in whole
+    seconds, which would accept a stale cache after a change within the same second, or after a checkout that
+    has reset the time.
     """
     command = [ROOT / ".venv/bin/python", "-m", "compileall", "-q", "--invalidation-mode", "checked-hash"]
     subprocess.run([*command, ROOT / "pinspread"], check=True)
