--- a/pinspread/membership/framing.py
+++ b/pinspread/membership/framing.py
@@ -1,4 +1,4 @@
-"""Frames on streams between members: length-prefixed and checked, as `codec` encodes them."""
+"""Frames on streams between members: length-prefixed and with a checksum, as `codec` encodes them."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 from pinspread.errors import PinspreadError
 from pinspread.membership import codec
 
-# What anyio raises on a stream that ends or breaks.
+# What anyio raises if a stream has ended or is broken.
 _DISCONNECT_ERRORS = (
     OSError,
     anyio.EndOfStream,
@@ -20,17 +20,17 @@
 
 
 class ConnectionClosedError(PinspreadError, ConnectionError):
-    """The stream has ended or is broken; nothing is wrong with what was received on it."""
+    """The stream has ended or is broken; the frames received before that were valid."""
 
 
 class FrameStream:
     """A stream of messages in both directions.
 
     Args:
-        stream: The connected byte stream; it stays the caller's to close.
-        key: The fleet's key, which enters the checksum of each frame.
-        magic: The three bytes that tell which protocol the frames are of.
-        max_frame_bytes: The longest body that is accepted.
+        stream: The connected byte stream; the caller has to close it.
+        key: The fleet's key, which the checksum of each frame covers.
+        magic: The three bytes that identify the protocol of the frames.
+        max_frame_bytes: The maximum length of a frame's body, in bytes.
     """
 
     def __init__(self, stream: anyio.abc.ByteStream, key: bytes, magic: bytes, max_frame_bytes: int):
@@ -45,18 +45,20 @@
 
         Raises:
             DatagramError: The frame is too long, of another fleet or protocol, or damaged.
-            ConnectionClosedError: The stream ended before a complete frame.
+            ConnectionClosedError: The stream has ended or broken before a complete frame was received.
         """
-        length, checksum = codec.parse_head(await self._read(codec.HEAD.size), self.magic)
+        length, checksum = codec.parse_header(await self._read(codec.HEADER.size), self.magic)
         if length > self.max_frame_bytes:
-            raise codec.DatagramError(f"a frame of {length} bytes")
+            raise codec.DatagramError(
+                f"frame of {length} bytes exceeds the limit of {self.max_frame_bytes} bytes"
+            )
         return codec.parse_body(await self._read(length), checksum, self.key)
 
     async def send(self, message: dict[str, Any]) -> None:
         """Send one message.
 
         Raises:
-            ConnectionClosedError: The stream has ended.
+            ConnectionClosedError: The stream has ended or is broken.
         """
         try:
             await self.stream.send(codec.encode(message, self.key, self.magic))
--- a/pinspread/membership/message_codec.py
+++ b/pinspread/membership/message_codec.py
@@ -1,4 +1,4 @@
-"""Membership's messages as datagrams. Only this module knows their keys and the order of the keys."""
+"""The encoding of membership messages as datagrams; only this module knows the keys and their order."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -35,35 +35,40 @@
 _ADDRESS_FIELDS = {"from_at", "to_at"}
 _STATES = frozenset(state.value for state in MemberState)
 _TABLE_COLUMNS = 4  # id, address, incarnation, state
-_UPDATE_COLUMNS = 5  # and who reported it
+_UPDATE_COLUMNS = 5  # the same, and the id of the member that reported it
 
 
 def encode_message(message: Message, key: bytes) -> bytes:
-    """Return the datagram of a message."""
+    """Return a message encoded as a datagram."""
     return codec.encode(to_map(message), key)
 
 
 def decode_message(data: bytes, key: bytes) -> Message:
-    """Return the message of a datagram.
+    """Return the message that a datagram contains.
 
     Raises:
-        DatagramError: It is damaged, of another fleet or protocol, or not well-formed.
+        DatagramError: The datagram is damaged, of another fleet or protocol, or not well-formed.
     """
     return from_map(codec.decode(data, key))
 
 
 def to_map(message: Message) -> dict[str, Any]:
-    """Return the map that a datagram packs."""
+    """Return the map that is packed into the datagram of a message."""
     kind, fields = _kind_and_fields(message)
-    head = {"t": kind, "from": message.sender, "from_at": message.sender_address, "inc": message.incarnation}
+    common = {
+        "t": kind,
+        "from": message.sender,
+        "from_at": message.sender_address,
+        "inc": message.incarnation,
+    }
     updates = {"up": [_update_row(update) for update in message.updates]}
     if isinstance(message, Leave):
-        return {**head, **updates, **fields}
-    return {**head, **fields, **updates}
+        return {**common, **updates, **fields}
+    return {**common, **fields, **updates}
 
 
 def _kind_and_fields(message: Message) -> tuple[str, dict[str, Any]]:
-    """Return the kind of a message, and the fields that only this kind has."""
+    """Return the kind of a message, and the fields that are specific to this kind."""
     match message:
         case Ping():
             return _PING, {"seq": message.sequence, "to": message.target}
@@ -79,7 +84,7 @@
         case Leave():
             return _SYNC, {"table": [], "reply": False}
         case _:
-            raise TypeError(f"no message of membership: {message!r}")
+            raise TypeError(f"not a membership message: {message!r}")
 
 
 def _table_row(update: Update) -> list[str | int]:
@@ -91,10 +96,10 @@
 
 
 def from_map(fields: dict[str, Any]) -> Message:
-    """Return the message that a datagram's map holds.
+    """Return the message that a datagram's map contains.
 
     Raises:
-        DatagramError: It is not well-formed; the text says why.
+        DatagramError: The map is not well-formed; the text says why.
     """
     _check(fields)
     header: MessageHeader = {
@@ -125,21 +130,21 @@
 def _check(fields: dict[str, Any]) -> None:
     kind = fields.get("t")
     if not isinstance(kind, str) or kind not in _FIELDS:
-        raise DatagramError(f"kind {kind!r}")
+        raise DatagramError(f"unknown message kind {kind!r}")
     required = _COMMON_FIELDS | _FIELDS[kind]
     codec.require_fields(fields, required)
     for name in _ADDRESS_FIELDS & required.keys():
         if not is_address(fields[name]):
-            raise DatagramError(f"{kind}: field {name!r} is no address")
+            raise DatagramError(f"{kind}: field {name!r} is not a valid host:port address")
     if fields["inc"] < 0 or not all(_is_row(row, _UPDATE_COLUMNS) for row in fields["up"]):
-        raise DatagramError(f"{kind}: an update is not well-formed")
+        raise DatagramError(f"{kind}: the incarnation is negative, or an update is not well-formed")
     if kind == _SYNC and not all(_is_row(row, _TABLE_COLUMNS) for row in fields["table"]):
         raise DatagramError("sync: a row of the table is not well-formed")
 
 
-def _is_row(row: object, columns: int) -> bool:
-    """Whether it is a row of a table, or of updates, with so many columns."""
-    if not isinstance(row, list) or len(row) != columns:
+def _is_row(row: object, column_count: int) -> bool:
+    """Whether a value is a well-formed row of a table or of updates, with `column_count` columns."""
+    if not isinstance(row, list) or len(row) != column_count:
         return False
     id_, address, incarnation, state = row[:_TABLE_COLUMNS]
     return (
--- a/pinspread/membership/messages.py
+++ b/pinspread/membership/messages.py
@@ -1,4 +1,4 @@
-"""What members send each other; `codec` has their form on the wire."""
+"""The messages between members; `message_codec` has their wire format."""
 
 from dataclasses import dataclass
 from typing import TypedDict
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """A claim about a member, as it is passed on.
+    """A claim about a member, as members pass it on.
 
     Attributes:
         id: The member's id.
         address: `host:port` at which it receives membership datagrams.
-        incarnation: Its incarnation that the claim is about.
-        state: Its state.
-        reported_by: Who has made the claim first.
+        incarnation: The member's incarnation that the claim is about.
+        state: The state that the claim says the member is in.
+        reported_by: The id of the member that first made the claim.
     """
 
     id: str
@@ -26,12 +26,12 @@
 
     @classmethod
     def from_record(cls, record: MemberRecord, reported_by: str) -> "Update":
-        """Return the claim that a member is as in the record."""
+        """Return the claim that a member has the address, incarnation and state of a record."""
         return cls(record.id, record.address, record.incarnation, record.state, reported_by)
 
 
 class MessageHeader(TypedDict):
-    """The arguments that all messages are made with: the fields of `Message`."""
+    """The arguments that all messages are constructed with: the fields of `Message`."""
 
     sender: str
     sender_address: str
@@ -41,11 +41,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Message:
-    """What all messages hold.
+    """The fields that all messages have.
 
     Attributes:
         sender: The sender's id.
-        sender_address: Where the sender receives datagrams.
+        sender_address: `host:port` at which the sender receives datagrams.
         incarnation: The sender's incarnation.
         updates: The claims that are piggybacked on the message.
     """
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Nack(Message):
-    """A member that was asked to probe another has no acknowledgement so far."""
+    """Says that the sender, which was asked for an indirect probe, has no acknowledgement so far."""
 
     sequence: int
 
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Leave(Message):
-    """The sender leaves, which its only update says. It is received as a `Sync` with an empty table."""
+    """Announces by its only update that the sender leaves. It is encoded as a `Sync` with an empty table."""
 
 
-Outgoing = list[tuple[str, Message]]  # addresses, and what to send to them
+Outgoing = list[tuple[str, Message]]  # (address, message to send to it) pairs
