--- a/pinspread/membership/__init__.py
+++ b/pinspread/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Cluster membership by SWIM; loaded only where a file turns it on."""
+"""Cluster membership by SWIM; loaded only if the configuration file turns it on."""
--- a/pinspread/membership/background.py
+++ b/pinspread/membership/background.py
@@ -1,11 +1,11 @@
-"""What background services have in common that need nothing of the delivery engine (`core.ports`)."""
+"""The base class of background services (`core.ports`) that are independent of the delivery engine."""
 
 
 class IndependentService:
-    """A `BackgroundService` and the engine that do not depend on each other: these steps do nothing."""
+    """A `BackgroundService` that is independent of the engine in both directions: these steps do nothing."""
 
     def attach(self, engine: object) -> None:
-        """Do nothing: the service needs nothing of the delivery engine."""
+        """Do nothing: the service does not use the delivery engine."""
 
     async def before_recovery(self) -> None:
         """Do nothing: no recovered message depends on the service."""
--- a/pinspread/membership/clock.py
+++ b/pinspread/membership/clock.py
@@ -1,4 +1,4 @@
-"""The machine's monotonic clock, as log lines and timers of the cluster read it."""
+"""The machine's monotonic clock, for the timers and log lines of the cluster."""
 
 import time
 
@@ -6,7 +6,7 @@
 def monotonic_us() -> int:
     """Return the machine's monotonic time in microseconds.
 
-    It is the same clock for all processes of a machine, whatever clock offsets they are configured with, so
-    that the log lines of several processes (`mono_us`) can be put in one order.
+    All processes of a machine read the same clock, regardless of the clock offsets in their configuration, so
+    that the log lines of several processes can be sorted by it (`mono_us`).
     """
     return time.monotonic_ns() // 1000
--- a/pinspread/membership/cluster_state.py
+++ b/pinspread/membership/cluster_state.py
@@ -1,8 +1,8 @@
-"""What one member believes of the cluster: claims are applied here, by SWIM's order of precedence.
+"""One member's view of the cluster, to which claims are applied by SWIM's order of precedence.
 
 A `ClusterState` owns the member table, this member's incarnation, the suspicions and the queue of updates to
-gossip. Whatever it changes is queued to be passed on. No I/O and no clock; times are whole microseconds of
-the member's monotonic clock.
+gossip. Each change is queued to be passed on to other members. No I/O and no clock; times are whole
+microseconds of the member's monotonic clock.
 """
 
 import random
@@ -24,19 +24,19 @@
 
 
 class ClusterState:
-    """The table of one member, with the suspicions and updates that go with it.
+    """The member table of one member, with the suspicions and the updates that belong to it.
 
     Args:
         local: The record of this member.
         config: The settings of the protocol.
-        rng: Draws the probe order and the members that are picked.
+        rng: The source of the random draws for the probe order and for picking members.
 
     Attributes:
         members: The member table.
         incarnation: This member's own incarnation.
-        suspicions: The suspicion of each member that is suspected, by its id.
-        gossip: The updates that are still to be passed on.
-        events: What has changed since the events were last cleared.
+        suspicions: The suspicion of each suspected member, by the member's id.
+        gossip: The queue of updates that are still to be passed on.
+        events: The changes since the list was last cleared.
     """
 
     def __init__(self, local: MemberRecord, config: SwimConfig, rng: random.Random):
@@ -55,15 +55,15 @@
 
         Args:
             update: The claim.
-            now_us: The time.
-            from_table: Whether it is a row of another member's table, which confirms no suspicion.
+            now_us: The current time.
+            from_table: Whether it is a row of another member's table, which does not confirm a suspicion.
         """
         record = self.members.records.get(update.id)
         if record is None:
             if update.state in LIVE_STATES:
                 new = MemberRecord(update.id, update.address, update.incarnation, MemberState.DEAD, now_us)
                 self._change(new, update.state, update.incarnation, now_us, update.reported_by)
-        elif _prevails(update, record):
+        elif _overrides(update, record):
             moved = replace(record, address=update.address)
             self._change(moved, update.state, update.incarnation, now_us, update.reported_by)
         elif not from_table and _agrees_on_suspicion(update, record):
@@ -75,10 +75,10 @@
         if record and record.state == MemberState.ALIVE:
             self._change(record, MemberState.SUSPECT, record.incarnation, now_us, self.members.local_id)
         elif record and record.state == MemberState.SUSPECT:
-            self.spread(record, self.members.local_id)  # an independent confirmation for the others
+            self.queue_update(record, self.members.local_id)  # others count it as an independent confirmation
 
     def _confirm(self, update: Update) -> None:
-        """Count an independent confirmation of a suspicion, which shortens its time-out."""
+        """Count a claim as an independent confirmation of a suspicion, which shortens the time-out."""
         suspicion = self.suspicions.get(update.id)
         if suspicion is None or update.reported_by in (suspicion.raised_by, self.members.local_id):
             return
@@ -87,7 +87,7 @@
     def _change(
         self, record: MemberRecord, state: MemberState, incarnation: int, now_us: int, reported_by: str
     ) -> None:
-        """Put a member into a state, and pass that on."""
+        """Set the state and incarnation of a member, and queue the update."""
         changed = record.state != state
         since_us = now_us if changed else record.since_us
         new = MemberRecord(record.id, record.address, incarnation, state, since_us)
@@ -98,27 +98,27 @@
             self.suspicions.setdefault(record.id, Suspicion(now_us, reported_by))
         else:
             self.suspicions.pop(record.id, None)
-        self.spread(new, reported_by)
+        self.queue_update(new, reported_by)
 
     # --- time -----------------------------------------------------------------------------------------
 
-    def suspicion_ends_us(self) -> Iterator[int]:
-        """Yield when each suspicion ends, unless it is refuted or confirmed before."""
-        return map(self._ends_us, self.suspicions.values())
+    def suspicion_deadlines_us(self) -> Iterator[int]:
+        """Yield when each suspicion times out, unless it is refuted or confirmed before that."""
+        return map(self._deadline_us, self.suspicions.values())
 
-    def _ends_us(self, suspicion: Suspicion) -> int:
+    def _deadline_us(self, suspicion: Suspicion) -> int:
         confirmations = len(suspicion.confirmers)
         return suspicion.began_us + suspicion_timeout_us(self._config, self.members.size, confirmations)
 
     def expire_suspicions(self, now_us: int) -> None:
-        """Take members for dead that were suspected for long enough."""
+        """Declare members dead whose suspicion has timed out."""
         for id_, suspicion in list(self.suspicions.items()):
-            if now_us >= self._ends_us(suspicion):
+            if now_us >= self._deadline_us(suspicion):
                 record = self.members.records[id_]
                 self._change(record, MemberState.DEAD, record.incarnation, now_us, self.members.local_id)
 
-    def forget_down(self, now_us: int) -> None:
-        """Forget members that have been down for long."""
+    def remove_down_members(self, now_us: int) -> None:
+        """Remove members that have been dead or have left for longer than `SwimConfig.forget_us`."""
         forget_us = self._config.forget_us
         records = self.members.records
         ids = [id_ for id_ in self.members.down if now_us - records[id_].since_us > forget_us]
@@ -129,54 +129,56 @@
     # --- this member ----------------------------------------------------------------------------------
 
     def refute(self, update: Update) -> bool:
-        """Answer a claim that this member is not alive by a higher incarnation, which wins over any claim.
+        """Refute a claim that this member is not alive, by an incarnation higher than the claim's.
+
+        The higher incarnation overrides any claim. A member that is leaving refutes nothing.
 
         Returns:
-            Whether there was something to refute.
+            Whether the claim had to be refuted.
         """
         if update.state == MemberState.ALIVE or update.incarnation < self.incarnation or self._leaving:
             return False
         self.incarnation = update.incarnation + 1
         local = replace(self.members.local_record, incarnation=self.incarnation)
         self.members.put_local(local)
-        self.spread(local, local.id)
+        self.queue_update(local, local.id)
         self.events.append(RumorRefuted(update.state, update.reported_by, self.incarnation))
         return True
 
     def leave(self) -> Update:
-        """Leave; return the claim that says so."""
+        """Mark this member as having left; return the claim that says so."""
         self._leaving = True
         self.incarnation += 1
         local = replace(self.members.local_record, state=MemberState.LEFT, incarnation=self.incarnation)
         self.members.put_local(local)
-        self.spread(local, local.id)
+        self.queue_update(local, local.id)
         return Update.from_record(local, local.id)
 
     # --- updates to pass on ---------------------------------------------------------------------------
 
-    def spread(self, record: MemberRecord, reported_by: str) -> None:
-        """Pass on that a member is as in the record."""
+    def queue_update(self, record: MemberRecord, reported_by: str) -> None:
+        """Queue an update, to be passed on to other members, that a member is as in the record."""
         self.gossip.add(Update.from_record(record, reported_by), self.members.size)
 
-    def take_updates(self, first: str | None = None) -> tuple[Update, ...]:
-        """Return the updates for one message, which count as sent; those about `first` before all others."""
+    def take_updates(self, first_id: str | None = None) -> tuple[Update, ...]:
+        """Return the updates for one message, and count them as sent; those about `first_id` come first."""
         updates = []
-        suspicion = self.suspicions.get(first) if first is not None else None
-        if first is not None and suspicion and first not in self.gossip:
-            # Lifeguard's buddy system: a suspected member is informed in every message to it, so that it can
-            # refute even though the update has been sent its number of times, none of them to it.
-            updates.append(Update.from_record(self.members.records[first], suspicion.raised_by))
-        return (*updates, *self.gossip.take(first))
+        suspicion = self.suspicions.get(first_id) if first_id is not None else None
+        if first_id is not None and suspicion and first_id not in self.gossip:
+            # Lifeguard's buddy system: messages to a suspected member carry the suspicion, so that the member
+            # can refute it even if the update has left the queue after all its sends, none of them to it.
+            updates.append(Update.from_record(self.members.records[first_id], suspicion.raised_by))
+        return (*updates, *self.gossip.take(first_id))
 
 
-def _prevails(update: Update, record: MemberRecord) -> bool:
-    """Return whether a claim changes what is known of a member."""
+def _overrides(update: Update, record: MemberRecord) -> bool:
+    """Return whether a claim overrides the record of a member."""
     if update.incarnation != record.incarnation:
         return update.incarnation > record.incarnation
     return PRECEDENCE[update.state] > PRECEDENCE[record.state]
 
 
 def _agrees_on_suspicion(update: Update, record: MemberRecord) -> bool:
-    """Return whether a claim is that a suspected member is suspected."""
+    """Return whether a claim repeats a suspicion that the record holds, with the same incarnation."""
     both_suspect = update.state == record.state == MemberState.SUSPECT
     return both_suspect and update.incarnation == record.incarnation
--- a/pinspread/membership/config.py
+++ b/pinspread/membership/config.py
@@ -8,15 +8,15 @@
     """The settings of a member; times are in microseconds.
 
     Attributes:
-        period_us: Between probes, at full health.
-        timeout_us: For a direct acknowledgement, at full health.
+        period_us: The interval between probes, at local health 0.
+        timeout_us: The time-out of a direct acknowledgement, at local health 0.
         indirect_probes: How many other members are asked to probe one that does not answer.
         suspicion_alpha: The shortest suspicion time-out is alpha * log10(members) probe periods.
         suspicion_beta: The longest suspicion time-out is beta times the shortest.
-        gossip_lambda: An update is sent with lambda * log10(members + 1) messages, rounded up.
-        sync_us: Between full exchanges of the member table.
-        max_health: The upper bound of Lifeguard's local health multiplier: periods and time-outs grow by
-            health + 1.
+        gossip_lambda: An update is piggybacked on lambda * log10(members + 1) messages, rounded up.
+        sync_us: The interval between exchanges of member tables.
+        max_health: The upper bound of Lifeguard's local health: probe periods and time-outs grow by
+            a factor of health + 1.
         forget_us: How long members that are dead or have left stay in the table.
     """
 
--- a/pinspread/membership/events.py
+++ b/pinspread/membership/events.py
@@ -1,4 +1,4 @@
-"""What has changed in one member's view of the cluster, for the log."""
+"""Changes of one member's view of the cluster, for the log."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class MemberChanged:
-    """The state of a member has changed in this member's table; `reported_by` has caused it."""
+    """A member's state has changed in this member's table, by a claim that `reported_by` made."""
 
     id: str
     state: MemberState
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class RumorRefuted:
-    """This member has refuted a claim that it is in `claimed_state`, by a higher incarnation."""
+    """This member has refuted a claim that it is in `claimed_state`, by raising its incarnation."""
 
     claimed_state: MemberState
     reported_by: str
--- a/pinspread/membership/gossip.py
+++ b/pinspread/membership/gossip.py
@@ -1,11 +1,11 @@
-"""Dissemination by gossip: which updates are piggybacked on the messages that are sent anyhow."""
+"""Dissemination by gossip: the updates that are piggybacked on messages which are sent in any case."""
 
 import math
 from dataclasses import dataclass
 
 from pinspread.membership.messages import Update
 
-# With so many updates of 16 members a datagram stays under 1,400 bytes.
+# With this many updates, in a cluster of 16 members, a datagram stays under 1,400 bytes.
 MAX_UPDATES = 12
 
 
@@ -19,7 +19,7 @@
     """The updates that are still to be passed on, at most one for each member.
 
     Args:
-        gossip_lambda: How often an update is sent, as `SwimConfig` has it.
+        gossip_lambda: The factor of how often an update is sent; see `SwimConfig`.
     """
 
     def __init__(self, gossip_lambda: float):
@@ -31,13 +31,13 @@
         return member_id in self._queue
 
     def add(self, update: Update, member_count: int) -> None:
-        """Queue an update in the place of any other about the same member."""
+        """Queue an update; it replaces any earlier one about the same member."""
         sends = math.ceil(self._gossip_lambda * math.log10(member_count + 1))
         self._queue[update.id] = _QueuedUpdate(update, max(1, sends))
 
-    def take(self, first: str | None = None) -> list[Update]:
-        """Return the updates for one message: any about `first`, then those that have been sent least."""
-        chosen = sorted(self._queue.items(), key=lambda item: (item[0] != first, -item[1].sends_left))[
+    def take(self, first_id: str | None = None) -> list[Update]:
+        """Return the updates for one message: any about `first_id`, then those with the most sends left."""
+        chosen = sorted(self._queue.items(), key=lambda item: (item[0] != first_id, -item[1].sends_left))[
             :MAX_UPDATES
         ]
         for id_, queued in chosen:
--- a/pinspread/membership/members.py
+++ b/pinspread/membership/members.py
@@ -1,4 +1,4 @@
-"""The member table: what is known of each member of the cluster, and the order in which they are probed."""
+"""The member table: a record of each member of the cluster, and the order in which members are probed."""
 
 import random
 from collections.abc import Collection, Iterable
@@ -6,12 +6,12 @@
 from enum import StrEnum
 from typing import Any
 
-_SMALL_TABLE = 64  # up to so many members a choice goes over all of them
-_DRAWS_PER_PICK = 8  # in a larger table
+_SMALL_TABLE_SIZE = 64  # up to this many members, `pick` draws from a list of all candidates
+_DRAWS_PER_PICK = 8  # in a larger table, the maximum number of random draws for each member to pick
 
 
 class MemberState(StrEnum):
-    """The state of a member. The values are those on the wire, in the operators' JSON and in the log."""
+    """The state of a member; the values appear on the wire, in the admin server's JSON and in the log."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -21,22 +21,22 @@
 
 LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
-# Of two claims with the same incarnation the one of the higher precedence prevails.
+# Of two claims with the same incarnation, the one with the higher precedence overrides the other.
 PRECEDENCE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.DEAD: 2, MemberState.LEFT: 2}
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """One member as the member table has it.
+    """What the member table holds of one member.
 
-    A change puts another record in its place, so that tables may share records.
+    A record is immutable; a change replaces it by another, so that tables can share records.
 
     Attributes:
         id: The member's name.
         address: `host:port` at which it receives membership datagrams.
         incarnation: A number that only the member itself raises, to refute claims about it.
-        state: Its state.
-        since_us: When it got into that state, by the clock of the member that has the table.
+        state: The member's state.
+        since_us: When it entered that state, in microseconds of the clock of the table's owner.
     """
 
     id: str
@@ -47,11 +47,11 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether the member takes part, as far as is known: it is alive or suspected."""
+        """Whether the member counts as part of the cluster: it is alive or suspected."""
         return self.state in LIVE_STATES
 
     def to_json(self) -> dict[str, Any]:
-        """Return the record as operators see it."""
+        """Return the record as the admin server shows it."""
         return {
             "id": self.id,
             "address": self.address,
@@ -62,18 +62,18 @@
 
 
 class MemberTable:
-    """All members that one member knows, itself included.
+    """The records of all members that one member knows, itself included.
 
     Args:
-        local: The record of the member whose table it is, the local member.
-        rng: Draws the probe order and the members that are picked.
+        local: The record of the local member, which owns the table.
+        rng: The source of the random draws for the probe order and for picking members.
 
     Attributes:
-        records: The record of each member by its id.
+        records: The record of each member, by id.
         live_count: How many other members are alive or suspected.
         down: The ids of other members that are dead or have left.
-        probe_order: The ids of this round of probes, shuffled.
-        probe_position: Where in `probe_order` the next probe is.
+        probe_order: The ids of the members of this round of probes, shuffled.
+        probe_position: The index in `probe_order` of the next member to probe.
     """
 
     def __init__(self, local: MemberRecord, rng: random.Random):
@@ -87,7 +87,7 @@
 
     @property
     def size(self) -> int:
-        """How many members are alive or suspected, this one included."""
+        """How many members are alive or suspected, the local one included."""
         return 1 + self.live_count
 
     @property
@@ -104,14 +104,14 @@
         ]
 
     def put(self, record: MemberRecord, was_live: bool) -> None:
-        """Put another member's record in the place of the one that it had, if any."""
+        """Add or replace another member's record; `was_live` says whether its earlier record was live."""
         self.records[record.id] = record
         self.live_count += record.is_live - was_live
         if not record.is_live:
             self.down.add(record.id)
             return
         self.down.discard(record.id)
-        if not was_live:  # it gets a place in the round at random, as SWIM's round-robin asks
+        if not was_live:  # SWIM's round-robin inserts it at a random position of the round
             position = self._rng.randrange(len(self.probe_order) + 1)
             self.probe_order.insert(position, record.id)
             self.probe_position += position < self.probe_position
@@ -121,13 +121,13 @@
         self.records[record.id] = record
 
     def remove(self, ids: Iterable[str]) -> None:
-        """Forget members that are down."""
+        """Remove members that are dead or have left."""
         for id_ in ids:
             del self.records[id_]
             self.down.discard(id_)
 
     def next_probe_target(self) -> MemberRecord:
-        """Return the next member of the round, and begin another round after the last; one must be live."""
+        """Return the next member of the round; after the last, begin another. One other must be live."""
         for _ in range(2):
             while self._at_departed_member():
                 self.probe_position += 1
@@ -150,8 +150,8 @@
     def pick(
         self, count: int, avoid: Collection[str] = (), states: Collection[MemberState] = (MemberState.ALIVE,)
     ) -> list[MemberRecord]:
-        """Return up to `count` other members in any of the states, drawn at random, none of `avoid`."""
-        if len(self.probe_order) <= _SMALL_TABLE:
+        """Return up to `count` other members in any of the states, drawn at random; none is in `avoid`."""
+        if len(self.probe_order) <= _SMALL_TABLE_SIZE:
             candidates = [record for record in self.others(*states) if record.id not in avoid]
             return self._rng.sample(candidates, min(count, len(candidates)))
         chosen: dict[str, MemberRecord] = {}
@@ -164,10 +164,11 @@
         return list(chosen.values())
 
     def sample(self, max_count: int) -> list[MemberRecord]:
-        """Return all records or, if there are more than `max_count`, some.
+        """Return all records or, if there are more than `max_count`, a part of them.
 
-        Those are the local member, members that are down, up to a quarter of `max_count`, and a run of the
-        others, so that several samples cover the table.
+        The part consists of the local member, random members that are dead or have left (up to a quarter of
+        `max_count`), and consecutive members of the probe order from a random start on, so that several
+        samples cover the table.
         """
         if len(self.records) <= max_count:
             return list(self.records.values())
--- a/pinspread/membership/service.py
+++ b/pinspread/membership/service.py
@@ -1,8 +1,8 @@
-"""Membership in a running instance: the clock, the UDP socket and the log around `swim.SwimMember`.
+"""Membership in a running instance: `swim.SwimMember` with a clock, a UDP socket and a log.
 
-One turn does what is due, sends, and handles what is received meanwhile. Every change of the member table is
-a log line `member` with the machine's monotonic microseconds (`mono_us`), so that lines of several processes
-on one machine can be put in one order.
+Each turn does what is due, sends the messages, and handles a datagram that is received before something else
+is due. Every change of the member table is a log line `member` with the machine's monotonic microseconds
+(`mono_us`), by which the lines of several processes on one machine can be sorted.
 """
 
 import random
@@ -24,25 +24,25 @@
 from pinspread.membership.seeds import Records, find_seeds_or_none
 from pinspread.membership.swim import SwimMember
 
-_MAX_WAIT_S = 0.05  # a turn comes at least this often, whatever is due
-_SEED_SEARCH_PERIOD_S = 1.0  # while this member knows no other
-_LEAVE_TIMEOUT_S = 0.2  # of the 3.7 s that SIGTERM leaves
+_MAX_WAIT_S = 0.05  # the longest wait for a datagram, so that turns are at least this frequent
+_SEED_SEARCH_PERIOD_S = 1.0  # while this member knows no other live member
+_LEAVE_TIMEOUT_S = 0.2  # part of the 3.7 s that a process has after SIGTERM
 
 
 @dataclass(frozen=True)
 class MembershipConfig:
-    """What the deploy file's `[members]` table says.
+    """The settings in the `[members]` table of the configuration file.
 
     Attributes:
         id: This member's id.
-        listen: `host:port` that is bound.
+        listen: `host:port` to bind.
         advertise: `host:port` at which other members reach this one.
-        seeds: Addresses of members to join by.
-        fleet_key: Datagrams of another fleet fail their checksum.
+        seeds: The addresses of members through which to join.
+        fleet_key: The key that checksums cover, so that datagrams of another fleet fail the check.
         tuning: The settings of the protocol.
-        clock_offset_us: Added to this member's clock, for tests.
-        clock_rate: How fast this member's clock runs, for tests.
-        service: The DNS-SD service under which seeds are looked for as well, if any.
+        clock_offset_us: An offset that is added to this member's clock, for tests.
+        clock_rate: The rate of this member's clock, relative to the machine's clock, for tests.
+        service: The DNS-SD service in which seeds are looked up as well; empty if there is none.
     """
 
     id: str
@@ -57,16 +57,16 @@
 
 
 class MembershipService(IndependentService):
-    """A background service of the instance: its member of the fleet.
+    """The background service that makes the instance a member of the fleet.
 
     Args:
-        config: What the deploy file says.
-        records: The DNS records in which `config.service` is looked for.
-        seed: Of the random draws, for tests.
+        config: The settings of the configuration file.
+        records: The DNS records in which `config.service` is looked up.
+        seed: The seed of the random draws, for tests.
 
     Attributes:
         member: The state of the protocol, with the member table.
-        dropped: How many datagrams were not accepted.
+        dropped: How many datagrams have been dropped because they could not be decoded.
     """
 
     name = "members"
@@ -86,7 +86,7 @@
         return self.config.clock_offset_us + int(monotonic_us() * self.config.clock_rate)
 
     def view(self) -> dict[str, Any]:
-        """Return the member table and this member's health, as operators see them."""
+        """Return the member table and this member's health, as the admin server shows them."""
         member = self.member
         return {
             "id": member.id,
@@ -107,7 +107,7 @@
         log("members_up", id=self.config.id, listen=self.config.listen, advertise=self.config.advertise)
 
     async def run(self) -> None:
-        """Take part until cancelled; `open` comes first."""
+        """Run the protocol until cancelled; `open` must have been called before."""
         try:
             async with self._socket, anyio.create_task_group() as tasks:
                 if self.config.service and self._records:
@@ -118,7 +118,7 @@
             log("members_ended", id=self.config.id, mono_us=monotonic_us())
 
     async def announce_departure(self) -> None:
-        """Notify the other members that this one leaves, as SIGTERM asks."""
+        """Notify the other members, after SIGTERM, that this one leaves."""
         if not self._socket.is_open:
             return
         with anyio.move_on_after(_LEAVE_TIMEOUT_S):
@@ -128,14 +128,14 @@
     # --- running --------------------------------------------------------------------------------------
 
     async def _search_seeds(self, records: Records) -> None:
-        """Look for seeds by DNS-SD while no other member is known."""
+        """Look up seeds by DNS-SD while no other live member is known."""
         while True:
             if not self.member.members.live_count:
-                found = await anyio.to_thread.run_sync(
+                addresses = await anyio.to_thread.run_sync(
                     find_seeds_or_none, records, self.config.service, abandon_on_cancel=True
                 )
-                if found:
-                    self.member.set_seeds(dict.fromkeys([*self.config.seeds, *found]))
+                if addresses:
+                    self.member.set_seeds(dict.fromkeys([*self.config.seeds, *addresses]))
             await anyio.sleep(_SEED_SEARCH_PERIOD_S)
 
     async def _turn(self) -> None:
@@ -159,7 +159,7 @@
         await self._send(self.member.receive(message, now_us))
 
     async def _send(self, outgoing: Outgoing) -> None:
-        """Send messages, and log what has changed in the table."""
+        """Send messages, and log the changes of the table."""
         for address, message in outgoing:
             data = message_codec.encode_message(message, self.config.fleet_key)
             await self._socket.send(data, address)
@@ -170,7 +170,7 @@
 
 
 def event_fields(event: Event) -> tuple[str, dict[str, str | int]]:
-    """Return the name and the fields under which an event is logged."""
+    """Return the name and the fields of the log line for an event."""
     if isinstance(event, MemberChanged):
         return "member", {
             "id": event.id,
--- a/pinspread/membership/suspicion.py
+++ b/pinspread/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion of members that do not answer, with Lifeguard's time-out."""
+"""The suspicion of members that do not answer probes, with Lifeguard's time-out."""
 
 import math
 from dataclasses import dataclass, field
@@ -11,9 +11,9 @@
     """The suspicion of one member.
 
     Attributes:
-        began_us: When this member took it up.
-        raised_by: Who raised it; copies of its report confirm nothing.
-        confirmers: Members that have confirmed it independently.
+        began_us: When this member began to suspect the other, in microseconds of its clock.
+        raised_by: The id of the member that raised it; copies of that member's report are no confirmations.
+        confirmers: The ids of members that have confirmed it independently.
     """
 
     began_us: int
@@ -22,9 +22,9 @@
 
 
 def suspicion_timeout_us(config: SwimConfig, member_count: int, confirmations: int) -> int:
-    """Return how long a member is suspected before it is taken for dead, in microseconds.
+    """Return how long a member is suspected before it is declared dead, in microseconds.
 
-    Lifeguard's time-out falls from the longest to the shortest as independent confirmations arrive.
+    Lifeguard's time-out falls from the longest to the shortest value as independent confirmations arrive.
     """
     shortest_us = config.suspicion_alpha * max(1.0, math.log10(member_count)) * config.period_us
     longest_us = config.suspicion_beta * shortest_us
--- a/pinspread/membership/swim.py
+++ b/pinspread/membership/swim.py
@@ -1,12 +1,12 @@
-"""SWIM membership with the Lifeguard refinements: the decisions alone, with no I/O and no clock.
+"""SWIM membership with the Lifeguard refinements: the protocol's decisions, with no I/O and no clock.
 
 A `SwimMember` is called when time has passed (`tick`) and when a message has been received (`receive`), and
-returns what to send, as pairs of an address and a message. `events` collects changes of the table for the
-log. Times are whole microseconds of the member's monotonic clock.
+returns the messages to send, as pairs of an address and a message. `events` collects changes of the table for
+the log. Times are whole microseconds of the member's monotonic clock.
 
-Its parts: `cluster_state` has what the member believes of the others, `failure_detector` the probes,
-`table_sync` the exchange of tables. Those of `cluster_state`: `members` has the table, `suspicion` the
-time-out of suspected members, `gossip` what is piggybacked on messages.
+It consists of `cluster_state` (the member's view of the cluster), `failure_detector` (the probes) and
+`table_sync` (the exchange of tables). `cluster_state` uses `members` (the member table), `suspicion` (the
+time-out of suspected members) and `gossip` (the updates that are piggybacked on messages).
 
 Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2017).
 """
@@ -45,10 +45,10 @@
         address: `host:port` at which it receives datagrams.
         config: The settings of the protocol.
         rng: The source of all random draws.
-        now_us: The time.
+        now_us: The current time.
 
     Attributes:
-        cluster: What this member believes of the cluster.
+        cluster: This member's view of the cluster.
         detector: The open probes, and this member's local health.
         table_sync: The exchange of tables.
         next_probe_us: When the next probe is due.
@@ -93,16 +93,16 @@
 
     @property
     def health(self) -> int:
-        """Lifeguard's local health: 0 is well."""
+        """Lifeguard's local health: 0 is healthy, a higher value is worse."""
         return self.detector.health
 
     @property
     def events(self) -> list[Event]:
-        """What has changed since the events were last cleared."""
+        """The changes since the list was last cleared."""
         return self.cluster.events
 
     def set_seeds(self, addresses: Iterable[str]) -> None:
-        """Replace the addresses of members to join by; this member's own address is left out."""
+        """Replace the addresses of members through which to join; this member's own address is left out."""
         self.table_sync.set_seeds(addresses)
 
     def others(self, *states: MemberState) -> list[MemberRecord]:
@@ -110,7 +110,7 @@
         return self.members.others(*states)
 
     def view(self) -> list[dict[str, Any]]:
-        """Return the table as operators see it, by id."""
+        """Return the table as the admin server shows it, in the order of ids."""
         return [record.to_json() for record in sorted(self.table.values(), key=lambda record: record.id)]
 
     # --- time -----------------------------------------------------------------------------------------
@@ -121,11 +121,11 @@
             self.next_probe_us,
             self.table_sync.next_us,
             *self.detector.due_times_us(),
-            *self.cluster.suspicion_ends_us(),
+            *self.cluster.suspicion_deadlines_us(),
         )
 
     def tick(self, now_us: int) -> Outgoing:
-        """Do what is due by now; return the messages to send."""
+        """Do what is due; return the messages to send."""
         outgoing = self._check_probes(now_us)
         outgoing += self._send_due_nacks(now_us)
         self.cluster.expire_suspicions(now_us)
@@ -133,14 +133,14 @@
             outgoing += self._probe(now_us)
         if now_us >= self.table_sync.next_us:
             outgoing += self._send_table(now_us)
-        self.cluster.forget_down(now_us)
+        self.cluster.remove_down_members(now_us)
         self.counts["sent"] += len(outgoing)
         return outgoing
 
     # --- probes ---------------------------------------------------------------------------------------
 
     def _check_probes(self, now_us: int) -> Outgoing:
-        """End the probes that are over, and ask others where a direct one was not answered."""
+        """End finished probes, and request indirect probes where the direct one was not answered in time."""
         outgoing: Outgoing = []
         for sequence, probe in list(self.detector.probes.items()):
             if probe.acknowledged:
@@ -153,7 +153,7 @@
         return outgoing
 
     def _send_due_nacks(self, now_us: int) -> Outgoing:
-        """Answer the indirect probes that have not been acknowledged for long."""
+        """Answer requests for indirect probes by a nack if the target has not acknowledged in time."""
         return [
             (relay.requester_address, Nack(**self._header(), sequence=relay.sequence))
             for relay in self.detector.take_due_nacks(now_us)
@@ -166,7 +166,7 @@
             return []
         target = self.members.next_probe_target()
         probe = self.detector.begin_probe(target.id, now_us)
-        ping = Ping(**self._header(first=target.id), sequence=probe.sequence, target=target.id)
+        ping = Ping(**self._header(first_id=target.id), sequence=probe.sequence, target=target.id)
         return [(target.address, ping)]
 
     def _request_indirect_probes(self, probe: Probe) -> Outgoing:
@@ -182,23 +182,23 @@
         return [(helper.address, request) for helper in helpers]
 
     def probe_failed(self, probe: Probe, now_us: int) -> None:
-        """Suspect a member that has not answered a probe, directly or indirectly."""
+        """Suspect a member that has answered a probe neither directly nor indirectly."""
         self.detector.probe_failed(probe)
         self.cluster.suspect(probe.target, now_us)
 
     # --- exchange of tables ---------------------------------------------------------------------------
 
     def _send_table(self, now_us: int) -> Outgoing:
-        """Send the table to a member, which is to answer with its own; to the seeds while nobody is known."""
+        """Send the table to a member, or to the seeds while no other is live; they answer with their own."""
         addresses = self.table_sync.begin(now_us)
         return [(address, self._sync(self.table_sync.sample(), reply=True)) for address in addresses]
 
-    def _answer_sync(self, message: Sync, now_us: int, joins: bool) -> Outgoing:
+    def _answer_sync(self, message: Sync, now_us: int, is_joining: bool) -> Outgoing:
         for row in message.table:
             self.apply(row, now_us, from_table=True)
         if not message.reply:
             return []
-        chunks = self.table_sync.chunks() if joins else [self.table_sync.sample()]
+        chunks = self.table_sync.chunks() if is_joining else [self.table_sync.sample()]
         return [(message.sender_address, self._sync(chunk, reply=False)) for chunk in chunks]
 
     def _sync(self, records: Iterable[MemberRecord], reply: bool) -> Sync:
@@ -207,30 +207,31 @@
 
     # --- messages -------------------------------------------------------------------------------------
 
-    def _header(self, first: str | None = None) -> MessageHeader:
-        """Return what all messages hold; updates about the member `first` come before all others."""
+    def _header(self, first_id: str | None = None) -> MessageHeader:
+        """Return the fields that all messages have; updates about `first_id` come before all others."""
         return {
             "sender": self.id,
             "sender_address": self.address,
             "incarnation": self.incarnation,
-            "updates": self.cluster.take_updates(first),
+            "updates": self.cluster.take_updates(first_id),
         }
 
     def receive(self, message: Message, now_us: int) -> Outgoing:
-        """Handle a message from another member; return the messages to send in answer."""
+        """Handle a message from another member; return the messages to send in response."""
         self.counts["received"] += 1
         if message.sender == self.id:
             return []
         known = self.table.get(message.sender)
         if known and not known.is_live and message.incarnation <= known.incarnation:
-            self.cluster.spread(known, self.id)  # so that it is informed of its own end at once, and refutes
+            # The answer informs the sender at once that it is listed as dead or left, so that it refutes it.
+            self.cluster.queue_update(known, self.id)
         self._apply_claims(message, now_us)
-        outgoing = self._answer(message, now_us, joins=known is None)
+        outgoing = self._answer(message, now_us, is_joining=known is None)
         self.counts["sent"] += len(outgoing)
         return outgoing
 
     def _apply_claims(self, message: Message, now_us: int) -> None:
-        """Apply that the sender is alive, and the updates that are piggybacked on the message."""
+        """Apply the claim that the sender is alive, and the updates that are piggybacked on the message."""
         sender = message.sender
         sender_alive = Update(
             sender, message.sender_address, message.incarnation, MemberState.ALIVE, reported_by=sender
@@ -239,23 +240,25 @@
             self.apply(update, now_us)
 
     def apply(self, update: Update, now_us: int, from_table: bool = False) -> None:
-        """Apply a claim about a member, by SWIM's order of precedence; refute one about this member's end.
+        """Apply a claim about a member, by SWIM's order of precedence.
+
+        A claim that this member itself is not alive is refuted.
 
         Args:
             update: The claim.
-            now_us: The time.
-            from_table: Whether it is a row of another member's table, which confirms no suspicion.
+            now_us: The current time.
+            from_table: Whether it is a row of another member's table, which does not confirm a suspicion.
         """
         if update.id != self.id:
             self.cluster.apply(update, now_us, from_table)
         elif self.cluster.refute(update):
             self.detector.adjust_health(1)
 
-    def _answer(self, message: Message, now_us: int, joins: bool) -> Outgoing:
+    def _answer(self, message: Message, now_us: int, is_joining: bool) -> Outgoing:
         address = message.sender_address
         match message:
             case Ping() if message.target == self.id:
-                return [(address, Ack(**self._header(first=message.sender), sequence=message.sequence))]
+                return [(address, Ack(**self._header(first_id=message.sender), sequence=message.sequence))]
             case Ack():
                 relay = self.detector.acknowledge(message.sequence)
                 if relay:
@@ -267,11 +270,11 @@
                 ping = Ping(**self._header(), sequence=sequence, target=message.target)
                 return [(message.target_address, ping)]
             case Sync():
-                return self._answer_sync(message, now_us, joins)
+                return self._answer_sync(message, now_us, is_joining)
         return []
 
     def leave(self) -> Outgoing:
-        """Leave; return the messages that say so to every live member."""
+        """Leave the cluster; return the messages that announce it to every live member."""
         departure = self.cluster.leave()
         message = Leave(
             sender=self.id,
--- a/pinspread/membership/table_sync.py
+++ b/pinspread/membership/table_sync.py
@@ -1,7 +1,7 @@
 """The exchange of member tables (push-pull anti-entropy): with whom, when, and which rows.
 
-It repairs what gossip has missed, lets members join through seeds, and lets the sides of a healed partition
-meet again. No I/O and no clock; times are whole microseconds of the member's monotonic clock.
+It repairs what gossip has missed, lets members join through seeds, and merges the sides of a healed
+partition. No I/O and no clock; times are whole microseconds of the member's monotonic clock.
 """
 
 import random
@@ -10,22 +10,22 @@
 from pinspread.membership.config import SwimConfig
 from pinspread.membership.members import LIVE_STATES, MemberRecord, MemberState, MemberTable
 
-MAX_TABLE_ROWS = 400  # in one message: some 50 bytes a row, so that it fits a datagram
-_SYNC_WITH_DEAD_PROBABILITY = 0.5  # where there are dead members
+MAX_TABLE_ROWS = 400  # in one message; with about 50 bytes a row it fits a datagram
+_SYNC_WITH_DEAD_PROBABILITY = 0.5  # if there are dead members
 
 
 class TableSync:
-    """One member's exchanges of its table with others.
+    """One member's exchanges of its table with other members.
 
     Args:
         members: The member table.
-        local_address: Where this member receives datagrams.
+        local_address: `host:port` at which this member receives datagrams.
         config: The settings of the protocol.
-        rng: Draws the members to exchange with.
-        now_us: The time; the first exchange is due at once.
+        rng: The source of the random draws of members to exchange tables with.
+        now_us: The current time; the first exchange is due at once.
 
     Attributes:
-        seeds: Addresses of members to join by.
+        seeds: The addresses of members through which to join.
         next_us: When the next exchange is due.
     """
 
@@ -44,9 +44,10 @@
         self.seeds = [address for address in addresses if address != self._local_address]
 
     def begin(self, now_us: int) -> list[str]:
-        """Begin an exchange, and return the addresses that the table is sent to.
+        """Begin an exchange, and return the addresses to send the table to.
 
-        While no other member is live, the next exchange is due after a probe period, and the seeds are asked.
+        While no other member is live, the table goes to the seeds, if there are any, and the next exchange is
+        due after a probe period.
         """
         is_isolated = not self._members.live_count
         self.next_us = now_us + (self._config.period_us if is_isolated else self._config.sync_us)
@@ -54,7 +55,7 @@
             return self.seeds
         dead = self._dead_ids()
         if dead and (is_isolated or self._rng.random() < _SYNC_WITH_DEAD_PROBABILITY):
-            # How the sides of a healed partition meet.
+            # After a partition has healed, each side still takes the other for dead; this merges them again.
             return [self._members.records[self._rng.choice(dead)].address]
         if is_isolated:
             return []
@@ -65,11 +66,11 @@
         return [id_ for id_ in self._members.down if records[id_].state == MemberState.DEAD]
 
     def sample(self) -> list[MemberRecord]:
-        """Return the table, or as much of it as fits a message."""
+        """Return the table, or as many of its records as fit a message."""
         return self._members.sample(MAX_TABLE_ROWS)
 
     def chunks(self) -> Iterator[list[MemberRecord]]:
-        """Yield the complete table in parts that fit a message each, for a member that has just joined."""
+        """Yield the complete table in parts that each fit a message, for a member that has just joined."""
         records = list(self._members.records.values())
         for start in range(0, len(records), MAX_TABLE_ROWS):
             yield records[start : start + MAX_TABLE_ROWS]
