--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -1,4 +1,8 @@
-"""SWIM's decisions on a network in memory: deaths found, pauses borne, rumours that do not raise the dead."""
+"""SWIM's decisions on a network in memory.
+
+Dead members are detected, members that pause briefly are not declared dead, and outdated claims do not
+make a dead member alive again.
+"""
 
 import random
 
@@ -18,59 +22,59 @@
     return suspicion_timeout_us(member.config, member.members.size, confirmations)
 
 
-class Net:
-    """Members that hear each other after `delay_us`, with a share lost and some members stopped."""
+class SimulatedNetwork:
+    """Members whose messages arrive after 2 ms; a fraction is lost, links can be cut and members stopped."""
 
     def __init__(self, n, loss=0.0, seed=1, tuning=None):
         self.rng = random.Random(seed)
-        self.loss, self.now, self.flying = loss, 0, []
+        self.loss, self.now, self.in_flight = loss, 0, []
         self.members = {}
         for i in range(n):
             self.members[f"m{i}"] = swim.SwimMember(
                 f"m{i}", f"a{i}", config=tuning, rng=random.Random(seed * 100 + i)
             )
             self.members[f"m{i}"].set_seeds(["a0"])
-        self.stopped, self.cut = set(), set()  # ids; (from, to) pairs
+        self.stopped, self.cut = set(), set()  # member ids; (sender id, receiver id) pairs
 
-    def at(self, address):
+    def member_at(self, address):
         return next(m for m in self.members.values() if m.address == address)
 
     def send(self, sender, out):
         for address, message in out:
-            to = self.at(address)
-            if (sender.id, to.id) in self.cut or self.rng.random() < self.loss:
+            receiver = self.member_at(address)
+            if (sender.id, receiver.id) in self.cut or self.rng.random() < self.loss:
                 continue
-            self.flying.append((self.now + 2 * MS, to.id, message))
+            self.in_flight.append((self.now + 2 * MS, receiver.id, message))
 
     def run(self, until_us, step_us=10 * MS):
         while self.now < until_us:
             self.now += step_us
-            due = [f for f in self.flying if f[0] <= self.now]
-            self.flying = [f for f in self.flying if f[0] > self.now]
-            for _, to, message in due:
-                if to not in self.stopped:
-                    self.send(self.members[to], self.members[to].receive(message, self.now))
+            due = [sent for sent in self.in_flight if sent[0] <= self.now]
+            self.in_flight = [sent for sent in self.in_flight if sent[0] > self.now]
+            for _, receiver, message in due:
+                if receiver not in self.stopped:
+                    self.send(self.members[receiver], self.members[receiver].receive(message, self.now))
             for m in self.members.values():
                 if m.id not in self.stopped:
                     self.send(m, m.tick(self.now))
 
-    def state(self, seer, of):
-        node = self.members[seer].table.get(of)
-        return node.state if node else None
+    def state(self, observer, subject):
+        row = self.members[observer].table.get(subject)
+        return row.state if row else None
 
-    def states(self, of):
-        return {self.state(m, of) for m in self.members if m != of and m not in self.stopped}
+    def states(self, subject):
+        return {self.state(m, subject) for m in self.members if m != subject and m not in self.stopped}
 
 
 def test_members_join_through_a_seed_and_see_all():
-    net = Net(6)
+    net = SimulatedNetwork(6)
     net.run(15_000 * MS)
     for m in net.members.values():
         assert len(m.others(MemberState.ALIVE)) == 5, m.view()
 
 
 def test_a_stopped_member_is_found_dead_by_all():
-    net = Net(6)
+    net = SimulatedNetwork(6)
     net.run(15_000 * MS)
     net.stopped.add("m3")
     net.run(45_000 * MS)
@@ -78,31 +82,31 @@
 
 
 def test_a_short_pause_is_suspected_at_most_and_refuted():
-    net = Net(6)
+    net = SimulatedNetwork(6)
     net.run(15_000 * MS)
     net.stopped.add("m3")
-    net.run(net.now + 1_500 * MS)  # past the probe time-out, well short of the suspicion time-out
+    net.run(net.now + 1_500 * MS)  # longer than the probe time-out, much shorter than the suspicion time-out
     net.stopped.discard("m3")
     net.run(net.now + 20_000 * MS)
     assert net.states("m3") == {MemberState.ALIVE}
-    seen = [e for m in net.members.values() for e in m.events if getattr(e, "id", None) == "m3"]
-    assert not any(e.state == MemberState.DEAD for e in seen)
+    m3_events = [e for m in net.members.values() for e in m.events if getattr(e, "id", None) == "m3"]
+    assert not any(e.state == MemberState.DEAD for e in m3_events)
 
 
 def test_a_long_pause_is_dead_then_back_with_a_higher_incarnation():
-    net = Net(6)
+    net = SimulatedNetwork(6)
     net.run(15_000 * MS)
     net.stopped.add("m3")
     net.run(net.now + 60_000 * MS)
-    dead_at = net.members["m0"].table["m3"].incarnation
+    dead_incarnation = net.members["m0"].table["m3"].incarnation
     net.stopped.discard("m3")
     net.run(net.now + 30_000 * MS)
     assert net.states("m3") == {MemberState.ALIVE}
-    assert net.members["m3"].incarnation > dead_at
+    assert net.members["m3"].incarnation > dead_incarnation
 
 
 def test_a_one_way_cut_keeps_the_member_alive_by_indirect_probes():
-    net = Net(6)
+    net = SimulatedNetwork(6)
     net.run(15_000 * MS)
     net.cut |= {("m0", "m3"), ("m3", "m0")}
     net.run(net.now + 60_000 * MS)
@@ -110,7 +114,7 @@
 
 
 def test_ten_percent_loss_kills_nobody():
-    net = Net(8, loss=0.10, seed=4)
+    net = SimulatedNetwork(8, loss=0.10, seed=4)
     net.run(90_000 * MS)
     deaths = [
         e for m in net.members.values() for e in m.events if getattr(e, "state", None) == MemberState.DEAD
@@ -124,28 +128,28 @@
         m.members.records[f"b{i}"] = MemberRecord(f"b{i}", f"y{i}", 0, MemberState.ALIVE, 0)
     times = [timeout_us(m, c) for c in range(4)]
     assert times == sorted(times, reverse=True) and times[0] > times[-1]
-    assert times[-1] == timeout_us(m, 10)  # no lower than the least
+    assert times[-1] == timeout_us(m, 10)  # never below the shortest time-out
 
 
-rows = st.tuples(
+claims = st.tuples(
     st.integers(0, 5),
     st.sampled_from([MemberState.ALIVE, MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT]),
 )
 
 
-@given(st.lists(rows, max_size=30))
+@given(st.lists(claims, max_size=30))
 def test_no_rumour_of_an_older_incarnation_changes_a_row(updates):
-    """The row after any order of updates: its incarnation only grows, and an equal one only ranks up."""
+    """In any order of claims a row's incarnation never falls, nor its precedence at the same incarnation."""
     m = swim.SwimMember("a", "x")
     before = None
     for incarnation, state in updates:
         m.apply(Update("b", "y", incarnation, state, "c"), 0)
-        node = m.table.get("b")
-        if node is None:
+        row = m.table.get("b")
+        if row is None:
             continue
         if before is not None:
-            assert (node.incarnation, PRECEDENCE[node.state]) >= before
-        before = (node.incarnation, PRECEDENCE[node.state])
+            assert (row.incarnation, PRECEDENCE[row.state]) >= before
+        before = (row.incarnation, PRECEDENCE[row.state])
 
 
 @given(
@@ -166,8 +170,8 @@
         m.apply(Update("x", "xx", 0, MemberState.ALIVE, "x"), 0)
         m.apply(Update("a" if m is b else "b", "xa" if m is b else "xb", 0, MemberState.ALIVE, "a"), 0)
     a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "a"), 0)  # a's own suspicion
-    b.apply(Update("x", "xx", 0, MemberState.SUSPECT, "a"), 0)  # b heard of it
-    b.probe_failed(Probe("x", 1, 1, 2, True, 1, nacks=1), 10)  # then b's own probe of x failed too
+    b.apply(Update("x", "xx", 0, MemberState.SUSPECT, "a"), 0)  # b received the claim
+    b.probe_failed(Probe("x", 1, 1, 2, True, 1, nacks=1), 10)  # then b's own probe of x failed as well
     for update in b.cluster.take_updates():
         a.apply(update, 20)
     assert a.cluster.suspicions["x"].confirmers == {"b"}
@@ -179,7 +183,8 @@
     a.apply(Update("x", "xx", 0, MemberState.ALIVE, "x"), 0)
     a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "b"), 0)
     for _ in range(3):
-        a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "b"), 1)  # the same rumour, by other ways
+        # The same claim, received through other members.
+        a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "b"), 1)
     assert a.cluster.suspicions["x"].confirmers == set()
     a.apply(Update("x", "xx", 0, MemberState.SUSPECT, "c"), 2)
     assert a.cluster.suspicions["x"].confirmers == {"c"}
@@ -191,31 +196,32 @@
         big.apply(Update(f"courier-{n}", f"10.1.{n // 250}.{n % 250}:7946", n % 3, MemberState.ALIVE, "x"), 0)
     newcomer = swim.SwimMember("new", "10.0.0.2:7946", rng=random.Random(2))
     newcomer.set_seeds(["10.0.0.1:7946"])
-    (address, ask), *_ = newcomer.tick(0)
-    assert address == "10.0.0.1:7946" and isinstance(ask, Sync)
-    answers = [m for _, m in big.receive(ask, 1)]
+    (address, request), *_ = newcomer.tick(0)
+    assert address == "10.0.0.1:7946" and isinstance(request, Sync)
+    answers = [m for _, m in big.receive(request, 1)]
     for message in [*answers, *(m for _, m in big.tick(1))]:
         assert len(message_codec.encode_message(message, b"fleet")) <= 60_000
         newcomer.receive(message, 2)
     assert len(newcomer.table) == len(big.table) == 5002
-    seen = set()
-    for _ in range(200):  # those that know each other exchange runs, which cover all in time
-        seen |= {record.id for record in big.table_sync.sample()}
-    assert len(seen) == len(big.table)
+    sampled_ids = set()
+    for _ in range(200):  # members that know each other exchange samples, which together cover the table
+        sampled_ids |= {record.id for record in big.table_sync.sample()}
+    assert len(sampled_ids) == len(big.table)
 
 
 def test_a_suspected_member_is_notified_in_every_message_to_it_however_often_the_rumour_was_sent():
-    one, two = (swim.SwimMember(f"m{i}", f"a{i}", rng=random.Random(i)) for i in (1, 2))
-    one.apply(Update("m2", "a2", 0, MemberState.ALIVE, "m2"), 0)
-    one.apply(Update("m2", "a2", 0, MemberState.SUSPECT, "m3"), 0)
-    one.cluster.gossip.clear()  # sent its number of times, to others
-    two.apply(Update("m1", "a1", 0, MemberState.ALIVE, "m1"), 0)
-    ping = next(m for _, m in two.tick(0) if isinstance(m, Ping))
-    ((_, ack),) = one.receive(ping, 1)
-    assert ack.updates == (
-        Update("m2", "a2", 0, MemberState.SUSPECT, "m3"),
-    )  # by whoever raised it: no confirmation
-    two.receive(ack, 2)
-    assert two.incarnation == 1
-    one.receive(next(m for _, m in two.tick(swim.SwimConfig().period_us) if isinstance(m, Ping)), 3)
-    assert one.table["m2"].state == MemberState.ALIVE
+    suspecting, suspected = (swim.SwimMember(f"m{i}", f"a{i}", rng=random.Random(i)) for i in (1, 2))
+    suspecting.apply(Update("m2", "a2", 0, MemberState.ALIVE, "m2"), 0)
+    suspecting.apply(Update("m2", "a2", 0, MemberState.SUSPECT, "m3"), 0)
+    suspecting.cluster.gossip.clear()  # as if it had been sent its number of times, to other members
+    suspected.apply(Update("m1", "a1", 0, MemberState.ALIVE, "m1"), 0)
+    ping = next(m for _, m in suspected.tick(0) if isinstance(m, Ping))
+    ((_, ack),) = suspecting.receive(ping, 1)
+    # m3, which raised the suspicion, is named as its reporter, so that it does not count as a confirmation.
+    assert ack.updates == (Update("m2", "a2", 0, MemberState.SUSPECT, "m3"),)
+    suspected.receive(ack, 2)
+    assert suspected.incarnation == 1
+    suspecting.receive(
+        next(m for _, m in suspected.tick(swim.SwimConfig().period_us) if isinstance(m, Ping)), 3
+    )
+    assert suspecting.table["m2"].state == MemberState.ALIVE
