--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,8 +1,12 @@
 """Membership on the cluster testbed with 16 couriers: `python benchmarks/members.py [OUT]` (about 10 minutes).
 
-Prints, one block a measure: the time from SIGKILL to every other member saying dead (20 kills, each member
-started again and one table awaited before the next); false deaths per member-hour at 5% and 20% loss on all
-links and with one member paused at random for 0.5 to 3 s; the time to one table after a split into halves heals.
+Prints a block for each measurement:
+
+- the time from SIGKILL of a member until every other member lists it as dead (20 kills; before the next kill the
+  member is started again, and all member tables agree again);
+- false deaths per member-hour, at 5% and 20% loss on all links, and with one random member at a time paused for
+  0.5 to 3 s;
+- the time until all member tables agree after a split into halves has healed.
 """
 
 import asyncio
@@ -14,69 +18,72 @@
 
 from pinspread.testbed import cluster, history_checker
 
-N = 16
+MEMBER_COUNT = 16
 TUNING = {"period_s": 0.5, "timeout_s": 0.2}
-SPAN_S = 120  # of each run of false deaths
+FALSE_DEATHS_RUN_S = 120  # the duration of each run that measures false deaths
 
 
-def one_table(testbed):
-    """A test of views: whether all members have the same table."""
+def tables_agree(testbed):
+    """Return a condition on views: all members are listed as alive by every other member."""
 
-    def test(views):
-        return len(views) == N and history_checker.all_agree(
+    def condition(views):
+        return len(views) == MEMBER_COUNT and history_checker.all_agree(
             set(views), views, [c.id for c in testbed.members]
         )
 
-    return test
+    return condition
 
 
-def dead_to_all(victim):
-    """A test of views: whether all others say that the victim is dead or has left."""
+def dead_at_all_others(victim_id):
+    """Return a condition on views: all other members list the victim as dead or as having left."""
 
-    def test(views):
-        others = [v for s, v in views.items() if s != victim]
-        return all(v.get(victim) in ("dead", "left") for v in others)
+    def condition(views):
+        others = [v for s, v in views.items() if s != victim_id]
+        return all(v.get(victim_id) in ("dead", "left") for v in others)
 
-    return test
+    return condition
 
 
-async def kills(folder, count=20, seed=1):
-    """Kill members one at a time; seconds until all say dead, and until one table again."""
+async def measure_kills(folder, count=20, seed=1):
+    """Kill members one at a time; return the seconds until all list the member as dead, and until all tables agree again."""
     rng = random.Random(seed)
-    testbed = cluster.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
-    times, rejoins = [], []
+    testbed = cluster.ClusterTestbed({"members": MEMBER_COUNT, "seconds": 0, "tuning": TUNING}, folder)
+    detection_times_s, rejoin_times_s = [], []
     try:
         await testbed.begin()
-        await testbed.until(one_table(testbed), 30)
+        await testbed.until(tables_agree(testbed), 30)
         for n in range(count):
-            victim = rng.choice(testbed.members[2:])  # the seeds stay
+            victim = rng.choice(testbed.members[2:])  # the first two are seeds and keep running
             await testbed.act({"s": 0, "do": "kill", "who": [victim.id]})
-            took = await testbed.until(dead_to_all(victim.id), 90)
-            times.append(took)
+            took_s = await testbed.until(dead_at_all_others(victim.id), 90)
+            detection_times_s.append(took_s)
             await testbed.act({"s": 0, "do": "start", "who": [victim.id]})
-            rejoins.append(await testbed.until(one_table(testbed), 60))
-            print(f"  kill {n + 1}: dead to all in {took} s, one table again in {rejoins[-1]} s", flush=True)
+            rejoin_times_s.append(await testbed.until(tables_agree(testbed), 60))
+            print(
+                f"  kill {n + 1}: dead at all others after {took_s} s, all tables agree again after {rejoin_times_s[-1]} s",
+                flush=True,
+            )
     finally:
         await asyncio.to_thread(testbed.finish)
-    return times, rejoins
+    return detection_times_s, rejoin_times_s
 
 
-async def false_deaths(folder, loss=0.0, pauses=False, seed=2):
-    """Play loss or pauses; false deaths, all deaths, member-hours, and pauses."""
+async def measure_false_deaths(folder, loss=0.0, pauses=False, seed=2):
+    """Apply loss or pauses; return the numbers of false deaths, all deaths, member-hours and pauses."""
     rng = random.Random(seed)
-    testbed = cluster.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
+    testbed = cluster.ClusterTestbed({"members": MEMBER_COUNT, "seconds": 0, "tuning": TUNING}, folder)
     paused = 0
     try:
         await testbed.begin()
-        await testbed.until(one_table(testbed), 30)
+        await testbed.until(tables_agree(testbed), 30)
         await testbed.act({"s": 0, "do": "loss", "share": loss})
-        began = time.monotonic()
-        while time.monotonic() - began < SPAN_S:
+        begin_s = time.monotonic()
+        while time.monotonic() - begin_s < FALSE_DEATHS_RUN_S:
             if pauses:
-                who = rng.choice(testbed.members).id
-                await testbed.act({"s": 0, "do": "pause", "who": [who]})
+                member_id = rng.choice(testbed.members).id
+                await testbed.act({"s": 0, "do": "pause", "who": [member_id]})
                 await asyncio.sleep(rng.uniform(0.5, 3.0))
-                await testbed.act({"s": 0, "do": "resume", "who": [who]})
+                await testbed.act({"s": 0, "do": "resume", "who": [member_id]})
                 paused += 1
                 await asyncio.sleep(rng.uniform(1.0, 4.0))
             else:
@@ -85,56 +92,64 @@
         await asyncio.to_thread(testbed.finish)
     lines = history_checker.read(Path(folder) / "history.jsonl")
     deaths = [li for li in lines if li.get("event") == "member" and li["state"] == "dead"]
-    false, hours = history_checker.false_deaths(lines)
-    return false, len(deaths), hours, paused
-
-
-async def heals(folder, count=3):
-    """Split the members into halves and heal that; seconds until one table, each time."""
-    testbed = cluster.ClusterTestbed({"members": N, "seconds": 0, "tuning": TUNING}, folder)
-    halves = [[c.id for c in testbed.members[: N // 2]], [c.id for c in testbed.members[N // 2 :]]]
-    found = []
+    false, member_hours = history_checker.false_deaths(lines)
+    return false, len(deaths), member_hours, paused
+
+
+async def measure_heals(folder, count=3):
+    """Split the members into halves and heal the split; return the seconds until all tables agree, for each time."""
+    testbed = cluster.ClusterTestbed({"members": MEMBER_COUNT, "seconds": 0, "tuning": TUNING}, folder)
+    halves = [
+        [c.id for c in testbed.members[: MEMBER_COUNT // 2]],
+        [c.id for c in testbed.members[MEMBER_COUNT // 2 :]],
+    ]
+    heal_times_s = []
     try:
         await testbed.begin()
-        await testbed.until(one_table(testbed), 30)
+        await testbed.until(tables_agree(testbed), 30)
         for _ in range(count):
             await testbed.act({"s": 0, "do": "split", "groups": halves})
             await asyncio.sleep(15)
             await testbed.act({"s": 0, "do": "heal"})
-            found.append(await testbed.until(one_table(testbed), 90))
-            print(f"  heal: one table in {found[-1]} s", flush=True)
+            heal_times_s.append(await testbed.until(tables_agree(testbed), 90))
+            print(f"  heal: all tables agree after {heal_times_s[-1]} s", flush=True)
     finally:
         await asyncio.to_thread(testbed.finish)
-    return found
+    return heal_times_s
 
 
-def spread(values):
-    """Median, 99th percentile and largest of seconds; None stands for not in time."""
-    got = sorted(v for v in values if v is not None)
-    if not got:
+def summary(values):
+    """Return the median, 99th percentile and maximum of seconds as text; None stands for a time-out."""
+    in_time_s = sorted(v for v in values if v is not None)
+    if not in_time_s:
         return "none"
-    p99 = got[min(len(got) - 1, round(0.99 * (len(got) - 1)))]
-    return f"median {statistics.median(got):.2f} s, p99 {p99:.2f} s, most {got[-1]:.2f} s, {len(got)} of {len(values)}"
+    p99 = in_time_s[min(len(in_time_s) - 1, round(0.99 * (len(in_time_s) - 1)))]
+    return f"median {statistics.median(in_time_s):.2f} s, p99 {p99:.2f} s, max {in_time_s[-1]:.2f} s, {len(in_time_s)} of {len(values)}"
 
 
 def main(out):
-    """Run and print each measure."""
+    """Run each measurement and print its result."""
     out = Path(out)
-    print(f"{N} couriers, {TUNING}")
-    times, rejoins = asyncio.run(kills(out / "kills"))
-    print("SIGKILL to dead at all:", spread(times))
-    print("start again to one table:", spread(rejoins))
+    print(f"{MEMBER_COUNT} couriers, {TUNING}")
+    detection_times_s, rejoin_times_s = asyncio.run(measure_kills(out / "kills"))
+    print("SIGKILL to dead at all others:", summary(detection_times_s))
+    print("start again to agreement of all tables:", summary(rejoin_times_s))
     for name, loss, pauses in (
         ("5% loss", 0.05, False),
         ("20% loss", 0.2, False),
         ("pauses 0.5-3 s", 0.0, True),
     ):
-        false, deaths, hours, paused = asyncio.run(false_deaths(out / name.split()[0], loss, pauses))
+        false, deaths, member_hours, paused = asyncio.run(
+            measure_false_deaths(out / name.split()[0], loss, pauses)
+        )
         print(
-            f"{name}: {false} deaths of running members in {hours:.2f} member-hours ({false / hours:.1f} a"
+            f"{name}: {false} deaths of running members in {member_hours:.2f} member-hours ({false / member_hours:.1f} per"
             f" member-hour); {deaths} deaths in all" + (f"; {paused} pauses" if pauses else "")
         )
-    print("split in halves for 15 s, heal to one table:", spread(asyncio.run(heals(out / "heals"))))
+    print(
+        "split in halves for 15 s, heal to agreement of all tables:",
+        summary(asyncio.run(measure_heals(out / "heals"))),
+    )
 
 
 if __name__ == "__main__":
