--- a/pinspread/leases/lease_model.py
+++ b/pinspread/leases/lease_model.py
@@ -1,17 +1,23 @@
 """The model of leases that `model_checker` explores: parties, states, and the steps between them.
 
-The parties run `state_machine` itself. A state holds: real time in ticks; each party's clock, which gains or
-loses the drift bound against real time at any one tick; the agreed log, as Raft gives it (one order, entries
-appended one at a time, never lost once appended); how much of it each voter has applied and when, by its own
-clock; requests and answers under way, which stay there: one that is never delivered is lost, one that is
-delivered again is doubled, and any order counts; each contender's claim; and what it has checked but not done
-yet. A pause is a party that takes no step while others do, for any length, also between its check and its
-act. Any voter may decide, as one may that is partitioned off and takes itself for the leader. What is left
-out: a voter's hint when to ask again (contenders ask at once, which is harder).
-
-Asserted in every state: at most one contender may act (`may_act` by its own clock); and in every step: the
-tokens that the resource accepts never fall. `Rules` replaces parts of the decisions, to show that the check
-finds what their absence breaks.
+The parties run the code of `state_machine`. A state consists of:
+
+- real time in ticks, and each party's clock, which may gain or lose the drift bound against real time once,
+  at any tick;
+- the replicated log, with the guarantees of Raft: one order, entries appended one at a time, none ever lost;
+- how many entries each voter has applied, and when it applied the last one, by its own clock;
+- the requests and answers that were sent. They stay in the state, so each may be delivered never (lost), more
+  than once (duplicated) and in any order;
+- each contender's claim, and the token with which it has passed the check but has not acted yet.
+
+A party is paused while it takes no step and others do; a pause may have any length, and may fall between a
+contender's check and its act. Any voter may decide on a request, since a voter that is partitioned off may
+still take itself for the leader. The time that a voter tells a contender to wait is not modelled: contenders
+send their next request at once, which is the harder case.
+
+Two invariants are checked. In every state, at most one contender may act (`may_act` by its own clock). In
+every step, the tokens that the resource accepts do not decrease. `Rules` replaces parts of the decisions, so
+that tests can show that the check finds the violations that a missing rule causes.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -38,21 +44,21 @@
 
 
 class AppliedLog(NamedTuple):
-    """How much of the log a voter has applied, and when it last did, by its own clock."""
+    """How many entries of the log a voter has applied, and when it applied the last one, by its own clock."""
 
     entries: int
-    at: int
+    applied_at: int
 
 
 class AddressedAnswer(NamedTuple):
-    """An answer under way to a contender, by its number."""
+    """An answer that was sent, and the number of the contender that it is for."""
 
     contender: int
     answer: Answer
 
 
 class PendingProposal(NamedTuple):
-    """A request that a voter answers once it applies the log's entry at `log_index`."""
+    """A request that a voter answers once it has applied the log entry at `log_index`."""
 
     voter: int
     log_index: int
@@ -63,21 +69,21 @@
     """One state; all values are hashable.
 
     Attributes:
-        real: Real time, in ticks.
-        clocks: The gain over real time of each contender's clock, then of each voter's.
-        log: The agreed log.
-        applied: What each voter has applied.
+        real_time: Real time, in ticks.
+        clock_offsets: Clock minus real time, in ticks: first of each contender, then of each voter.
+        log: The replicated log.
+        applied: How much of the log each voter has applied.
         claims: The claim of each contender.
-        request_count: How many request ids have been given out.
+        request_count: The number of request ids that were used.
         requests: The requests that were sent.
         answers: The answers that were sent.
         pending: The requests that are answered when a voter applies its proposal.
-        checked: For each contender, the token by which it is about to act, or 0.
-        newest_token: The newest token that the resource has accepted.
+        checked: For each contender, the token with which it is about to act, or 0.
+        newest_token: The token that the resource accepted last.
     """
 
-    real: int
-    clocks: tuple[int, ...]
+    real_time: int
+    clock_offsets: tuple[int, ...]
     log: tuple[Command, ...]
     applied: tuple[AppliedLog, ...]
     claims: tuple[Claim, ...]
@@ -90,19 +96,19 @@
 
 
 class Bounds(NamedTuple):
-    """How much is explored.
+    """The limits of an exploration.
 
     Attributes:
-        contenders: How many contenders there are.
-        voters: How many voters there are.
-        depth: The most steps from a start.
-        log_entries: The most entries in the log.
-        requests: The most requests with an id of their own.
-        acts: Whether contenders check and act, too.
-        drifting_clocks: The most clocks that drift in one run.
-        drift: What a clock may gain or lose, in ticks; the terms have the same.
-        states: The most states.
-        seconds: The longest run.
+        contenders: The number of contenders.
+        voters: The number of voters.
+        depth: The maximum number of steps from an initial state.
+        log_entries: The maximum number of log entries.
+        requests: The maximum number of requests with different ids.
+        acts: Whether the steps include contenders' checks and acts.
+        drifting_clocks: The maximum number of clocks that drift in one run.
+        drift: How much a clock may gain or lose, in ticks; must equal the drift bound of the terms.
+        states: The maximum number of states.
+        seconds: The maximum time of an exploration.
     """
 
     contenders: int = 2
@@ -118,7 +124,7 @@
 
 
 class Rules(NamedTuple):
-    """The decisions under test; `fenced` is whether the resource refuses old tokens."""
+    """The decisions under test, and whether the resource refuses outdated tokens (`fenced`)."""
 
     evaluate_request: Callable[[LeaseRecord, int, Request, LeaseTerms, int], Command | Answer] = (
         state_machine.evaluate_request
@@ -128,11 +134,11 @@
     fenced: bool = True
 
 
-Step = tuple[str, ModelState]  # its name, and the state that it leads to
+Step = tuple[str, ModelState]  # the name of the step, and the state after it
 
 
 class Model:
-    """The states and steps for some bounds, rules and terms."""
+    """The states and steps within given bounds, under given rules and terms."""
 
     def __init__(self, bounds: Bounds, rules: Rules, terms: LeaseTerms):
         self.bounds = bounds
@@ -141,12 +147,16 @@
 
     # --- states ---------------------------------------------------------------------------------------
 
-    def starts(self) -> Iterator[Step]:
-        """Yield where to begin: nobody has asked; or, to reach further, contender 0 was just granted."""
+    def initial_states(self) -> Iterator[Step]:
+        """Yield the initial states.
+
+        In the first, no request was sent yet. In the others, contender 0 has just been granted the lease, so
+        that the same depth reaches further; they differ in how many voters have applied the grant.
+        """
         contenders, voters = self.bounds.contenders, self.bounds.voters
-        first = ModelState(
-            real=0,
-            clocks=(0,) * (contenders + voters),
+        initial = ModelState(
+            real_time=0,
+            clock_offsets=(0,) * (contenders + voters),
             log=(),
             applied=(AppliedLog(0, 0),) * voters,
             claims=(Claim(),) * contenders,
@@ -157,57 +167,60 @@
             checked=(0,) * contenders,
             newest_token=0,
         )
-        yield "nobody has asked", first
+        yield "no request sent yet", initial
         claim = Claim(1, self.terms.lease_us, next_request_us=self.terms.renew_us)
-        granted = first._replace(
+        granted = initial._replace(
             log=(Command(CommandKind.GRANT, "c0", 0, 1),),
-            claims=_replaced(first.claims, 0, claim),
+            claims=_replaced(initial.claims, 0, claim),
             request_count=1,
             requests=frozenset([Request(RequestKind.ACQUIRE, TASK, "c0", 0, 1)]),
         )
-        for informed in range(1, voters + 1):  # voters that have applied the grant by now
-            applied = (AppliedLog(1, 0),) * informed + (AppliedLog(0, 0),) * (voters - informed)
-            yield f"c0 holds, {informed} know", granted._replace(applied=applied)
+        for applied_count in range(1, voters + 1):  # voters that have applied the grant
+            applied = (AppliedLog(1, 0),) * applied_count + (AppliedLog(0, 0),) * (voters - applied_count)
+            yield f"grant to c0 applied by {applied_count} voters", granted._replace(applied=applied)
 
     def violation(self, state: ModelState) -> str:
-        """Return what is broken in a state; empty if nothing is."""
-        able = [
+        """Return the description of an invariant that a state violates; empty if it violates none."""
+        eligible = [
             contender
             for contender, claim in enumerate(state.claims)
             if self.rules.may_act(claim, self.terms, self._contender_time(state, contender))
         ]
-        return f"both {able} may act at {state.real}" if len(able) > 1 else ""
+        return (
+            f"contenders {eligible} may act at the same tick {state.real_time}" if len(eligible) > 1 else ""
+        )
 
     def step_violation(self, before: ModelState, after: ModelState) -> str:
-        """Return what is broken by a step, not by the state that it leads to; empty if nothing is."""
+        """Return the description of a violated invariant between two successive states; empty if none is."""
         if after.newest_token >= before.newest_token:
             return ""
-        return f"the resource took token {after.newest_token} after {before.newest_token}"
+        return f"the resource accepted token {after.newest_token} after token {before.newest_token}"
 
     def canonical(self, state: ModelState) -> ModelState:
-        """Return one of the states that differ only by which voter is which."""
+        """Return the representative of the states that differ only in how their voters are numbered."""
         contenders = self.bounds.contenders
 
         def sort_key(voter: int) -> tuple[object, ...]:
             pending = sorted(item[1:] for item in state.pending if item.voter == voter)
-            return state.applied[voter], state.clocks[contenders + voter], pending
+            return state.applied[voter], state.clock_offsets[contenders + voter], pending
 
         voters = sorted(range(self.bounds.voters), key=sort_key)
-        place = {voter: index for index, voter in enumerate(voters)}
+        new_index = {voter: index for index, voter in enumerate(voters)}
         return state._replace(
             applied=tuple(state.applied[voter] for voter in voters),
-            clocks=state.clocks[:contenders] + tuple(state.clocks[contenders + voter] for voter in voters),
-            pending=frozenset(item._replace(voter=place[item.voter]) for item in state.pending),
+            clock_offsets=state.clock_offsets[:contenders]
+            + tuple(state.clock_offsets[contenders + voter] for voter in voters),
+            pending=frozenset(item._replace(voter=new_index[item.voter]) for item in state.pending),
         )
 
     def _contender_time(self, state: ModelState, contender: int) -> int:
-        return state.real + state.clocks[contender]
+        return state.real_time + state.clock_offsets[contender]
 
     def _voter_time(self, state: ModelState, voter: int) -> int:
-        return state.real + state.clocks[self.bounds.contenders + voter]
+        return state.real_time + state.clock_offsets[self.bounds.contenders + voter]
 
     def _record(self, log: Iterable[Command]) -> LeaseRecord:
-        """Return the record after some commands."""
+        """Return the record after all commands of a log."""
         record = LeaseRecord()
         for command in log:
             record, _ = self.rules.apply_command(record, command)
@@ -216,7 +229,7 @@
     # --- steps ----------------------------------------------------------------------------------------
 
     def steps(self, state: ModelState) -> Iterator[Step]:
-        """Yield every next state, with the name of the step."""
+        """Yield every possible step from a state."""
         yield from self._time_steps(state)
         for contender in range(self.bounds.contenders):
             yield from self._request_steps(state, contender)
@@ -229,15 +242,21 @@
                 yield f"apply {voter}", self._apply(state, voter)
 
     def _time_steps(self, state: ModelState) -> Iterator[Step]:
-        later = state._replace(real=state.real + 1)
+        later = state._replace(real_time=state.real_time + 1)
         yield "tick", later
-        if sum(map(bool, state.clocks)) >= self.bounds.drifting_clocks:
+        if sum(map(bool, state.clock_offsets)) >= self.bounds.drifting_clocks:
             return
         drift = self.bounds.drift
-        for party, gain in enumerate(state.clocks):
-            if gain == 0:
-                yield f"tick, {party} fast", later._replace(clocks=_replaced(state.clocks, party, drift))
-                yield f"tick, {party} slow", later._replace(clocks=_replaced(state.clocks, party, -drift))
+        for party, offset in enumerate(state.clock_offsets):
+            if offset == 0:
+                yield (
+                    f"tick, {party} fast",
+                    later._replace(clock_offsets=_replaced(state.clock_offsets, party, drift)),
+                )
+                yield (
+                    f"tick, {party} slow",
+                    later._replace(clock_offsets=_replaced(state.clock_offsets, party, -drift)),
+                )
 
     def _request_steps(self, state: ModelState, contender: int) -> Iterator[Step]:
         before = state.claims[contender]
@@ -255,7 +274,7 @@
             request_count=state.request_count + is_new,
             requests=requests,
         )
-        yield f"ask {contender}", after
+        yield f"request of {contender}", after
 
     def _act_steps(self, state: ModelState, contender: int) -> Iterator[Step]:
         checked = state.checked[contender]
@@ -269,7 +288,7 @@
             )
 
     def _act(self, state: ModelState, contender: int) -> ModelState:
-        """Have an act reach the resource, which refuses a token older than one that it has accepted."""
+        """Return the state after an act reached the resource, which refuses outdated tokens if `fenced`."""
         token = state.checked[contender]
         accepted = token >= state.newest_token or not self.rules.fenced
         return state._replace(
@@ -289,11 +308,11 @@
                     yield f"deliver to {voter}, apply", self._apply(delivered, voter)
 
     def _deliver(self, state: ModelState, voter: int, request: Request) -> ModelState:
-        """Have a voter decide on a request."""
-        count, at = state.applied[voter]
+        """Return the state after a voter decided on a request."""
+        count, applied_at = state.applied[voter]
         now = self._voter_time(state, voter)
         record = self._record(state.log[:count])
-        decision = self.rules.evaluate_request(record, at, request, self.terms, now)
+        decision = self.rules.evaluate_request(record, applied_at, request, self.terms, now)
         if isinstance(decision, Answer):
             answer = _addressed(request, decision._replace(retry_after_us=0))
             return state._replace(answers=state.answers | {answer})
@@ -312,28 +331,29 @@
                 )
 
     def _apply(self, state: ModelState, voter: int) -> ModelState:
-        """Have a voter apply the next entry of the log, and answer the request that led to it."""
+        """Return the state after a voter applied the next log entry and answered the request it came from."""
         count = state.applied[voter].entries
         before = self._record(state.log[:count])
         record, outcome = self.rules.apply_command(before, state.log[count])
         token = record.token if outcome == OK else 0
-        done = {item for item in state.pending if item.voter == voter and item.log_index == count}
+        answered = {item for item in state.pending if item.voter == voter and item.log_index == count}
         answers = {
-            _addressed(item.request, Answer(TASK, item.request.request_id, outcome, token)) for item in done
+            _addressed(item.request, Answer(TASK, item.request.request_id, outcome, token))
+            for item in answered
         }
         applied = AppliedLog(count + 1, self._voter_time(state, voter))
         return state._replace(
             applied=_replaced(state.applied, voter, applied),
             answers=state.answers | answers,
-            pending=state.pending - done,
+            pending=state.pending - answered,
         )
 
 
 def _replaced(values: tuple[_Item, ...], index: int, value: _Item) -> tuple[_Item, ...]:
-    """Return the values with another one at an index."""
+    """Return the values with the one at an index replaced."""
     return (*values[:index], value, *values[index + 1 :])
 
 
 def _addressed(request: Request, answer: Answer) -> AddressedAnswer:
-    """Return an answer to the contender that a request is from."""
+    """Address an answer to the contender that sent the request."""
     return AddressedAnswer(int(request.member.removeprefix("c")), answer)
--- a/pinspread/leases/model_checker.py
+++ b/pinspread/leases/model_checker.py
@@ -1,7 +1,7 @@
-"""An exhaustive check of the lease decisions: every order of events for some parties, to a depth.
+"""An exhaustive check of the lease decisions: every order of events for a few parties, up to a depth.
 
-The states of `lease_model` are explored breadth first, each once, so that a violation is found with the
-fewest steps.
+The states of `lease_model` are visited breadth first, each once, so a violation is found by the fewest
+possible steps.
 """
 
 import time
@@ -12,14 +12,14 @@
 
 
 class Result(NamedTuple):
-    """What an exploration has found.
+    """The result of an exploration.
 
     Attributes:
-        states: How many states were visited.
-        depth: How many steps from a start they reach.
+        states: The number of visited states.
+        depth: The greatest number of steps from an initial state.
         seconds: The time taken.
-        complete: Whether nothing within the bounds was left out.
-        violation: What is broken; empty if nothing is.
+        complete: Whether all states within the bounds were visited.
+        violation: The description of the violation; empty if there is none.
         steps: The names of the steps that lead to the violation.
     """
 
@@ -32,14 +32,14 @@
 
 
 class _Violation(NamedTuple):
-    """What is broken, and the names of the steps that lead to it."""
+    """A violated invariant, and the names of the steps that lead to the violation."""
 
     description: str
     steps: list[str]
 
 
 class _Exploration:
-    """The states that were visited, and how each was reached first."""
+    """The visited states, and the step by which each was first reached."""
 
     def __init__(self, model: Model):
         self.model = model
@@ -47,7 +47,7 @@
         self.depth = 0
         self.frontier: list[ModelState] = []
         self._came_from: dict[ModelState, tuple[ModelState | None, str]] = {}
-        for name, state in model.starts():
+        for name, state in model.initial_states():
             self._visit(model.canonical(state), None, name)
 
     def _visit(self, state: ModelState, origin: ModelState | None, step: str) -> None:
@@ -55,7 +55,7 @@
         self.frontier.append(state)
 
     def run(self) -> Result:
-        """Visit the states layer by layer, each a step further from the starts."""
+        """Visit the states layer by layer; each layer is one step further from the initial states."""
         bounds = self.model.bounds
         while self.frontier and self.depth < bounds.depth:
             self.depth += 1
@@ -69,18 +69,18 @@
         return self._result()
 
     def _expand(self, state: ModelState) -> _Violation | None:
-        """Visit the next states of one; return the first violation, if any."""
+        """Visit the successors of a state; return the first violation, if any."""
         for name, successor in self.model.steps(state):
-            broken = self.model.step_violation(state, successor)
-            if broken:
-                return _Violation(broken, [*self._steps_to(state), name])
+            violated_invariant = self.model.step_violation(state, successor)
+            if violated_invariant:
+                return _Violation(violated_invariant, [*self._steps_to(state), name])
             canonical = self.model.canonical(successor)
             if canonical in self._came_from:
                 continue
             self._visit(canonical, state, name)
-            broken = self.model.violation(canonical)
-            if broken:
-                return _Violation(broken, self._steps_to(canonical))
+            violated_invariant = self.model.violation(canonical)
+            if violated_invariant:
+                return _Violation(violated_invariant, self._steps_to(canonical))
         return None
 
     def _steps_to(self, state: ModelState | None) -> list[str]:
@@ -100,5 +100,5 @@
 
 
 def explore(bounds: Bounds | None = None, rules: Rules | None = None, terms: LeaseTerms = TERMS) -> Result:
-    """Visit every state within the bounds, or as far as the first violation."""
+    """Visit every state within the bounds, or stop at the first violation."""
     return _Exploration(Model(bounds or Bounds(), rules or Rules(), terms)).run()
--- a/pinspread/leases/state_machine.py
+++ b/pinspread/leases/state_machine.py
@@ -1,12 +1,12 @@
-"""Leases for tasks of the whole fleet: the decisions alone, with no I/O and no clock; values in, values out.
+"""The decisions of leases for tasks of the whole fleet, as pure functions without I/O or a clock.
 
-Three parties keep one rule each. The *record* of a task, agreed on by Raft, says who holds its lease
+Three parties follow one rule each. The *record* of a task, replicated by Raft, says who holds its lease
 (`apply_command`). A *voter* decides on requests by its own clock (`evaluate_request`). A *lease holder*, or a
-contender that would like to be one, counts what it may do by its own clock, from before it sent its request
+contender that wants to become one, counts the lease by its own clock, from before it sent its request
 (`tick`, `apply_answer`, `may_act`). No clock reading is ever sent.
 
-Times are whole microseconds of the party's own monotonic clock. `LeaseTerms.drift_us` bounds what any one
-clock gains or loses against real time in the course of a lease.
+Times are whole microseconds of the party's own monotonic clock. `LeaseTerms.drift_us` bounds how much any one
+clock gains or loses against real time during a lease.
 
 Sources: Gray and Cheriton, "Leases" (1989); Burrows, "The Chubby lock service" (2006); for fencing tokens,
 Kleppmann, "How to do distributed locking" (2016).
@@ -15,12 +15,12 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-OK = "ok"  # the reason of an answer that grants
+OK = "ok"  # the reason in an answer that grants the request
 FIRST_TOKEN = 1  # the fencing token of the first grant of a task
 
 
 class CommandKind(StrEnum):
-    """What a command of the replicated log does; the values are those in the log."""
+    """The kinds of commands in the replicated log; the values are stored in the log."""
 
     GRANT = "grant"
     RENEW = "renew"
@@ -28,7 +28,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a member asks of a voter; the values are those on the wire."""
+    """The kinds of requests of a member to a voter; the values are sent on the wire."""
 
     ACQUIRE = "ask"
     RENEW = "keep"
@@ -36,14 +36,14 @@
 
 
 class LeaseTerms(NamedTuple):
-    """The times that all parties share; a fleet with different ones is not safe.
+    """The times that all parties share; they must be the same in the whole fleet for leases to be safe.
 
     Attributes:
-        lease_us: For how long a lease is granted.
-        drift_us: What any one clock may gain or lose against real time in the course of a lease.
-        margin_us: The longest time between `may_act` and the effect of the act.
-        renew_us: A lease is renewed so long after the last request that was granted.
-        retry_us: An unanswered request is sent again after this time.
+        lease_us: The duration of a lease.
+        drift_us: How much any one clock may gain or lose against real time during a lease.
+        margin_us: The maximum time between a check by `may_act` and the effect of the act.
+        renew_us: The time from sending a request that is granted to the next renewal.
+        retry_us: The time after which an unanswered request is sent again.
     """
 
     lease_us: int = 10_000_000
@@ -57,13 +57,13 @@
 
 
 class LeaseRecord(NamedTuple):
-    """The lease of one task, as the replicated log has it.
+    """The lease of one task, as it results from the replicated log.
 
     Attributes:
-        holder: The lease holder's id; empty if there is none.
-        token: The fencing token: the version at which the lease was last granted.
-        version: Grows with every change.
-        request_id: The request that was granted.
+        holder: The id of the lease holder; empty if there is none.
+        token: The fencing token, which is the version at which the lease was last granted.
+        version: Incremented by every change.
+        request_id: The id of the request that was granted.
     """
 
     holder: str = ""
@@ -76,10 +76,11 @@
     """An entry of the replicated log.
 
     Attributes:
-        kind: What to do.
-        holder: The member that it is for.
-        expected: For a grant, the version of the record that the voter decided on; else the fencing token.
-        request_id: For a grant, the request that it answers.
+        kind: The kind of the command.
+        holder: The id of the member that the command is for.
+        expected: For a grant, the version of the record that the voter's decision was based on; for other
+            commands, the fencing token.
+        request_id: For a grant, the id of the request that it grants.
     """
 
     kind: CommandKind
@@ -89,25 +90,29 @@
 
 
 def apply_command(record: LeaseRecord, command: Command) -> tuple[LeaseRecord, str]:
-    """Return the record after a command, and `OK` or why it was refused; the same on every voter."""
+    """Apply a command to a record; the result is the same on every voter.
+
+    Returns:
+        The record afterwards, and `OK` or the reason for refusing the command.
+    """
     kind, holder, expected, request_id = command
     if kind == CommandKind.GRANT:
         if record.holder == holder and record.request_id == request_id and record.version:
-            return record, OK  # a request that was sent twice is granted once
+            return record, OK  # a repeated request is granted only once
         if expected != record.version:
-            # Without this check a grant would overwrite a renewal that got into the log between the voter's
-            # decision and this entry.
+            # Without this check, a grant would overwrite a renewal that entered the log after the voter's
+            # decision and before this entry.
             return record, "changed meanwhile"
         return LeaseRecord(holder, record.version + 1, record.version + 1, request_id), OK
     if record.holder != holder or record.token != expected:
-        return record, _mismatch(record, holder, expected)
+        return record, _mismatch_reason(record, holder, expected)
     if kind == CommandKind.RENEW:
         return record._replace(version=record.version + 1), OK
     return LeaseRecord("", record.token, record.version + 1, 0), OK
 
 
-def _mismatch(record: LeaseRecord, holder: str, token: int) -> str:
-    """Return why `holder` does not hold the lease with `token`."""
+def _mismatch_reason(record: LeaseRecord, holder: str, token: int) -> str:
+    """Return the reason why `holder` does not hold the lease with `token`."""
     if record.holder != holder:
         return "not the holder"
     return f"stale token {token}: it is {record.token}"
@@ -117,14 +122,14 @@
 
 
 class Request(NamedTuple):
-    """What a member asks of a voter.
+    """A member's request to a voter.
 
     Attributes:
-        kind: What it asks for.
+        kind: The kind of the request.
         task: The task's name.
-        member: The id of the member that asks.
-        token: Its fencing token, for a renewal or a release.
-        request_id: Tells the member's requests apart; the same when a request is sent again.
+        member: The id of the member that sends the request.
+        token: The member's fencing token, for a renewal or a release.
+        request_id: Identifies the request; a request that is sent again keeps its id.
     """
 
     kind: RequestKind
@@ -139,11 +144,11 @@
 
     Attributes:
         task: The task's name.
-        request_id: The request that is answered.
-        reason: `OK`, or why the request is refused.
-        token: The fencing token, if it is granted.
-        retry_after_us: How long to wait before the next request; 0 where the voter does not know.
-        leader: The id of the voter to send the request to instead, or empty.
+        request_id: The id of the request that is answered.
+        reason: `OK`, or the reason for refusing the request.
+        token: The fencing token, if the request is granted.
+        retry_after_us: How long to wait before the next request; 0 if the voter does not know.
+        leader: The id of the voter to send the request to instead; empty if this voter decided.
     """
 
     task: str
@@ -155,10 +160,11 @@
 
 
 def binding_until_us(terms: LeaseTerms, applied_us: int) -> int:
-    """Return until when a record binds a voter that applied it at `applied_us`, by the voter's clock.
+    """Return until when a voter must honour a record that it applied at `applied_us`, by its own clock.
 
-    The lease holder sent its request before this voter applied the record, and stops by its own clock one
-    lease after that at the latest. The drift bound covers this voter's clock running fast meanwhile.
+    The lease holder sent its request before this voter applied the record, and stops acting at most one lease
+    duration after sending it, by the holder's clock. The drift bound allows for this voter's clock running
+    fast in the meantime.
     """
     return applied_us + terms.lease_us + terms.drift_us
 
@@ -170,10 +176,10 @@
 
     Args:
         record: The task's record, as this voter has applied it.
-        applied_us: When it was applied, by this voter's clock.
+        applied_us: When this voter applied the record, by its own clock.
         request: The request.
         terms: The times that all parties share.
-        now_us: The time, by this voter's clock.
+        now_us: The current time, by this voter's clock.
 
     Returns:
         The command to propose, or the answer that refuses the request.
@@ -185,7 +191,7 @@
             return Answer(request.task, request.request_id, f"held by {record.holder}", 0, remaining_us)
         return Command(CommandKind.GRANT, request.member, record.version, request.request_id)
     if record.holder != request.member or record.token != request.token:
-        reason = _mismatch(record, request.member, request.token)
+        reason = _mismatch_reason(record, request.member, request.token)
         return Answer(request.task, request.request_id, reason)
     kind = CommandKind.RENEW if request.kind == RequestKind.RENEW else CommandKind.RELEASE
     return Command(kind, request.member, request.token)
@@ -205,11 +211,11 @@
     """A contender's side of a lease.
 
     Attributes:
-        token: The fencing token; 0 while it does not hold the lease.
-        expiry_us: When the lease ends; it counts from before its request was sent.
-        request_id: The request that waits for an answer; 0 if none does.
-        requested_us: When that request was sent first.
-        sent_us: When that request was sent last.
+        token: The fencing token; 0 while the contender does not hold the lease.
+        expiry_us: When the lease ends, counted from before its request was sent.
+        request_id: The id of the open request, which has no answer yet; 0 if there is none.
+        requested_us: When the open request was first sent.
+        sent_us: When the open request was last sent; 0 if it is to be sent again at once.
         next_request_us: When the next request or renewal is due.
     """
 
@@ -222,29 +228,29 @@
 
 
 def may_act(claim: Claim, terms: LeaseTerms, now_us: int) -> bool:
-    """Return whether the lease holder may act now; to be checked right before each act."""
+    """Return whether the lease holder may act now; must be checked right before each act."""
     return claim.token > 0 and now_us + terms.drift_us + terms.margin_us < claim.expiry_us
 
 
 def tick(
     claim: Claim, terms: LeaseTerms, contender: Contender, now_us: int, new_request_id: int
 ) -> tuple[Claim, Request | None]:
-    """Do what is due by now.
+    """Expire a claim, or request, renew or repeat a request for it, as far as that is due now.
 
     Args:
         claim: The contender's claim.
         terms: The times that all parties share.
-        contender: Whose claim it is, and on which task.
-        now_us: The time, by the contender's clock.
+        contender: The contender and the task.
+        now_us: The current time, by the contender's clock.
         new_request_id: An unused id, in case a new request is due.
 
     Returns:
         The claim afterwards, and the request to send, if any.
     """
     if claim.token and now_us >= claim.expiry_us:
-        claim = Claim(next_request_us=now_us)  # lost: no voter has answered in time
+        claim = Claim(next_request_us=now_us)  # lost, because no voter answered in time
     if claim.request_id and now_us - claim.requested_us >= terms.lease_us:
-        claim = claim._replace(request_id=0, next_request_us=now_us)  # a lease from it would be over by now
+        claim = claim._replace(request_id=0, next_request_us=now_us)  # a lease granted for it would be over
     if not claim.request_id:
         if now_us < claim.next_request_us:
             return claim, None
@@ -258,24 +264,25 @@
 
 
 def apply_answer(claim: Claim, answer: Answer, terms: LeaseTerms, now_us: int) -> Claim:
-    """Return the claim after an answer; an answer to any other request than the open one changes nothing."""
+    """Return the claim after an answer; an answer to any request but the open one is ignored."""
     if not claim.request_id or answer.request_id != claim.request_id or answer.leader:
         return claim
     if answer.reason == OK:
         if claim.token and answer.token != claim.token:
             return Claim(next_request_us=now_us)
-        # The lease counts from before it was asked for, since the answer may have been under way for long.
+        # The lease counts from before the request was sent, since the answer may have been in transit for a
+        # long time.
         expiry_us = claim.requested_us + terms.lease_us
         return Claim(answer.token, expiry_us, next_request_us=claim.requested_us + terms.renew_us)
     delay_us = answer.retry_after_us or terms.retry_us
-    return Claim(next_request_us=now_us + delay_us)  # a refused renewal ends the claim at once
+    return Claim(next_request_us=now_us + delay_us)  # a refused renewal also ends the claim at once
 
 
 def release_claim(claim: Claim, contender: Contender, new_request_id: int) -> tuple[Claim, Request | None]:
-    """Stop holding a lease.
+    """Give up a claim.
 
     Returns:
-        The empty claim, and the request that gives the lease back, if it is held.
+        An empty claim, and the request that gives the lease back, if it is held.
     """
     if not claim.token:
         return Claim(), None
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -141,7 +141,7 @@
     found = explore(bounds, terms=terms)
     assert found.complete and not found.violation, found
     unfenced = explore(bounds, Rules(fenced=False), terms)
-    assert unfenced.violation == "the resource took token 1 after 2", unfenced
+    assert unfenced.violation == "the resource accepted token 1 after token 2", unfenced
 
 
 def test_the_stand_in_resource_refuses_an_older_token_and_what_is_no_act():
