--- a/pinspread/leases/codec.py
+++ b/pinspread/leases/codec.py
@@ -1,7 +1,7 @@
-"""The forms of lease requests, answers and records outside the process: datagrams and the operators' JSON.
+"""Encodes and decodes lease requests and answers as datagrams, and lease records as JSON for operators.
 
-Only this module knows their keys. Datagrams have the head that `membership.codec` gives them, with a magic of
-their own.
+Only this module knows the keys of these forms. Datagrams have the header of `membership.codec`, with a magic
+of their own.
 """
 
 from typing import Any
@@ -11,8 +11,8 @@
 from pinspread.membership.codec import DatagramError
 
 MAGIC = b"PSL"
-MAX_TASK_CHARS = 64  # of a task's name in a datagram
-_MAX_SHOWN_CHARS = 64  # of what was received, in a reason for the log
+MAX_TASK_CHARS = 64  # longest task name in a datagram
+_MAX_SHOWN_CHARS = 64  # of a received value, in an error message
 _INT_LIMIT = 1 << 63
 _REQUEST = "lease"
 _ANSWER = "leased"
@@ -28,7 +28,7 @@
 
 
 def encode_request(request: Request, reply_address: str, key: bytes) -> bytes:
-    """Return the datagram of a request, which is to be answered to `reply_address`."""
+    """Return the datagram of a request; the answer is to be sent to `reply_address`."""
     message = {
         "t": _REQUEST,
         "kind": request.kind.value,
@@ -56,10 +56,13 @@
 
 
 def decode(data: bytes, key: bytes) -> tuple[Request, str] | Answer:
-    """Return what a datagram holds: a request with the address for its answer, or an answer.
+    """Decode a datagram.
+
+    Returns:
+        A request with the address to send the answer to, or an answer.
 
     Raises:
-        DatagramError: It is damaged, of another fleet or protocol, or not well-formed.
+        DatagramError: The datagram is damaged, of another fleet or protocol, or not well-formed.
     """
     message = check_message(codec.decode(data, key, MAGIC))
     if message["t"] == _ANSWER:
@@ -75,28 +78,30 @@
 
 
 def check_message(message: dict[str, Any]) -> dict[str, Any]:
-    """Return the message of a datagram if it is well-formed.
+    """Return the message of a datagram unchanged if it is well-formed.
 
     Raises:
-        DatagramError: It is not; the text says why.
+        DatagramError: The message is not well-formed; the text says why.
     """
     kind = message.get("t")
     if kind not in (_REQUEST, _ANSWER):
-        raise DatagramError(f"kind {str(kind)[:_MAX_SHOWN_CHARS]!r}")
+        raise DatagramError(f"unknown message kind {str(kind)[:_MAX_SHOWN_CHARS]!r}")
     codec.require_fields(message, _REQUEST_FIELDS if kind == _REQUEST else _ANSWER_FIELDS)
     if kind == _REQUEST and message["kind"] not in set(RequestKind):
-        raise DatagramError(f"a request to {message['kind'][:_MAX_SHOWN_CHARS]!r}")
+        raise DatagramError(f"unknown request kind {message['kind'][:_MAX_SHOWN_CHARS]!r}")
     if kind == _REQUEST and not codec.is_address(message["at"]):
-        raise DatagramError("a request from no address")
+        raise DatagramError(f"reply address {message['at'][:_MAX_SHOWN_CHARS]!r}: expected host:port")
     numbers = [message[name] for name in ("token", "number", "wait_us") if name in message]
     in_range = min(numbers) >= 0 and max(numbers) < _INT_LIMIT
     if not in_range or len(message["task"]) > MAX_TASK_CHARS:
-        raise DatagramError(f"{kind}: a figure or name out of range")
+        raise DatagramError(
+            f"{kind}: a number is out of range, or the task name has over {MAX_TASK_CHARS} characters"
+        )
     return message
 
 
 def record_to_json(record: LeaseRecord) -> dict[str, str | int]:
-    """Return a record as operators see it."""
+    """Return the operators' view of a record."""
     return {
         "holder": record.holder,
         "token": record.token,
--- a/pinspread/leases/lease_table.py
+++ b/pinspread/leases/lease_table.py
@@ -1,7 +1,7 @@
 """The replicated state of the voters: the lease record of each task, and its dump on disk.
 
-The library dumps the state when it compacts the log. The dump has the form of a frame (`membership.codec`),
-sealed with no key.
+The library dumps the state when it compacts the log. A dump is encoded as a frame (`membership.codec`) whose
+checksum uses an empty key.
 """
 
 from collections.abc import Callable, Mapping
@@ -23,8 +23,11 @@
 class LeaseTable(pysyncobj.SyncObjConsumer):  # type: ignore[misc]  # the library comes without types
     """The replicated state: the lease record of each task.
 
-    The library numbers the replicated methods by the order of their names, and the log holds these numbers:
-    there is to be only one.
+    The library numbers replicated methods in the order of their names, and the log holds these numbers. There
+    must be only one such method, since another one could change the numbers.
+
+    Args:
+        on_change: Called with a task and its record whenever the record changes.
     """
 
     def __init__(self, on_change: OnRecord):
@@ -36,7 +39,11 @@
     def change(
         self, task: str, kind: str, holder: str, expected: int, request_id: int
     ) -> tuple[LeaseRecord, str]:
-        """Apply a command; return the record and `OK` or why it was refused, the same on every voter."""
+        """Apply a command to a task's record; the result is the same on every voter.
+
+        Returns:
+            The record afterwards, and `OK` or the reason for refusing the command.
+        """
         command = Command(_command_kind(kind), holder, expected, request_id)
         record, outcome = apply_command(self.records.get(task, LeaseRecord()), command)
         if self.records.get(task) != record:
@@ -45,7 +52,7 @@
         return record, outcome
 
     def restore(self, records: Mapping[str, LeaseRecord]) -> None:
-        """Put these records in the place of all that there are."""
+        """Replace all records by these."""
         self.records.clear()
         for task, record in records.items():
             self.records[task] = record
@@ -53,18 +60,18 @@
 
 
 def _command_kind(kind: str) -> CommandKind:
-    """Return the kind of a command in the log; whatever is neither a grant nor a renewal is a release."""
+    """Return the kind of a command in the log; any unknown kind counts as a release."""
     return next((known for known in CommandKind if known == kind), CommandKind.RELEASE)
 
 
 @dataclass(frozen=True)
 class LeaseDump:
-    """The state up to where the log is compacted.
+    """The state after the entries that were compacted away.
 
     Attributes:
         records: The record of each task.
-        last_entry: The last entry that is compacted away, as the library has it.
-        entry_before: The one before that.
+        last_entry: The last entry that was compacted away, in the library's form.
+        entry_before: The entry before `last_entry`.
     """
 
     records: Mapping[str, LeaseRecord]
@@ -73,17 +80,17 @@
 
 
 def encode_dump(dump: LeaseDump) -> bytes:
-    """Return the bytes of a dump."""
+    """Encode a dump."""
     rows = {task: list(record) for task, record in dump.records.items()}
     fields = {"rows": rows, "after": list(dump.last_entry), "before": list(dump.entry_before)}
     return codec.encode(fields, _NO_KEY, MAGIC)
 
 
 def decode_dump(data: bytes) -> LeaseDump:
-    """Return the dump in some bytes.
+    """Decode a dump.
 
     Raises:
-        DatagramError: It is damaged.
+        DatagramError: The dump is damaged.
     """
     fields = codec.decode(data, _NO_KEY, MAGIC)
     codec.require_fields(fields, _DUMP_FIELDS)
--- a/pinspread/leases/raft.py
+++ b/pinspread/leases/raft.py
@@ -1,7 +1,7 @@
-"""The voters' agreement on lease records: Raft by the library pysyncobj, over streams of our own.
+"""Replicates the lease records among the voters with Raft, as implemented by the library pysyncobj.
 
-`RaftNode` runs the library on this event loop, with its log in `raft_log` and its messages in
-`raft_transport`. The replicated state is `lease_table.LeaseTable`.
+`RaftNode` runs the library on this event loop. The library's log is `raft_log.RaftLog`, its transport is
+`raft_transport.VoterTransport`, and the replicated state is `lease_table.LeaseTable`.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -28,17 +28,17 @@
 from pinspread.sockets import split_address
 
 _TICK_S = 0.02  # the library runs at least this often
-_MAX_BATCH_BYTES = 1 << 20  # of entries in one message: more than a log holds that is compacted in time
-_COMPACT_ENTRIES = 2000  # the log is compacted after so many
+_MAX_BATCH_BYTES = 1 << 20  # of entries in one message; a log that is compacted in time holds less than this
+_COMPACT_ENTRIES = 2000  # the log is compacted after this many entries
 _NEVER_S = 10**9
 _MIN_CONNECTION_TIMEOUT_S = 3.5
 # Files in a voter's folder.
 _LOG_FILE = "log"
-_DUMP_FILE = "dump"  # the records up to where the log is compacted
-_VOTED_FILE = "votes"
+_DUMP_FILE = "dump"  # the records after the entries that were compacted away
+_VOTED_FILE = "votes"  # exists once this voter may vote (see `learner`)
 _DAMAGED_PREFIX = "damaged-"
 
-# What the library has dumped with the records: its last two entries, the newer first, and its members.
+# What the library dumps along with the records: the last two entries, the newer one first, and the members.
 LibraryDump = tuple[tuple[Any, ...], tuple[Any, ...], list[Any]]
 
 
@@ -51,9 +51,10 @@
         listen: `host:port` at which this voter accepts streams.
         voters: The address of each voter by its id, this one included.
         key: The fleet's key.
-        folder: Where the log is kept over restarts.
-        election_s: The shortest election time-out, in seconds; the longest is twice that.
-        sync: Whether a change of the log is on the disk before a message speaks of it.
+        folder: The folder that holds the log and the dump over restarts.
+        election_s: The minimum election time-out, in seconds; the maximum is twice that.
+        sync: Whether each change of the log is flushed to the disk before any message that depends on it is
+            sent.
     """
 
     id: str
@@ -66,17 +67,17 @@
 
 
 class RaftNode:
-    """This voter's part of the agreement.
+    """This voter's Raft node.
 
     Args:
         config: The voter's settings.
-        on_change: Called with a task and its record whenever a change is applied here.
+        on_change: Called with a task and its record whenever this voter applies a change.
 
     Attributes:
-        sync_object: The library's object.
+        sync_object: The library's Raft object.
         raft_log: This voter's log.
         transport: The streams to and from the other voters.
-        learner: Whether this voter may vote.
+        learner: Tracks whether this voter may vote.
     """
 
     def __init__(self, config: RaftConfig, on_change: OnRecord):
@@ -93,7 +94,7 @@
         self._wake_event = anyio.Event()
         self._logged_leader: str | None = None
         self.raft_log = self._open_log(config.sync)
-        with _library_uses(self.raft_log):
+        with _library_journal_replaced_by(self.raft_log):
             self.sync_object = pysyncobj.SyncObj(
                 Node(config.id),
                 [Node(id_) for id_ in others],
@@ -140,12 +141,12 @@
 
     @property
     def log_is_empty(self) -> bool:
-        """Whether the log holds no more than the library's own first entry."""
+        """Whether the log holds at most the library's own first entry."""
         return bool(self.sync_object.getStatus()["log_len"] <= 1)
 
     @property
     def write_failed(self) -> bool:
-        """Whether the log cannot be written, so that this voter has no vote until it is restarted."""
+        """Whether a write to the log failed; this voter then takes no part until it is restarted."""
         return self.raft_log.write_failed
 
     @property
@@ -154,13 +155,13 @@
         return self.transport.sent_counts
 
     def is_leader(self) -> bool:
-        """Return whether this voter takes itself for the leader; there may be another."""
-        # The library documents this method for callers, and has no public name for it.
+        """Return whether this voter believes that it is the leader; another voter may believe the same."""
+        # The library documents this method for its users, but gives it no public name.
         return bool(self.sync_object._isLeader()) and not self.write_failed  # noqa: SLF001
 
     def leader_id(self) -> str:
-        """Return the leader as far as this voter knows, or empty."""
-        # As above: documented for callers, without a public name.
+        """Return the id of the leader as far as this voter knows, or an empty string."""
+        # As above: documented for users, without a public name.
         node = self.sync_object._getLeader()  # noqa: SLF001
         return str(node.id) if node and not self.write_failed else ""
 
@@ -168,49 +169,49 @@
         """Append a command to the log.
 
         Args:
-            task: The task that it is for.
+            task: The task that the command is for.
             command: The command.
-            on_applied: Called with the record and `OK` or a reason once the command is applied here; never,
-                if the library cannot say what became of it.
+            on_applied: Called once this voter has applied the command, with the record and `OK` or the reason
+                for refusing the command. It is never called if the library cannot tell the result.
         """
 
-        def call_back(result: tuple[LeaseRecord, str] | None, error: int) -> None:
+        def on_result(result: tuple[LeaseRecord, str] | None, error: int) -> None:
             if error == FAIL_REASON.SUCCESS and result is not None:
                 on_applied(*result)
 
-        # The log holds a pickle of the arguments, which are to be plain values (see `raft_messages`).
+        # The log holds a pickle of the arguments, which must be plain values (see `raft_messages`).
         kind, holder, expected, request_id = command
-        self.table.change(task, kind.value, holder, expected, request_id, callback=call_back)
+        self.table.change(task, kind.value, holder, expected, request_id, callback=on_result)
         self.wake()
 
     def wake(self) -> None:
-        """Run the library now."""
+        """Run the library now instead of at its next tick."""
         self._wake_event.set()
 
     # --- storage --------------------------------------------------------------------------------------
 
     def _write_dump(self, path: str, data: LibraryDump) -> None:
-        """Write a dump, as the library asks."""
+        """Write a dump; called by the library."""
         last_entry, entry_before, _ = data
         dump = LeaseDump(self.records, last_entry, entry_before)
         Path(path).write_bytes(lease_table.encode_dump(dump))
 
     def _read_dump(self, path: str) -> LibraryDump:
-        """Read what `_write_dump` wrote, as the library asks."""
+        """Restore the records from a dump, and return the rest of it; called by the library."""
         dump = lease_table.decode_dump(Path(path).read_bytes())
         self.table.restore(dump.records)
         return dump.last_entry, dump.entry_before, []
 
     def _open_log(self, sync: bool) -> RaftLog:
-        """Open the log; if it or the dump is damaged, all files are set aside and this voter is a learner."""
+        """Open the log; if it or the dump is damaged, rename all files and start this voter as a learner."""
         dump = self.folder / _DUMP_FILE
         try:
             if dump.exists():
                 lease_table.decode_dump(dump.read_bytes())
             return RaftLog(self.folder / _LOG_FILE, sync)
         except (DatagramError, RaftLogFormatError) as error:
-            # Without this, entries behind a lost dump would be applied to other records than theirs; and a
-            # log with a flipped bit may hold a vote that was never given, or lack one that was.
+            # If the files stayed in use, the entries after a lost dump would be applied to the wrong records.
+            # A log with a flipped bit may hold a vote that was never given, or lack one that was.
             log("quorum_damaged", id=self.id, why=str(error))
             for path in list(self.folder.iterdir()):
                 path.rename(path.with_name(_DAMAGED_PREFIX + path.name))
@@ -220,7 +221,11 @@
     # --- running --------------------------------------------------------------------------------------
 
     async def run(self, listener: anyio.abc.Listener[anyio.abc.SocketStream]) -> None:
-        """Take part until cancelled or until the log cannot be written; `listener` is open."""
+        """Run this voter until cancelled or until its log cannot be written.
+
+        Args:
+            listener: The open listener on which the other voters connect.
+        """
         voters = sorted([self.id, *self._others])
         log("quorum_up", id=self.id, voters=voters, fresh=self.learner.is_learner)
         try:
@@ -234,7 +239,7 @@
             self.sync_object.destroy()
 
     async def _run_library(self) -> None:
-        """Run the library until its log cannot be written: the instance then serves on without a vote."""
+        """Run the library until its log cannot be written; the instance then goes on without its vote."""
         while True:
             try:
                 self.sync_object.doTick(0.0)
@@ -243,7 +248,7 @@
                     raise
                 log("quorum_failed", id=self.id, error=str(error))
                 return
-            if self.write_failed:  # on a message that was received
+            if self.write_failed:  # while a received message was handled
                 log("quorum_failed", id=self.id, error="its log cannot be written")
                 return
             self.transport.promote_if_safe()
@@ -260,8 +265,8 @@
 
 
 @contextmanager
-def _library_uses(raft_log: RaftLog) -> Iterator[None]:
-    """Have the library use our log where it would create its own: it has no parameter for it."""
+def _library_journal_replaced_by(raft_log: RaftLog) -> Iterator[None]:
+    """Make the library use `raft_log` instead of creating its own journal; it has no parameter for this."""
     create_journal = pysyncobj.syncobj.createJournal
     pysyncobj.syncobj.createJournal = lambda _path: raft_log
     try:
--- a/pinspread/leases/raft_log.py
+++ b/pinspread/leases/raft_log.py
@@ -1,15 +1,16 @@
 """A voter's log on disk, behind the interface of the Raft library (`pysyncobj.journal.Journal`).
 
-The file is append-only and checksummed. A record is its payload's length and CRC-32 and the CRC-32 of these
-two (each a little-endian u32), then the payload: a byte for the kind of record and
+The file is append-only and checksummed. A record is a header and a payload. The header is the length of the
+payload, the payload's CRC-32 and the CRC-32 of these two fields, each a little-endian u32. The payload is one
+byte for the kind of record, then:
 
     ENTRY         index u64, term u64, the command's bytes
-    TRUNCATE      u64: how many entries stay, from the front
-    VOTE          term u64, the id of who was voted for in UTF-8 (empty: nobody)
-    COMMIT_INDEX  u64: the entries up to that index are committed; written now and then
+    TRUNCATE      u64: the number of entries that stay, counted from the front
+    VOTE          term u64, the id of the voter that got the vote in UTF-8 (empty: none)
+    COMMIT_INDEX  u64: the entries up to this index are committed; not written at each change
 
-A record that is cut short at the file's end was never acknowledged, and is removed. Anything else that does
-not fit is a `RaftLogFormatError`: a voter must not vote by what it reads from such a file.
+An incomplete record at the end of the file was never acknowledged, and is removed. Any other malformed data
+raises a `RaftLogFormatError`, since a voter must not vote on the basis of such a file.
 """
 
 import os
@@ -27,11 +28,11 @@
 _HEAD_CHECKSUM = struct.Struct("<I")
 HEAD_BYTES = _LENGTH_AND_CHECKSUM.size + _HEAD_CHECKSUM.size
 _ENTRY = struct.Struct("<BQQ")
-_NUMBER = struct.Struct("<BQ")  # TRUNCATE, COMMIT_INDEX, and the front of VOTE
+_NUMBER = struct.Struct("<BQ")  # TRUNCATE, COMMIT_INDEX, and the start of VOTE
 _FIRST_INDEX = 1
 _FILE_MODE = 0o600
 
-Entry = tuple[bytes, int, int]  # as the library has it: command, index, term
+Entry = tuple[bytes, int, int]  # in the library's form: command, index, term
 
 
 class RecordKind(IntEnum):
@@ -44,25 +45,29 @@
 
 
 class RaftLogFormatError(PinspreadError):
-    """The file holds something that was not written in this form; the text says where."""
+    """The file holds data that is not in the format of this module; the text says where."""
 
 
 class RaftLog(Journal):  # type: ignore[misc]  # the library comes without types
-    """The entries, the term and the vote of a voter; each change is written before its call returns.
+    """The entries, the term and the vote of a voter.
+
+    Each change is written before its call returns, except the commit index (see `setRaftCommitIndex`).
 
     Args:
-        path: The file; it is made if there is none.
-        sync: Whether a change is on the disk, not only with the system, before its call returns.
+        path: The file; it is created if it does not exist.
+        sync: Whether each change is flushed to the disk, not only handed to the operating system, before its
+            call returns.
 
     Attributes:
-        entries: The entries that are not compacted away.
+        entries: The entries that were not compacted away.
         term: The Raft term.
-        voted_for: The id that this voter has voted for in that term, if any.
-        commit_index: Up to where entries are known to be committed.
-        write_failed: Whether a write has failed: memory and disk may differ, so that nothing here counts.
+        voted_for: The id of the voter that got this voter's vote in that term, if any.
+        commit_index: The index up to which entries are known to be committed.
+        write_failed: Whether a write has failed. Memory and disk may then differ, so the values here must no
+            longer be used.
 
     Raises:
-        RaftLogFormatError: The file cannot be trusted.
+        RaftLogFormatError: The file is damaged.
         OSError: The file cannot be read or written.
     """
 
@@ -75,7 +80,7 @@
         self.commit_index = _FIRST_INDEX
         self.write_failed = False
         self._new_path = self.path.with_name(self.path.name + ".new")
-        self._new_path.unlink(missing_ok=True)  # it was never renamed, so the old file is complete
+        self._new_path.unlink(missing_ok=True)  # an unfinished rewrite; the old file is complete
         data = self.path.read_bytes() if self.path.exists() else b""
         size = self._read(data)
         self._stored_commit_index = self.commit_index
@@ -83,26 +88,28 @@
         os.ftruncate(self.fd, size)
 
     def _read(self, data: bytes) -> int:
-        """Replay the file's records, and return where the last complete one ends."""
+        """Replay the records of the file, and return the offset at which the last complete record ends."""
         start = 0
         while start + HEAD_BYTES <= len(data):
             length, checksum = _LENGTH_AND_CHECKSUM.unpack_from(data, start)
             (head_checksum,) = _HEAD_CHECKSUM.unpack_from(data, start + _LENGTH_AND_CHECKSUM.size)
-            # The head has a checksum of its own: a flipped bit in the length would otherwise make all records
-            # behind it look like one that was cut short.
+            # The header has a checksum of its own. Otherwise a flipped bit in the length could make all later
+            # records look like a single incomplete one.
             if head_checksum != zlib.crc32(data[start : start + _LENGTH_AND_CHECKSUM.size]):
-                raise RaftLogFormatError(f"{self.path}: the head of the record at byte {start}")
+                raise RaftLogFormatError(
+                    f"{self.path}: wrong checksum of the header of the record at byte {start}"
+                )
             payload = data[start + HEAD_BYTES : start + HEAD_BYTES + length]
             if len(payload) < length:
-                break  # cut short
+                break  # an incomplete record at the end
             if zlib.crc32(payload) != checksum:
-                raise RaftLogFormatError(f"{self.path}: the record at byte {start}")
+                raise RaftLogFormatError(f"{self.path}: wrong checksum of the record at byte {start}")
             self._replay(payload, start)
             start += HEAD_BYTES + length
         return start
 
     def _replay(self, payload: bytes, start: int) -> None:
-        """Apply one record that begins at byte `start` of the file."""
+        """Apply the record that starts at byte `start` of the file."""
         kind = payload[0]
         try:
             if kind == RecordKind.ENTRY:
@@ -116,18 +123,19 @@
                 _, self.term = _NUMBER.unpack_from(payload)
                 self.voted_for = payload[_NUMBER.size :].decode() or None
             else:
-                raise RaftLogFormatError(f"{self.path}: a record of kind {kind} at byte {start}")
+                raise RaftLogFormatError(f"{self.path}: unknown kind {kind} of the record at byte {start}")
         except (struct.error, UnicodeDecodeError) as error:
-            raise RaftLogFormatError(f"{self.path}: the record at byte {start}: {error}") from None
+            raise RaftLogFormatError(f"{self.path}: malformed record at byte {start}: {error}") from None
 
     def _append(self, payload: bytes) -> None:
         self._write(self.fd, _record(payload))
 
     def _write(self, fd: int, data: bytes) -> None:
-        # A vote or an entry that is in memory alone would be spoken of, and be forgotten by a restart. So no
-        # write is tried after one that failed.
+        # After a failed write, memory may hold a vote or an entry that the file lacks. If the log stayed in
+        # use, the voter would report that vote or entry to others and lose it on a restart. So all later
+        # writes are refused.
         if self.write_failed:
-            raise OSError(f"{self.path}: an earlier write has failed")
+            raise OSError(f"{self.path}: not written, because an earlier write failed")
         self.write_failed = True
         while data:
             data = data[os.write(fd, data) :]
@@ -136,7 +144,7 @@
         self.write_failed = False
 
     def _rewrite(self) -> None:
-        """Write everything to another file, which then takes the place of the old one at once."""
+        """Write the complete state to a new file, which then replaces the old one atomically."""
         fd = os.open(self._new_path, os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_APPEND, _FILE_MODE)
         state = _record(_vote_payload(self.term, self.voted_for))
         state += _record(_NUMBER.pack(RecordKind.COMMIT_INDEX, self.commit_index))
@@ -149,7 +157,7 @@
         os.close(self.fd)
         self.fd = fd
 
-    # --- the library's interface, with its names ------------------------------------------------------
+    # --- the library's interface, under its names -----------------------------------------------------
 
     def add(self, command: bytes, idx: int, term: int) -> None:
         """Append an entry."""
@@ -158,17 +166,18 @@
         self.entries.append(entry)
 
     def clear(self) -> None:
-        """Remove all entries; the term and the vote stay."""
+        """Remove all entries, and keep the term and the vote."""
         self.deleteEntriesFrom(0)
 
     def deleteEntriesFrom(self, entryFrom: int) -> None:  # noqa: N802, N803  the library's names, here and below
-        """Remove the back of the log: the entry at that place and all behind it."""
+        """Remove the entry at a position and all later ones."""
         self._append(_NUMBER.pack(RecordKind.TRUNCATE, entryFrom))
         del self.entries[entryFrom:]
 
     def deleteEntriesTo(self, entryTo: int) -> None:  # noqa: N802, N803
-        """Remove the front of the log, up to that place."""
-        # By a new file: if the old one were changed in place, a kill halfway would lose acknowledged entries.
+        """Remove the entries before a position."""
+        # This writes a new file. If the old one were changed in place, a kill halfway would lose acknowledged
+        # entries.
         self.entries = self.entries[entryTo:]
         self._rewrite()
 
@@ -177,11 +186,11 @@
         return self.entries[item]
 
     def __len__(self) -> int:
-        """Return how many entries there are."""
+        """Return the number of entries."""
         return len(self.entries)
 
     def setCurrentTerm(self, term: int, votedForNodeId: str | None) -> None:  # noqa: N802, N803
-        """Set the term and the vote, before any message speaks of them."""
+        """Set the term and the vote; called before any message that depends on them is sent."""
         self.term = term
         self.voted_for = votedForNodeId
         self._append(_vote_payload(term, votedForNodeId))
@@ -191,11 +200,14 @@
         return self.term
 
     def getVotedForNodeId(self) -> str | None:  # noqa: N802
-        """Return the id of who was voted for."""
+        """Return the id of the voter that got this voter's vote, if any."""
         return self.voted_for
 
     def setRaftCommitIndex(self, raftCommitIndex: int) -> None:  # noqa: N802, N803
-        """Set the commit index; it is written within a second, since a leader repeats it anyhow."""
+        """Set the commit index.
+
+        It is written within a second, not at once: a leader sends it again anyway.
+        """
         self.commit_index = raftCommitIndex
 
     def getRaftCommitIndex(self) -> int:  # noqa: N802
@@ -203,7 +215,7 @@
         return self.commit_index
 
     def onOneSecondTimer(self) -> None:  # noqa: N802
-        """Write what may wait."""
+        """Write the commit index if it has changed."""
         if self._stored_commit_index != self.commit_index:
             self._stored_commit_index = self.commit_index
             self._append(_NUMBER.pack(RecordKind.COMMIT_INDEX, self.commit_index))
--- a/pinspread/leases/raft_messages.py
+++ b/pinspread/leases/raft_messages.py
@@ -1,8 +1,8 @@
-"""What voters send each other: a hello, then the library's messages, each with the sender's term.
+"""The frames that voters send each other: a hello, then the library's messages, each with the sender's term.
 
-The library's messages stay maps with the library's keys. They are checked before the library sees them: it
-unpickles the commands in them, and a pickle can import and call anything, so only pickles of plain values
-pass.
+The library's messages are sent as maps with the library's keys. They are checked before the library gets
+them: it unpickles the commands in them, and a pickle can import and call anything, so only pickles of plain
+values are accepted.
 """
 
 import pickletools
@@ -13,13 +13,13 @@
 from pinspread.membership import codec
 from pinspread.membership.codec import DatagramError, is_of_type
 
-Message = dict[str, Any]  # as the library has it
+Message = dict[str, Any]  # in the library's form
 
 MAGIC = b"PSQ"
 MAX_FRAME_BYTES = 1 << 21
-_MAX_SHOWN_CHARS = 64  # of what was received, in a reason for the log
+_MAX_SHOWN_CHARS = 64  # of a received value, in an error message
 
-# Opcodes of a pickle that hold or build plain values; any other could import or call.
+# Pickle opcodes that hold or build plain values. Other opcodes could import or call something.
 _PLAIN_OPCODES = {
     *("PROTO", "FRAME", "STOP", "MARK"),
     *("NONE", "NEWTRUE", "NEWFALSE", "INT", "BININT", "BININT1", "BININT2", "LONG1"),
@@ -28,9 +28,9 @@
     *("EMPTY_LIST", "LIST", "APPEND", "APPENDS"),
     *("MEMOIZE", "PUT", "BINPUT", "LONG_BINPUT", "GET", "BINGET", "LONG_BINGET"),
 }
-# The first byte of a command tells the library's kinds apart.
+# The first byte of a command is its kind in the library.
 _CALL = 0  # a pickled call of a replicated method
-_NO_OPERATION = b"\x01"
+_NO_OPERATION = b"\x01"  # a complete command, of this byte alone
 
 _FIELDS: Mapping[str, dict[str, type]] = {
     "request_vote": {"term": int, "last_log_index": int, "last_log_term": int},
@@ -50,9 +50,9 @@
     """The first frame on a stream.
 
     Attributes:
-        sender: The id of the voter that has opened the stream.
-        recipient: The id of the voter that it is for.
-        log_is_empty: Whether the sender's log holds no entries.
+        sender: The id of the voter that opened the stream.
+        recipient: The id of the voter that the stream is meant for.
+        log_is_empty: Whether the sender's log is empty.
     """
 
     sender: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class TermMessage:
-    """A message of the library, and the term in which its sender sent it."""
+    """A message of the library, and the term of its sender when it was sent."""
 
     term: int
     message: Message
@@ -75,10 +75,10 @@
 
 
 def decode_hello(fields: dict[str, Any]) -> Hello:
-    """Return the hello in a frame's map.
+    """Decode the map of a frame as a hello.
 
     Raises:
-        DatagramError: It is not well-formed.
+        DatagramError: The hello is not well-formed.
     """
     codec.require_fields(fields, _HELLO_FIELDS)
     return Hello(fields["from"], fields["to"], fields["empty"])
@@ -90,27 +90,27 @@
 
 
 def decode_message(fields: dict[str, Any]) -> TermMessage:
-    """Return the message in a frame's map, in the shape that the library takes.
+    """Decode the map of a frame as a message, in the form that the library expects.
 
     Raises:
-        DatagramError: It is not well-formed, or holds a command that could call something.
+        DatagramError: The message is not well-formed, or holds a command that could call something.
     """
     codec.require_fields(fields, _BODY_FIELDS)
     return TermMessage(fields["term"], check_message(fields["message"]))
 
 
 def check_message(message: Message) -> Message:
-    """Return a message in the shape that the library takes.
+    """Check a message, and return it in the form that the library expects.
 
     Raises:
-        DatagramError: It is not well-formed, or holds a command that could call something.
+        DatagramError: The message is not well-formed, or holds a command that could call something.
     """
     kind = message.get("type")
     if not isinstance(kind, str) or kind not in _FIELDS:
-        raise DatagramError(f"message {str(kind)[:_MAX_SHOWN_CHARS]!r}")
+        raise DatagramError(f"unknown message type {str(kind)[:_MAX_SHOWN_CHARS]!r}")
     for name, type_ in _FIELDS[kind].items():
         if not is_of_type(message.get(name), type_):
-            raise DatagramError(f"{kind}: field {name!r}")
+            raise DatagramError(f"{kind}: field {name!r}: expected {type_.__name__}")
     commands = [message["command"]] if kind == "apply_command" else []
     if kind == "append_entries":
         _check_position(message)
@@ -118,29 +118,35 @@
         message = message | {"entries": entries}
         commands = [command for command, _, _ in entries]
     if not all(is_plain_command(command) for command in commands):
-        raise DatagramError(f"{kind}: a command that is not plain")
+        raise DatagramError(f"{kind}: a command is not a pickle of plain values")
     return message
 
 
 def _check_position(message: Message) -> None:
-    """Check what `append_entries` says of the log before its entries."""
+    """Check the start of an `append_entries` message: the entry before its entries, or a part of a dump.
+
+    Raises:
+        DatagramError: Neither is well-formed, or an entry is split over several messages.
+    """
     if "prevLogIdx" in message or "prevLogTerm" in message:
         if not all(is_of_type(message.get(name), int) for name in ("prevLogIdx", "prevLogTerm")):
-            raise DatagramError("append_entries: what goes before")
+            raise DatagramError("append_entries: prevLogIdx and prevLogTerm must both be integers")
     elif not _is_serialized_part(message.get("serialized")):
-        raise DatagramError("append_entries: neither entries nor a dump")
+        raise DatagramError(
+            "append_entries: neither prevLogIdx and prevLogTerm nor a well-formed part of a dump"
+        )
     if "transmission" in message:
-        raise DatagramError("append_entries: an entry in parts")
+        raise DatagramError("append_entries: an entry split over several messages is not supported")
 
 
 def _checked_entries(entries: object) -> list[tuple[bytes, int, int]]:
     if not isinstance(entries, list) or not all(_is_entry(entry) for entry in entries):
-        raise DatagramError("append_entries: an entry is not well-formed")
+        raise DatagramError("append_entries: an entry is not well-formed: expected [command, index, term]")
     return [tuple(entry) for entry in entries]
 
 
 def _is_entry(entry: object) -> bool:
-    """Whether it is a command with its index and its term."""
+    """Return whether a value is a list of a command, its index and its term."""
     return (
         isinstance(entry, list)
         and len(entry) == 3
@@ -151,7 +157,7 @@
 
 
 def _is_serialized_part(part: object) -> bool:
-    """Whether it is a part of a dump, or nothing."""
+    """Return whether a value is a part of a dump, or None."""
     return part is None or (
         isinstance(part, list)
         and len(part) == 3
@@ -161,30 +167,30 @@
 
 
 def is_plain_command(command: bytes) -> bool:
-    """Return whether a command is a pickle of plain values, or the library's entry without a command."""
+    """Return whether a command is a pickle of plain values, or the library's no-operation."""
     if not command:
         return False
     if command[0] != _CALL:
         return command == _NO_OPERATION
     try:
         return all(opcode.name in _PLAIN_OPCODES for opcode, _, _ in pickletools.genops(command[1:]))
-    except Exception:  # noqa: BLE001  of bytes that are no pickle
+    except Exception:  # noqa: BLE001  pickletools raises several kinds for bytes that are not a pickle
         return False
 
 
 def skip_applied_entries(message: Message, applied_index: int) -> Message | None:
-    """Return an `append_entries` message without the entries that are applied here already.
+    """Return an `append_entries` message without the entries that this voter has already applied.
 
-    The library cuts its log behind the place that a message begins at, though a message that is sent again
-    may begin before what this voter has reported that it holds. What is applied is committed, and so it is in
-    the leader's log too.
+    The library removes all entries of its log that come after the start of a message. A message that is sent
+    again may start before entries that this voter has reported to hold, which would then be lost. Entries
+    that were applied are committed, so the leader's log holds them too, and they can be skipped.
 
     Args:
-        message: Any checked message; all but `append_entries` are returned as they are.
+        message: Any checked message; all kinds but `append_entries` are returned unchanged.
         applied_index: The index of the last entry that this voter has applied.
 
     Returns:
-        The message, or None if nothing is left of it.
+        The message, or None if all its entries, and more, have been applied.
     """
     if message["type"] != "append_entries" or message.get("prevLogIdx", applied_index) >= applied_index:
         return message
--- a/pinspread/leases/raft_transport.py
+++ b/pinspread/leases/raft_transport.py
@@ -1,10 +1,11 @@
 """The streams between voters, as the transport of the Raft library.
 
-There is one simplex TCP stream for each directed pair of voters, opened by the sender from its own address: a
-hello, then frames as `membership.framing` has them. The library relies on the order within a stream, since it
-cuts a follower's log at what a message says; so a stream that is opened again ends the one before it. A
-message that is not well-formed, not from a voter, or holds a command that could call something is logged and
-refused, and ends its stream. A voter that may not vote yet (`learner`) only follows a leader.
+There is one simplex TCP stream for each directed pair of voters, which the sender opens from its own address.
+It carries a hello, then messages, as frames of `membership.framing`. The library relies on the order of
+messages, since each may truncate a follower's log; so when a voter opens a new stream, its older one is
+ended. A message that is not well-formed, not from a voter, or holds a command that could call something is
+logged and refused, and its stream is ended. A voter that may not vote yet (see `learner`) only follows a
+leader.
 """
 
 import random
@@ -27,18 +28,18 @@
 from pinspread.membership.framing import FrameStream
 
 _CONNECT_TIMEOUT_S = 1.0
-_RECONNECT_DELAY_S = (0.1, 0.3)  # between connections to one voter, drawn at random
+_RECONNECT_DELAY_S = (0.1, 0.3)  # range of the random delay between connections to one voter
 _HELLO_TIMEOUT_S = 2.0
-_MAX_BACKLOG_BYTES = 1 << 22  # that wait for one stream before it is ended
-_MAX_INCOMING = 64  # streams
+_MAX_BACKLOG_BYTES = 1 << 22  # queued for one stream; above this the stream is ended
+_MAX_INCOMING = 64  # incoming streams at a time
 _MAX_ERROR_CHARS = 200  # in the log
-_MAX_ID_CHARS = 64  # of an id that was received, in the log
+_MAX_ID_CHARS = 64  # of a received id, in the log
 
 _STREAM_ERRORS = (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 class RaftState(Protocol):
-    """What the transport uses of the Raft node."""
+    """The part of the Raft node that the transport uses: see `raft.RaftNode`."""
 
     @property
     def term(self) -> int:
@@ -50,14 +51,14 @@
 
     @property
     def log_is_empty(self) -> bool:
-        """Whether this voter's log holds no entries."""
+        """Whether this voter's log is empty."""
 
     @property
     def write_failed(self) -> bool:
-        """Whether this voter's log cannot be written."""
+        """Whether a write to this voter's log failed."""
 
     def wake(self) -> None:
-        """Run the library now."""
+        """Run the library now instead of at its next tick."""
 
 
 @dataclass(frozen=True)
@@ -65,7 +66,7 @@
     """The settings of the transport.
 
     Attributes:
-        member_id: This voter.
+        member_id: The id of this voter.
         local_host: The address to connect from.
         others: The host and port of each other voter, by its id.
         key: The fleet's key.
@@ -78,7 +79,7 @@
 
 
 class OutgoingStream:
-    """What waits for the stream to one voter.
+    """The queue of frames for the stream to one voter.
 
     Attributes:
         connected: Whether the stream is open.
@@ -86,39 +87,40 @@
 
     def __init__(self) -> None:
         self.connected = False
-        self._waiting: list[bytes] = []
-        self._waiting_bytes = 0
+        self._queued: list[bytes] = []
+        self._queued_bytes = 0
         self._data_available = anyio.Event()
 
     def put(self, data: bytes) -> None:
-        """Queue data."""
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
+        """Add data to the queue."""
+        self._queued.append(data)
+        self._queued_bytes += len(data)
         self._data_available.set()
 
     async def drain(self, stream: anyio.abc.ByteSendStream, scope: anyio.CancelScope) -> None:
-        """Send what is queued until the stream fails or too much waits; then end the scope."""
+        """Send queued data until the stream fails or the queue is over its limit; then cancel the scope."""
         with suppress(*_STREAM_ERRORS):
-            while self._waiting_bytes <= _MAX_BACKLOG_BYTES:
+            while self._queued_bytes <= _MAX_BACKLOG_BYTES:
                 await self._data_available.wait()
                 self._data_available = anyio.Event()
-                data = b"".join(self._waiting)
-                self._waiting = []
-                self._waiting_bytes = 0
+                data = b"".join(self._queued)
+                self._queued = []
+                self._queued_bytes = 0
                 await stream.send(data)
         scope.cancel()
 
 
 class VoterTransport(Transport):  # type: ignore[misc]  # the library comes without types
-    """Sends the library's messages into the stream to each voter, and hands it those that are received.
+    """Sends the library's messages on the stream to each voter, and passes received messages to the library.
 
     Args:
         node: The Raft node.
         config: The settings.
-        learner: Whether this voter may vote.
+        learner: Tracks whether this voter may vote.
 
     Attributes:
-        sent_counts: How many messages were sent, by kind; `entries` are `append_entries` that hold some.
+        sent_counts: The number of sent messages by kind. `append_entries` messages with entries count as
+            `entries`.
     """
 
     def __init__(self, node: RaftState, config: TransportConfig, learner: LearnerStatus):
@@ -131,11 +133,11 @@
         self._others = config.others
         self._key = config.key
         self._outgoing: dict[str, OutgoingStream] = {}
-        self._incoming: dict[str, anyio.CancelScope] = {}  # the stream from each voter
+        self._incoming: dict[str, anyio.CancelScope] = {}  # by voter: the scope of its stream
         self._incoming_count = 0
 
     def promote_if_safe(self) -> None:
-        """Vote and stand for election from now on, if it is safe."""
+        """Let this voter vote and stand for election from now on, if that is safe."""
         if not self._learner.promote_if_safe(self._node.last_applied):
             return
         for voter, outgoing in self._outgoing.items():
@@ -145,11 +147,11 @@
     # --- sending --------------------------------------------------------------------------------------
 
     def send(self, node: Node, message: Message) -> bool:
-        """Queue a message for a voter; return whether a stream to it is open."""
+        """Queue a message for a voter; return whether it was queued, which needs an open stream."""
         outgoing = self._outgoing.get(node.id)
         if outgoing is None or not outgoing.connected:
             return False
-        # A voter must not send what it could not write to its log.
+        # After a failed write, a message could report a vote or an entry that is not in the log.
         if self._node.write_failed or (self._learner.is_learner and message["type"] == "request_vote"):
             return False
         outgoing.put(raft_messages.encode_message(TermMessage(self._node.term, message), self._key))
@@ -157,7 +159,7 @@
         return True
 
     async def stay_connected(self, voter: str) -> None:
-        """Connect to a voter, again whenever the stream ends, until cancelled."""
+        """Connect to a voter, and reconnect whenever the stream ends, until cancelled."""
         while True:
             outgoing = self._outgoing[voter] = OutgoingStream()
             with suppress(*_STREAM_ERRORS):
@@ -167,7 +169,7 @@
             await anyio.sleep(random.uniform(*_RECONNECT_DELAY_S))
 
     async def _send_to(self, voter: str, outgoing: OutgoingStream) -> None:
-        """Connect to a voter, and send until the stream ends."""
+        """Connect to a voter, and send queued messages until the stream ends."""
         host, port = self._others[voter]
         with anyio.fail_after(_CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(host, port, local_host=self._local_host)
@@ -178,13 +180,13 @@
             if not self._learner.is_learner:
                 self._onNodeConnected(Node(voter))
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_wait_closed, stream, tasks.cancel_scope)
+                tasks.start_soon(_wait_until_closed, stream, tasks.cancel_scope)
                 tasks.start_soon(outgoing.drain, stream, tasks.cancel_scope)
 
     # --- receiving ------------------------------------------------------------------------------------
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        """Receive on a stream that was accepted, until it ends or is refused."""
+        """Handle an accepted stream until it ends or is refused."""
         self._incoming_count += 1
         source = ""
         try:
@@ -200,30 +202,36 @@
             self._incoming_count -= 1
 
     async def _receive_hello(self, frames: FrameStream) -> str:
-        """Return the voter that a stream is from."""
+        """Receive the hello of a stream, and return the id of the voter that sent it.
+
+        Raises:
+            DatagramError: The hello is not well-formed, not from another voter or not meant for this one, or
+                too many streams are open.
+            TimeoutError: No hello came in time.
+        """
         if self._incoming_count > _MAX_INCOMING:
-            raise DatagramError("too many streams")
+            raise DatagramError(f"more than {_MAX_INCOMING} incoming streams")
         with anyio.fail_after(_HELLO_TIMEOUT_S):
             hello = raft_messages.decode_hello(await frames.receive())
         sender, recipient = hello.sender, hello.recipient
         if sender not in self._others or recipient != self._id:
             shown = f"{sender[:_MAX_ID_CHARS]!r} to {recipient[:_MAX_ID_CHARS]!r}"
-            raise DatagramError(f"{shown} is no stream of voters")
+            raise DatagramError(f"stream from {shown}: expected one from another voter to {self._id!r}")
         self._learner.note_hello(sender, hello.log_is_empty)
         return sender
 
     async def _receive_messages(self, voter: str, frames: FrameStream) -> None:
-        """Handle what a voter sends until the stream ends or the voter opens another."""
+        """Handle the messages of a voter until its stream ends or it opens another one."""
         if voter in self._incoming:
-            self._incoming[voter].cancel()  # what is still under way in the older stream is out of date
+            self._incoming[voter].cancel()  # messages still in transit on the older stream are outdated
         with anyio.CancelScope() as scope:
             self._incoming[voter] = scope
             while True:
                 received = raft_messages.decode_message(await frames.receive())
-                self._handle(Node(voter), received)
+                self._handle_message(Node(voter), received)
 
-    def _handle(self, sender: Node, received: TermMessage) -> None:
-        """Hand a message to the library, unless it is out of date."""
+    def _handle_message(self, sender: Node, received: TermMessage) -> None:
+        """Pass a message to the library, unless it is outdated or this voter must ignore it as a learner."""
         message = raft_messages.skip_applied_entries(received.message, self._node.last_applied)
         if message is None:
             return
@@ -232,16 +240,16 @@
         if self._learner.forbids(message):
             return
         if kind == "next_node_idx" and received.term != self._node.term:
-            return  # it says what a log held in another term, which no longer counts
+            return  # it reports the state of a log in another term, which may have changed since
         try:
             self._onMessageReceived(sender, message)
-        except Exception as error:  # noqa: BLE001  whatever the library raises must not end the instance
+        except Exception as error:  # noqa: BLE001  no error of the library may end the instance
             raise DatagramError(f"{kind}: {error!r}"[:_MAX_ERROR_CHARS]) from None
         self._node.wake()
 
 
-async def _wait_closed(stream: anyio.abc.ByteReceiveStream, scope: anyio.CancelScope) -> None:
-    """End the scope once the other side, which never sends anything, closes the stream."""
+async def _wait_until_closed(stream: anyio.abc.ByteReceiveStream, scope: anyio.CancelScope) -> None:
+    """Cancel the scope once the other side, which never sends anything, closes the stream."""
     with suppress(anyio.EndOfStream, *_STREAM_ERRORS):
         await stream.receive(1)
     scope.cancel()
--- a/tests/test_leases_stage.py
+++ b/tests/test_leases_stage.py
@@ -148,8 +148,8 @@
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        ({"t": "ping"}, "kind"),
-        ({"kind": "steal"}, "a request to"),
+        ({"t": "ping"}, "unknown message kind"),
+        ({"kind": "steal"}, "unknown request kind"),
         ({"token": "1"}, "'token'"),
         ({"token": -1}, "out of range"),
         ({"number": 1 << 63}, "out of range"),
@@ -181,16 +181,16 @@
     ]
     evil = b"\0" + pickle.dumps((0, (Evil(),)))
     for bad, why in (
-        ({"type": "status"}, "message"),
+        ({"type": "status"}, "unknown message type"),
         (good | {"term": True}, "'term'"),
-        (good | {"prevLogTerm": None}, "goes before"),
+        (good | {"prevLogTerm": None}, "must both be integers"),
         ({"type": "append_entries", "term": 1, "commit_index": 1, "serialized": [1]}, "neither"),
-        (good | {"transmission": "start"}, "in parts"),
+        (good | {"transmission": "start"}, "split over several messages"),
         (good | {"entries": [[call, 2]]}, "not well-formed"),
-        (good | {"entries": [[evil, 2, 1]]}, "not plain"),
-        (good | {"entries": [[b"\2" + call, 2, 1]]}, "not plain"),
-        ({"type": "apply_command", "command": evil}, "not plain"),
-        ({"type": "apply_command", "command": b"\0garbage"}, "not plain"),
+        (good | {"entries": [[evil, 2, 1]]}, "not a pickle of plain values"),
+        (good | {"entries": [[b"\2" + call, 2, 1]]}, "not a pickle of plain values"),
+        ({"type": "apply_command", "command": evil}, "not a pickle of plain values"),
+        ({"type": "apply_command", "command": b"\0garbage"}, "not a pickle of plain values"),
     ):
         with pytest.raises(wire.DatagramError, match=why):
             raft_messages.check_message(bad)
--- a/tests/test_raft_voters.py
+++ b/tests/test_raft_voters.py
@@ -84,10 +84,10 @@
     ("frames", "why"),
     [
         ([raft_messages.encode_hello(Hello("b", "a", True), b"other")], "checksum"),
-        ([raft_messages.encode_hello(Hello("x", "a", True), KEY)], "no stream of voters"),
-        ([raft_messages.encode_hello(Hello("b", "c", True), KEY)], "no stream of voters"),
+        ([raft_messages.encode_hello(Hello("x", "a", True), KEY)], "expected one from another voter to"),
+        ([raft_messages.encode_hello(Hello("b", "c", True), KEY)], "expected one from another voter to"),
         ([raft_messages.encode_hello(Hello("b", 7, True), KEY)], "'to'"),
-        ([HELLO, frame({"type": ["append_entries"]})], "message"),
+        ([HELLO, frame({"type": ["append_entries"]})], "unknown message type"),
     ],
     ids=["fleet", "sender", "recipient", "hello", "kind"],
 )
@@ -115,4 +115,4 @@
                 await stream.receive()
         assert voters["a"].learner.is_learner
     refused = [line for line in capfd.readouterr().out.splitlines() if "quorum_refused" in line]
-    assert len(refused) == 1 and "what goes before" in refused[0]
+    assert len(refused) == 1 and "prevLogIdx and prevLogTerm must both be integers" in refused[0]
