--- a/pinspread/leases/__init__.py
+++ b/pinspread/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for cluster-wide tasks, agreed on by voters; loaded only where a file turns them on."""
+"""Leases for cluster-wide tasks, agreed on by voters; loaded only if the deploy file has a table for them."""
--- a/pinspread/leases/request_handler.py
+++ b/pinspread/leases/request_handler.py
@@ -1,4 +1,4 @@
-"""A voter's side of leases: decides on the requests of members, and proposes what it grants."""
+"""The voter's side of leases: decides on the requests of members, and proposes the commands they lead to."""
 
 from collections.abc import Callable, Coroutine, Mapping
 from functools import partial
@@ -34,7 +34,7 @@
 
 
 class ReplicatedRecords(Protocol):
-    """What a request handler uses of the voters' agreement: see `raft.RaftNode`."""
+    """The part of the Raft node that a request handler uses: see `raft.RaftNode`."""
 
     @property
     def records(self) -> Mapping[str, LeaseRecord]:
@@ -49,17 +49,17 @@
         """How many messages of each kind were sent to other voters."""
 
     def is_leader(self) -> bool:
-        """Return whether this voter takes itself for the leader."""
+        """Return whether this voter believes that it is the leader."""
 
     def leader_id(self) -> str:
-        """Return the leader as far as this voter knows, or empty."""
+        """Return the id of the leader as far as this voter knows, or an empty string."""
 
     def propose(self, task: str, command: Command, on_applied: OnApplied) -> None:
-        """Append a command to the log, and call back once it is applied here."""
+        """Append a command to the log; `on_applied` is called once this voter has applied it."""
 
 
 class Fleet(Protocol):
-    """What a request handler uses of the fleet: see `service.LeaseService`."""
+    """What a request handler needs to know of the fleet: see `service.LeaseService`."""
 
     def is_member(self, member_id: str) -> bool:
         """Return whether the fleet has a member of this id."""
@@ -69,13 +69,13 @@
 
 
 class RequestHandler:
-    """Answers the requests of members; a member without a vote refuses them all.
+    """Answers the requests of members. A member that is not a voter refuses all of them.
 
     Args:
-        member_id: This member.
+        member_id: The id of this member.
         terms: The times that all parties share.
-        now: Reads this member's clock, in microseconds.
-        fleet: Who is a member, and which tasks there are.
+        now: Returns the time of this member's clock, in microseconds.
+        fleet: Tells which members and tasks exist.
         send_answer: Sends an answer to an address.
     """
 
@@ -90,19 +90,19 @@
     ):
         self.member_id = member_id
         self.terms = terms
-        self.raft: ReplicatedRecords | None = None  # where this member has a vote
-        self.applied_us: dict[str, int] = {}  # when each task's record was applied, by this member's clock
-        self.answer_tasks: TaskGroup | None = None  # sends the answers to what has been committed
+        self.raft: ReplicatedRecords | None = None  # set if this member is a voter
+        self.applied_us: dict[str, int] = {}  # by task: when its record was applied, by this member's clock
+        self.answer_tasks: TaskGroup | None = None  # sends the answers once commands are applied
         self._now = now
         self._fleet = fleet
         self._send_answer = send_answer
 
     def record_applied(self, task: str, record: LeaseRecord) -> None:
-        """Note that this voter has applied a task's record now."""
+        """Record that this voter has applied a task's record just now."""
         self.applied_us[task] = self._now()
 
     def view(self) -> dict[str, dict[str, Any]]:
-        """Return each task's record, as operators see it; it is empty where nothing was ever granted."""
+        """Return the operators' view of each task's record, which is empty if no lease was ever granted."""
         records = self.raft.records if self.raft else {}
         now_us = self._now()
         return {task: self._record_view(task, record, now_us) for task, record in records.items()}
@@ -115,11 +115,12 @@
         return {**codec.record_to_json(record), "binds_for_ms": binding_ms}
 
     async def handle(self, request: Request, reply_address: str) -> None:
-        """Answer a request, at once or when the command that it leads to has been applied.
+        """Answer a request, either at once or when the command that it leads to has been applied.
 
-        No answer is sent where this voter is not the leader and knows of none: the member asks another.
+        If this voter is not the leader and knows of none, no answer is sent; the member then tries the next
+        voter.
         """
-        reason = self._refusal(request)
+        reason = self._refusal_reason(request)
         if reason or self.raft is None:
             await self._refuse(request, reply_address, reason)
             return
@@ -138,16 +139,16 @@
                 self._log_refusal(request, decision.reason)
             await self._send_answer(reply_address, decision)
             return
-        on_applied = partial(self._command_applied, request, decision.kind, reply_address)
+        on_applied = partial(self._on_command_applied, request, decision.kind, reply_address)
         self.raft.propose(request.task, decision, on_applied)
 
-    def _refusal(self, request: Request) -> str:
-        """Return why a request is not for this member to decide on, or empty."""
+    def _refusal_reason(self, request: Request) -> str:
+        """Return why this member refuses a request without a decision, or an empty string."""
         if self.raft is None:
             return "not a voter"
         if request.kind == RequestKind.ACQUIRE and not self._fleet.is_member(request.member):
-            # A renewal is not refused for this: a voter that was just started knows of no member yet, and a
-            # refusal would end the claim of a lease holder that the record knows.
+            # Renewals and releases are exempt: a voter that has just started knows no members yet, and a
+            # refused renewal would end the claim of a lease holder that is in the record.
             return "not a member of the fleet"
         if not self._fleet.is_known_task(request.task):
             return "no such task"
@@ -157,7 +158,7 @@
         self._log_refusal(request, reason)
         await self._send_answer(reply_address, Answer(request.task, request.request_id, reason))
 
-    def _command_applied(
+    def _on_command_applied(
         self, request: Request, kind: CommandKind, reply_address: str, record: LeaseRecord, outcome: str
     ) -> None:
         if outcome == OK:
@@ -169,7 +170,7 @@
             self._log_refusal(request, outcome)
         answer = Answer(request.task, request.request_id, outcome, token)
         if self.answer_tasks is None:
-            raise RuntimeError("a request was handled before the service runs")
+            raise RuntimeError("cannot send an answer: LeaseService.run has not started")
         self.answer_tasks.start_soon(self._send_answer, reply_address, answer)
 
     def _log_refusal(self, request: Request, reason: str) -> None:
--- a/pinspread/leases/service.py
+++ b/pinspread/leases/service.py
@@ -1,8 +1,8 @@
-"""Leases in a running instance: this member's claims on tasks, its calls of them, and its vote if it has one.
+"""The lease service of an instance: claims tasks, calls their addresses, and runs the voter if this is one.
 
-Requests and answers are datagrams (`codec`). Every member keeps its claims (`claims`). A voter that leads
-decides on requests (`request_handler`) and has the voters agree (`raft`). A task with an address is called
-while its lease is held (`task_calls`).
+Requests and answers are datagrams (`codec`). Every member keeps its claims (`claims`). The voter that leads
+decides on requests (`request_handler`), and its decisions are replicated among the voters (`raft`). The
+address of a task is called while the task's lease is held (`task_calls`).
 """
 
 import random
@@ -29,25 +29,27 @@
 
 __all__ = ["WORK_TASK_PREFIX", "LeaseConfig", "LeaseService", "LeaseTask"]
 
-# Before a member's id: the task of acting for what that member has accepted (see `replication`).
+# The task named by this prefix and a member's id is to handle the messages that the member has accepted (see
+# `replication`).
 WORK_TASK_PREFIX = "work."
 _TICK_S = 0.05  # claims are checked at least this often
-_RELEASE_TIMEOUT_S = 0.2  # for giving leases back, of the 3.7 s that SIGTERM leaves
+_RELEASE_TIMEOUT_S = 0.2  # to give leases back, within the 3.7 s that a stop by SIGTERM may take
 
 
 @dataclass(frozen=True)
 class LeaseConfig:
-    """What the deploy file's `[leases]` table says.
+    """The settings of the deploy file's `[leases]` table.
 
     Attributes:
-        listen: `host:port` that is bound, by UDP and, on a voter, by TCP.
+        listen: `host:port` to bind, for UDP and, on a voter, also for TCP.
         advertise: `host:port` at which other members reach this one.
         voters: The address of each voter by its id.
         tasks: The tasks of the fleet that this member contends for.
         terms: The times that all parties share.
-        election_s: The shortest election time-out of the voters, in seconds.
-        folder: Where a voter's log is kept over restarts.
-        sync: Whether a voter's log is on the disk before a message speaks of it.
+        election_s: The minimum election time-out of the voters, in seconds.
+        folder: The folder that holds a voter's log over restarts.
+        sync: Whether each change of a voter's log is flushed to the disk before any message that depends on
+            it is sent.
     """
 
     listen: str
@@ -61,17 +63,17 @@
 
 
 class LeaseService(IndependentService):
-    """A background service of the instance.
+    """The background service that runs the leases of an instance.
 
     Args:
-        config: What the deploy file says.
-        membership: Gives this member's id, the fleet's key, the clock and the known members.
-        seed: Of the random draws, for tests.
+        config: The settings from the deploy file.
+        membership: Provides this member's id, the fleet's key, the clock and the known members.
+        seed: The seed of the random numbers, for tests.
 
     Attributes:
-        claims: What this member holds and requests.
+        claims: This member's claims on tasks.
         handler: Decides on the requests of members.
-        counts: How many datagrams of each kind were received.
+        counts: The number of received datagrams, by kind.
     """
 
     name = "leases"
@@ -96,24 +98,24 @@
         self._socket = DatagramSocket(
             config.listen, send_failed="lease_send_failed", receive_failed="lease_receive_failed"
         )
-        self._run_vote: Callable[[], Coroutine[Any, Any, None]] | None = None  # where this member has a vote
+        self._run_raft_node: Callable[[], Coroutine[Any, Any, None]] | None = None  # on voters
 
     def now(self) -> int:
-        """Return this member's time, in microseconds."""
+        """Return the time of this member's clock, in microseconds."""
         return self.membership.now()
 
     # --- for other parts of the instance --------------------------------------------------------------
 
     def fencing_token(self, task: str) -> int:
-        """Return the fencing token of a task that this member may act on now, else 0."""
+        """Return the fencing token of a task if this member may act on it now, else 0."""
         return self.claims.fencing_token(task)
 
     def contend(self, task: str) -> None:
-        """Contend for a task beside those of the deploy file, from now on."""
+        """Start to contend for a task in addition to those of the deploy file."""
         self.claims.contend(task)
 
     async def withdraw(self, task: str) -> None:
-        """Contend for a task no longer, and give its lease back if it is held."""
+        """Stop contending for a task, and give its lease back if it is held."""
         request = self.claims.withdraw(task)
         if request:
             with anyio.move_on_after(_RELEASE_TIMEOUT_S):
@@ -121,12 +123,12 @@
                     await self._send_request(voter, request)
 
     async def flush_proposals(self) -> None:
-        """Let commands that this voter has proposed as the leader be committed before it ends."""
+        """If this voter leads, wait so that the commands it has proposed can be committed before it ends."""
         raft = self.handler.raft
         await anyio.sleep(_RELEASE_TIMEOUT_S if raft and raft.is_leader() else 0)
 
     def view(self) -> dict[str, Any]:
-        """Return what this member holds and, on a voter, the records as it has applied them."""
+        """Return the operators' view: this member's claims and, on a voter, the records it has applied."""
         raft = self.handler.raft
         view: dict[str, Any] = {"id": self.id, "voter": raft is not None, "counts": self.counts}
         rows = self.claims.view()
@@ -146,11 +148,11 @@
         """
         await self._socket.open()
         if self.id in self.config.voters:
-            await self._open_vote()
+            await self._open_raft_node()
         log("leases_up", id=self.id, listen=self.config.listen, voter=self.handler.raft is not None)
 
-    async def _open_vote(self) -> None:
-        # Imported here so that a member without a vote does not load the library of the agreement.
+    async def _open_raft_node(self) -> None:
+        # Imported here so that a member that is not a voter does not load the Raft library.
         from pinspread.leases.raft import RaftConfig, RaftNode
 
         host, port = split_address(self.config.listen)
@@ -166,24 +168,24 @@
         )
         node = RaftNode(raft_config, self.handler.record_applied)
         self.handler.raft = node
-        self._run_vote = partial(node.run, listener)
+        self._run_raft_node = partial(node.run, listener)
 
     async def run(self) -> None:
-        """Claim and act until cancelled; `open` comes first."""
+        """Renew the claims and call the tasks until cancelled; `open` must have been called."""
         async with self._socket, anyio.create_task_group() as tasks:
-            if self._run_vote:
-                tasks.start_soon(self._run_vote)
+            if self._run_raft_node:
+                tasks.start_soon(self._run_raft_node)
             tasks.start_soon(self._receive)
             for task in self.config.tasks:
                 if task.address:
-                    tasks.start_soon(self._caller(task).run)
+                    tasks.start_soon(self._task_caller(task).run)
             while True:
                 for name in self.claims.tasks():
                     await self._update_claim(name)
                 await anyio.sleep(_TICK_S)
 
     async def announce_departure(self) -> None:
-        """Give back what is held, as SIGTERM asks; replication gives back the member's own work."""
+        """Give back the held leases on SIGTERM; replication gives back that of this member's own work."""
         if not self._socket.is_open:
             return
         for name in self.claims.tasks():
@@ -194,23 +196,23 @@
     # --- claims ---------------------------------------------------------------------------------------
 
     async def _update_claim(self, task: str) -> None:
-        due = self.claims.tick(task)
-        if due:
-            await self._send_request(due.voter, due.request)
+        addressed = self.claims.tick(task)
+        if addressed:
+            await self._send_request(addressed.voter, addressed.request)
 
-    def _caller(self, task: LeaseTask) -> TaskCaller:
+    def _task_caller(self, task: LeaseTask) -> TaskCaller:
         return TaskCaller(
             task,
             self.id,
             fencing_token=self.fencing_token,
-            on_newer_token=self.claims.newer_token_seen,
+            on_newer_token=self.claims.handle_newer_token,
             log_event=self.claims.log_event,
         )
 
     # --- the voter's view of the fleet ----------------------------------------------------------------
 
     @property
-    def _records(self) -> Mapping[str, object]:
+    def _replicated_records(self) -> Mapping[str, object]:
         return self.handler.raft.records if self.handler.raft else {}
 
     def is_member(self, member_id: str) -> bool:
@@ -223,8 +225,8 @@
             return True
         if not task.startswith(WORK_TASK_PREFIX):
             return False
-        # A voter that was restarted does not know members lost before, whose work goes on all the same.
-        return task in self._records or self.is_member(task.removeprefix(WORK_TASK_PREFIX))
+        # A restarted voter does not know members that were lost earlier, but their work still needs a lease.
+        return task in self._replicated_records or self.is_member(task.removeprefix(WORK_TASK_PREFIX))
 
     # --- datagrams ------------------------------------------------------------------------------------
 
--- a/pinspread/leases/task_calls.py
+++ b/pinspread/leases/task_calls.py
@@ -1,4 +1,4 @@
-"""Calls of fleet-wide tasks: an HTTP POST with the fencing token while this member holds the lease."""
+"""Calls the addresses of fleet-wide tasks whose leases are held, by HTTP POST with the fencing token."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,8 +8,8 @@
 
 from pinspread.sockets import split_address
 
-CALL_TIMEOUT_S = 1.0  # the connection, the request and its answer
-_MAX_ANSWER_BYTES = 256  # of which the status line is read
+CALL_TIMEOUT_S = 1.0  # for connecting, sending the request and receiving the response
+_MAX_RESPONSE_BYTES = 256  # only the status line is read
 _MAX_ERROR_CHARS = 200  # in the log
 _STATUS_OK = b"200"
 _STATUS_NEWER_TOKEN = b"409"
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True)
 class LeaseTask:
-    """A task that one member of the fleet does at a time.
+    """A task that only one member of the fleet performs at a time.
 
     Attributes:
         name: The task's name.
-        address: `host:port` that the lease holder calls; if empty, the lease is held and nothing is called.
-        every_us: The time between calls, in microseconds.
+        address: `host:port` that the lease holder calls; if empty, the lease is held but nothing is called.
+        every_us: The time between two calls, in microseconds.
     """
 
     name: str
@@ -34,11 +34,12 @@
     """Calls the address of one task while this member holds its lease.
 
     Args:
-        task: The task; it has an address.
-        member_id: This member.
-        fencing_token: Returns the token of a task that this member may act on now, else 0.
-        on_newer_token: Called with the task's name and our token when the resource has seen a newer one.
-        log_event: Logs an event with the task's name, the token and further fields.
+        task: The task, which must have an address.
+        member_id: The id of this member.
+        fencing_token: Returns the fencing token of a task if this member may act on it now, else 0.
+        on_newer_token: Called with the task's name and this member's token when the resource has refused it
+            because it has seen a newer one.
+        log_event: Logs an event, given the event, the task's name, the token and further fields.
     """
 
     def __init__(
@@ -74,10 +75,10 @@
         host, port = split_address(self.task.address)
         async with await anyio.connect_tcp(host, port) as stream:
             token = self._fencing_token(self.task.name)
-            if not token:  # the lease has ended while the connection was made
+            if not token:  # the lease ended while the connection was being made
                 return
             await stream.send(self._request(token))
-            status = (await stream.receive(_MAX_ANSWER_BYTES)).split(b" ")[1:2]
+            status = (await stream.receive(_MAX_RESPONSE_BYTES)).split(b" ")[1:2]
         if status == [_STATUS_OK]:
             return
         shown = status[0].decode("ascii", "replace") if status else ""
