--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""The lease decisions step by step, and the exhaustive check, which finds each rule that is taken out."""
+"""The lease decisions one by one, and the exhaustive check, which must notice each rule that is taken out."""
 
 import socket
 from unittest import mock
@@ -28,7 +28,7 @@
             Command("grant", "a", 0, 7),
             LeaseRecord("a", 1, 1, 7),
             "ok",
-        ),  # asked twice
+        ),  # a repeated request
         (LeaseRecord("a", 1, 3, 7), Command("grant", "b", 3, 8), LeaseRecord("b", 4, 4, 8), "ok"),
         (
             LeaseRecord("a", 1, 4, 7),
@@ -49,7 +49,7 @@
         (LeaseRecord("", 1, 3, 0), Command("grant", "b", 3, 9), LeaseRecord("b", 4, 4, 9), "ok"),
     ],
 )
-def test_a_row_after_each_command(row, command, after, why):
+def test_the_record_after_each_command(row, command, after, why):
     assert state_machine.apply_command(row, command) == (after, why)
 
 
@@ -57,10 +57,10 @@
     ("request_", "now_us", "said"),
     [
         (Request("ask", "t", "b", 0, 9), 1049, Answer("t", 9, "held by a", 0, 1)),
-        (Request("ask", "t", "b", 0, 9), 1050, Command("grant", "b", 2, 9)),  # lease and drift have passed
-        (Request("ask", "t", "a", 0, 7), 1, Command("grant", "a", 2, 7)),  # its answer was lost
-        (Request("ask", "t", "a", 0, 9), 1, Answer("t", 9, "held by a", 0, 1049)),  # started again: waits
-        (Request("keep", "t", "a", 1, 9), 5000, Command("renew", "a", 1)),  # late, but nobody else has it
+        (Request("ask", "t", "b", 0, 9), 1050, Command("grant", "b", 2, 9)),  # lease and drift bound are over
+        (Request("ask", "t", "a", 0, 7), 1, Command("grant", "a", 2, 7)),  # repeated: its answer was lost
+        (Request("ask", "t", "a", 0, 9), 1, Answer("t", 9, "held by a", 0, 1049)),  # restarted: must wait
+        (Request("keep", "t", "a", 1, 9), 5000, Command("renew", "a", 1)),  # late, but not granted to others
         (Request("keep", "t", "a", 3, 9), 1, Answer("t", 9, "stale token 3: it is 1")),
         (Request("give", "t", "b", 1, 9), 1, Answer("t", 9, "not the holder")),
         (Request("give", "t", "a", 1, 9), 1, Command("release", "a", 1)),
@@ -70,12 +70,12 @@
     assert state_machine.evaluate_request(LeaseRecord("a", 1, 2, 7), 0, request_, TERMS, now_us) == said
 
 
-def test_a_claim_counts_from_before_it_asked_and_ends_when_a_renewal_is_refused():
+def test_a_claim_counts_from_before_its_request_and_ends_when_a_renewal_is_refused():
     claim, request = state_machine.tick(Claim(), TERMS, A, 100, 7)
     assert request == Request("ask", "t", "a", 0, 7)
     assert state_machine.tick(claim, TERMS, A, 150, 8) == (claim, None)
-    claim, again = state_machine.tick(claim, TERMS, A, 200, 8)
-    assert again == request  # the same number, so that it is granted once
+    claim, repeated = state_machine.tick(claim, TERMS, A, 200, 8)
+    assert repeated == request  # the same request id, so that it is granted only once
     claim = state_machine.apply_answer(claim, Answer("t", 7, "ok", 5), TERMS, 600)
     assert claim.token == 5 and claim.expiry_us == 1100
     assert state_machine.may_act(claim, TERMS, 1029) and not state_machine.may_act(claim, TERMS, 1030)
@@ -83,86 +83,86 @@
     assert renewal == Request("keep", "t", "a", 5, 9)
     assert (
         state_machine.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
-    )  # of another request
-    kept = state_machine.apply_answer(claim, Answer("t", 9, "ok", 5), TERMS, 700)
-    assert kept.expiry_us == 1601
+    )  # the answer is to another request
+    renewed = state_machine.apply_answer(claim, Answer("t", 9, "ok", 5), TERMS, 700)
+    assert renewed.expiry_us == 1601
     lost = state_machine.apply_answer(claim, Answer("t", 9, "not the holder"), TERMS, 700)
     assert not state_machine.may_act(lost, TERMS, 700)
-    silent, _ = state_machine.tick(claim, TERMS, A, 1100, 10)
-    assert silent.token == 0
+    expired, _ = state_machine.tick(claim, TERMS, A, 1100, 10)
+    assert expired.token == 0
 
 
-def without_drift_of_the_holder(claim, terms, now_us):
+def without_drift_bound_of_the_holder(claim, terms, now_us):
     return state_machine.may_act(claim, terms._replace(drift_us=0), now_us)
 
 
-def without_drift_of_the_voter(row, applied_us, request, terms, now_us):
-    return state_machine.evaluate_request(row, applied_us, request, terms._replace(drift_us=0), now_us)
+def without_drift_bound_of_the_voter(record, applied_us, request, terms, now_us):
+    return state_machine.evaluate_request(record, applied_us, request, terms._replace(drift_us=0), now_us)
 
 
-def without_the_wait(row, applied_us, request, terms, now_us):
+def without_waiting_for_expiry(record, applied_us, request, terms, now_us):
     return state_machine.evaluate_request(
-        row, applied_us, request, terms._replace(lease_us=0, drift_us=0), now_us
+        record, applied_us, request, terms._replace(lease_us=0, drift_us=0), now_us
     )
 
 
-def without_the_version(row, command):
-    expected = row.version if command.kind == state_machine.CommandKind.GRANT else command.expected
-    return state_machine.apply_command(row, command._replace(expected=expected))
+def without_the_version_check(record, command):
+    expected = record.version if command.kind == state_machine.CommandKind.GRANT else command.expected
+    return state_machine.apply_command(record, command._replace(expected=expected))
 
 
 @pytest.mark.long
 def test_no_order_of_events_within_six_steps_gives_two_holders():
-    found = explore(Bounds(depth=6))
-    assert found.complete and not found.violation, found
-    assert found.states > 500_000
+    result = explore(Bounds(depth=6))
+    assert result.complete and not result.violation, result
+    assert result.states > 500_000
 
 
 @pytest.mark.long
 @pytest.mark.parametrize(
     "rules",
     [
-        Rules(may_act=without_drift_of_the_holder),
-        Rules(evaluate_request=without_drift_of_the_voter),
-        Rules(evaluate_request=without_the_wait),
-        Rules(apply_command=without_the_version),
+        Rules(may_act=without_drift_bound_of_the_holder),
+        Rules(evaluate_request=without_drift_bound_of_the_voter),
+        Rules(evaluate_request=without_waiting_for_expiry),
+        Rules(apply_command=without_the_version_check),
     ],
     ids=["holder's drift", "voter's drift", "the wait", "the version"],
 )
 def test_the_check_finds_two_holders_where_a_rule_is_taken_out(rules):
-    found = explore(Bounds(depth=6), rules)
-    assert "may act" in found.violation, found
-    assert 3 <= len(found.steps) <= 7
+    result = explore(Bounds(depth=6), rules)
+    assert "may act" in result.violation, result
+    assert 3 <= len(result.steps) <= 7
 
 
-def test_acts_of_a_holder_that_paused_are_refused_by_the_fence_alone():
+def test_acts_of_a_holder_that_paused_are_refused_by_their_fencing_tokens_alone():
     bounds = Bounds(depth=9, voters=1, drifting_clocks=0, drift=0, requests=2, log_entries=2, acts=True)
     terms = lease_model.TERMS._replace(lease_us=2, drift_us=0)
-    found = explore(bounds, terms=terms)
-    assert found.complete and not found.violation, found
-    unfenced = explore(bounds, Rules(fenced=False), terms)
-    assert unfenced.violation == "the resource accepted token 1 after token 2", unfenced
+    result = explore(bounds, terms=terms)
+    assert result.complete and not result.violation, result
+    unfenced_result = explore(bounds, Rules(fenced=False), terms)
+    assert unfenced_result.violation == "the resource accepted token 1 after token 2", unfenced_result
 
 
-def test_the_stand_in_resource_refuses_an_older_token_and_what_is_no_act():
+def test_the_stand_in_resource_refuses_an_older_token_and_a_malformed_request():
     import asyncio
 
     from pinspread.testbed.resource import Resource
 
-    said = []
+    recorded = []
 
     class History:
         def add(self, who, event, **fields):
-            said.append((fields["task"], fields["token"], fields["taken"]))
+            recorded.append((fields["task"], fields["token"], fields["taken"]))
 
-    async def call(port, head):
+    async def call(port, request_head):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(head.encode() + b"\r\n\r\n")
+        writer.write(request_head.encode() + b"\r\n\r\n")
         answer = await reader.read(100)
         writer.close()
         return answer.split(b" ")[1].decode()
 
-    async def play():
+    async def run_scenario():
         resource = Resource(History(), ("127.0.0.1", 0))
         await resource.open()
         port = resource.server.sockets[0].getsockname()[1]
@@ -173,16 +173,16 @@
         finally:
             resource.close()
 
-    answers = asyncio.run(play())
+    answers = asyncio.run(run_scenario())
     assert answers == ["200", "409", "200", "200", "200", "400", "400", "400"]
-    assert said == [("t", 5, True), ("t", 4, False), ("t", 5, True), ("t", 6, True), ("u", 1, True)]
+    assert recorded == [("t", 5, True), ("t", 4, False), ("t", 5, True), ("t", 6, True), ("u", 1, True)]
 
 
 @pytest.fixture
 def free_address():
-    with socket.socket() as found:
-        found.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{found.getsockname()[1]}"
+    with socket.socket() as probe_socket:
+        probe_socket.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{probe_socket.getsockname()[1]}"
 
 
 def test_the_only_voter_grants_itself_a_lease_over_its_sockets_and_takes_it_back(tmp_path, free_address):
@@ -198,7 +198,7 @@
         folder=str(tmp_path),
     )
 
-    async def play():
+    async def run_scenario():
         leases = LeaseService(config, membership, seed=1)
         await leases.open()
         with mock.patch.object(learner, "FIRST_VOTE_DELAY_S", 0), anyio.fail_after(10):
@@ -212,4 +212,4 @@
                 assert leases.fencing_token("nightly") == 0
                 tasks.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(run_scenario)
--- a/tests/test_leases_stage.py
+++ b/tests/test_leases_stage.py
@@ -1,4 +1,4 @@
-"""Leases with real couriers and faults between them: one holder at a time, growing tokens."""
+"""Leases in a fleet of real couriers under faults: one holder at a time, and tokens that never decrease."""
 
 import pytest
 
@@ -24,17 +24,17 @@
 
 
 def print_errors(folder):
-    """Print what members wrote that is no event, as a traceback is, for whoever reads of a failed test."""
+    """Print the members' output that is not an event, such as a traceback, to explain a failed test."""
     for line in history_checker.read(folder / "history.jsonl"):
         if "text" in line:
             print(line["mono_us"], line["who"], line["text"])
 
 
-def play(tmp_path, at, expect=(), seconds=12, **more):
-    scenario = {"members": 5, "seconds": seconds, "tuning": FAST, "leases": LEASES, "at": at} | more
-    found = cluster.play(scenario | {"expect": [*ALWAYS, *expect]}, tmp_path)
+def play(tmp_path, faults, expect=(), seconds=12, **overrides):
+    scenario = {"members": 5, "seconds": seconds, "tuning": FAST, "leases": LEASES, "at": faults} | overrides
+    verdicts = cluster.play(scenario | {"expect": [*ALWAYS, *expect]}, tmp_path)
     print_errors(tmp_path)
-    assert all(v["ok"] for v in found), found
+    assert all(verdict["ok"] for verdict in verdicts), verdicts
     return history_checker.read_scenario(tmp_path / "history.jsonl")
 
 
@@ -57,12 +57,12 @@
         ],
         seconds=15,
     )
-    assert sum(li.get("event") == "lease_dropped" for li in lines) >= 100
-    assert {li["task"] for li in lease_checker.actions(lines)} == set(LEASES["tasks"])
+    assert sum(entry.get("event") == "lease_dropped" for entry in lines) >= 100
+    assert {entry["task"] for entry in lease_checker.actions(lines)} == set(LEASES["tasks"])
 
 
 def test_a_holder_that_is_stopped_past_its_lease_does_no_harm_and_members_clocks_may_drift(tmp_path):
-    late = ["m3", "m4"]  # started with clocks far off, one 4% fast and one 4% slow: within 0.1 s in 2 s
+    late = ["m3", "m4"]  # clocks with a large offset, 4% fast and 4% slow: within 0.1 s of drift in 2 s
     lines = play(
         tmp_path,
         [
@@ -81,7 +81,7 @@
         seconds=17,
         late=late,
     )
-    assert [g for g in lease_checker.gaps(lines) if g is not None]
+    assert [gap for gap in lease_checker.gaps(lines) if gap is not None]
 
 
 def test_the_minority_side_of_the_voters_holds_nothing_and_the_majority_goes_on(tmp_path):
@@ -90,7 +90,7 @@
         [
             {"s": 3, "do": "split", "groups": [["m0", "m3"], ["m1", "m2", "m4"]]},
             {"s": 10, "do": "heal"},
-            {"s": 12, "do": "cut", "from": ["m1"], "to": ["m0", "m2"]},  # one way: heard, not hearing
+            {"s": 12, "do": "cut", "from": ["m1"], "to": ["m0", "m2"]},  # one way: m1 only receives
             {"s": 16, "do": "heal"},
         ],
         [
@@ -107,22 +107,28 @@
         tmp_path,
         [
             {"s": 3, "do": "wipe", "who": ["m1"]},
-            {"s": 5, "do": "kill", "who": ["m2"]},  # one of three is left: nobody may lead
+            {"s": 5, "do": "kill", "who": ["m2"]},  # one voter of three is left, so none may lead
             {"s": 7, "do": "start", "who": ["m1"]},
             {"s": 11, "do": "start", "who": ["m2"]},
         ],
         [{"kind": "held_again", "after_s": 11, "within_s": 5}],
         seconds=17,
     )
-    votes = [li for li in lines if li.get("event") == "quorum_votes" and li["who"] == "m1"]
-    # Where two voters lead before the third has waited its time, it has caught up at its first start as well.
+    votes = [entry for entry in lines if entry.get("event") == "quorum_votes" and entry["who"] == "m1"]
+    # If two voters elect a leader before the third voter's delay is over, the third votes because it has
+    # caught up, also at its first start.
     assert len(votes) == 2 and votes[1]["why"] == "caught up"
-    assert any(li.get("why") == "first start" for li in lines if li.get("event") == "quorum_votes")
-    began = next(li["mono_us"] for li in lines if li.get("event") == "stage_began")
-    # m1 came back to m0 alone: had it voted, the two would have led, though what m2 alone knew could be lost
-    assert votes[1]["mono_us"] - began > 11_000_000
-    led = [li["mono_us"] - began for li in lines if li.get("event") == "quorum_leader" and li["leader"]]
-    assert not [us for us in led if 7_000_000 < us < 11_000_000]
+    assert any(entry.get("why") == "first start" for entry in lines if entry.get("event") == "quorum_votes")
+    began_us = next(entry["mono_us"] for entry in lines if entry.get("event") == "stage_began")
+    # m1 came back while only m0 ran. Had it voted, the two would have elected a leader, and entries that only
+    # m2 still held could have been lost.
+    assert votes[1]["mono_us"] - began_us > 11_000_000
+    leader_times_us = [
+        entry["mono_us"] - began_us
+        for entry in lines
+        if entry.get("event") == "quorum_leader" and entry["leader"]
+    ]
+    assert not [us for us in leader_times_us if 7_000_000 < us < 11_000_000]
 
 
 def test_a_flipped_bit_in_a_voters_log_takes_its_vote_until_it_has_caught_up(tmp_path):
@@ -136,13 +142,25 @@
         [{"kind": "held_again", "after_s": 3, "within_s": 5}],
         seconds=10,
     )
-    (hurt,) = [li["who"] for li in lines if li.get("event") == "flipped"]
-    found = [li["event"] for li in lines if li["who"] == hurt and li["event"].startswith("quorum_")]
-    after = found[found.index("quorum_damaged") :]
-    assert after.index("quorum_votes") > after.index("quorum_leader")  # heard of one before it votes
-
-
-ASK = {"t": "lease", "kind": "ask", "task": "t", "member": "a", "token": 0, "number": 1, "at": "127.0.0.1:1"}
+    (damaged_voter,) = [entry["who"] for entry in lines if entry.get("event") == "flipped"]
+    events = [
+        entry["event"]
+        for entry in lines
+        if entry["who"] == damaged_voter and entry["event"].startswith("quorum_")
+    ]
+    after = events[events.index("quorum_damaged") :]
+    assert after.index("quorum_votes") > after.index("quorum_leader")  # it follows a leader before it votes
+
+
+REQUEST = {
+    "t": "lease",
+    "kind": "ask",
+    "task": "t",
+    "member": "a",
+    "token": 0,
+    "number": 1,
+    "at": "127.0.0.1:1",
+}
 
 
 @pytest.mark.parametrize(
@@ -159,12 +177,14 @@
     ],
 )
 def test_a_request_that_is_not_well_formed_is_dropped_with_a_reason(change, why):
-    assert codec.check_message(ASK) == ASK
+    assert codec.check_message(REQUEST) == REQUEST
     with pytest.raises(wire.DatagramError, match=why):
-        codec.check_message(ASK | change)
+        codec.check_message(REQUEST | change)
+
 
+class CallsPrint:
+    """An object whose unpickling calls a function."""
 
-class Evil:
     def __reduce__(self):
         return (print, ("called",))
 
@@ -172,40 +192,40 @@
 def test_a_message_of_voters_is_refused_if_it_is_not_well_formed_or_could_call_something():
     import pickle
 
-    good = {"type": "append_entries", "term": 1, "commit_index": 1, "prevLogIdx": 1, "prevLogTerm": 0}
+    valid = {"type": "append_entries", "term": 1, "commit_index": 1, "prevLogIdx": 1, "prevLogTerm": 0}
     call = b"\0" + pickle.dumps((0, ("sweep", "grant", "m0", 0, 5)))
     entries = [[call, 2, 1], [b"\1", 3, 1]]
-    assert raft_messages.check_message(good | {"entries": entries})["entries"] == [
+    assert raft_messages.check_message(valid | {"entries": entries})["entries"] == [
         (call, 2, 1),
         (b"\1", 3, 1),
     ]
-    evil = b"\0" + pickle.dumps((0, (Evil(),)))
-    for bad, why in (
+    call_command = b"\0" + pickle.dumps((0, (CallsPrint(),)))
+    for malformed, why in (
         ({"type": "status"}, "unknown message type"),
-        (good | {"term": True}, "'term'"),
-        (good | {"prevLogTerm": None}, "must both be integers"),
+        (valid | {"term": True}, "'term'"),
+        (valid | {"prevLogTerm": None}, "must both be integers"),
         ({"type": "append_entries", "term": 1, "commit_index": 1, "serialized": [1]}, "neither"),
-        (good | {"transmission": "start"}, "split over several messages"),
-        (good | {"entries": [[call, 2]]}, "not well-formed"),
-        (good | {"entries": [[evil, 2, 1]]}, "not a pickle of plain values"),
-        (good | {"entries": [[b"\2" + call, 2, 1]]}, "not a pickle of plain values"),
-        ({"type": "apply_command", "command": evil}, "not a pickle of plain values"),
+        (valid | {"transmission": "start"}, "split over several messages"),
+        (valid | {"entries": [[call, 2]]}, "not well-formed"),
+        (valid | {"entries": [[call_command, 2, 1]]}, "not a pickle of plain values"),
+        (valid | {"entries": [[b"\2" + call, 2, 1]]}, "not a pickle of plain values"),
+        ({"type": "apply_command", "command": call_command}, "not a pickle of plain values"),
         ({"type": "apply_command", "command": b"\0garbage"}, "not a pickle of plain values"),
     ):
         with pytest.raises(wire.DatagramError, match=why):
-            raft_messages.check_message(bad)
+            raft_messages.check_message(malformed)
 
 
-def test_a_repeated_message_cuts_nothing_that_is_applied():
+def test_a_repeated_message_removes_no_applied_entries():
     entries = [(b"\1", n, 2) for n in (5, 6, 7, 8)]
     message = {"type": "append_entries", "term": 3, "prevLogIdx": 4, "prevLogTerm": 1, "entries": entries}
-    assert raft_messages.skip_applied_entries(message, 4) == message  # all of it is new
+    assert raft_messages.skip_applied_entries(message, 4) == message  # all entries are new
     after = raft_messages.skip_applied_entries(message, 6)
     assert (after["prevLogIdx"], after["prevLogTerm"], after["entries"]) == (6, 2, entries[2:])
-    assert raft_messages.skip_applied_entries(message, 8)["entries"] == []  # a heartbeat is left
+    assert raft_messages.skip_applied_entries(message, 8)["entries"] == []  # only a heartbeat is left
     assert (
         raft_messages.skip_applied_entries(message | {"entries": entries[:1]}, 8) is None
-    )  # would have cut three of them
+    )  # the library would have removed three applied entries
     assert raft_messages.skip_applied_entries({"type": "request_vote"}, 8) == {"type": "request_vote"}
 
 
@@ -222,9 +242,9 @@
         line(170, "resource", "act", task="t", token=1, holder="m0", taken=True),
         line(900, "stage", "ending"),
     ]
-    found = history_checker.check(lines, ALWAYS)
-    assert [v["ok"] for v in found] == [False, False, True]
+    verdicts = history_checker.check(lines, ALWAYS)
+    assert [verdict["ok"] for verdict in verdicts] == [False, False, True]
     lines[5]["taken"] = False
     lines.insert(3, line(149, "m0", "lease_lost", task="t", token=1))
-    assert [v["ok"] for v in history_checker.check(lines, ALWAYS)] == [True, True, True]
+    assert [verdict["ok"] for verdict in history_checker.check(lines, ALWAYS)] == [True, True, True]
     assert history_checker.check(lines, [{"kind": "stale_refused"}])[0]["ok"]
--- a/tests/test_raft_log.py
+++ b/tests/test_raft_log.py
@@ -1,4 +1,4 @@
-"""A voter's log: what it holds over restarts, cuts and damage, and that the library keeps entries in it."""
+"""A voter's log over restarts, incomplete writes and damage, and its use by the Raft library."""
 
 import os
 
@@ -11,7 +11,7 @@
 from pinspread.leases import learner, raft, raft_log, raft_transport
 from pinspread.leases.state_machine import Command, CommandKind
 
-STEPS = st.lists(
+OPERATIONS = st.lists(
     st.tuples(st.sampled_from(["add", "front", "back", "vote", "clear", "again", "torn"]), st.integers(0, 5)),
     max_size=25,
 )
@@ -22,26 +22,26 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(STEPS)
-def test_the_log_holds_over_restarts_what_the_librarys_own_holds_in_memory(tmp_path_factory, steps):
+@given(OPERATIONS)
+def test_the_log_holds_over_restarts_what_the_librarys_own_holds_in_memory(tmp_path_factory, operations):
     path = tmp_path_factory.mktemp("log") / "log"
     log, model = raft_log.RaftLog(path), MemoryJournal()
-    for n, (do, arg) in enumerate(steps):
-        at = min(arg, len(model))
-        for one in (log, model):
-            if do == "add":
-                one.add(b"c%d" % n, n, arg)
-            elif do == "front":
-                one.deleteEntriesTo(at)
-            elif do == "back":
-                one.deleteEntriesFrom(at)
-            elif do == "vote":
-                one.setCurrentTerm(n, f"m{arg}" if arg else None)
-            elif do == "clear":
-                one.clear()
-        if do in ("again", "torn"):
+    for n, (operation, arg) in enumerate(operations):
+        position = min(arg, len(model))
+        for journal in (log, model):
+            if operation == "add":
+                journal.add(b"c%d" % n, n, arg)
+            elif operation == "front":
+                journal.deleteEntriesTo(position)
+            elif operation == "back":
+                journal.deleteEntriesFrom(position)
+            elif operation == "vote":
+                journal.setCurrentTerm(n, f"m{arg}" if arg else None)
+            elif operation == "clear":
+                journal.clear()
+        if operation in ("again", "torn"):
             log._destroy()
-            if do == "torn":  # a record that was cut short by a power cut, of any length
+            if operation == "torn":  # an incomplete record of any length, as a power cut leaves it
                 with open(path, "ab") as file:
                     file.write(raft_log._record(b"x" * 9)[: 1 + arg * 3])
             log = raft_log.RaftLog(path)
@@ -58,54 +58,56 @@
     log.setRaftCommitIndex(2)
     log.onOneSecondTimer()
     log._destroy()
-    sound = path.read_bytes()
-    for bit in range(len(sound) * 8):
-        data = bytearray(sound)
+    intact = path.read_bytes()
+    for bit in range(len(intact) * 8):
+        data = bytearray(intact)
         data[bit // 8] ^= 1 << bit % 8
         path.write_bytes(data)
         with pytest.raises(raft_log.RaftLogFormatError):
             raft_log.RaftLog(path)
-    path.write_bytes(sound)
+    path.write_bytes(intact)
     assert raft_log.RaftLog(path).getRaftCommitIndex() == 2
 
 
-def no_space_for(log, monkeypatch):
+def fail_writes_to(log, monkeypatch):
     write = os.write
 
-    def full(fd, data):
+    def write_or_fail(fd, data):
         if fd == log.fd:
             raise OSError("no space")
         return write(fd, data)
 
-    monkeypatch.setattr(os, "write", full)
+    monkeypatch.setattr(os, "write", write_or_fail)
 
 
-def test_after_a_write_that_failed_nothing_counts_any_more(tmp_path, monkeypatch):
+def test_after_a_failed_write_later_writes_are_refused(tmp_path, monkeypatch):
     log = raft_log.RaftLog(tmp_path / "log")
-    no_space_for(log, monkeypatch)
+    fail_writes_to(log, monkeypatch)
     with pytest.raises(OSError, match="no space"):
         log.setCurrentTerm(4, "m2")
     monkeypatch.undo()
-    with pytest.raises(OSError, match="earlier write"):
+    with pytest.raises(OSError, match="earlier write failed"):
         log.add(b"x", 1, 4)
     assert log.write_failed
 
 
-async def leads(q):
+async def wait_until_leader(node):
     with anyio.fail_after(5):
-        while not q.is_leader():
+        while not node.is_leader():
             await anyio.sleep(0.01)
 
 
-def voter(folder, rows):
-    async def run(use):
+def voter_runner(folder, records):
+    """Return a coroutine function that runs the only voter of a fleet while it awaits `scenario`."""
+
+    async def run(scenario):
         config = raft.RaftConfig("a", "127.0.0.1:9", {"a": "127.0.0.1:9"}, b"key", folder, 0.1)
-        found = raft.RaftNode(config, lambda task, row: rows.append(row))
+        raft_node = raft.RaftNode(config, lambda task, record: records.append(record))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(found._run_library)
-            await use(found)
+            tasks.start_soon(raft_node._run_library)
+            await scenario(raft_node)
             tasks.cancel_scope.cancel()
-        found.sync_object.destroy()
+        raft_node.sync_object.destroy()
 
     return run
 
@@ -113,55 +115,59 @@
 def test_a_voter_keeps_its_entries_in_the_log_and_is_a_learner_when_they_are_damaged(tmp_path, monkeypatch):
     monkeypatch.setattr(learner, "FIRST_VOTE_DELAY_S", 0)
 
-    async def grant(q):
-        await leads(q)
+    async def grant(node):
+        await wait_until_leader(node)
         with anyio.fail_after(5):
-            answered = anyio.Event()
-            q.propose(
+            applied = anyio.Event()
+            node.propose(
                 "t",
                 Command(CommandKind.GRANT, "m", 0, 7),
-                lambda row, why: answered.set(),
+                lambda record, outcome: applied.set(),
             )
-            await answered.wait()
+            await applied.wait()
 
-    rows = []
-    anyio.run(voter(tmp_path, rows), grant)
-    assert rows[-1].holder == "m"
+    records = []
+    anyio.run(voter_runner(tmp_path, records), grant)
+    assert records[-1].holder == "m"
 
-    async def look(q):
-        assert not q.learner.is_learner
+    async def wait_for_replay(node):
+        assert not node.learner.is_learner
         with anyio.fail_after(5):
-            while not rows or rows[-1].holder != "m":
+            while not records or records[-1].holder != "m":
                 await anyio.sleep(0.01)
 
-    rows.clear()
-    anyio.run(voter(tmp_path, rows), look)  # replayed from the log alone
+    records.clear()
+    anyio.run(voter_runner(tmp_path, records), wait_for_replay)  # replayed from the log alone
     data = bytearray((tmp_path / "log").read_bytes())
     data[len(data) // 2] ^= 4
     (tmp_path / "log").write_bytes(data)
 
-    async def damaged(q):
+    async def check_damage_handling(node):
         assert (
-            q.learner.is_learner and (tmp_path / "damaged-log").exists() and not (tmp_path / "votes").exists()
+            node.learner.is_learner
+            and (tmp_path / "damaged-log").exists()
+            and not (tmp_path / "votes").exists()
         )
 
     monkeypatch.setattr(raft_transport.VoterTransport, "promote_if_safe", lambda self: None)
-    anyio.run(voter(tmp_path, []), damaged)
+    anyio.run(voter_runner(tmp_path, []), check_damage_handling)
 
 
 def test_a_voter_whose_log_cannot_be_written_stays_silent_and_the_courier_goes_on(tmp_path, monkeypatch):
     monkeypatch.setattr(learner, "FIRST_VOTE_DELAY_S", 0)
 
-    async def fail(q):
-        await leads(q)
+    async def fail_a_write(node):
+        await wait_until_leader(node)
         with anyio.fail_after(5):
-            no_space_for(q.raft_log, monkeypatch)
-            q.propose("t", Command(CommandKind.GRANT, "m", 0, 7), lambda row, why: None)
-            while not q.raft_log.write_failed:
+            fail_writes_to(node.raft_log, monkeypatch)
+            node.propose("t", Command(CommandKind.GRANT, "m", 0, 7), lambda record, outcome: None)
+            while not node.raft_log.write_failed:
                 await anyio.sleep(0.01)
             monkeypatch.undo()
         assert (
-            not q.is_leader() and q.leader_id() == "" and not q.transport.send(raft_transport.Node("b"), {})
+            not node.is_leader()
+            and node.leader_id() == ""
+            and not node.transport.send(raft_transport.Node("b"), {})
         )
 
-    anyio.run(voter(tmp_path, []), fail)
+    anyio.run(voter_runner(tmp_path, []), fail_a_write)
--- a/tests/test_raft_voters.py
+++ b/tests/test_raft_voters.py
@@ -1,4 +1,4 @@
-"""Voters on real sockets: the fleet's first start, agreement, and frames that are refused."""
+"""Voters on real sockets: the first start of a fleet, replication, and refused frames."""
 
 import socket
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -25,14 +25,14 @@
 @pytest.fixture
 def port(monkeypatch):
     monkeypatch.setattr(learner, "FIRST_VOTE_DELAY_S", 0.05)
-    with socket.socket() as found:
-        found.bind((HOSTS["a"], 0))
-        return found.getsockname()[1]
+    with socket.socket() as probe_socket:
+        probe_socket.bind((HOSTS["a"], 0))
+        return probe_socket.getsockname()[1]
 
 
 @asynccontextmanager
 async def running(port, folder, ids="abc"):
-    """The voters of `ids`, out of three."""
+    """Run the voters of `ids`, out of three, and yield them by id."""
     addresses = {voter: f"{host}:{port}" for voter, host in HOSTS.items()}
     voters = {}
     with anyio.fail_after(15):
@@ -66,7 +66,7 @@
 
 
 async def test_fresh_voters_that_have_not_met_all_others_do_not_vote(tmp_path, port):
-    async with running(port, tmp_path, "ab") as voters:  # two of three, which would be a majority
+    async with running(port, tmp_path, "ab") as voters:  # two of three, enough for a majority
         await anyio.sleep(1.0)
         assert all(voter.learner.is_learner for voter in voters.values())
         assert not leader_of(voters)
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize(
     "half", [{"prevLogTerm": 1}, {"prevLogIdx": 1}, {"prevLogIdx": 1, "prevLogTerm": "1"}]
 )
-async def test_half_of_what_goes_before_entries_is_refused_by_a_learner(tmp_path, port, capfd, half):
+async def test_an_incomplete_position_of_entries_is_refused_by_a_learner(tmp_path, port, capfd, half):
     async with running(port, tmp_path, "a") as voters:
         async with await connect(port) as stream:
             await stream.send(HELLO + frame(APPEND | half))
