--- a/benchmarks/many.py
+++ b/benchmarks/many.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from pinspread.simulation.load import FULL, OK, burst, lowered_limit
+from pinspread.simulation.load import OK, OVERLOADED, burst, lowered_limit
 
 
 def main(days):
@@ -12,7 +12,7 @@
         rows = []
         for seed in range(1, days + 1):
             partner, (first, *others) = lowered_limit(senders, seed=seed), burst(senders, seed=seed)
-            spans = (13, 19, OK), (22, 30, OK), (0, 42, FULL)
+            spans = (13, 19, OK), (22, 30, OK), (0, 42, OVERLOADED)
             rows.append([*(partner.between(*span) for span in spans), sum(others), first])
         print(f"{senders:7}" + "".join(f"{sum(column) / days:12.1f}" for column in zip(*rows, strict=True)))
 
--- a/pinspread/simulation/fault_injection.py
+++ b/pinspread/simulation/fault_injection.py
@@ -18,7 +18,7 @@
     "errors": ServingState.FAILING,
     "shut": ServingState.REJECTING,
 }
-REPLACED_NS = 3 * SECOND  # a replaced endpoint is removed so long after the new one was listed
+REPLACEMENT_OVERLAP_NS = 3 * SECOND  # a replaced endpoint is removed so long after the new one was listed
 FIRST_REPLACEMENT_ID = 1_000_000
 SIGKILL_AFTER_NS = 3700 * MS  # after SIGTERM, if the process has not ended by itself
 EXIT_POLL_NS = 20 * MS
@@ -105,7 +105,7 @@
         self._directory.endpoints[new_id] = new
         self._directory.announce(new, EndpointState.READY)
         self._directory.announce(old, EndpointState.DRAINING)
-        self._engine.after(REPLACED_NS, self._remove, old)
+        self._engine.after(REPLACEMENT_OVERLAP_NS, self._remove, old)
 
     def _remove(self, endpoint: Endpoint) -> None:
         self._directory.announce(endpoint, EndpointState.REMOVED)
--- a/pinspread/simulation/load.py
+++ b/pinspread/simulation/load.py
@@ -25,7 +25,7 @@
 from pinspread.policy.settings import DestinationKind, Settings, TrafficClass
 from pinspread.simulation.engine import MS, SECOND
 
-OK, FULL = Outcome.OK, Outcome.OVERLOADED
+OK, OVERLOADED = Outcome.OK, Outcome.OVERLOADED
 ENDPOINT = "a"
 DESTINATION = 1
 DEADLINE_S = 12
@@ -71,7 +71,7 @@
         """Take a call."""
         while self._last_second and self._last_second[0] <= now_ns - SECOND:
             self._last_second.popleft()
-        outcome = FULL if len(self._last_second) >= self.limit(now_ns / SECOND) else OK
+        outcome = OVERLOADED if len(self._last_second) >= self.limit(now_ns / SECOND) else OK
         self._last_second.append(now_ns)
         self.outcomes.append((now_ns, outcome))
         return outcome
--- a/pinspread/testbed/platform_faults.py
+++ b/pinspread/testbed/platform_faults.py
@@ -7,7 +7,7 @@
 
 from pinspread.simulation.destination import Endpoint, ServingState
 from pinspread.simulation.engine import SECOND
-from pinspread.simulation.fault_injection import OUTAGE_STATES, REPLACED_NS
+from pinspread.simulation.fault_injection import OUTAGE_STATES, REPLACEMENT_OVERLAP_NS
 from pinspread.simulation.random_streams import random_stream
 from pinspread.simulation.scenario import ScheduledFault
 from pinspread.testbed.courier_process import CourierProcess
@@ -72,7 +72,7 @@
             return
         self._notify(self._add_successor(endpoint), READY)
         self._notify(endpoint, DRAINING)
-        await anyio.sleep(REPLACED_NS / SECOND)
+        await anyio.sleep(REPLACEMENT_OVERLAP_NS / SECOND)
         self._notify(endpoint, GONE)
         endpoint.destination.endpoints.remove(endpoint)
         endpoint.state = ServingState.CRASHED
--- a/tests/simulation_helpers.py
+++ b/tests/simulation_helpers.py
@@ -13,11 +13,11 @@
     return FleetModel.model_validate({"length_s": 15} | tables)
 
 
-def play(one, seed=1, **more):
+def run_simulation(one, seed=1, **more):
     return Simulation(one, draw_scenario(one, seed), **more).run()
 
 
-SMALL = """
+SMALL_EXPERIMENT = """
 [experiment]
 name = "small"
 seeds = 2
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pinspread.simulation.load import FULL, OK, burst, lowered_limit
+from pinspread.simulation.load import OK, OVERLOADED, burst, lowered_limit
 
 
 @pytest.mark.parametrize("senders", [3, 12, 40, 120])
@@ -11,7 +11,7 @@
     if senders <= 40:  # 120 that call once in three seconds each have not learned of it all by then
         assert destination.between(13, 19, OK) > 0.4 * 16 * 6  # it lets something through all the while
         assert destination.between(22, 30, OK) > 0.6 * 32 * 8  # and is used again soon after
-    assert destination.between(0, 42, FULL) < 0.3 * 32 * 30
+    assert destination.between(0, 42, OVERLOADED) < 0.3 * 32 * 30
 
 
 @pytest.mark.parametrize("senders", [12, 40, 120])
--- a/tests/test_simulation_experiments.py
+++ b/tests/test_simulation_experiments.py
@@ -4,7 +4,7 @@
 
 import orjson
 import pytest
-from simulation_helpers import ROOT, SMALL
+from simulation_helpers import ROOT, SMALL_EXPERIMENT
 
 from pinspread.policy import dispatch, retry_budget
 from pinspread.simulation.experiment import load_experiment
@@ -16,7 +16,7 @@
 
 
 def test_the_same_file_gives_the_same_bytes_in_one_process_and_in_eight(tmp_path):
-    (tmp_path / "x.toml").write_text(SMALL)
+    (tmp_path / "x.toml").write_text(SMALL_EXPERIMENT)
     one = load_experiment(str(tmp_path / "x.toml"))
     for name, processes in (("one", 1), ("eight", 8)):
         run_experiment(one, str(tmp_path / name), processes, quiet=True)
@@ -26,7 +26,7 @@
 
 
 def test_a_stopped_experiment_goes_on_where_it_was_and_a_cut_run_is_run_again(tmp_path):
-    (tmp_path / "x.toml").write_text(SMALL)
+    (tmp_path / "x.toml").write_text(SMALL_EXPERIMENT)
     one, out = load_experiment(str(tmp_path / "x.toml")), tmp_path / "out"
     run_experiment(one, str(out), 1, quiet=True)
     whole = (out / "result.json").read_bytes()
@@ -44,7 +44,8 @@
     more = f'\n[[variant]]\nname = "other"\nmodule = "{tmp_path}"\n'
     file = tmp_path / "x.toml"
     file.write_text(
-        SMALL.replace("length_s = 4", 'length_s = 4\n[[world.trouble]]\nkind = "errors"\nat_s = 1') + more
+        SMALL_EXPERIMENT.replace("length_s = 4", 'length_s = 4\n[[world.trouble]]\nkind = "errors"\nat_s = 1')
+        + more
     )
     found = run_experiment(load_experiment(str(file)), str(tmp_path / "out"), 2, quiet=True)
     retries = {p["variant"]: sum(r["retries"] for r in p["runs"]) for p in found["points"]}
@@ -58,7 +59,7 @@
     more = '\n[[variant]]\nname = "old"\nrevision = "957e6f8"\n'
     file = tmp_path / "x.toml"
     trouble = 'length_s = 8\n[[world.trouble]]\nkind = "crash"\nat_s = 1\nlength_s = 2\nshare = 1.0'
-    file.write_text(SMALL.replace("length_s = 4", trouble) + more)
+    file.write_text(SMALL_EXPERIMENT.replace("length_s = 4", trouble) + more)
     found = run_experiment(load_experiment(str(file)), str(tmp_path / "out"), 2, quiet=True)
     by_name = {p["variant"]: p["runs"] for p in found["points"]}
     assert by_name["as is"] == by_name["old"] != by_name["few slots"]
@@ -116,7 +117,7 @@
 )
 def test_a_bad_experiment_is_refused_with_its_place(old, new, place, tmp_path):
     file = tmp_path / "x.toml"
-    file.write_text(SMALL.replace(old, new, 1))
+    file.write_text(SMALL_EXPERIMENT.replace(old, new, 1))
     with pytest.raises(ExperimentError) as caught:
         load_experiment(str(file))
     assert place in str(caught.value) and "x.toml" in str(caught.value)
--- a/tests/test_simulation_metrics.py
+++ b/tests/test_simulation_metrics.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 import pytest
-from simulation_helpers import play, world
+from simulation_helpers import run_simulation, world
 
 from pinspread.simulation.compare import FIGURES, compare_variants, format_comparison, interval
 from pinspread.simulation.engine import SECOND
@@ -47,7 +47,7 @@
 
 
 def result(name, services):
-    one = play(world(length_s=4))
+    one = run_simulation(world(length_s=4))
     runs = [one | {"service": s, "service_unbroken": s} for s in services]
     return PointResult.from_record({"variant": name, "runs": runs}, range(len(services)))
 
--- a/tests/test_simulation_rules.py
+++ b/tests/test_simulation_rules.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from simulation_helpers import play, world
+from simulation_helpers import run_simulation, world
 
 from pinspread.policy.delivery_policy import DeliveryPolicy
 from pinspread.policy.events import EndpointsChanged, EndpointState, UpdateScope
@@ -99,7 +99,7 @@
             partners={"fall_slack": 1},
             trouble=[{"kind": "crash", "at_s": 3, "length_s": 4, "share": 0.9}],
         )
-    found = [play(busy, seed, policy_class=BROKEN[rule]) for seed in (1, 2, 3)]
+    found = [run_simulation(busy, seed, policy_class=BROKEN[rule]) for seed in (1, 2, 3)]
     assert any(one["broken"].get(rule) for one in found)
     broke = next(one for one in found if one["broken"].get(rule))
     assert broke["service"] == 0 < broke["service_unbroken"]
@@ -109,8 +109,8 @@
 def test_the_checker_catches_a_payment_that_is_retried_after_a_restart():
     kills = [{"kind": "kill", "at_s": at, "length_s": 1, "share": 1.0, "batch": 1.0} for at in (3, 6, 9)]
     busy = world(trouble=kills)
-    assert not play(busy, policy_class=DeliveryPolicy)["broken"].get("repeat")
-    found = play(busy, policy_class=Starts)
+    assert not run_simulation(busy, policy_class=DeliveryPolicy)["broken"].get("repeat")
+    found = run_simulation(busy, policy_class=Starts)
     assert any("may have run" in b["why"] for b in found["breaks"])  # the checker's word
     assert found["payments_twice"] and found["broken"]["repeat"]  # and the ledger's
 
@@ -125,7 +125,7 @@
 
 
 def test_the_policy_as_it_is_keeps_the_rules_on_a_day_with_faults():
-    found = play(world(**TROUBLED), 1)
+    found = run_simulation(world(**TROUBLED), 1)
     assert not found["broken"] and found["payments_twice"] == 0
     assert 0.5 < found["service"] < 1 and found["delivered"] + found["failed"] == found["messages"]
 
@@ -133,6 +133,6 @@
 def test_a_restart_resumes_accepted_messages_and_without_a_journal_they_are_lost():
     kill = [{"kind": "kill", "at_s": 5, "length_s": 1, "share": 1.0, "batch": 1.0}]
     calm = {"traffic": {"clump_share": 0.0, "load": 0.3}}
-    kept = play(world(trouble=kill, **calm))
-    gone = play(world(trouble=kill, couriers={"resume": False}, **calm))
+    kept = run_simulation(world(trouble=kill, **calm))
+    gone = run_simulation(world(trouble=kill, couriers={"resume": False}, **calm))
     assert kept["failed"] < gone["failed"]
--- a/tests/test_simulation_traces.py
+++ b/tests/test_simulation_traces.py
@@ -4,7 +4,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from simulation_helpers import SMALL, world
+from simulation_helpers import SMALL_EXPERIMENT, world
 
 from pinspread.simulation.experiment import load_experiment
 from pinspread.simulation.runs import run_key
@@ -45,7 +45,7 @@
     keys = []
     for count in (20, 30):
         write_trace(record_trace([("a", log_lines(count))], KEY), str(tmp_path / "t"))
-        (tmp_path / "x.toml").write_text('trace = "t"\n' + SMALL)
+        (tmp_path / "x.toml").write_text('trace = "t"\n' + SMALL_EXPERIMENT)
         keys.append(run_key(load_experiment(str(tmp_path / "x.toml")).points[0], 1))
     assert keys[0] != keys[1]
 
