--- a/pinspread/simulation/connection_pool.py
+++ b/pinspread/simulation/connection_pool.py
@@ -10,12 +10,12 @@
 
 
 class ConnectionPool:
-    """Keeps idle connections for further calls, and knows the calls that have a connection.
+    """Keeps idle connections for further calls, and tracks the calls that hold a connection.
 
     Args:
-        engine: The simulation's time.
-        endpoint: Where the connections lead; it counts them.
-        idle_timeout_ns: Connections that were idle for so long are closed.
+        engine: The engine of the simulation.
+        endpoint: The endpoint that the connections lead to; it counts them.
+        idle_timeout_ns: Connections are closed after they have been idle for this long.
     """
 
     __slots__ = ("_calls", "_endpoint", "_engine", "_idle_since_ns", "_idle_timeout_ns")
@@ -24,12 +24,12 @@
         self._engine = engine
         self._endpoint = endpoint
         self._idle_timeout_ns = idle_timeout_ns
-        self._idle_since_ns: list[int] = []  # of each idle connection, newest last
-        self._calls: dict[OutgoingCall, None] = {}  # that have a connection, in order of their start
+        self._idle_since_ns: list[int] = []  # when each connection became idle, oldest first
+        self._calls: dict[OutgoingCall, None] = {}  # calls that hold a connection, in order of their start
         endpoint.connection_owners.append(self)
 
     def take_idle(self) -> bool:
-        """Take the idle connection that was used last; return whether there was one."""
+        """Take the most recently used idle connection; return whether there was one."""
         self.close_expired()
         if not self._idle_since_ns:
             return False
@@ -42,11 +42,14 @@
         self._calls[call] = None
 
     def use(self, call: "OutgoingCall") -> None:
-        """Note that a call has a connection."""
+        """Note that a call holds a connection."""
         self._calls[call] = None
 
     def release(self, call: "OutgoingCall", reusable: bool) -> None:
-        """End a call's use of its connection, if it has one; it is kept or closed."""
+        """End a call's use of its connection, if it holds one.
+
+        A reusable connection is kept for further calls, any other is closed.
+        """
         if call not in self._calls:
             return
         del self._calls[call]
@@ -68,12 +71,12 @@
         self._idle_since_ns.clear()
 
     def close(self) -> None:
-        """Close all connections, as the process of the instance ends."""
+        """Close all connections when the process of the instance ends."""
         self._endpoint.connections -= len(self._idle_since_ns) + len(self._calls)
         self._endpoint.connection_owners.remove(self)
 
     def connection_lost(self, reset: bool) -> None:
-        """The endpoint is gone: with a reset all connections end, else they stay open and silent."""
+        """Handle the loss of the endpoint: a reset ends all connections, else they stay open and silent."""
         if not reset:
             return
         self.close_idle()
--- a/pinspread/simulation/destination.py
+++ b/pinspread/simulation/destination.py
@@ -1,7 +1,7 @@
 """Destinations: endpoints with cores, queues and connection limits; rate limits, outages and slow start.
 
-A destination needs only `now` and `after` of its engine, and answers its callers through `IncomingCall`, so
-that the testbed can use it on real time and real sockets.
+A destination uses only `now` and `after` of its engine, and answers its callers through `IncomingCall`, so
+that the test bed can run it on real time and real sockets.
 """
 
 from collections import deque
@@ -20,35 +20,39 @@
 FULL_CAPACITY = 1.0
 
 
-WORK_LOST_IN = (ServingState.CRASHED, ServingState.SILENT, ServingState.COLLAPSED)
+STATES_LOSING_WORK = (ServingState.CRASHED, ServingState.SILENT, ServingState.COLLAPSED)
 
 
 class CollapseObserver(Protocol):
-    """One that is told of destinations that collapse."""
+    """Receives a report of each destination that collapses."""
 
     def destination_collapsed(self, destination: int, now_ns: int, informed: int, total: int) -> None:
-        """A destination was overloaded while it warmed up.
+        """Report that a destination was overloaded while it warmed up.
 
         Args:
-            destination: Its number.
-            now_ns: When.
+            destination: Number of the destination.
+            now_ns: Time of the collapse.
             informed: How many of the calls that overloaded it came from instances that knew of its outage.
-            total: How many calls that were.
+            total: How many calls overloaded it.
         """
         ...
 
 
 class Outage(NamedTuple):
-    """An outage that is on."""
+    """An outage in progress."""
 
     until_ns: int
     state: ServingState
     error_share: float
-    slow_start: bool  # whether the destination warms up after it
+    slow_start: bool  # whether the destination warms up afterwards
 
 
 class Collapse(NamedTuple):
-    """An overload of a destination that was warming up; `instances` sent the calls that caused it."""
+    """An overload of a destination that was warming up.
+
+    Attributes:
+        instances: The sender of each call that caused it, one item a call.
+    """
 
     at_ns: int
     outage_start_ns: int
@@ -57,15 +61,15 @@
 
 
 class FixedWindowLimiter:
-    """Admits so many calls in each window of time.
+    """Admits a fixed number of calls in each time window.
 
     Args:
         window_ns: Length of a window.
-        max_calls: Calls that are admitted in each.
-        rejections_count: Whether rejected calls use the limit up too.
+        max_calls: Calls that are admitted in each window.
+        rejections_count: Whether rejected calls use up the limit too.
 
     Attributes:
-        calls: Calls counted in the present window.
+        calls: Calls counted in the current window.
     """
 
     __slots__ = ("calls", "max_calls", "rejections_count", "window_ns", "window_start_ns")
@@ -77,12 +81,12 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget all calls; windows start at 0 again."""
+        """Forget all calls; the windows start at time 0 again."""
         self.window_start_ns = 0
         self.calls = 0
 
     def acquire(self, now_ns: int) -> int:
-        """Count a call; return 0 if it is admitted, else the time until the window ends."""
+        """Count a call; return 0 if it is admitted, else the nanoseconds until the window ends."""
         if now_ns >= self.window_start_ns + self.window_ns:
             self.window_start_ns += (now_ns - self.window_start_ns) // self.window_ns * self.window_ns
             self.calls = 0
@@ -95,20 +99,20 @@
 
 
 class Destination:
-    """One destination: its endpoints, its rate limit, its outages, and its capacity at the moment.
+    """One destination: its endpoints, its rate limit, its outages and its current capacity.
 
     Args:
-        spec: What was drawn for it.
-        engine: Its time.
-        model: Supplies the figures of slow start and of full or silent endpoints.
-        observer: Is told when it collapses.
-        first_id: Id of its first endpoint; the others follow.
+        spec: The destination as drawn for the scenario.
+        engine: Supplies the time and schedules function calls.
+        model: Supplies the parameters of slow start and of full or silent endpoints.
+        observer: Receives a report when the destination collapses.
+        first_id: Id of its first endpoint; the ids of the others follow.
 
     Attributes:
-        informed_instances: Instances that saw a call fail in the present or the latest outage.
+        informed_instances: Instances that saw a call fail in the current or the latest outage.
         collapses: Overloads while it warmed up, in order of time.
-        rejected: Calls that were rejected.
-        rejected_over_limit: Those of them that were over the rate limit.
+        rejected: Number of rejected calls.
+        rejected_over_limit: Number of calls rejected because they were over the rate limit.
     """
 
     def __init__(
@@ -119,7 +123,7 @@
         observer: CollapseObserver,
         first_id: int,
     ) -> None:
-        figures = model.partners
+        parameters = model.partners
         self.spec = spec
         self.number = spec.number
         self.engine = engine
@@ -127,11 +131,11 @@
         self._accepts_while_silent = model.network.silent_accepts
         full_is_refused = model.network.full_table == "refused"
         self._result_over_limit = ConnectResult.REFUSED if full_is_refused else ConnectResult.OVER_LIMIT
-        self._slow_start_fraction = figures.cold_from
-        self._slow_start_ns = int(figures.warm_s * SECOND)
-        self._collapse_multiple = figures.fall_multiple
-        self._collapse_window_ns = int(figures.fall_s * SECOND)
-        self._collapse_slack = figures.fall_slack
+        self._slow_start_fraction = parameters.cold_from
+        self._slow_start_ns = int(parameters.warm_s * SECOND)
+        self._collapse_multiple = parameters.fall_multiple
+        self._collapse_window_ns = int(parameters.fall_s * SECOND)
+        self._collapse_slack = parameters.fall_slack
         sizes = zip(spec.cores, spec.queue_limits, spec.connection_limits, strict=True)
         self.endpoints = [Endpoint(id_, self, *size) for id_, size in enumerate(sizes, first_id)]
         self.limiter: FixedWindowLimiter | None = None
@@ -141,12 +145,12 @@
         self.collapses: list[Collapse] = []
         self.rejected = 0
         self.rejected_over_limit = 0
-        self._reopens_ns = 0  # while it rejects all: when it no longer does
+        self._outage_until_ns = 0  # when the current outage ends, for the Retry-After of rejections
         self._error_share = 0.0
         self._warming_since_ns = -1
-        self._outages: list[Outage] = []  # those that began since it was last up
-        self._outage_start_ns = 0  # of the present or the latest outage
-        self._recent_arrivals: deque[tuple[int, int]] = deque()  # (time, instance), while it warms up
+        self._outages: list[Outage] = []  # that began since the destination was last up
+        self._outage_start_ns = 0  # of the current or the latest outage
+        self._recent_arrivals: deque[tuple[int, int]] = deque()  # (time, instance) during warm-up
 
     # --- outages ----------------------------------------------------------------------------------
 
@@ -156,10 +160,10 @@
         """Begin an outage.
 
         Args:
-            state: What its endpoints do meanwhile; in some states what is in work is lost.
-            until_ns: When it ends, if nothing else does; `end_outage` has to be called then.
-            error_share: Share of the calls that fail, while it is `FAILING`.
-            slow_start: Whether it warms up afterwards.
+            state: State of the endpoints; in `STATES_LOSING_WORK` they lose running and queued calls.
+            until_ns: When the outage ends; `end_outage` has to be called at that time or later.
+            error_share: Share of the calls that fail, if the state is `FAILING`.
+            slow_start: Whether the destination warms up afterwards.
         """
         if self.endpoints[0].state is ServingState.COLLAPSED:
             return
@@ -171,16 +175,16 @@
         self._enter(outage)
 
     def _enter(self, outage: Outage) -> None:
-        self._reopens_ns = outage.until_ns
+        self._outage_until_ns = outage.until_ns
         self._error_share = outage.error_share
         self._warming_since_ns = -1
         for endpoint in self.endpoints:
             endpoint.state = outage.state
-            if outage.state in WORK_LOST_IN:
+            if outage.state in STATES_LOSING_WORK:
                 self.discard_work(endpoint, reset=outage.state is not ServingState.SILENT)
 
     def discard_work(self, endpoint: Endpoint, reset: bool) -> None:
-        """Lose what an endpoint works on and queues; with a reset its connections end, too."""
+        """Drop the running and queued calls of an endpoint; with a reset, its connections end as well."""
         endpoint.incarnation += 1
         queued, endpoint.queue, endpoint.busy = endpoint.queue, deque(), 0
         for owner in endpoint.connection_owners:
@@ -190,13 +194,13 @@
                 call.reset()
 
     def end_outage(self) -> None:
-        """End an outage: the destination is up again, unless another outage is still on."""
+        """End an outage: the destination is up again, unless another outage is still in progress."""
         if self.endpoints[0].state is ServingState.COLLAPSED:
             return
-        # An outage that ends inside another must not bring the destination up in the middle of that.
-        still_on = [outage for outage in self._outages if outage.until_ns > self.engine.now]
-        if still_on:
-            self._enter(still_on[-1])
+        # The end of one outage must not bring the destination up while another one is still in progress.
+        ongoing = [outage for outage in self._outages if outage.until_ns > self.engine.now]
+        if ongoing:
+            self._enter(ongoing[-1])
             return
         slow_start = any(outage.slow_start for outage in self._outages)
         self._outages.clear()
@@ -208,14 +212,14 @@
             self.limiter.reset()
 
     def record_failure(self, instance: int) -> None:
-        """Note that an instance saw a call fail here; it counts only while an outage is on."""
+        """Note that an instance saw a call fail here; ignored unless an outage is in progress."""
         if self.endpoints[0].state is not ServingState.UP:
             self.informed_instances.add(instance)
 
     # --- slow start -------------------------------------------------------------------------------
 
     def capacity_fraction(self) -> float:
-        """Share of its full capacity that the destination has now: it rises linearly while it warms up."""
+        """Return the current share of full capacity; it rises linearly while the destination warms up."""
         if self._warming_since_ns < 0:
             return FULL_CAPACITY
         elapsed_ns = self.engine.now - self._warming_since_ns
@@ -225,10 +229,10 @@
         start = self._slow_start_fraction
         return start + (1 - start) * elapsed_ns / self._slow_start_ns
 
-    def _collapses_under(self, instance: int) -> bool:
-        """Count an arrival while the destination warms up; return whether it collapses under it.
+    def _collapses_on_arrival(self, instance: int) -> bool:
+        """Count an arrival during warm-up, and return whether it makes the destination collapse.
 
-        Health checks count as calls do.
+        Health checks count like calls.
         """
         if self._warming_since_ns < 0:
             return False
@@ -240,7 +244,7 @@
             recent.popleft()
         if self._warming_since_ns < 0 or self.endpoints[0].state is not ServingState.UP:
             return False
-        # The budget is that of the whole window, also right after the outage.
+        # The budget is that of a whole window, even if the outage ended less than a window ago.
         rate_per_s = self._collapse_multiple * fraction * self.spec.capacity_per_s
         budget = rate_per_s * self._collapse_window_ns / SECOND + self._collapse_slack
         if len(recent) <= budget:
@@ -259,7 +263,7 @@
     # --- calls ------------------------------------------------------------------------------------
 
     def connect(self, endpoint: Endpoint) -> ConnectResult:
-        """Say what becomes of a new connection to an endpoint; the caller counts it."""
+        """Return the result of opening a connection to an endpoint; the caller counts the connection."""
         state = endpoint.state
         if state is ServingState.SILENT and not self._accepts_while_silent:
             return ConnectResult.NO_ANSWER
@@ -277,16 +281,16 @@
         return 0 < endpoint.connection_limit <= endpoint.connections
 
     def arrive(self, endpoint: Endpoint, call: IncomingCall, work_ns: int) -> None:
-        """Take a call whose last byte has come.
+        """Handle a call whose last byte has arrived.
 
         Args:
-            endpoint: Where it arrives.
-            call: Is told what becomes of it, now or later.
-            work_ns: The work it makes at a destination of the usual speed and full capacity.
+            endpoint: The endpoint that it arrives at.
+            call: The call; it receives its result now or later.
+            work_ns: Its work at a destination of normal speed and full capacity.
         """
-        if endpoint.state is not ServingState.UP and self._answered_by_outage(endpoint.state, call):
+        if endpoint.state is not ServingState.UP and self._handle_during_outage(endpoint.state, call):
             return
-        if self._collapses_under(call.instance):
+        if self._collapses_on_arrival(call.instance):
             call.reset()
             return
         if self.limiter is not None:
@@ -302,23 +306,27 @@
         else:
             self._reject(call, 0)
 
-    def _answered_by_outage(self, state: ServingState, call: IncomingCall) -> bool:
-        """Treat a call as the outage has it; return whether that was all, as some errors spare a share."""
+    def _handle_during_outage(self, state: ServingState, call: IncomingCall) -> bool:
+        """Handle a call during an outage.
+
+        Returns:
+            Whether that ends the call; False for the share that a failing endpoint still serves.
+        """
         if state is ServingState.FAILING:
             if call.draws[ERROR_DRAW] >= self._error_share:
                 return False
             self.engine.after(FAST_ERROR_NS, call.respond, Outcome.ERROR, 0)
         elif state is ServingState.REJECTING:
-            self._reject(call, self._reopens_ns - self.engine.now)
+            self._reject(call, self._outage_until_ns - self.engine.now)
         elif state is not ServingState.SILENT:
             call.reset()
         return True
 
     def _reject(self, call: IncomingCall, wait_ns: int) -> None:
-        """Reject a call; a share of the rejections say how long to stay away, where that is known."""
+        """Reject a call; if the wait is known, a share of the rejections give it as Retry-After."""
         self.rejected += 1
-        tells = wait_ns > 0 and call.draws[RETRY_AFTER_DRAW] < self.spec.retry_after_share
-        call.respond(Outcome.OVERLOADED, wait_ns if tells else 0)
+        gives_retry_after = wait_ns > 0 and call.draws[RETRY_AFTER_DRAW] < self.spec.retry_after_share
+        call.respond(Outcome.OVERLOADED, wait_ns if gives_retry_after else 0)
 
     def _start_work(self, endpoint: Endpoint, call: IncomingCall, work_ns: int) -> None:
         endpoint.busy += 1
@@ -328,7 +336,7 @@
 
     def _finish_work(self, endpoint: Endpoint, call: IncomingCall, incarnation: int) -> None:
         if incarnation != endpoint.incarnation:
-            return  # it was lost with the process
+            return  # the work was lost with the endpoint's process
         endpoint.busy -= 1
         call.respond(Outcome.OK, 0)
         while endpoint.queue and endpoint.busy < endpoint.cores:
@@ -342,7 +350,7 @@
     """Build the destinations of a scenario.
 
     Returns:
-        The destinations by number, and their endpoints by id; ids count from 1.
+        The destinations by number, and their endpoints by id; ids start at 1.
     """
     destinations: dict[int, Destination] = {}
     endpoints: dict[int, Endpoint] = {}
--- a/pinspread/simulation/endpoint.py
+++ b/pinspread/simulation/endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoints of destinations, and what they have to do with: calls, and those that hold connections."""
+"""Endpoints of destinations, and the interfaces of their incoming calls and connection owners."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -12,21 +12,21 @@
 
 
 class ServingState(Enum):
-    """How an endpoint treats what reaches it."""
+    """How an endpoint treats connections and calls."""
 
     UP = auto()
-    CRASHED = auto()  # its process is down: connections are refused
-    SILENT = auto()  # it never answers
-    FAILING = auto()  # it answers with errors at once, all or a share
-    REJECTING = auto()  # it rejects all, and may say until when
-    COLLAPSED = auto()  # it was overloaded while it warmed up, and stays down
+    CRASHED = auto()  # the process is down: connections are refused
+    SILENT = auto()  # never answers
+    FAILING = auto()  # answers all or a share of the calls with an error at once
+    REJECTING = auto()  # rejects all calls, and may give the time left as Retry-After
+    COLLAPSED = auto()  # was overloaded while it warmed up, and stays down
 
 
 class ConnectResult(Enum):
-    """What becomes of an attempt to open a connection."""
+    """The result of an attempt to open a connection."""
 
     ACCEPTED = auto()
-    OVER_LIMIT = auto()  # accepted, and closed after a 503 to its first call
+    OVER_LIMIT = auto()  # accepted, but closed after a 503 to its first call
     REFUSED = auto()
     NO_ANSWER = auto()
 
@@ -41,43 +41,44 @@
 
     @property
     def draws(self) -> Sequence[float]:
-        """The call's uniform random numbers, by the indices that `scenario` names."""
+        """The call's uniform random numbers; `scenario_types` names their indices."""
         ...
 
     def work_started(self) -> None:
-        """The endpoint begins to work on the call: from here on it takes effect."""
+        """Note that the endpoint begins to work on the call, which takes effect from here on."""
         ...
 
     def respond(self, outcome: Outcome, retry_after_ns: int) -> None:
-        """The endpoint answers; `retry_after_ns` is 0 where no Retry-After is given."""
+        """Receive the endpoint's answer; `retry_after_ns` is 0 if it has no Retry-After."""
         ...
 
     def reset(self) -> None:
-        """The connection is reset."""
+        """Note that the connection is reset."""
         ...
 
 
 class ConnectionOwner(Protocol):
-    """One that holds connections to an endpoint."""
+    """Holds connections to an endpoint."""
 
     def close_expired(self) -> None:
         """Close the connections that have been idle for too long."""
         ...
 
     def connection_lost(self, reset: bool) -> None:
-        """The endpoint is gone; without a reset its connections stay open and silent."""
+        """Handle the loss of the endpoint; without a reset its connections stay open and silent."""
         ...
 
 
 class Endpoint:
-    """One endpoint of a destination: its calls in work, its queue, its connections.
+    """One endpoint of a destination: its running calls, its queue and its connections.
 
     Attributes:
-        busy: Cores in use.
-        connection_limit: Connections that it accepts; 0: any number.
-        connections: Connections that are open.
-        connection_owners: Those that hold them.
-        incarnation: Grows whenever what is in work is lost.
+        busy: Number of cores in use.
+        queue: Waiting calls, each with its work in nanoseconds.
+        connection_limit: Connections that it accepts; 0 for any number.
+        connections: Number of open connections.
+        connection_owners: The owners of these connections.
+        incarnation: Grows whenever running calls are lost.
     """
 
     __slots__ = (
--- a/pinspread/simulation/endpoint_directory.py
+++ b/pinspread/simulation/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a run, and when the instances hear of its changes."""
+"""The endpoint list of a run, and the delayed notification of its changes to the instances."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
@@ -14,16 +14,16 @@
 
 
 class EndpointDirectory:
-    """Lists endpoints, and tells each instance of changes, some time late.
+    """Lists endpoints, and notifies each instance of changes after a delay.
 
     Args:
-        engine: The simulation's time.
+        engine: The engine of the simulation.
         endpoints: All endpoints by id; new ones are added to it.
-        instances: Those that are told.
-        delays_ns: How late each of them is told.
+        instances: The instances to notify.
+        delays_ns: The delay of each instance.
 
     Attributes:
-        entries: The present list, by endpoint id.
+        entries: The current list, by endpoint id.
     """
 
     def __init__(
@@ -40,23 +40,23 @@
         self._delays_ns = delays_ns
 
     def announce(self, endpoint: Endpoint, state: EndpointState) -> None:
-        """Change the list, and have all instances told of it."""
+        """Change the list, and notify all instances of the change."""
         entry = entry_of(endpoint, state)
         if state is EndpointState.REMOVED:
             self.entries.pop(endpoint.id, None)
         else:
             self.entries[endpoint.id] = entry
         for instance, delay_ns in zip(self._instances, self._delays_ns, strict=True):
-            self._engine.after(delay_ns, self._tell, instance, entry)
+            self._engine.after(delay_ns, self._notify, instance, entry)
 
     @staticmethod
-    def _tell(instance: "Instance", entry: EndpointEntry) -> None:
+    def _notify(instance: "Instance", entry: EndpointEntry) -> None:
         if instance.up:
             instance.update_endpoints(UpdateScope.DELTA, [entry])
 
 
 def entry_of(endpoint: Endpoint, state: EndpointState = EndpointState.READY) -> EndpointEntry:
-    """Return the list's entry of an endpoint."""
+    """Return an endpoint's entry of the list."""
     spec = endpoint.destination.spec
     kind = LARGE_KIND if spec.large else SMALL_KIND
     return EndpointEntry(endpoint.id, spec.number, 0, kind, state, spec.weight)
--- a/pinspread/simulation/fault_injection.py
+++ b/pinspread/simulation/fault_injection.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a scenario: outages, restarts, and endpoints that drain or are replaced."""
+"""Carries out the faults of a scenario: outages, restarts, and endpoints that are drained or replaced."""
 
 from typing import TYPE_CHECKING
 
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from pinspread.simulation.simulate import Simulation
 
-# What the endpoints of a destination do in an outage, by the kind of fault in files.
+# State of a destination's endpoints during an outage, by the kind of fault in experiment files.
 OUTAGE_STATES = {
     "crash": ServingState.CRASHED,
     "silent": ServingState.SILENT,
     "errors": ServingState.FAILING,
     "shut": ServingState.REJECTING,
 }
-REPLACEMENT_OVERLAP_NS = 3 * SECOND  # a replaced endpoint is removed so long after the new one was listed
+REPLACEMENT_OVERLAP_NS = 3 * SECOND  # from the listing of the new endpoint to the removal of the old
 FIRST_REPLACEMENT_ID = 1_000_000
-SIGKILL_AFTER_NS = 3700 * MS  # after SIGTERM, if the process has not ended by itself
+SIGKILL_AFTER_NS = 3700 * MS  # after SIGTERM, if the process has not ended by then
 EXIT_POLL_NS = 20 * MS
 
 
@@ -33,7 +33,7 @@
         self._directory = simulation.directory
 
     def schedule(self, fault: ScheduledFault) -> None:
-        """Have a fault happen at its time; bursts are part of the arrivals already."""
+        """Schedule a fault; bursts are already part of the arrivals."""
         if fault.kind in OUTAGE_STATES:
             self._schedule_outages(fault)
         elif fault.kind in ("restart", "kill"):
@@ -76,7 +76,7 @@
         return int((shortest_s + (longest_s - shortest_s) * draw) * SECOND)
 
     def _await_exit(self, instance: Instance, incarnation: int, kill_ns: int, absent_ns: int) -> None:
-        """Wait until the process ends, by itself or by SIGKILL, and start it again some time after that."""
+        """Wait until the process ends, by itself or by SIGKILL, and start it again `absent_ns` later."""
         if instance.incarnation == incarnation and self._engine.now < kill_ns:
             self._engine.after(EXIT_POLL_NS, self._await_exit, instance, incarnation, kill_ns, absent_ns)
             return
@@ -85,7 +85,7 @@
         self._engine.after(absent_ns, self._start, instance)
 
     def _start(self, instance: Instance) -> None:
-        if not instance.up:  # else another restart has brought it back
+        if not instance.up:  # an overlapping restart may have started it already
             instance.start(list(self._directory.entries.values()))
 
     # --- changes of the endpoint list -------------------------------------------------------------
--- a/pinspread/simulation/instance.py
+++ b/pinspread/simulation/instance.py
@@ -1,7 +1,7 @@
-"""An instance of the model: a real delivery policy with connections, a journal and restarts around it.
+"""An instance of the model: a real delivery policy with simulated connections, journal and restarts.
 
-Its checks are those of the real one: right before a call is written, draining, Retry-After times, the
-deadline and a second attempt that is still out are looked at again.
+Right before it writes a call it checks again, as a real instance does, whether the endpoint is draining, a
+Retry-After is in force, the deadline has passed, or another attempt of the message is in flight.
 """
 
 from typing import TYPE_CHECKING, Protocol, cast
@@ -30,27 +30,27 @@
 if TYPE_CHECKING:
     from pinspread.simulation.simulate import Simulation
 
-LINGER_NS = 500 * MS  # after SIGTERM, new messages are rejected for at least so long
-DRAIN_NS = 3200 * MS  # after SIGTERM, calls have so long to end
-JOURNAL_FULL_RETRY_NS = SECOND  # the Retry-After where no more messages may be held
+LINGER_NS = 500 * MS  # after SIGTERM, new messages are rejected for at least this long
+DRAIN_NS = 3200 * MS  # after SIGTERM, calls in flight have this long to end
+JOURNAL_FULL_RETRY_NS = SECOND  # Retry-After while the maximum number of messages is held
 MIN_TIMER_NS = 1000
 HEALTH_CHECK_TIMEOUT_NS = 1500 * MS
 HEALTH_CHECK_WORK_NS = 5 * MS
 HEALTH_CHECK_DRAWS = (0.5, 0.5, 0.5, 0.5)
-BROKEN_CONNECTION = (Outcome.TIMEOUT, Outcome.RESET)  # outcomes after which a connection is of no further use
-NO_FAILURE = (Outcome.OK, Outcome.NOT_SENT)
+BROKEN_CONNECTION = (Outcome.TIMEOUT, Outcome.RESET)  # outcomes after which a connection cannot be reused
+NON_FAILURES = (Outcome.OK, Outcome.NOT_SENT)
 
 
 class Policy(Protocol):
-    """What decides for an instance."""
+    """Makes the decisions of an instance."""
 
     def handle(self, now_ns: int, batch: list[Event]) -> list[Action]:
-        """Take the events of one turn and return the actions, in order."""
+        """Handle the events of one turn and return the actions, in order."""
         ...
 
 
 class Instance:
-    """One instance, over its restarts.
+    """One instance, across its restarts.
 
     Args:
         number: Its number, from 0.
@@ -58,10 +58,10 @@
 
     Attributes:
         up: Whether its process runs.
-        stopping: Whether its process has had SIGTERM.
+        stopping: Whether its process has received SIGTERM.
         incarnation: Grows whenever its process ends.
-        messages: The accepted messages that have not ended, by number: the journal.
-        starts: How often it was started.
+        messages: The accepted messages without a final result, by number: the journal.
+        starts: Number of starts.
     """
 
     def __init__(self, number: int, simulation: "Simulation") -> None:
@@ -85,10 +85,10 @@
         self.starts = 0
         self._lingered = False
         self._policy: Policy
-        self._attempts: dict[tuple[int, int], OutgoingCall] = {}  # by message and attempt, while they are out
+        self._attempts: dict[tuple[int, int], OutgoingCall] = {}  # in flight, by message and attempt number
         self._pools: dict[EndpointId, ConnectionPool] = {}
         self._retry_after_until_ns: dict[int, int] = {}  # by destination
-        self._usable: dict[EndpointId, bool] = {}  # whether the endpoint list lets an endpoint be called
+        self._usable: dict[EndpointId, bool] = {}  # whether the endpoint list allows calls to an endpoint
         self._last_message = 0
         self._events: list[Event] = []
         self._turn_scheduled = False
@@ -96,7 +96,7 @@
     # --- the process ------------------------------------------------------------------------------
 
     def start(self, entries: list[EndpointEntry]) -> None:
-        """Start the process: with the endpoint list as it is, and all that the journal holds."""
+        """Start the process with the current endpoint list and all messages of the journal."""
         self.up = True
         self.stopping = False
         self._lingered = False
@@ -109,7 +109,7 @@
             self.post(message.accepted_event(self.simulation.scenario))
 
     def stop(self) -> None:
-        """Stop as after SIGTERM: new messages are rejected from now on, calls that are out may end."""
+        """Stop as after SIGTERM: new messages are rejected from now on, calls in flight may end."""
         self.stopping = True
         self.engine.after(DRAIN_NS, self._drain_ended, self.incarnation)
         self.engine.after(LINGER_NS, self._linger_ended, self.incarnation)
@@ -128,7 +128,7 @@
             self.kill()
 
     def kill(self) -> None:
-        """End the process: its connections are reset, and attempts that are out may have taken effect."""
+        """End the process: its connections are reset, and attempts in flight may have taken effect."""
         self.up = False
         self.incarnation += 1
         for call in list(self._attempts.values()):
@@ -151,13 +151,13 @@
             message.sent_call = None
             self.simulation.checker.attempt_interrupted(self.number, message.number, call.sent_ns)
 
-    # --- what comes in ----------------------------------------------------------------------------
+    # --- messages and endpoint updates ------------------------------------------------------------
 
     def accept(self, row: int, deadline_ns: int) -> int | None:
         """Accept a message of the scenario; the process must be up.
 
         Returns:
-            None if it was accepted, else the Retry-After in nanoseconds.
+            None if it was accepted, else the Retry-After of the rejection in nanoseconds.
         """
         settings, scenario = self.simulation.settings, self.simulation.scenario
         if self.stopping:
@@ -172,7 +172,7 @@
         return None
 
     def update_endpoints(self, scope: UpdateScope, entries: list[EndpointEntry]) -> None:
-        """Take an update of the endpoint list."""
+        """Apply an update of the endpoint list."""
         if scope is UpdateScope.FULL:
             for id_ in self._usable.keys() - {entry.endpoint for entry in entries}:
                 self._set_usable(id_, False)
@@ -190,7 +190,7 @@
     # --- turns of the policy ----------------------------------------------------------------------
 
     def post(self, event: Event) -> None:
-        """Have the policy told of an event in the next turn."""
+        """Pass an event to the policy in its next turn."""
         self._events.append(event)
         if not self._turn_scheduled:
             self._turn_scheduled = True
@@ -245,12 +245,12 @@
                 self.number, self.engine.now, action.request, endpoint.id, destination
             )
         if message is None or self.stopping:
-            return  # what is not sent now stays in the journal for the next start
+            return  # a message that is not sent now stays in the journal for the next start
         call = OutgoingCall(self, message, endpoint, action.timeout_ns)
         call.attempt = message.attempts
-        draw = int(simulation.written[message.row]) % ATTEMPT_DRAWS
-        call.draws = simulation.scenario.attempt_draws[message.row, draw]
-        call.work_ns = int(simulation.scenario.work_ns[message.row, draw])
+        draw_index = int(simulation.written[message.row]) % ATTEMPT_DRAWS
+        call.draws = simulation.scenario.attempt_draws[message.row, draw_index]
+        call.work_ns = int(simulation.scenario.work_ns[message.row, draw_index])
         message.attempts += 1
         self._attempts[message.number, call.attempt] = call
         simulation.attempt_started(message.row)
@@ -271,7 +271,7 @@
         return self.simulation.endpoints[cast("int", id_)]
 
     def delay_ns(self, endpoint: Endpoint, draw: float) -> int:
-        """The network's delay between this instance and an endpoint, one way."""
+        """Return the network's one-way delay between this instance and an endpoint, in nanoseconds."""
         base_ns = self.simulation.delays_ns[endpoint.destination.number - 1]
         return int(base_ns * (1 + self.jitter * (2 * float(draw) - 1)))
 
@@ -305,7 +305,7 @@
             self.engine.after(timeout_ns, self.complete, call, Outcome.CONNECT_FAILED, 0)
 
     def _write(self, call: OutgoingCall, pool: ConnectionPool) -> None:
-        """Write a call, unless it must not go any more."""
+        """Write a call, unless it must no longer be sent."""
         if call.completed or call.incarnation != self.incarnation:
             return
         if not call.over_limit:
@@ -347,7 +347,7 @@
             self.complete(call, Outcome.TIMEOUT if call.sent_ns else Outcome.CONNECT_FAILED, 0)
 
     def complete(self, call: OutgoingCall, outcome: Outcome, retry_after_ns: int) -> None:
-        """Give a call its outcome; any further one is ignored."""
+        """Record the outcome of a call; any further outcome is ignored."""
         if call.completed or call.incarnation != self.incarnation:
             return
         call.completed = True
@@ -357,9 +357,9 @@
             pool.release(call, reusable=outcome not in BROKEN_CONNECTION)
         if retry_after_ns:
             until_ns = self.engine.now + retry_after_ns
-            known_ns = self._retry_after_until_ns.get(destination.number, 0)
-            self._retry_after_until_ns[destination.number] = max(known_ns, until_ns)
-        if outcome not in NO_FAILURE:
+            previous_ns = self._retry_after_until_ns.get(destination.number, 0)
+            self._retry_after_until_ns[destination.number] = max(previous_ns, until_ns)
+        if outcome not in NON_FAILURES:
             destination.record_failure(self.number)
         if call.message is not None:
             self._complete_attempt(call, call.message, outcome, retry_after_ns)
@@ -376,9 +376,9 @@
             message.sent_call = None
             if outcome not in NEVER_RAN:
                 message.note_may_have_run(call.sent_ns)
-        was_open = number in self.messages
-        done = outcome is Outcome.OK or not was_open
-        if was_open and done:
+        was_pending = number in self.messages
+        done = outcome is Outcome.OK or not was_pending
+        if was_pending and done:
             del self.messages[number]
             checker.message_delivered(self.number, now_ns, number)
             self.simulation.message_delivered(message.row)
--- a/pinspread/simulation/outgoing_call.py
+++ b/pinspread/simulation/outgoing_call.py
@@ -1,4 +1,4 @@
-"""Messages that an instance has accepted, and its calls: attempts to deliver them, and health checks."""
+"""Messages that an instance has accepted, and its outgoing calls: delivery attempts and health checks."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
@@ -13,14 +13,14 @@
 
 
 class AcceptedMessage:
-    """A message that an instance has accepted: what its journal holds of it.
+    """A message that an instance has accepted, as its journal holds it.
 
     Attributes:
         number: Its number at the instance.
         row: Its row in the scenario.
-        attempts: Attempts that were begun, also before a restart.
-        may_have_run_ns: When the first attempt was sent that may have taken effect; 0: none.
-        sent_call: The attempt that is sent and has no outcome yet.
+        attempts: Number of attempts begun, including those before a restart.
+        may_have_run_ns: When the first attempt that may have taken effect was sent; 0 if there is none.
+        sent_call: The attempt that was sent and has no outcome yet.
     """
 
     __slots__ = ("attempts", "deadline_ns", "may_have_run_ns", "number", "row", "sent_call")
@@ -34,7 +34,7 @@
         self.sent_call: OutgoingCall | None = None
 
     def record(self, scenario: Scenario) -> MessageRecord:
-        """Return what the rule checker has to know of it."""
+        """Return the rule checker's record of the message."""
         return MessageRecord(
             int(scenario.class_index[self.row]),
             int(scenario.destination[self.row]),
@@ -43,7 +43,7 @@
         )
 
     def accepted_event(self, scenario: Scenario) -> MessageAccepted:
-        """Return the event that tells a policy of it, also after a restart."""
+        """Return the event that passes the message to a policy, also after a restart."""
         return MessageAccepted(
             self.number,
             int(scenario.class_index[self.row]),
@@ -56,29 +56,29 @@
         )
 
     def note_may_have_run(self, sent_ns: int) -> None:
-        """Note that the attempt sent at a time may have taken effect; the first such time is kept."""
+        """Note that the attempt sent at `sent_ns` may have taken effect; only the first such time is kept."""
         self.may_have_run_ns = self.may_have_run_ns or sent_ns
 
 
 class OutgoingCall:
-    """One attempt, or a health check.
+    """A delivery attempt or a health check.
 
     Args:
-        owner: The instance that makes it.
-        message: The message that is sent; None for a health check.
-        endpoint: Where to.
-        timeout_ns: How long to wait for its outcome.
+        owner: The instance that makes the call.
+        message: The message to deliver; None for a health check.
+        endpoint: The endpoint that is called.
+        timeout_ns: How long to wait for the outcome.
 
     Attributes:
         instance: Number of the instance.
-        incarnation: The incarnation of the instance that made it.
+        incarnation: Incarnation of the instance when it made the call.
         attempt: Number of the attempt, from 0.
         draws: Uniform random numbers; see `scenario.Scenario.attempt_draws`.
-        work_ns: The work that it makes at a destination of the usual speed.
-        sent_ns: When its first byte was written; 0: not yet.
-        completed: Whether it has its outcome.
-        opened: Whether it has a connection of its own, newly opened.
-        over_limit: Whether that connection is over the endpoint's limit, and will be closed after a 503.
+        work_ns: Its work at a destination of normal speed.
+        sent_ns: When its first byte was written; 0 before that.
+        completed: Whether its outcome is known.
+        opened: Whether a new connection was opened for it.
+        over_limit: Whether that connection exceeds the endpoint's limit, and will be closed after a 503.
     """
 
     __slots__ = (
@@ -117,19 +117,19 @@
         self.over_limit = False
 
     def work_started(self) -> None:
-        """The endpoint begins to work on it: from here on it takes effect."""
+        """Note that the endpoint begins to work on the call, which takes effect from here on."""
         if self.message is not None:
             self.owner.simulation.work_started(self.message.row, self.work_ns)
 
     def respond(self, outcome: Outcome, retry_after_ns: int) -> None:
-        """The endpoint answers; a share of the answers to attempts are lost on their way back."""
+        """Receive the endpoint's answer; a share of the answers to attempts are lost on the way back."""
         lost_share = self.owner.lost_share
         if self.message is not None and lost_share and self.draws[ERROR_DRAW] < lost_share:
             return
         self._complete_later(outcome, retry_after_ns)
 
     def reset(self) -> None:
-        """The connection is reset."""
+        """Note that the connection is reset."""
         self._complete_later(Outcome.RESET, 0)
 
     def _complete_later(self, outcome: Outcome, retry_after_ns: int) -> None:
