--- a/pinspread/simulation/distributions.py
+++ b/pinspread/simulation/distributions.py
@@ -1,4 +1,4 @@
-"""Small draws that the parts of a scenario share."""
+"""Functions that the parts of a scenario share for drawing random numbers."""
 
 from collections.abc import Iterable
 
@@ -12,7 +12,7 @@
 
 
 def normalized(shares: Iterable[float]) -> NDArray[np.float64]:
-    """Return shares in proportion that sum to 1."""
+    """Return the shares scaled so that they sum to 1."""
     values = np.array(list(shares), dtype=float)
     result: NDArray[np.float64] = values / values.sum()
     return result
--- a/pinspread/simulation/experiment.py
+++ b/pinspread/simulation/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: a checked file as the points that are to be run, every problem named with its place."""
+"""Experiments: checks a file and derives the points to run; reports every problem with its location."""
 
 import hashlib
 from collections.abc import Iterator
@@ -32,13 +32,13 @@
 
     Attributes:
         variant: The variant's name.
-        value: The value of the sweep; None without one.
-        model: The fleet and its surroundings.
-        settings: Settings of the policy that differ, by key of the file.
-        constants: Constants of the policy that differ, by key of the file.
+        value: The value of the sweep; None without a sweep.
+        model: The model of the fleet.
+        settings: Replaced settings of the policy, by key of the file.
+        constants: Replaced constants of the policy, by key of the file.
         policy_digest: A hash of the policy's source texts.
         policy_sources: These texts by module name; None for the policy of this checkout.
-        policy_seed: Another seed for the policy's random numbers; 0 for none.
+        policy_seed: Replaces the seed of the policy's random numbers; 0 to keep that of the run.
         trace: Path of the trace that is replayed; empty for drawn arrivals.
         trace_sha256: SHA-256 of that file, as hexadecimal digits.
     """
@@ -57,9 +57,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _PointTables:
-    """What a file gives for a point."""
+    """The tables that a file gives for a point."""
 
-    place: str
+    location: str
     world: dict[str, Any]
     settings: dict[str, Any]
     constants: dict[str, Any]
@@ -69,15 +69,15 @@
     """A checked experiment.
 
     Args:
-        file: What the file holds.
-        folder: The folder of the file, from which its paths count.
+        file: The content of the file.
+        folder: The folder of the file, to which its paths are relative.
 
     Attributes:
-        points: What is run for each seed, in order.
-        seeds: The seeds; each draws the same day for all points.
+        points: The points to run with each seed, in order.
+        seeds: The seeds; each gives all points the same random numbers.
 
     Raises:
-        ExperimentError: With all problems, one a line.
+        ExperimentError: The file has problems; the text lists all of them, one a line.
     """
 
     def __init__(self, file: ExperimentFile, folder: Path):
@@ -110,22 +110,22 @@
     def _check_names(self) -> None:
         names = [variant.name for variant in self.file.variants]
         self._problems += [
-            f"variant[{number}].name: {name!r} stands twice"
+            f"variant[{number}].name: {name!r} occurs more than once"
             for number, name in enumerate(names)
             if name in names[:number]
         ]
 
-    def _add_variant(self, place: str, variant: Variant) -> None:
+    def _add_variant(self, location: str, variant: Variant) -> None:
         """Add a variant's points, one for each value of the sweep."""
         if variant.module and variant.revision:
-            self._problems.append(f"{place}: give either module or revision")
+            self._problems.append(f"{location}: has both module and revision, expected at most one")
             return
         try:
             sources = self._read_sources(variant)
         except VariantError as error:
-            self._problems.append(f"{place}.{'module' if variant.module else 'revision'}: {error}")
+            self._problems.append(f"{location}.{'module' if variant.module else 'revision'}: {error}")
             return
-        for value, tables in self._tables_of(place, variant):
+        for value, tables in self._tables_of(location, variant):
             self._check_policy_keys(tables, sources)
             self._add_point(variant, value, tables, sources)
 
@@ -136,39 +136,40 @@
             self._sources[version] = read_sources(folder, variant.revision)
         return self._sources[version]
 
-    def _tables_of(self, place: str, variant: Variant) -> Iterator[tuple[Any, _PointTables]]:
-        """Each value of the sweep with the tables that it gives."""
+    def _tables_of(self, location: str, variant: Variant) -> Iterator[tuple[Any, _PointTables]]:
+        """Yield each value of the sweep with the tables that result from it."""
         world = merge_tables(self.file.world, variant.world)
         sweep = self.file.sweep
         if sweep is None:
-            yield None, _PointTables(place, world, variant.settings, variant.constants)
+            yield None, _PointTables(location, world, variant.settings, variant.constants)
             return
         for number, value in enumerate(sweep.values):
             tables = {"world": world, "settings": variant.settings, "constants": variant.constants}
             root, swept = _swept_tables(sweep, value)
             tables[root] = merge_tables(tables[root], swept)
-            yield value, _PointTables(f"{place}, sweep.values[{number}]", **tables)
+            yield value, _PointTables(f"{location}, sweep.values[{number}]", **tables)
 
     def _check_policy_keys(self, tables: _PointTables, sources: dict[str, str]) -> None:
-        """Note settings and constants that the policy does not have."""
+        """Record settings and constants that the policy does not have."""
         known_constants = constant_names(sources)
         for name in tables.constants:
             if name not in known_constants:
-                self._problems.append(f"{tables.place}.constants.{name}: the module has none of that name")
+                self._problems.append(f"{tables.location}.constants.{name}: the policy has no such constant")
         known_settings = setting_names(sources)
         for name, value in tables.settings.items():
-            place = f"{tables.place}.settings.{name}"
+            location = f"{tables.location}.settings.{name}"
             if name not in known_settings:
-                self._problems.append(f"{place}: the module has none of that name")
+                self._problems.append(f"{location}: the policy has no such setting")
             elif not isinstance(value, int | float):
-                self._problems.append(f"{place}: must be a number or true or false, not {value!r}")
+                self._problems.append(f"{location}: must be a number, true or false, not {value!r}")
 
     def _add_point(self, variant: Variant, value: Any, tables: _PointTables, sources: dict[str, str]) -> None:
         try:
             model = FleetModel.model_validate(tables.world)
         except ValidationError as error:
             self._problems += [
-                f"{tables.place}: {place}: {message}" for place, message in field_problems(error, ("world",))
+                f"{tables.location}: {location}: {message}"
+                for location, message in field_problems(error, ("world",))
             ]
             return
         self.points.append(
@@ -188,7 +189,7 @@
 
 
 def merge_tables(base: dict[str, Any], changes: dict[str, Any]) -> dict[str, Any]:
-    """Tables merged key by key; all else replaced."""
+    """Merge two tables key by key; values other than tables are replaced."""
     merged = dict(base)
     for name, value in changes.items():
         old = merged.get(name)
@@ -200,7 +201,7 @@
 
 
 def _swept_tables(sweep: Sweep, value: Any) -> tuple[str, dict[str, Any]]:
-    """The root of a sweep's path, and a value as the tables below it.
+    """Return the root of a sweep's path, and a value wrapped in the tables below that root.
 
     `world.couriers.count` and 5 give "world" and {"couriers": {"count": 5}}.
     """
@@ -214,7 +215,7 @@
     """Read and check an experiment file.
 
     Raises:
-        ExperimentError: With all problems, one a line, each with its place.
+        ExperimentError: The file has problems; the text lists all of them, one a line, with locations.
     """
     file = read_experiment_file(path)
     try:
--- a/pinspread/simulation/experiment_file.py
+++ b/pinspread/simulation/experiment_file.py
@@ -1,4 +1,4 @@
-"""The form of an experiment file: TOML tables, checked for names and types."""
+"""The format of experiment files: TOML tables whose names and types are checked."""
 
 import tomllib
 from collections.abc import Iterable
@@ -12,11 +12,11 @@
 
 
 class ExperimentError(PinspreadError, ValueError):
-    """The file cannot be run; one problem a line, each with its place."""
+    """An experiment file cannot be run; the text has one problem per line, each with its location."""
 
 
 class ExperimentHeader(StrictModel):
-    """The table `experiment`: what is run, and on which days."""
+    """The table `experiment`: what is run, and with which seeds."""
 
     name: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$")]
     about: str = ""
@@ -25,7 +25,7 @@
 
 
 class Variant(StrictModel):
-    """One table of `variant`: a version of the policy, and how its settings and its world differ."""
+    """One table of `variant`: a version of the policy, and the settings and world that differ."""
 
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9 ._-]{0,62}$")]
     constants: dict[str, Any] = {}  # of the policy
@@ -33,18 +33,18 @@
     world: dict[str, Any] = {}  # tables that replace the world's, key by key
     module: str = ""  # a folder with the modules of a policy package
     revision: str = ""  # or a git revision
-    module_seed: int = 0  # another seed for the policy's own random numbers, on the same days
+    module_seed: int = 0  # another seed for the policy's own random numbers; scenarios stay the same
 
 
 class Sweep(StrictModel):
-    """The table `sweep`: one figure that takes several values."""
+    """The table `sweep`: one parameter that takes several values."""
 
     path: Annotated[str, Field(pattern=r"^(world|settings|constants)\.[A-Za-z_.0-9]+$")]
     values: Annotated[list[Any], Field(min_length=1)]
 
 
 class RetryPaper(StrictModel):
-    """The table `paper`: the figures of the paper on retries."""
+    """The table `paper`: the parameters of the paper on retries."""
 
     requests: Annotated[int, Field(ge=1)] = 100
     retries: Annotated[int, Field(ge=1, le=12)] = 5
@@ -57,11 +57,11 @@
 
 
 class ExperimentFile(StrictModel):
-    """A whole file."""
+    """A whole experiment file."""
 
     experiment: ExperimentHeader
     world: dict[str, Any] = {}
-    trace: str = ""  # a recorded trace in place of drawn arrivals
+    trace: str = ""  # a recorded trace that replaces the drawn arrivals
     variants: Annotated[list[Variant], Field(alias="variant")] = []
     sweep: Sweep | None = None
     paper: RetryPaper = RetryPaper()
@@ -71,7 +71,7 @@
     """Read a file and check the names and types in it.
 
     Raises:
-        ExperimentError: The file cannot be read, is no TOML, or has unknown or wrong fields.
+        ExperimentError: The file cannot be read, is not TOML, or has unknown or wrong fields.
     """
     try:
         tables = tomllib.loads(Path(path).read_text())
@@ -80,12 +80,12 @@
     try:
         return ExperimentFile.model_validate(tables)
     except ValidationError as error:
-        lines = [f"{path}: {place or 'file'}: {message}" for place, message in field_problems(error)]
+        lines = [f"{path}: {location or 'file'}: {message}" for location, message in field_problems(error)]
         raise ExperimentError("\n".join(lines)) from None
 
 
 def field_problems(error: ValidationError, root: tuple[str, ...] = ()) -> list[tuple[str, str]]:
-    """The place and the message of each problem; `root` stands before all places."""
+    """Return the location and the message of each problem; `root` precedes all locations."""
     return [
         (field_path((*root, *problem["loc"])), problem["msg"].removeprefix("Value error, "))
         for problem in error.errors()
@@ -93,7 +93,7 @@
 
 
 def field_path(parts: Iterable[str | int]) -> str:
-    """A place in a file: world.trouble[2].at_s."""
+    """Return a location in a file, such as world.trouble[2].at_s."""
     text = ""
     for part in parts:
         if isinstance(part, int):
--- a/pinspread/simulation/legacy_policy.py
+++ b/pinspread/simulation/legacy_policy.py
@@ -1,8 +1,8 @@
 """Runs versions of the decision module from before it was the package `pinspread.policy`.
 
 Experiments name such versions by git revision. Their three modules (interface, state, decide) are executed
-under their old names, and `LegacyPolicy` stands between them and the model: it turns present events into
-theirs and their actions into present ones. What an old version has no field for is left out.
+under their old names. `LegacyPolicy` adapts them to the model: it converts current events to the old classes
+and old actions to the current ones. Fields that an old version does not have are left out.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 from pinspread.policy import actions, events, settings
 from pinspread.simulation.policy_sources import LEGACY_NAMES
 
-# Present classes, and their names in the old interface.
+# Current classes, and their names in the old interface.
 CLASSES: dict[type, str] = {
     settings.Settings: "Settings",
     settings.TrafficClass: "TrafficClass",
@@ -43,7 +43,7 @@
     actions.Subscribe: "Subscribe",
 }
 
-# Present fields whose old names differ. A field of one name has one old name in all classes but those below.
+# Current fields whose old names differ. They hold for all classes, except for the fields of `Reject` below.
 FIELDS: dict[str, str] = {
     "latency_objective_ns": "aim_ns",
     "deduplication_window_ns": "window_ns",
@@ -76,15 +76,15 @@
     "recovered": "owed",
 }
 REJECT_FIELDS: dict[str, str] = {"retry_after_ns": "come_back_ns"}
-# Present actions by their old names.
+# Current actions by their old names.
 PRESENT_ACTIONS = {old_name: cls for cls, old_name in CLASSES.items() if cls.__module__ == actions.__name__}
 
 
 class LegacyPolicy:
-    """An old version's sender, with the interface of `DeliveryPolicy`.
+    """The sender of an old version, with the interface of `DeliveryPolicy`.
 
     Args:
-        own_settings: Present settings, which are turned into the old version's.
+        own_settings: Current settings, which are converted to those of the old version.
         seed: Seed of the sender's random numbers.
     """
 
@@ -93,12 +93,12 @@
         self._sender = sys.modules["pinspread.decide"].Sender(self._to_old(own_settings), seed)
 
     def handle(self, now_ns: int, batch: list[Any]) -> list[Any]:
-        """Take the events of one turn and give the actions, in order."""
+        """Handle the events of one turn and return the actions, in order."""
         chosen = self._sender.handle(now_ns, [self._to_old(event) for event in batch])
         return [self._to_present(action) for action in chosen]
 
     def _to_old(self, value: Any) -> Any:
-        """The old version's counterpart of a present object; plain values come back unchanged."""
+        """Return the old version's counterpart of a current object; plain values are returned unchanged."""
         if isinstance(value, list):
             return [self._to_old(item) for item in value]
         name = CLASSES.get(type(value))
@@ -116,7 +116,7 @@
         return old_class(**arguments)
 
     def _to_present(self, action: Any) -> Any:
-        """The present counterpart of an old action."""
+        """Return the current counterpart of an old action."""
         present = PRESENT_ACTIONS[type(action).__name__]
         names: dict[str, str] = REJECT_FIELDS if present is actions.Reject else {}
         fields = dataclasses.fields(present)
@@ -124,18 +124,18 @@
 
 
 def install(sources: Mapping[str, str]) -> None:
-    """Execute an old version's modules, and put it in the place of `DeliveryPolicy`.
+    """Execute an old version's modules, and replace `DeliveryPolicy` by that version.
 
     Args:
-        sources: Their texts by module name.
+        sources: The source texts of the modules, by module name.
     """
     import pinspread
     from pinspread.policy import delivery_policy
 
-    for name in LEGACY_NAMES:  # in the order in which they need each other
+    for name in LEGACY_NAMES:  # in the order of their imports of each other
         module = ModuleType(f"pinspread.{name}")
         module.__file__ = f"<variant>/{name}.py"
         sys.modules[module.__name__] = module
         setattr(pinspread, name, module)
         exec(compile(sources[name], module.__file__, "exec"), module.__dict__)
-    delivery_policy.DeliveryPolicy = LegacyPolicy  # type: ignore[misc,assignment]  # the model takes it from there
+    delivery_policy.DeliveryPolicy = LegacyPolicy  # type: ignore[misc,assignment]  # the model imports it from there
--- a/pinspread/simulation/load.py
+++ b/pinspread/simulation/load.py
@@ -1,7 +1,7 @@
-"""Many delivery policies against one destination in virtual time: what each does has to fit the sum of all.
+"""Many delivery policies against one destination in virtual time, whose rate limit they have to share.
 
 Simpler than a `Simulation`, whose rate limits are fixed windows: here a rejected call uses up the limit of
-any second that it lies in, as was seen of destinations whose limits jam.
+any one-second span that contains it, as at destinations whose limit stays exhausted by rejected calls.
 """
 
 import random
@@ -31,12 +31,12 @@
 DEADLINE_S = 12
 CALL_NS = 50 * MS
 
-# Calls a second that a destination admits, by the second of the run.
+# Gives the calls per second that a destination admits, by the second of the run.
 Limit = Callable[[float], float]
 
 
 def settings(senders: int) -> Settings:
-    """Return the settings of each of so many senders: one idempotent class, an exact listed rate."""
+    """Return the settings of each of several senders: one idempotent class, and an exact listed rate."""
     return Settings(
         classes=[TrafficClass(4 * SECOND, 20 * SECOND, late_value_share=0.3)],
         kinds=[DestinationKind()],
@@ -56,10 +56,10 @@
 
 
 class LimitedDestination:
-    """Admits so many calls in any second; rejected calls count, too, and carry no Retry-After.
+    """Admits a limited number of calls in any second; rejected calls count too, and carry no Retry-After.
 
     Attributes:
-        outcomes: Each call's time and outcome.
+        outcomes: Time in nanoseconds and outcome of each call.
     """
 
     def __init__(self, limit: Limit) -> None:
@@ -68,7 +68,7 @@
         self._last_second: deque[int] = deque()
 
     def call(self, now_ns: int) -> Outcome:
-        """Take a call."""
+        """Handle a call and return its outcome."""
         while self._last_second and self._last_second[0] <= now_ns - SECOND:
             self._last_second.popleft()
         outcome = OVERLOADED if len(self._last_second) >= self.limit(now_ns / SECOND) else OK
@@ -77,8 +77,11 @@
         return outcome
 
     def between(self, start_s: float, end_s: float, outcome: Outcome) -> int:
-        """Return how many calls of a time had an outcome."""
-        return sum(o is outcome and start_s * SECOND <= at < end_s * SECOND for at, o in self.outcomes)
+        """Return how many calls of a time span had an outcome."""
+        return sum(
+            recorded_outcome is outcome and start_s * SECOND <= at_ns < end_s * SECOND
+            for at_ns, recorded_outcome in self.outcomes
+        )
 
 
 class LoadRun:
@@ -91,19 +94,19 @@
     def __init__(self, senders: int, limit: Limit, seed: int) -> None:
         self.destination = LimitedDestination(limit)
         self.delivered = [0] * senders
-        shared = settings(senders)
-        self._policies = [DeliveryPolicy(shared, seed=seed * 1000 + n) for n in range(senders)]
+        shared_settings = settings(senders)
+        self._policies = [DeliveryPolicy(shared_settings, seed=seed * 1000 + n) for n in range(senders)]
         self._heap: list[tuple[int, int, int, Event]] = []
         self._serials = count()
         self._requests = count(1)
         self._attempts: dict[int, int] = {}
 
     def schedule(self, when_ns: float, sender: int, event: Event) -> None:
-        """Have a sender told of an event at a time."""
+        """Schedule an event for a sender."""
         heappush(self._heap, (int(when_ns), next(self._serials), sender, event))
 
     def schedule_messages(self, sender: int, rate_per_s: float, length_s: float, rng: random.Random) -> None:
-        """Have messages come to a sender at random times, at a mean rate."""
+        """Schedule messages for a sender at random times, with a mean rate."""
         entry = EndpointEntry(ENDPOINT, DESTINATION, weight=self.destination.limit(0))
         self.schedule(0, sender, EndpointsChanged(UpdateScope.CACHED, [entry]))
         at_s = rng.expovariate(rate_per_s)
@@ -114,7 +117,7 @@
             at_s += rng.expovariate(rate_per_s)
 
     def run(self, until_ns: float) -> None:
-        """Give the senders all events up to a time."""
+        """Pass all events before a time to the senders."""
         while self._heap and self._heap[0][0] < until_ns:
             now_ns, _, sender, event = heappop(self._heap)
             for action in self._policies[sender].handle(now_ns, [event]):
@@ -133,10 +136,10 @@
             self.schedule(now_ns + CALL_NS, sender, completed)
 
 
-def play(
+def run_traffic(
     limit: Limit, rates_per_s: list[float], length_s: float, seed: int = 1
 ) -> tuple[LimitedDestination, list[int]]:
-    """Run Poisson traffic, at a rate for each sender.
+    """Run Poisson traffic with one rate for each sender.
 
     Returns:
         The destination, and how many messages each sender delivered.
@@ -152,12 +155,12 @@
 def lowered_limit(
     senders: int, limit: float = 40.0, load: float = 0.8, to: float = 0.4, seed: int = 1
 ) -> LimitedDestination:
-    """Return the destination of a run of 30 s, whose limit falls to a part of itself from 10 s to 19 s."""
+    """Return the destination of a 30 s run, whose limit is `to` times as high from 10 s to 19 s."""
     rates_per_s = [load * limit / senders] * senders
-    return play(lambda at_s: to * limit if 10 <= at_s < 19 else limit, rates_per_s, 30, seed)[0]
+    return run_traffic(lambda at_s: to * limit if 10 <= at_s < 19 else limit, rates_per_s, 30, seed)[0]
 
 
 def burst(senders: int, limit: float = 40.0, load: float = 0.7, seed: int = 2) -> list[int]:
-    """Return each sender's deliveries in 10 s, the first of whom gets messages for the whole limit."""
+    """Return each sender's deliveries in 10 s; the first receives messages at the rate of the whole limit."""
     rates_per_s = [limit, *[load * limit / senders] * (senders - 1)]
-    return play(lambda at_s: limit, rates_per_s, 10, seed)[1]
+    return run_traffic(lambda at_s: limit, rates_per_s, 10, seed)[1]
--- a/pinspread/simulation/policy_settings.py
+++ b/pinspread/simulation/policy_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the policies of a simulated or real run get."""
+"""The settings of the policies in a simulated or real run."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -18,13 +18,13 @@
 
     Args:
         model: The model.
-        scenario: Supplies what was drawn: call slots and places for messages.
-        replaced: Values that a variant puts in their place, by names of experiment files or of `Settings`.
+        scenario: Supplies the drawn numbers of call slots and of held messages.
+        replaced: Values that replace them for a variant, by key of experiment files or field of `Settings`.
     """
     instances, destinations = model.couriers, model.partners
     quotas = zip(model.teams, tenant_quotas(model), strict=True)
     settings: dict[str, Any] = {
-        "classes": [_traffic_class(one) for one in model.classes],
+        "classes": [_traffic_class(traffic_class) for traffic_class in model.classes],
         "kinds": [DestinationKind(), DestinationKind()],
         "max_concurrent_calls": scenario.max_concurrent_calls,
         "max_held_messages": scenario.max_held_messages,
--- a/pinspread/simulation/policy_sources.py
+++ b/pinspread/simulation/policy_sources.py
@@ -1,6 +1,6 @@
 """Versions of the delivery policy as source text: where they come from, and what they define.
 
-Nothing is imported or executed here; `variants` puts a version into force in a process.
+Nothing is imported or executed here; `variants` makes a process use a version.
 """
 
 import ast
@@ -16,14 +16,14 @@
 LEGACY_NAMES = ("interface", "state", "decide")  # the policy's modules before it became a package
 INTERFACE_NAMES = ("events", "actions", "settings")  # modules of the package whose classes the model uses
 RUNNABLE_VERSIONS = (
-    f"versions that can be run have a folder {PACKAGE} with the present fields (since revision 5dd2b39),"
-    " or are from before that folder (revision 2404508)"
+    f"versions that can be run have a folder {PACKAGE} with the current fields (since revision 5dd2b39),"
+    " or predate that folder (revision 2404508)"
 )
 
 # Source texts of a version by module name.
 PolicySources = Mapping[str, str]
 
-# What an experiment's file calls settings of the policy, where the policy's own word differs.
+# Keys of experiment files for those settings of the policy whose field has another name.
 SETTINGS_KEYS = {
     "calls_out": "max_concurrent_calls",
     "most_held": "max_held_messages",
@@ -42,7 +42,7 @@
     "crossing_price": "cross_zone_price",
 }
 
-# Former names of the policy's constants, which experiment files may go on using as keys, each with the name
+# Former names of the policy's constants, which experiment files may still use as keys, each with the name
 # that replaced it. A replacement may itself be a former name: `constant_aliases` follows the chain.
 CONSTANT_KEYS = {
     "ASK_AGAIN": "POLL_BACKOFF",
@@ -98,7 +98,7 @@
 
 
 class VariantError(PinspreadError, ValueError):
-    """A version of the policy that cannot be read or run; the text says why."""
+    """A version of the policy cannot be read or run; the text says why."""
 
 
 def read_sources(folder: str = "", revision: str = "") -> dict[str, str]:
@@ -106,27 +106,27 @@
 
     Args:
         folder: A folder with the modules of a policy.
-        revision: A git revision of this checkout; where it and `folder` are empty, the checkout as it stands.
+        revision: A git revision of this checkout; if both are empty, the files of the checkout are read.
 
     Raises:
-        VariantError: The version is not there, or the model cannot run it.
+        VariantError: The version does not exist, or the model cannot run it.
     """
     if revision:
         sources = _sources_of_revision(revision)
-        place = f"revision {revision!r}"
+        location = f"revision {revision!r}"
     else:
         path = Path(folder) if folder else ROOT / PACKAGE
         sources = {file.stem: file.read_text() for file in sorted(path.glob("*.py"))}
-        place = str(path)
+        location = str(path)
     if "delivery_policy" not in sources and "decide" not in sources:
-        raise VariantError(f"{place}: holds no delivery_policy.py")
+        raise VariantError(f"{location}: holds no delivery_policy.py")
     if folder or revision:
-        _check_interface(place, sources)
+        _check_interface(location, sources)
     return sources
 
 
 def is_legacy(sources: PolicySources) -> bool:
-    """Whether a version is from before the policy was a package."""
+    """Return whether a version is from before the policy was a package."""
     return "decide" in sources
 
 
@@ -141,15 +141,17 @@
 
 
 def _git(revision: str, *arguments: str) -> str:
-    """What git prints; the revision is for the message of a `VariantError`."""
-    done = subprocess.run(["git", "-C", str(ROOT), *arguments], capture_output=True, text=True, check=False)
-    if done.returncode:
-        raise VariantError(f"revision {revision!r}: {done.stderr.strip().splitlines()[-1]}")
-    return done.stdout
+    """Return what git prints; the revision is only for the text of a `VariantError`."""
+    completed = subprocess.run(
+        ["git", "-C", str(ROOT), *arguments], capture_output=True, text=True, check=False
+    )
+    if completed.returncode:
+        raise VariantError(f"revision {revision!r}: {completed.stderr.strip().splitlines()[-1]}")
+    return completed.stdout
 
 
-def _check_interface(place: str, sources: PolicySources) -> None:
-    """Refuse a version whose events, actions and settings are not those that the model uses.
+def _check_interface(location: str, sources: PolicySources) -> None:
+    """Reject a version whose events, actions and settings are not those that the model uses.
 
     Raises:
         VariantError: A module, a class or a field is missing, or a module has a syntax error.
@@ -157,27 +159,27 @@
     required = LEGACY_NAMES if is_legacy(sources) else INTERFACE_NAMES
     for name in required:
         if name not in sources:
-            raise VariantError(f"{place}: holds no {name}.py; {RUNNABLE_VERSIONS}")
+            raise VariantError(f"{location}: holds no {name}.py; {RUNNABLE_VERSIONS}")
     try:
         trees = {name: ast.parse(text) for name, text in sources.items()}
     except SyntaxError as error:
-        raise VariantError(f"{place}: {error}") from None
+        raise VariantError(f"{location}: {error}") from None
     if is_legacy(sources):
         return
     for name in INTERFACE_NAMES:
-        present = _class_fields(ast.parse((ROOT / PACKAGE / f"{name}.py").read_text()))
-        found = _class_fields(trees[name])
-        for class_name, fields in present.items():
-            if class_name not in found:
-                raise VariantError(f"{place}: {name}.py has no class {class_name}; {RUNNABLE_VERSIONS}")
-            if missing := fields - found[class_name]:
+        current_classes = _class_fields(ast.parse((ROOT / PACKAGE / f"{name}.py").read_text()))
+        version_classes = _class_fields(trees[name])
+        for class_name, fields in current_classes.items():
+            if class_name not in version_classes:
+                raise VariantError(f"{location}: {name}.py has no class {class_name}; {RUNNABLE_VERSIONS}")
+            if missing := fields - version_classes[class_name]:
                 raise VariantError(
-                    f"{place}: {class_name} in {name}.py has no {min(missing)}; {RUNNABLE_VERSIONS}"
+                    f"{location}: {class_name} in {name}.py has no {min(missing)}; {RUNNABLE_VERSIONS}"
                 )
 
 
 def _class_fields(tree: ast.Module) -> dict[str, set[str]]:
-    """The fields of dataclasses and the members of enums, by class."""
+    """Return the fields of dataclasses and the members of enums, by class name."""
     classes = [node for node in tree.body if isinstance(node, ast.ClassDef)]
     return {node.name: set(_assigned_names(node.body)) | _annotated_names(node.body) for node in classes}
 
@@ -193,7 +195,7 @@
 
 
 def source_digest(sources: PolicySources) -> str:
-    """A short hash of a version's texts: 16 hexadecimal digits."""
+    """Return a short hash of a version's texts: 16 hexadecimal digits."""
     digest = hashlib.sha256()
     for name in sorted(sources):
         digest.update(sources[name].encode())
@@ -201,7 +203,7 @@
 
 
 def constant_aliases(key: str) -> Iterator[str]:
-    """Yield a key of an experiment file and then the names that replaced it, the present one last."""
+    """Yield a key of an experiment file and then the names that replaced it, the current one last."""
     yield key
     while key in CONSTANT_KEYS:
         key = CONSTANT_KEYS[key]
@@ -209,14 +211,14 @@
 
 
 def constant_names(sources: PolicySources) -> set[str]:
-    """The constants that a version's modules define, and the keys of experiment files that stand for them."""
+    """Return the constants that a version's modules define, and their former names in `CONSTANT_KEYS`."""
     assigned = [name for text in sources.values() for name in _assigned_names(ast.parse(text).body)]
     names = {name for name in assigned if name.isupper() and not name.startswith("_")}
     return names | {key for key in CONSTANT_KEYS if not names.isdisjoint(constant_aliases(key))}
 
 
 def setting_names(sources: PolicySources) -> set[str]:
-    """The fields of a version's Settings, by their own words and those of experiments' files."""
+    """Return the fields of a version's Settings, and the keys of experiment files that stand for them."""
     tree = ast.parse(sources.get("settings") or sources["interface"])
     bodies = [node.body for node in tree.body if isinstance(node, ast.ClassDef) and node.name == "Settings"]
     fields = {name for body in bodies for name in _annotated_names(body)}
--- a/pinspread/simulation/rules.py
+++ b/pinspread/simulation/rules.py
@@ -1,14 +1,15 @@
-"""Checks a run against the six rules, watching decisions and outcomes; it shares no state with the policy.
-
-| rule   | what it says                                                                                |
-| ------ | ------------------------------------------------------------------------------------------- |
-| final  | an accepted message has exactly one final result, in time                                    |
-| repeat | what may have run is repeated only as its class permits; one attempt at a time; at most 6    |
-| drain  | nothing to an endpoint 250 ms after it was listed as draining or removed, nor to another     |
-|        | destination's endpoint                                                                       |
+"""Checks a run against six rules by its decisions and outcomes; shares no state with the policy.
+
+| rule   | meaning                                                                                      |
+| ------ | -------------------------------------------------------------------------------------------- |
+| final  | an accepted message gets exactly one final result, in time                                   |
+| repeat | a message that may have taken effect is sent again only as its class permits; one attempt in |
+|        | flight at a time; at most 6 attempts                                                         |
+| drain  | nothing is sent to an endpoint 250 ms after it was listed as draining or removed, nor to an  |
+|        | endpoint of another destination                                                              |
 | cold   | a destination that warms up is not overloaded by instances that saw it fail                  |
-| wait   | nothing to a destination before the time that its Retry-After told this instance             |
-| order  | messages of an ordering key go one at a time, as they were accepted                          |
+| wait   | nothing is sent to a destination before the end of the Retry-After that this instance got    |
+| order  | messages of an ordering key are sent one at a time, in the order of their acceptance         |
 """
 
 from collections.abc import Collection, Sequence
@@ -23,14 +24,14 @@
 ANSWER_SLACK_NS = 300 * MS
 READY_SLACK_NS = 1500 * MS
 DRAIN_GRACE_NS = 250 * MS
-BLAMED_SHARE = 2 / 3  # share of the calls of informed instances from which a collapse breaks a rule
-MAX_LISTED = 200  # violations that are listed; all are counted
+BLAMED_SHARE = 2 / 3  # a collapse breaks a rule if informed instances sent this share of its calls
+MAX_LISTED = 200  # maximum number of listed violations; all are counted
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 NO_INSTANCE = -1
 
 
 class Violation(TypedDict):
-    """One violation, in the form of a result's `breaks`."""
+    """One violation, as an item of a result's `breaks`."""
 
     rule: str
     at_s: float
@@ -40,13 +41,13 @@
 
 @dataclass(slots=True, eq=False)
 class MessageRecord:
-    """What the checker knows of a message at one instance.
+    """The checker's record of a message at one instance.
 
     Attributes:
-        ordering_key: 0: none.
-        attempts: How many were started.
-        attempt_out: Whether one of them has no outcome yet.
-        may_have_run_ns: When the first attempt was sent that may have taken effect; 0: none.
+        ordering_key: 0 for none.
+        attempts: Number of attempts started.
+        attempt_in_flight: Whether one of them has no outcome yet.
+        may_have_run_ns: When the first attempt that may have taken effect was sent; 0 if there is none.
         ended: Whether it has its final result.
     """
 
@@ -55,13 +56,13 @@
     ordering_key: int
     deadline_ns: int
     attempts: int = 0
-    attempt_out: bool = False
+    attempt_in_flight: bool = False
     may_have_run_ns: int = 0
     ended: bool = False
 
 
 class AttemptReport(NamedTuple):
-    """The outcome of an attempt, as the policy hears of it; `done` says whether its message has ended."""
+    """The outcome of an attempt as the policy receives it; `done` says whether its message has ended."""
 
     request: int
     destination: int
@@ -72,7 +73,7 @@
 
 
 class RuleChecker:
-    """Notes each violation with its rule, time and reason.
+    """Records each violation with its rule, time and reason.
 
     Args:
         classes: The traffic classes, in their order.
@@ -88,8 +89,8 @@
         self.max_attempts = max_attempts
         self.counts = dict.fromkeys(RULES, 0)
         self.violations: list[Violation] = []
-        # By (instance, ...): messages that are not over, those of a key in the order in which they were
-        # accepted, until when a destination must be left alone, since when an endpoint must not be used.
+        # Keyed by (instance, ...): messages that are not over; messages of an ordering key, in the order
+        # of their acceptance; when a destination's Retry-After ends; since when an endpoint is unusable.
         self._messages: dict[tuple[int, int], MessageRecord] = {}
         self._keys: dict[tuple[int, int], list[MessageRecord]] = {}
         self._retry_after_until_ns: dict[tuple[int, int], int] = {}
@@ -97,16 +98,16 @@
         self._started_ns: dict[int, int] = {}  # when an instance was last started
 
     def record_violation(self, rule: str, now_ns: int, instance: int, why: str) -> None:
-        """Note a violation."""
+        """Record a violation."""
         self.counts[rule] += 1
         if len(self.violations) < MAX_LISTED:
             at_s = round(now_ns / SECOND, 3)
             self.violations.append({"rule": rule, "at_s": at_s, "courier": instance, "why": why})
 
-    # --- what happens -----------------------------------------------------------------------------
+    # --- events of the run ------------------------------------------------------------------------
 
     def message_accepted(self, instance: int, request: int, message: MessageRecord) -> None:
-        """An instance has accepted a message."""
+        """Note that an instance has accepted a message."""
         if not self.classes[message.class_index].in_order:
             message.ordering_key = 0
         self._messages[instance, request] = message
@@ -114,26 +115,26 @@
             self._keys.setdefault((instance, message.ordering_key), []).append(message)
 
     def endpoint_listed(self, instance: int, now_ns: int, endpoint: EndpointId, usable: bool) -> None:
-        """An instance was told of an endpoint."""
+        """Note that an instance has received the listed state of an endpoint."""
         if usable:
             self._unusable_since_ns.pop((instance, endpoint), None)
         else:
             self._unusable_since_ns.setdefault((instance, endpoint), now_ns)
 
     def instance_started(self, instance: int, now_ns: int) -> None:
-        """An instance is ready again: Retry-After times and attempts ended with its process."""
+        """Note that an instance is ready again; Retry-After times and attempts ended with its process."""
         self._started_ns[instance] = now_ns
         self._retry_after_until_ns = {
             key: until_ns for key, until_ns in self._retry_after_until_ns.items() if key[0] != instance
         }
         for (owner, _), message in self._messages.items():
             if owner == instance:
-                message.attempt_out = False
+                message.attempt_in_flight = False
 
     def attempt_started(
         self, instance: int, now_ns: int, request: int, endpoint: EndpointId, destination: int
     ) -> None:
-        """The policy sends a message to an endpoint, which is one of `destination`."""
+        """Check a message that the policy sends to an endpoint of `destination`."""
         message = self._messages.get((instance, request))
         if message is None:
             self.record_violation("final", now_ns, instance, f"sends message {request}, which is over")
@@ -144,20 +145,20 @@
         ]
         if self._must_wait(instance, message.destination, now_ns):
             problems.append(("wait", f"to partner {message.destination} while its wait runs"))
-        if self._is_ahead(instance, message):
+        if self._overtakes(instance, message):
             problems.append(("order", f"message {request} ahead of an earlier one of its key"))
         for rule, why in problems:
             self.record_violation(rule, now_ns, instance, why)
         message.attempts += 1
-        message.attempt_out = True
+        message.attempt_in_flight = True
 
     def attempt_interrupted(self, instance: int, request: int, sent_ns: int) -> None:
-        """An instance's process ended while an attempt was out and written: it may have run."""
+        """Note that a process ended with a written attempt in flight, which may have taken effect."""
         message = self._messages[instance, request]
         message.may_have_run_ns = message.may_have_run_ns or sent_ns
 
     def attempt_completed(self, instance: int, now_ns: int, report: AttemptReport) -> None:
-        """The policy hears of the outcome of an attempt."""
+        """Note the outcome of an attempt as the policy receives it."""
         if report.retry_after_ns:
             key = (instance, report.destination)
             until_ns = now_ns + report.retry_after_ns
@@ -165,20 +166,20 @@
         message = self._messages.get((instance, report.request))
         if message is None:
             return
-        message.attempt_out = False
+        message.attempt_in_flight = False
         if report.outcome not in NEVER_RAN and not message.may_have_run_ns:
             message.may_have_run_ns = report.sent_ns
         if report.done or message.ended:
             self._forget(instance, report.request, message)
 
     def health_check_started(self, instance: int, now_ns: int, destination: int) -> None:
-        """The policy sends a health check to an endpoint of a destination."""
+        """Check a health check that the policy sends to an endpoint of a destination."""
         if self._must_wait(instance, destination, now_ns):
             why = f"a probe to partner {destination} while its wait runs"
             self.record_violation("wait", now_ns, instance, why)
 
     def message_ended(self, instance: int, now_ns: int, request: int, rejected: bool) -> None:
-        """The policy gives a final result: rejected, or failed."""
+        """Check a final result of the policy: rejected or failed."""
         message = self._messages.get((instance, request))
         if message is None or message.ended:
             why = f"a second final answer for message {request}"
@@ -189,24 +190,24 @@
             self.record_violation("repeat", now_ns, instance, why)
         message.ended = True
         self._check_lateness(instance, now_ns, request, message)
-        if not message.attempt_out:
+        if not message.attempt_in_flight:
             self._forget(instance, request, message)
 
     def message_delivered(self, instance: int, now_ns: int, request: int) -> None:
-        """A message that has no final result was delivered."""
+        """Note the delivery of a message, which is its final result if it has none yet."""
         message = self._messages.get((instance, request))
         if message is not None and not message.ended:
             message.ended = True
             self._check_lateness(instance, now_ns, request, message)
 
     def destination_collapsed(self, destination: int, now_ns: int, informed: int, total: int) -> None:
-        """A destination that warmed up was overloaded; `informed` of `total` calls are to blame."""
+        """Check an overload during warm-up; `informed` of the `total` calls are to blame."""
         if informed >= BLAMED_SHARE * total:
             why = f"partner {destination} fell over: {informed} of {total} calls from couriers that knew"
             self.record_violation("cold", now_ns, NO_INSTANCE, why)
 
     def run_ended(self, now_ns: int, running: Collection[int]) -> None:
-        """The run is over: what is overdue at the `running` instances was lost."""
+        """Check the end of the run: messages overdue at the `running` instances were lost."""
         for (instance, request), message in sorted(self._messages.items(), key=lambda item: item[0]):
             if message.ended or instance not in running:
                 continue
@@ -215,7 +216,7 @@
                 why = f"message {request} never had a final answer"
                 self.record_violation("final", message.deadline_ns, instance, why)
 
-    # --- what it means ----------------------------------------------------------------------------
+    # --- checks -----------------------------------------------------------------------------------
 
     def _effect(self, message: MessageRecord) -> Idempotency:
         return self.classes[message.class_index].effect
@@ -225,7 +226,7 @@
 
     def _repeat_problems(self, message: MessageRecord, now_ns: int, request: int) -> list[tuple[str, str]]:
         problems = []
-        if message.attempt_out:
+        if message.attempt_in_flight:
             problems.append(f"a second live attempt for message {request}")
         if message.attempts >= self.max_attempts:
             problems.append(f"attempt {message.attempts + 1} for message {request}")
@@ -243,27 +244,27 @@
         message: MessageRecord,
         now_ns: int,
         request: int,
-        place: tuple[int, EndpointId],
+        target: tuple[int, EndpointId],
         destination: int,
     ) -> list[tuple[str, str]]:
-        """Problems of sending a message to the endpoint of a `place`: (instance, endpoint)."""
+        """Return the problems of sending a message; `target` is the sending instance and the endpoint."""
         problems = []
         if destination != message.destination:
             problems.append(f"message {request} to an endpoint of partner {destination}")
-        since_ns = self._unusable_since_ns.get(place)
+        since_ns = self._unusable_since_ns.get(target)
         if since_ns is not None and now_ns > since_ns + DRAIN_GRACE_NS:
             late_ms = (now_ns - since_ns) // MS
-            problems.append(f"to endpoint {place[1]}, {late_ms} ms after its end was told")
+            problems.append(f"to endpoint {target[1]}, {late_ms} ms after its end was told")
         return [("drain", why) for why in problems]
 
-    def _is_ahead(self, instance: int, message: MessageRecord) -> bool:
-        """Whether an earlier message of the same key has not ended."""
+    def _overtakes(self, instance: int, message: MessageRecord) -> bool:
+        """Return whether an earlier message of the same key has not ended."""
         if not message.ordering_key:
             return False
         for other in self._keys[instance, message.ordering_key]:
             if other is message:
                 return False
-            if other.attempt_out or not other.ended:
+            if other.attempt_in_flight or not other.ended:
                 return True
         return False
 
--- a/pinspread/simulation/scenario.py
+++ b/pinspread/simulation/scenario.py
@@ -1,6 +1,6 @@
 """Draws scenarios: one seed gives one scenario of a model, the same for every variant.
 
-The types stand in `scenario_types`, and can be had from here.
+The types are defined in `scenario_types`, and can be imported from here.
 """
 
 import numpy as np
@@ -38,33 +38,33 @@
     "tenant_quotas",
 ]
 
-QUOTA_SHARE = 0.81  # of full load that all quotas together come to; the deployment's figure is 74 to 88%
-USUAL_WORK_S = 0.15  # where there is no message to tell
+QUOTA_SHARE = 0.81  # sum of the quotas, as a share of full load; 74 to 88% in the deployment
+USUAL_WORK_S = 0.15  # assumed mean work of a scenario without messages
 OUTAGE_KINDS = ("crash", "silent", "errors", "shut")
 INSTANCE_KINDS = ("restart", "kill")
 ENDPOINT_KINDS = ("drain", "replace")
 
 
 def tenant_quotas(model: FleetModel) -> list[float]:
-    """Return the messages a second that each tenant may submit."""
+    """Return the quota of each tenant, in messages per second."""
     traffic = model.traffic
-    return [one.share * traffic.rate_per_s / traffic.load * QUOTA_SHARE for one in model.teams]
+    return [tenant.share * traffic.rate_per_s / traffic.load * QUOTA_SHARE for tenant in model.teams]
 
 
 def draw_scenario(model: FleetModel, seed: int) -> Scenario:
     """Draw the scenario of a model and a seed."""
     destinations = draw_destinations(model, random_stream(seed, "world"))
-    shares = np.array([one.traffic_share for one in destinations])
+    shares = np.array([spec.traffic_share for spec in destinations])
     faults = _draw_faults(model, random_stream(seed, "troubles"), shares)
     arrival_ns, destination = draw_arrivals(model, random_stream(seed, "arrivals"), destinations, faults)
     count = len(arrival_ns)
     rng = random_stream(seed, "messages")
-    class_index = _draw_indices(rng, count, [one.share for one in model.classes])
-    offers = [one.share if one.offers is None else one.offers for one in model.teams]
+    class_index = _draw_indices(rng, count, [traffic_class.share for traffic_class in model.classes])
+    offers = [tenant.share if tenant.offers is None else tenant.offers for tenant in model.teams]
     tenant_index = _draw_indices(rng, count, offers)
     key_rng = random_stream(seed, "keys")
     mean_work_ns = _draw_mean_work(model, rng, class_index)
-    calls, held = _draw_capacities(model, seed, destinations, mean_work_ns)
+    max_calls, max_held = _draw_capacities(model, seed, destinations, mean_work_ns)
     shortest_ms, longest_ms = model.network.delay_ms
     delay_draws = random_stream(seed, "delay").random(len(destinations))
     return Scenario(
@@ -83,8 +83,8 @@
         client_draws=random_stream(seed, "habits").random((count, 4), dtype=np.float32),
         instance_share=_draw_instance_shares(model, seed),
         start_draws=random_stream(seed, "boot").random((model.couriers.count, START_DRAWS)),
-        max_concurrent_calls=calls,
-        max_held_messages=held,
+        max_concurrent_calls=max_calls,
+        max_held_messages=max_held,
         delay_ns=(shortest_ms + (longest_ms - shortest_ms) * delay_draws) * MS,
     )
 
@@ -98,8 +98,10 @@
     model: FleetModel, rng: np.random.Generator, class_index: NDArray[np.int16]
 ) -> NDArray[np.float64]:
     """Draw the mean work of each message, in nanoseconds, from the range of its class."""
-    least_ms, most_ms = (np.array([one.work_ms[n] for one in model.classes])[class_index] for n in (0, 1))
-    mean_ns: NDArray[np.float64] = (least_ms + (most_ms - least_ms) * rng.random(len(class_index))) * MS
+    min_ms, max_ms = (
+        np.array([traffic_class.work_ms[n] for traffic_class in model.classes])[class_index] for n in (0, 1)
+    )
+    mean_ns: NDArray[np.float64] = (min_ms + (max_ms - min_ms) * rng.random(len(class_index))) * MS
     return mean_ns
 
 
@@ -112,7 +114,7 @@
         factor = rng.standard_exponential(shape)
     else:
         sigma = model.partners.work_spread
-        factor = rng.lognormal(-(sigma**2) / 2, sigma, shape)  # of mean 1
+        factor = rng.lognormal(-(sigma**2) / 2, sigma, shape)  # its mean is 1
     return (mean_ns[:, None] * factor).astype(np.int64) + 1
 
 
@@ -128,22 +130,22 @@
 def _draw_capacities(
     model: FleetModel, seed: int, destinations: list[DestinationSpec], mean_work_ns: NDArray[np.float64]
 ) -> tuple[int, int]:
-    """Draw the calls that an instance may have out, and the messages that it may hold."""
+    """Draw how many calls an instance may have in flight, and how many messages it may hold."""
     rng = random_stream(seed, "slots")
     instances = model.couriers
     full_per_s = model.traffic.rate_per_s / model.traffic.load / instances.count
     work_s = float(np.mean(mean_work_ns) / SECOND if len(mean_work_ns) else USUAL_WORK_S)
-    shares = [one.traffic_share for one in destinations]
-    work_factor = float(np.dot(shares, [one.work_factor for one in destinations]))
-    calls = round(full_per_s * work_s * work_factor * draw(rng, instances.slots))
-    held = round(full_per_s * draw(rng, instances.hold_s))
-    return max(instances.least_slots, calls), max(instances.least_held, held)
+    shares = [spec.traffic_share for spec in destinations]
+    work_factor = float(np.dot(shares, [spec.work_factor for spec in destinations]))
+    max_calls = round(full_per_s * work_s * work_factor * draw(rng, instances.slots))
+    max_held = round(full_per_s * draw(rng, instances.hold_s))
+    return max(instances.least_slots, max_calls), max(instances.least_held, max_held)
 
 
 def _draw_faults(
     model: FleetModel, rng: np.random.Generator, shares: NDArray[np.float64]
 ) -> list[ScheduledFault]:
-    """Draw the figures of faults; outages strike destinations of some share of the traffic."""
+    """Draw the parameters of faults; outages affect destinations with some share of the traffic."""
     return [_draw_fault(model, rng, shares, fault) for fault in model.troubles]
 
 
@@ -154,7 +156,7 @@
     share, magnitude = draw(rng, fault.share), draw(rng, fault.size)
     targets: list[int] = []
     if fault.kind in OUTAGE_KINDS:
-        targets = _draw_struck(rng, shares, share)
+        targets = _draw_affected(rng, shares, share)
     elif fault.kind in INSTANCE_KINDS:
         targets = _draw_share(rng, model.couriers.count, share)
     elif fault.kind in ENDPOINT_KINDS:
@@ -171,18 +173,18 @@
     )
 
 
-def _draw_struck(rng: np.random.Generator, shares: NDArray[np.float64], share: float) -> list[int]:
-    """Draw destinations that together have at most a share of the traffic; at least one."""
+def _draw_affected(rng: np.random.Generator, shares: NDArray[np.float64], share: float) -> list[int]:
+    """Draw destinations that together have at most a share of the traffic, but at least one."""
     targets: list[int] = []
-    struck = 0.0
+    affected_share = 0.0
     for index in rng.permutation(len(shares)).tolist():
-        if not targets or struck + shares[index] <= share:
+        if not targets or affected_share + shares[index] <= share:
             targets.append(index + 1)
-            struck += shares[index]
+            affected_share += shares[index]
     return targets
 
 
 def _draw_share(rng: np.random.Generator, count: int, share: float) -> list[int]:
-    """Draw a share of `count` indices; at least one."""
+    """Draw a share of `count` indices, but at least one."""
     chosen: list[int] = rng.permutation(count)[: max(1, round(share * count))].tolist()
     return chosen
--- a/pinspread/simulation/scenario_destinations.py
+++ b/pinspread/simulation/scenario_destinations.py
@@ -7,14 +7,14 @@
 from pinspread.simulation.model import FleetModel
 from pinspread.simulation.scenario_types import DestinationSpec
 
-# Large destinations are found among the busy ones first: factors of their share in the busiest third, and
-# in the others.
+# Large destinations are more frequent among busy ones: factors of their share in the busiest third of the
+# destinations, and in the others.
 BUSY_LARGE_FACTOR, OTHER_LARGE_FACTOR = 1.8, 0.6
-LIMIT_HEADROOM = 1.25  # capacity of a large destination over its rate limit, at least
+LIMIT_HEADROOM = 1.25  # minimum ratio of a large destination's capacity to its rate limit
 
 
 def draw_destinations(model: FleetModel, rng: np.random.Generator) -> list[DestinationSpec]:
-    """Draw destinations until the endpoints are used up; busier ones have more of them."""
+    """Draw destinations until all endpoints are assigned; busier ones have more endpoints."""
     counts = _endpoint_counts(model, rng)
     ranks = np.arange(1, len(counts) + 1, dtype=float)
     shares = normalized(ranks ** -draw(rng, model.traffic.zipf))
@@ -31,15 +31,15 @@
 
 
 def _endpoint_counts(model: FleetModel, rng: np.random.Generator) -> list[int]:
-    """Endpoints of each destination, most first."""
-    figures = model.partners
-    fewest, most = figures.per_partner
+    """Draw the number of endpoints of each destination, in descending order."""
+    parameters = model.partners
+    min_count, max_count = parameters.per_partner
     counts: list[int] = []
-    left = figures.endpoints
-    while left:
-        extra = min(rng.poisson(max(0.0, figures.mean_per_partner - fewest)), most - 1)
-        counts.append(min(left, int(fewest + extra)))
-        left -= counts[-1]
+    remaining = parameters.endpoints
+    while remaining:
+        extra = min(rng.poisson(max(0.0, parameters.mean_per_partner - min_count)), max_count - 1)
+        counts.append(min(remaining, int(min_count + extra)))
+        remaining -= counts[-1]
     counts.sort(reverse=True)
     return counts
 
@@ -48,19 +48,19 @@
     model: FleetModel, rng: np.random.Generator, number: int, endpoints: int, kind: tuple[float, bool]
 ) -> DestinationSpec:
     """Draw one destination of a `kind`: (share of the traffic, whether it is large)."""
-    figures = model.partners
+    parameters = model.partners
     share, large = kind
-    work_factor = draw(rng, figures.pace)
-    # Calls a second at full load.
+    work_factor = draw(rng, parameters.pace)
+    # Calls per second at full load.
     full_per_s = model.traffic.rate_per_s / model.traffic.load * share
-    room_per_s = max(full_per_s * draw(rng, figures.headroom), draw(rng, figures.least_per_s))
-    limit_per_s = max(full_per_s * draw(rng, figures.big_headroom), draw(rng, figures.big_least_per_s))
-    wanted_per_s = max(room_per_s, LIMIT_HEADROOM * limit_per_s) if large else room_per_s
-    work_s = sum(one.share * sum(one.work_ms) / 2000 for one in model.classes)
-    least_cores = figures.least_cores if endpoints == 1 else 1
-    cores = max(1, least_cores, round(wanted_per_s * work_s * work_factor / endpoints))
+    needed_per_s = max(full_per_s * draw(rng, parameters.headroom), draw(rng, parameters.least_per_s))
+    limit_per_s = max(full_per_s * draw(rng, parameters.big_headroom), draw(rng, parameters.big_least_per_s))
+    target_per_s = max(needed_per_s, LIMIT_HEADROOM * limit_per_s) if large else needed_per_s
+    work_s = sum(traffic_class.share * sum(traffic_class.work_ms) / 2000 for traffic_class in model.classes)
+    least_cores = parameters.least_cores if endpoints == 1 else 1
+    cores = max(1, least_cores, round(target_per_s * work_s * work_factor / endpoints))
     capacity_per_s = cores * endpoints / (work_s * work_factor)
-    queue = max(2, round(figures.queue_s * capacity_per_s / endpoints))
+    queue = max(2, round(parameters.queue_s * capacity_per_s / endpoints))
     spec = DestinationSpec(
         number,
         share,
@@ -72,14 +72,14 @@
         capacity_per_s=capacity_per_s,
     )
     if large:
-        window_s = draw(rng, figures.big_span_s)
+        window_s = draw(rng, parameters.big_span_s)
         spec.limit_window_ns = int(window_s * SECOND)
         spec.limit_calls = max(1, round(limit_per_s * window_s))
         spec.capacity_per_s = min(capacity_per_s, spec.limit_calls / window_s)
-        spec.retry_after_share = draw(rng, figures.big_tells)
+        spec.retry_after_share = draw(rng, parameters.big_tells)
     else:
-        spec.retry_after_share = draw(rng, figures.small_tells)
-        connections = max(draw(rng, figures.least_table), cores * draw(rng, figures.table))
+        spec.retry_after_share = draw(rng, parameters.small_tells)
+        connections = max(draw(rng, parameters.least_table), cores * draw(rng, parameters.table))
         spec.connection_limits = [round(connections)] * endpoints
-    spec.weight = spec.capacity_per_s * float(rng.uniform(1 - figures.weights, 1 + figures.weights))
+    spec.weight = spec.capacity_per_s * float(rng.uniform(1 - parameters.weights, 1 + parameters.weights))
     return spec
--- a/pinspread/simulation/scenario_types.py
+++ b/pinspread/simulation/scenario_types.py
@@ -1,4 +1,4 @@
-"""What a scenario consists of: arrays of messages, destinations as they were drawn, faults at their times."""
+"""The parts of a scenario: arrays of messages, the drawn destinations, and scheduled faults."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -7,30 +7,30 @@
 import numpy as np
 from numpy.typing import NDArray
 
-ATTEMPT_DRAWS = 8  # attempts of a message that have random numbers of their own; later ones start over
-# What the uniform random numbers of an attempt decide, in the last axis of `Scenario.attempt_draws`.
+ATTEMPT_DRAWS = 8  # attempts of a message with random numbers of their own; later ones reuse them
+# Indices into the last axis of `Scenario.attempt_draws`, the uniform random numbers of an attempt.
 OUTBOUND_DELAY_DRAW, RETURN_DELAY_DRAW, ERROR_DRAW, RETRY_AFTER_DRAW = range(4)
-START_DRAWS = 8  # starts of an instance that have random numbers of their own; later ones start over
+START_DRAWS = 8  # starts of an instance with random numbers of their own; later ones reuse them
 
 
 @dataclass(slots=True)
 class DestinationSpec:
-    """What a destination is, drawn once.
+    """The drawn properties of a destination.
 
     Attributes:
         number: Its number, from 1.
         traffic_share: Its share of the traffic.
         large: Whether it is of the large kind, which has a rate limit.
-        work_factor: Times the work of a class that a call makes here.
-        cores: Of each endpoint.
+        work_factor: Factor of the work that a class makes here.
+        cores: Cores of each endpoint.
         queue_limits: Calls that may wait at each endpoint.
-        connection_limits: Connections that each endpoint accepts; 0: any number.
-        capacity_per_s: Messages a second that it can do, or that its limit lets through.
-        limit_window_ns: The window in which its limit counts; 0: no limit but its capacity.
-        limit_calls: Calls in a window.
-        rejections_count: Whether rejected calls use the limit up too.
+        connection_limits: Connections that each endpoint accepts; 0 for any number.
+        capacity_per_s: Messages per second that it can process, or that its rate limit admits.
+        limit_window_ns: Window of its rate limit; 0 if only its capacity limits it.
+        limit_calls: Calls that are admitted in a window.
+        rejections_count: Whether rejected calls use up the limit too.
         retry_after_share: Share of its rejections that carry a Retry-After.
-        weight: Calls a second, as the endpoint list says.
+        weight: Its calls per second according to the endpoint list.
     """
 
     number: int
@@ -50,14 +50,14 @@
 
 @dataclass(slots=True)
 class ScheduledFault:
-    """A fault with its figures drawn.
+    """A fault with its drawn parameters.
 
     Attributes:
-        kind: As in files.
-        magnitude: Errors: the share that fails; bursts: times the rate.
-        targets: Numbers of destinations, instances or endpoints, by kind.
+        kind: The kind, as in experiment files.
+        magnitude: Errors: the share of calls that fail; bursts: the factor of the rate.
+        targets: Numbers of destinations, instances or endpoints, depending on the kind.
         batch: Restarts: share of the instances that are down at a time.
-        down_ns: Restarts: how long a process is absent, without the time that its start takes.
+        down_ns: Restarts: how long a process is down, without the duration of its start.
         slow_start: Outages: whether destinations warm up afterwards.
     """
 
@@ -72,11 +72,11 @@
 
     @property
     def ends_in_slow_start(self) -> bool:
-        """Whether destinations warm up afterwards: not where most calls went through all the time."""
+        """Whether destinations warm up afterwards; not if at least half of the calls went through."""
         return self.slow_start and (self.kind != "errors" or self.magnitude > 0.5)
 
     def restart_times(self, instances: int) -> Iterator[tuple[int, int]]:
-        """Yield number and time of each restart, of so many instances: in batches spread over the fault."""
+        """Yield the instance number and time of each restart, in batches spread over the fault."""
         batches = max(1, round(len(self.targets) / max(1, self.batch * instances)))
         for position, number in enumerate(self.targets):
             offset_ns = (self.until_ns - self.at_ns) * (position % batches) // batches
@@ -89,20 +89,20 @@
 
 @dataclass(slots=True)
 class Scenario:
-    """All that a run needs. Message arrays have one row a message, in order of arrival.
+    """The input of a run. Message arrays have one row per message, in order of arrival.
 
     Attributes:
-        seed: The seed it was drawn from, which seeds what else is drawn in a run.
-        ordering_key: 0: none.
+        seed: The seed it was drawn from; it also seeds the draws during a run.
+        ordering_key: 0 for none.
         within_quota: Whether a message is within its tenant's quota.
-        work_ns: Work at a destination of the usual speed: [messages, ATTEMPT_DRAWS].
+        work_ns: Work at a destination of normal speed: [messages, ATTEMPT_DRAWS].
         attempt_draws: Uniform random numbers of attempts: [messages, ATTEMPT_DRAWS, 4].
         client_draws: Uniform random numbers of clients: [messages, 4]; see `clients`.
         instance_share: Each instance's share of the traffic.
-        start_draws: Uniform random numbers, how long each start takes: [instances, START_DRAWS].
-        delay_ns: The network's delay to each destination, one way.
-        submit_delay_ns: How late each message is submitted, where a real load generator is followed.
-        size_bytes: Bytes of the bodies, where recorded.
+        start_draws: Uniform random numbers for the duration of each start: [instances, START_DRAWS].
+        delay_ns: The network's one-way delay to each destination.
+        submit_delay_ns: How late a real load generator submitted each message; None for no delays.
+        size_bytes: Sizes of the message bodies, if they were recorded.
     """
 
     seed: int
--- a/pinspread/simulation/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -1,4 +1,4 @@
-"""One run: instances, destinations and clients in one virtual time, and what became of the messages."""
+"""One run: instances, destinations and clients in a shared virtual time, and the results of the messages."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -22,8 +22,8 @@
 from pinspread.simulation.rules import RuleChecker
 from pinspread.simulation.scenario import Scenario
 
-OVERTIME_NS = 30 * SECOND  # how long a run goes on at most for messages that have not ended
-UNANSWERED_RETRY_NS = 200 * MS  # until a client that no instance answered comes again
+OVERTIME_NS = 30 * SECOND  # maximum extension of a run for messages without a final result
+UNANSWERED_RETRY_NS = 200 * MS  # wait of a client that no instance answered, before it tries again
 
 
 class Simulation:
@@ -31,22 +31,22 @@
 
     Args:
         model: The model that the scenario was drawn from.
-        scenario: What happens.
-        policy_seed: Seed of the policies' random numbers; None: that of the scenario.
-        settings: Values that replace those of the policies' settings.
-        policy_class: What decides in place of `DeliveryPolicy`.
+        scenario: The scenario to run.
+        policy_seed: Seed of the policies' random numbers; None for that of the scenario.
+        settings: Values that replace policy settings, see `policy_settings`.
+        policy_class: Makes the decisions in place of `DeliveryPolicy`.
 
     Attributes:
-        delivered_ns: When each message was delivered first; -1: not.
-        ended_ns: When each message's end was known to its client; -1: not.
-        executions: How often each message took effect.
-        attempts: Attempts that were begun for each message.
-        written: Attempts of each message that were written; each has random numbers of its own.
-        attempt_times_ns: When the attempts began.
-        retry_times_ns: The same, of those that are not the first of their message.
-        rejected: Submissions that were rejected.
-        unanswered: Submissions that no instance answered.
-        work_done_ns: The work that attempts made at destinations, at the usual speed.
+        delivered_ns: Time of each message's first delivery; -1 if it was not delivered.
+        ended_ns: When the client learned the final result of each message; -1 if it did not.
+        executions: How many times each message took effect.
+        attempts: Number of attempts begun for each message.
+        written: Number of written attempts of each message; each has random numbers of its own.
+        attempt_times_ns: Start times of the attempts.
+        retry_times_ns: Start times of the attempts that are not the first of their message.
+        rejected: Number of rejected submissions.
+        unanswered: Number of submissions that no instance answered.
+        work_done_ns: Work of the attempts at destinations, as at normal speed.
     """
 
     def __init__(
@@ -68,9 +68,13 @@
         self.delays_ns: list[float] = scenario.delay_ns.tolist()
         self.instances = [Instance(number, self) for number in range(model.couriers.count)]
         shortest_s, longest_s = model.network.list_late_s
-        late_s = random_stream(scenario.seed, "lag").uniform(shortest_s, longest_s, model.couriers.count)
-        late_ns: list[int] = (late_s * SECOND).astype(np.int64).tolist()
-        self.directory = EndpointDirectory(self.engine, self.endpoints, self.instances, late_ns)
+        notification_delays_s = random_stream(scenario.seed, "lag").uniform(
+            shortest_s, longest_s, model.couriers.count
+        )
+        notification_delays_ns: list[int] = (notification_delays_s * SECOND).astype(np.int64).tolist()
+        self.directory = EndpointDirectory(
+            self.engine, self.endpoints, self.instances, notification_delays_ns
+        )
         self.client_behavior = ClientBehavior(model, scenario)
         messages = len(scenario.arrival_ns)
         self.delivered_ns: NDArray[np.int64] = np.full(messages, -1, dtype=np.int64)
@@ -86,11 +90,11 @@
         self.work_done_ns = 0
 
     def make_policy(self, instance: int, start: int) -> Policy:
-        """Make the policy of an instance that starts, for the `start`th time from 0 on."""
+        """Make the policy for a start of an instance; `start` is the number of its earlier starts."""
         return self.policy_class(self.settings, random_seed(self.policy_seed, "module", instance, start))
 
     def run(self) -> dict[str, Any]:
-        """Run the scenario to its end; return what `metrics.measure` says of it."""
+        """Run the scenario to its end, and return its `metrics.measure`."""
         engine, scenario = self.engine, self.scenario
         self._schedule_starts()
         faults = FaultInjector(self)
@@ -116,18 +120,18 @@
     # --- clients ----------------------------------------------------------------------------------
 
     def _arrive(self, row: int) -> None:
-        """Have a message handed in, and schedule the next one."""
+        """Submit a message, and schedule the arrival of the next one."""
         scenario = self.scenario
         if scenario.submit_delay_ns is None:
             self.submit(row)
-        else:  # so that messages close together may change places
+        else:  # messages that arrive close together may be submitted in another order
             self.engine.after(int(scenario.submit_delay_ns[row]), self.submit, row)
         following = row + 1
         if following < len(scenario.arrival_ns):
             self.engine.at(int(scenario.arrival_ns[following]), self._arrive, following)
 
     def submit(self, row: int) -> None:
-        """Hand a message in, for the first time or again, at the first instance that answers."""
+        """Submit a message, for the first time or again, to the first instance that answers."""
         deadline_ns = self.client_behavior.deadline_ns(row)
         if self.engine.now >= deadline_ns:
             self.message_failed(row)
@@ -143,7 +147,7 @@
             self.message_rejected(row, retry_after_ns)
 
     def _answering_instance(self, first: int) -> Instance | None:
-        """The first instance that is up, from a number on and around."""
+        """Return the first instance that is up, in order of number from `first` on, wrapping around."""
         count = len(self.instances)
         for offset in range(count):
             instance = self.instances[(first + offset) % count]
@@ -151,16 +155,16 @@
                 return instance
         return None
 
-    # --- what instances report --------------------------------------------------------------------
+    # --- reports of the instances -----------------------------------------------------------------
 
     def message_delivered(self, row: int) -> None:
-        """A message was delivered."""
+        """Record the delivery of a message."""
         if self.delivered_ns[row] < 0:
             self.delivered_ns[row] = self.engine.now
         self.ended_ns[row] = self.engine.now
 
     def message_rejected(self, row: int, retry_after_ns: int) -> None:
-        """A message was rejected, at once or later: its client may hand it in again."""
+        """Handle the rejection of a message, at once or later: its client may submit it again."""
         delay_ns = self.client_behavior.retry_delay_ns(row, retry_after_ns)
         if delay_ns is None:
             self.ended_ns[row] = self.engine.now
@@ -168,21 +172,21 @@
             self.engine.after(delay_ns, self.submit, row)
 
     def message_failed(self, row: int) -> None:
-        """A message failed, or was lost."""
+        """Record that a message failed or was lost."""
         self.ended_ns[row] = self.engine.now
 
     def attempt_started(self, row: int) -> None:
-        """An attempt to deliver a message was begun."""
+        """Record the start of an attempt to deliver a message."""
         self.attempt_times_ns.append(self.engine.now)
         if self.attempts[row]:
             self.retry_times_ns.append(self.engine.now)
         self.attempts[row] += 1
 
     def work_started(self, row: int, work_ns: int) -> None:
-        """An endpoint works on a message."""
+        """Record that an endpoint works on a message."""
         self.executions[row] += 1
         self.work_done_ns += work_ns
 
     def attempt_completed(self, outcome: Outcome) -> None:
-        """An attempt has its outcome."""
+        """Record the outcome of an attempt."""
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
--- a/pinspread/simulation/variants.py
+++ b/pinspread/simulation/variants.py
@@ -1,7 +1,7 @@
-"""Variants in force: the delivery policy with other constants, or of another version.
+"""Applies variants: the delivery policy with other constants, or another version of it.
 
-Another version runs in processes of its own, in which its text takes the place of `pinspread.policy` before
-the model is loaded; so this module must not import the policy or the model at its top.
+Another version runs in its own processes, in which its source texts replace `pinspread.policy` before the
+model is loaded. This module must therefore not import the policy or the model at its top level.
 """
 
 import importlib
@@ -15,7 +15,7 @@
 
 from pinspread.simulation.policy_sources import PolicySources, VariantError, constant_aliases, is_legacy
 
-# Modules of the model that hold classes of the policy once they are loaded.
+# Modules of the model that refer to classes of the policy once they are loaded.
 POLICY_USERS = (
     "simulate",
     "instance",
@@ -32,7 +32,7 @@
 
 
 class _SourceFinder(importlib.abc.MetaPathFinder, importlib.abc.InspectLoader):
-    """Imports the modules of `pinspread.policy` from a version's texts."""
+    """Imports the modules of `pinspread.policy` from a version's source texts."""
 
     def __init__(self, sources: PolicySources):
         self.sources = sources
@@ -56,44 +56,46 @@
 
 
 def install_sources(sources: PolicySources | None) -> None:
-    """Have this process use a version's texts; None leaves the present version in force.
+    """Make this process use a version's source texts; with None it keeps the current version.
 
     Raises:
-        VariantError: The model has been loaded already, and holds classes of the present version.
+        VariantError: The model is already loaded, and refers to classes of the current version.
     """
     if sources is None:
         return
     loaded = [name for name in POLICY_USERS if f"pinspread.simulation.{name}" in sys.modules]
     if loaded:
-        raise VariantError(f"pinspread.simulation.{loaded[0]} is loaded already")
+        raise VariantError(
+            f"another version of the policy is too late: pinspread.simulation.{loaded[0]} is already loaded"
+        )
     if is_legacy(sources):
         importlib.import_module("pinspread.simulation.legacy_policy").install(sources)
         return
-    # The package itself has loaded today's version; nothing else that uses it has been loaded yet.
+    # Importing the package has loaded the current version; no other module that uses it is loaded yet.
     for name in [name for name in sys.modules if name.startswith(POLICY)]:
         del sys.modules[name]
     sys.meta_path.insert(0, _SourceFinder(sources))
 
 
 class ConstantOverrides:
-    """A context manager in which the policy's constants have a variant's values.
+    """A context manager that gives the policy's constants the values of a variant.
 
     Args:
-        values: Values by the constant's name, or by what an experiment's file calls it.
+        values: Values by the constant's name, or by a former name of it.
     """
 
     def __init__(self, values: Mapping[str, Any]):
         self.values = values
-        self._replaced: list[tuple[ModuleType, str, Any]] = []  # (module, constant, its own value)
+        self._replaced: list[tuple[ModuleType, str, Any]] = []  # (module, constant, original value)
 
     def __enter__(self) -> None:
         """Set the constants in all modules that have them."""
-        importlib.import_module(f"{POLICY}.delivery_policy")  # and with it all of its parts
+        importlib.import_module(f"{POLICY}.delivery_policy")  # which imports all parts of the policy
         modules = [module for name, module in sys.modules.items() if name.startswith(f"{POLICY}.")]
         for key, value in self.values.items():
             aliases = constant_aliases(key)
             name = next(name for name in aliases if any(hasattr(module, name) for module in modules))
-            # A module that imports a constant has a name of its own for it.
+            # A module that imports a constant has its own reference to it.
             for module in [module for module in modules if hasattr(module, name)]:
                 self._replaced.append((module, name, getattr(module, name)))
                 setattr(module, name, tuple(value) if isinstance(value, list) else value)
@@ -104,6 +106,6 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Set the constants back."""
+        """Restore the constants."""
         for module, name, value in self._replaced:
             setattr(module, name, value)
