--- a/pinspread/simulation/model.py
+++ b/pinspread/simulation/model.py
@@ -188,7 +188,7 @@
         "late_share": 0.3,
     },
 )
-DEFAULT_CLASSES = tuple(TrafficClassModel.model_validate(table) for table in DEFAULT_CLASS_TABLES)
+DEFAULT_CLASSES = tuple(TrafficClassModel.model_validate(fields) for fields in DEFAULT_CLASS_TABLES)
 DEFAULT_TENANTS = (
     TenantModel(name="north-circuit", share=0.45),
     TenantModel(name="south-valley", share=0.37),
@@ -225,19 +225,19 @@
     def _check_shares(self) -> None:
         groups: tuple[tuple[str, tuple[TrafficClassModel | TenantModel, ...]], ...]
         groups = (("class", self.classes), ("team", self.teams))
-        for table, items in groups:
+        for key, items in groups:
             total = sum(item.share for item in items)
             if abs(total - 1) > 0.001:
-                raise ValueError(f"{table}: the shares sum to {total:g}, not to 1")
+                raise ValueError(f"{key}: the shares sum to {total:g}, not to 1")
             names = [item.name for item in items]
             if len(set(names)) < len(names):
-                raise ValueError(f"{table}: a name occurs more than once")
+                raise ValueError(f"{key}: a name occurs more than once")
 
     def _check_classes(self) -> None:
-        for n, item in enumerate(self.classes):
-            if item.deadline_s < item.aim_s:
+        for n, entry in enumerate(self.classes):
+            if entry.deadline_s < entry.aim_s:
                 raise ValueError(
-                    f"class[{n}].deadline_s: must be at least aim_s, {item.aim_s:g}, not {item.deadline_s:g}"
+                    f"class[{n}].deadline_s: must be at least aim_s {entry.aim_s:g}, not {entry.deadline_s:g}"
                 )
-            if item.effect == "by_key" and not item.window_s:
+            if entry.effect == "by_key" and not entry.window_s:
                 raise ValueError(f"class[{n}].window_s: must be above 0 for effect by_key")
--- a/tests/recorded_runs.py
+++ b/tests/recorded_runs.py
@@ -1,7 +1,7 @@
 """Runs of the simulation, recorded before its modules were renamed and split.
 
-What is recorded are files and texts that the command line writes: no name of the package stands in them.
-`PYTHONPATH=. python tests/recorded_runs.py FOLDER` records them anew, with its results in that folder.
+The recordings are files and texts that the command line writes; they contain no names of the package.
+`PYTHONPATH=. python tests/recorded_runs.py FOLDER` records them again, with results written to that folder.
 """
 
 import gzip
@@ -22,35 +22,35 @@
 }
 
 
-def played(name: str, folder: Path) -> tuple[dict, str]:
-    """Run an experiment in this process; its result, without the digest of the policy, and its report."""
-    done = CliRunner().invoke(
+def run_experiment(name: str, folder: Path) -> tuple[dict, str]:
+    """Run an experiment in this process; return its result without the policy's digest, and its report."""
+    completed = CliRunner().invoke(
         cli.app, ["run", str(DATA / f"{name}.toml"), "--out", str(folder), "--processes", "1", "--quiet"]
     )
-    assert done.exit_code == 0, done.output
+    assert completed.exit_code == 0, completed.output
     result = json.loads((folder / "result.json").read_bytes())
     for point in result.get("points", ()):
         del point["module"]
     return result, (folder / "report.md").read_text()
 
 
-def shown(name: str) -> str:
-    """What one of the commands of `TEXTS` prints, without the path of this checkout."""
-    done = CliRunner().invoke(cli.app, TEXTS[name])
-    assert done.exit_code == 0, done.output
-    return done.output.replace(str(DATA.parent), "DATA")
+def command_output(name: str) -> str:
+    """Return what one of the commands of `TEXTS` prints, without the path of this checkout."""
+    completed = CliRunner().invoke(cli.app, TEXTS[name])
+    assert completed.exit_code == 0, completed.output
+    return completed.output.replace(str(DATA.parent), "DATA")
 
 
-def recorded(name: str) -> str:
-    """A recorded text."""
+def read_recording(name: str) -> str:
+    """Return a recorded text."""
     return gzip.decompress((DATA / f"{name}.gz").read_bytes()).decode()
 
 
-def record(folder: Path) -> None:
-    """Write all recordings, by way of a folder for results."""
-    texts = {name: shown(name) for name in TEXTS}
+def record_all(folder: Path) -> None:
+    """Write all recordings; the results of the experiments are written to `folder`."""
+    texts = {name: command_output(name) for name in TEXTS}
     for name in EXPERIMENTS:
-        result, report = played(name, folder / name)
+        result, report = run_experiment(name, folder / name)
         texts[f"{name}.json"] = json.dumps(result, sort_keys=True)
         texts[f"{name}.md"] = report
     for name, text in texts.items():
@@ -58,4 +58,4 @@
 
 
 if __name__ == "__main__":
-    record(Path(sys.argv[1]))
+    record_all(Path(sys.argv[1]))
--- a/tests/simulation_helpers.py
+++ b/tests/simulation_helpers.py
@@ -1,4 +1,4 @@
-"""Helpers for the tests of the simulation: small models, a run of one day, and a small experiment file."""
+"""Helpers for the tests of the simulation: small models, one run, and a small experiment file."""
 
 from pathlib import Path
 
@@ -13,8 +13,8 @@
     return FleetModel.model_validate({"length_s": 15} | tables)
 
 
-def run_simulation(one, seed=1, **more):
-    return Simulation(one, draw_scenario(one, seed), **more).run()
+def run_simulation(model, seed=1, **options):
+    return Simulation(model, draw_scenario(model, seed), **options).run()
 
 
 SMALL_EXPERIMENT = """
--- a/tests/test_recorded_runs.py
+++ b/tests/test_recorded_runs.py
@@ -6,29 +6,29 @@
 import recorded_runs
 
 
-def same(found, wanted, place=""):
-    """Whether two values of JSON are the same, floats up to the last digits that libraries may differ in."""
-    if isinstance(wanted, float) and isinstance(found, int | float):
-        assert found == pytest.approx(wanted, rel=1e-9, abs=1e-12), place
-    elif isinstance(wanted, dict):
-        assert isinstance(found, dict) and found.keys() == wanted.keys(), place
-        for key, value in wanted.items():
-            same(found[key], value, f"{place}.{key}")
-    elif isinstance(wanted, list):
-        assert isinstance(found, list) and len(found) == len(wanted), place
-        for number, value in enumerate(wanted):
-            same(found[number], value, f"{place}[{number}]")
+def assert_same(actual, expected, location=""):
+    """Assert that two JSON values are equal; floats may differ in their last digits, as libraries do."""
+    if isinstance(expected, float) and isinstance(actual, int | float):
+        assert actual == pytest.approx(expected, rel=1e-9, abs=1e-12), location
+    elif isinstance(expected, dict):
+        assert isinstance(actual, dict) and actual.keys() == expected.keys(), location
+        for key, value in expected.items():
+            assert_same(actual[key], value, f"{location}.{key}")
+    elif isinstance(expected, list):
+        assert isinstance(actual, list) and len(actual) == len(expected), location
+        for number, value in enumerate(expected):
+            assert_same(actual[number], value, f"{location}[{number}]")
     else:
-        assert found == wanted, place
+        assert actual == expected, location
 
 
 @pytest.mark.parametrize("name", recorded_runs.EXPERIMENTS)
 def test_an_experiment_gives_the_recorded_runs_and_report(name, tmp_path):
-    result, report = recorded_runs.played(name, tmp_path)
-    same(result, json.loads(recorded_runs.recorded(f"{name}.json")))
-    assert report == recorded_runs.recorded(f"{name}.md")
+    result, report = recorded_runs.run_experiment(name, tmp_path)
+    assert_same(result, json.loads(recorded_runs.read_recording(f"{name}.json")))
+    assert report == recorded_runs.read_recording(f"{name}.md")
 
 
 @pytest.mark.parametrize("name", recorded_runs.TEXTS)
 def test_a_command_prints_what_was_recorded(name):
-    assert recorded_runs.shown(name) == recorded_runs.recorded(name)
+    assert recorded_runs.command_output(name) == recorded_runs.read_recording(name)
--- a/tests/test_simulation_experiments.py
+++ b/tests/test_simulation_experiments.py
@@ -17,9 +17,9 @@
 
 def test_the_same_file_gives_the_same_bytes_in_one_process_and_in_eight(tmp_path):
     (tmp_path / "x.toml").write_text(SMALL_EXPERIMENT)
-    one = load_experiment(str(tmp_path / "x.toml"))
+    experiment = load_experiment(str(tmp_path / "x.toml"))
     for name, processes in (("one", 1), ("eight", 8)):
-        run_experiment(one, str(tmp_path / name), processes, quiet=True)
+        run_experiment(experiment, str(tmp_path / name), processes, quiet=True)
     assert (tmp_path / "one/result.json").read_bytes() == (tmp_path / "eight/result.json").read_bytes()
     manifest = orjson.loads((tmp_path / "one/manifest.json").read_bytes())
     assert manifest["runs_done_now"] == 4 and manifest["versions"]["numpy"] and manifest["seeds"] == [1, 2]
@@ -27,28 +27,28 @@
 
 def test_a_stopped_experiment_goes_on_where_it_was_and_a_cut_run_is_run_again(tmp_path):
     (tmp_path / "x.toml").write_text(SMALL_EXPERIMENT)
-    one, out = load_experiment(str(tmp_path / "x.toml")), tmp_path / "out"
-    run_experiment(one, str(out), 1, quiet=True)
-    whole = (out / "result.json").read_bytes()
+    experiment, out = load_experiment(str(tmp_path / "x.toml")), tmp_path / "out"
+    run_experiment(experiment, str(out), 1, quiet=True)
+    complete_result = (out / "result.json").read_bytes()
     files = sorted((out / "runs").iterdir())
     files[0].unlink()
     files[1].write_bytes(files[1].read_bytes()[:100])
-    run_experiment(one, str(out), 1, quiet=True)
+    run_experiment(experiment, str(out), 1, quiet=True)
     assert orjson.loads((out / "manifest.json").read_bytes())["runs_done_now"] == 2
-    assert (out / "result.json").read_bytes() == whole
+    assert (out / "result.json").read_bytes() == complete_result
 
 
 def test_another_version_runs_in_a_process_of_its_own(tmp_path):
     for name, text in read_sources().items():
         (tmp_path / f"{name}.py").write_text(text.replace("BUCKET_CAP = 10.0", "BUCKET_CAP = 0.0"))
-    more = f'\n[[variant]]\nname = "other"\nmodule = "{tmp_path}"\n'
+    appended = f'\n[[variant]]\nname = "other"\nmodule = "{tmp_path}"\n'
     file = tmp_path / "x.toml"
     file.write_text(
         SMALL_EXPERIMENT.replace("length_s = 4", 'length_s = 4\n[[world.trouble]]\nkind = "errors"\nat_s = 1')
-        + more
+        + appended
     )
-    found = run_experiment(load_experiment(str(file)), str(tmp_path / "out"), 2, quiet=True)
-    retries = {p["variant"]: sum(r["retries"] for r in p["runs"]) for p in found["points"]}
+    results = run_experiment(load_experiment(str(file)), str(tmp_path / "out"), 2, quiet=True)
+    retries = {point["variant"]: sum(run["retries"] for run in point["runs"]) for point in results["points"]}
     assert retries["other"] == 0 < retries["as is"]
     assert retry_budget.BUCKET_CAP == 10
 
@@ -56,13 +56,13 @@
 def test_a_version_from_before_the_policy_was_a_package_runs_and_decides_alike(tmp_path):
     if subprocess.run(["git", "-C", str(ROOT), "cat-file", "-e", "957e6f8"], capture_output=True).returncode:
         pytest.skip("a checkout without its history")
-    more = '\n[[variant]]\nname = "old"\nrevision = "957e6f8"\n'
+    appended = '\n[[variant]]\nname = "old"\nrevision = "957e6f8"\n'
     file = tmp_path / "x.toml"
     trouble = 'length_s = 8\n[[world.trouble]]\nkind = "crash"\nat_s = 1\nlength_s = 2\nshare = 1.0'
-    file.write_text(SMALL_EXPERIMENT.replace("length_s = 4", trouble) + more)
-    found = run_experiment(load_experiment(str(file)), str(tmp_path / "out"), 2, quiet=True)
-    by_name = {p["variant"]: p["runs"] for p in found["points"]}
-    assert by_name["as is"] == by_name["old"] != by_name["few slots"]
+    file.write_text(SMALL_EXPERIMENT.replace("length_s = 4", trouble) + appended)
+    results = run_experiment(load_experiment(str(file)), str(tmp_path / "out"), 2, quiet=True)
+    runs_by_variant = {point["variant"]: point["runs"] for point in results["points"]}
+    assert runs_by_variant["as is"] == runs_by_variant["old"] != runs_by_variant["few slots"]
 
 
 def test_former_names_of_a_constant_reach_it_in_the_present_version_and_in_older_ones(monkeypatch):
@@ -123,7 +123,7 @@
     assert place in str(caught.value) and "x.toml" in str(caught.value)
 
 
-@pytest.mark.parametrize("file", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda p: p.name)
+@pytest.mark.parametrize("file", sorted((ROOT / "experiments").glob("*.toml")), ids=lambda path: path.name)
 def test_the_experiment_files_are_valid(file):
     text = file.read_text()
     if "revision" in text and subprocess.run(["git", "-C", ROOT, "cat-file", "-e", "360bbd6"]).returncode:
@@ -132,8 +132,8 @@
 
 
 def test_the_papers_figures():
-    found = recompute_figures(RetryPaper(), range(200))
-    for randomness, theirs in (("0.01", 35), ("0.5", 5)):
-        low, high = found["randomness"][randomness]["last_retry_5_95"]
-        assert low <= theirs <= high
-    assert found["chain"] == 81 and found["chain_with_empty_buckets"] == 1
+    results = recompute_figures(RetryPaper(), range(200))
+    for randomness, published in (("0.01", 35), ("0.5", 5)):
+        low, high = results["randomness"][randomness]["last_retry_5_95"]
+        assert low <= published <= high
+    assert results["chain"] == 81 and results["chain_with_empty_buckets"] == 1
--- a/tests/test_simulation_rules.py
+++ b/tests/test_simulation_rules.py
@@ -22,24 +22,24 @@
 }
 
 
-class Forgets(DeliveryPolicy):
-    """Gives late messages no answer."""
+class OmitsFinalResults(DeliveryPolicy):
+    """Gives messages past their deadline no final result."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
         self.dispatcher.reject_or_fail = self.dispatcher.end
 
 
-class Repeats(DeliveryPolicy):
-    """Sends a payment again though it may have run."""
+class RepeatsNonIdempotent(DeliveryPolicy):
+    """Sends a payment again although it may have taken effect."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
         self.dispatcher.may_repeat = lambda message, at_ns: at_ns < message.deadline_ns
 
 
-class Drains(DeliveryPolicy):
-    """Does not take endpoints off."""
+class IgnoresDraining(DeliveryPolicy):
+    """Keeps sending to endpoints that are draining or removed."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
@@ -52,8 +52,8 @@
             self.update(EndpointsChanged(UpdateScope.DELTA, [entry]))
 
 
-class Pushes(DeliveryPolicy):
-    """Looks and sends without waits at what is down or cold."""
+class IgnoresPacing(DeliveryPolicy):
+    """Sends messages and health checks without waits to a destination that is down or warming up."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
@@ -61,24 +61,24 @@
         self.limits.ramp_next_ns = lambda endpoint, calls: self.context.now_ns
 
 
-class Hurries(DeliveryPolicy):
-    """Takes no told wait to heart."""
+class IgnoresRetryAfter(DeliveryPolicy):
+    """Ignores Retry-After."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
         self.limits.apply_retry_after = lambda endpoint, retry_after_ns: None
 
 
-class Overtakes(DeliveryPolicy):
-    """Minds no key."""
+class IgnoresOrderingKeys(DeliveryPolicy):
+    """Ignores ordering keys."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
         self.dispatcher._ready_from_ns = lambda message: message.ready_ns
 
 
-class Starts(DeliveryPolicy):
-    """Takes what was out when its process ended for never run."""
+class ForgetsEarlierAttempts(DeliveryPolicy):
+    """Treats attempts that were in flight when its process ended as if they had never run."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
@@ -88,40 +88,58 @@
         )
 
 
-BROKEN = dict(zip(RULES, (Forgets, Repeats, Drains, Pushes, Hurries, Overtakes), strict=True))
+VIOLATING_POLICIES = dict(
+    zip(
+        RULES,
+        (
+            OmitsFinalResults,
+            RepeatsNonIdempotent,
+            IgnoresDraining,
+            IgnoresPacing,
+            IgnoresRetryAfter,
+            IgnoresOrderingKeys,
+        ),
+        strict=True,
+    )
+)
 
 
 @pytest.mark.parametrize("rule", RULES)
 def test_the_checker_catches_a_policy_that_breaks_a_rule(rule):
-    busy = world(couriers={"count": 2}, **TROUBLED)
+    model = world(couriers={"count": 2}, **TROUBLED)
     if rule == "cold":
-        busy = world(
+        model = world(
             partners={"fall_slack": 1},
             trouble=[{"kind": "crash", "at_s": 3, "length_s": 4, "share": 0.9}],
         )
-    found = [run_simulation(busy, seed, policy_class=BROKEN[rule]) for seed in (1, 2, 3)]
-    assert any(one["broken"].get(rule) for one in found)
-    broke = next(one for one in found if one["broken"].get(rule))
-    assert broke["service"] == 0 < broke["service_unbroken"]
-    assert any(b["rule"] == rule and b["why"] and b["at_s"] > 0 for b in broke["breaks"])
+    found = [run_simulation(model, seed, policy_class=VIOLATING_POLICIES[rule]) for seed in (1, 2, 3)]
+    assert any(result["broken"].get(rule) for result in found)
+    violating = next(result for result in found if result["broken"].get(rule))
+    assert violating["service"] == 0 < violating["service_unbroken"]
+    assert any(
+        violation["rule"] == rule and violation["why"] and violation["at_s"] > 0
+        for violation in violating["breaks"]
+    )
 
 
 def test_the_checker_catches_a_payment_that_is_retried_after_a_restart():
     kills = [{"kind": "kill", "at_s": at, "length_s": 1, "share": 1.0, "batch": 1.0} for at in (3, 6, 9)]
-    busy = world(trouble=kills)
-    assert not run_simulation(busy, policy_class=DeliveryPolicy)["broken"].get("repeat")
-    found = run_simulation(busy, policy_class=Starts)
-    assert any("may have run" in b["why"] for b in found["breaks"])  # the checker's word
-    assert found["payments_twice"] and found["broken"]["repeat"]  # and the ledger's
+    model = world(trouble=kills)
+    assert not run_simulation(model, policy_class=DeliveryPolicy)["broken"].get("repeat")
+    found = run_simulation(model, policy_class=ForgetsEarlierAttempts)
+    assert any("may have run" in violation["why"] for violation in found["breaks"])  # found by the checker
+    assert found["payments_twice"] and found["broken"]["repeat"]  # and by the count of executions
 
 
 def test_restarts_that_overlap_leave_each_courier_running_once():
     kills = [
         {"kind": kind, "at_s": 3, "length_s": 1, "share": 1.0, "batch": 1.0} for kind in ("kill", "restart")
     ]
-    fleet = Simulation(world(trouble=kills), draw_scenario(world(trouble=kills), 1))
-    fleet.run()
-    assert [c.starts for c in fleet.instances] == [2, 2, 2] and all(c.up for c in fleet.instances)
+    simulation = Simulation(world(trouble=kills), draw_scenario(world(trouble=kills), 1))
+    simulation.run()
+    assert [instance.starts for instance in simulation.instances] == [2, 2, 2] and all(
+        instance.up for instance in simulation.instances
+    )
 
 
 def test_the_policy_as_it_is_keeps_the_rules_on_a_day_with_faults():
@@ -133,6 +151,6 @@
 def test_a_restart_resumes_accepted_messages_and_without_a_journal_they_are_lost():
     kill = [{"kind": "kill", "at_s": 5, "length_s": 1, "share": 1.0, "batch": 1.0}]
     calm = {"traffic": {"clump_share": 0.0, "load": 0.3}}
-    kept = run_simulation(world(trouble=kill, **calm))
-    gone = run_simulation(world(trouble=kill, couriers={"resume": False}, **calm))
-    assert kept["failed"] < gone["failed"]
+    resumed = run_simulation(world(trouble=kill, **calm))
+    lost = run_simulation(world(trouble=kill, couriers={"resume": False}, **calm))
+    assert resumed["failed"] < lost["failed"]
