--- a/pinspread/simulation/legacy_policy.py
+++ b/pinspread/simulation/legacy_policy.py
@@ -43,7 +43,7 @@
     actions.Subscribe: "Subscribe",
 }
 
-# Current fields whose old names differ. They hold for all classes, except for the fields of `Reject` below.
+# Old names of current fields, where they differ. They hold for all classes, except for `REJECT_FIELDS`.
 FIELDS: dict[str, str] = {
     "latency_objective_ns": "aim_ns",
     "deduplication_window_ns": "window_ns",
--- a/pinspread/simulation/simulate.py
+++ b/pinspread/simulation/simulate.py
@@ -94,7 +94,7 @@
         return self.policy_class(self.settings, random_seed(self.policy_seed, "module", instance, start))
 
     def run(self) -> dict[str, Any]:
-        """Run the scenario to its end, and return its `metrics.measure`."""
+        """Run the scenario to its end, and return what `metrics.measure` computes from it."""
         engine, scenario = self.engine, self.scenario
         self._schedule_starts()
         faults = FaultInjector(self)
--- a/pinspread/simulation/variants.py
+++ b/pinspread/simulation/variants.py
@@ -66,7 +66,7 @@
     loaded = [name for name in POLICY_USERS if f"pinspread.simulation.{name}" in sys.modules]
     if loaded:
         raise VariantError(
-            f"another version of the policy is too late: pinspread.simulation.{loaded[0]} is already loaded"
+            f"cannot use another policy version: pinspread.simulation.{loaded[0]} is already loaded"
         )
     if is_legacy(sources):
         importlib.import_module("pinspread.simulation.legacy_policy").install(sources)
--- a/tests/test_simulation_rules.py
+++ b/tests/test_simulation_rules.py
@@ -112,9 +112,9 @@
             partners={"fall_slack": 1},
             trouble=[{"kind": "crash", "at_s": 3, "length_s": 4, "share": 0.9}],
         )
-    found = [run_simulation(model, seed, policy_class=VIOLATING_POLICIES[rule]) for seed in (1, 2, 3)]
-    assert any(result["broken"].get(rule) for result in found)
-    violating = next(result for result in found if result["broken"].get(rule))
+    results = [run_simulation(model, seed, policy_class=VIOLATING_POLICIES[rule]) for seed in (1, 2, 3)]
+    assert any(result["broken"].get(rule) for result in results)
+    violating = next(result for result in results if result["broken"].get(rule))
     assert violating["service"] == 0 < violating["service_unbroken"]
     assert any(
         violation["rule"] == rule and violation["why"] and violation["at_s"] > 0
@@ -126,9 +126,9 @@
     kills = [{"kind": "kill", "at_s": at, "length_s": 1, "share": 1.0, "batch": 1.0} for at in (3, 6, 9)]
     model = world(trouble=kills)
     assert not run_simulation(model, policy_class=DeliveryPolicy)["broken"].get("repeat")
-    found = run_simulation(model, policy_class=ForgetsEarlierAttempts)
-    assert any("may have run" in violation["why"] for violation in found["breaks"])  # found by the checker
-    assert found["payments_twice"] and found["broken"]["repeat"]  # and by the count of executions
+    result = run_simulation(model, policy_class=ForgetsEarlierAttempts)
+    assert any("may have run" in violation["why"] for violation in result["breaks"])  # found by the checker
+    assert result["payments_twice"] and result["broken"]["repeat"]  # and by the count of executions
 
 
 def test_restarts_that_overlap_leave_each_courier_running_once():
@@ -143,9 +143,9 @@
 
 
 def test_the_policy_as_it_is_keeps_the_rules_on_a_day_with_faults():
-    found = run_simulation(world(**TROUBLED), 1)
-    assert not found["broken"] and found["payments_twice"] == 0
-    assert 0.5 < found["service"] < 1 and found["delivered"] + found["failed"] == found["messages"]
+    result = run_simulation(world(**TROUBLED), 1)
+    assert not result["broken"] and result["payments_twice"] == 0
+    assert 0.5 < result["service"] < 1 and result["delivered"] + result["failed"] == result["messages"]
 
 
 def test_a_restart_resumes_accepted_messages_and_without_a_journal_they_are_lost():
