--- a/pinspread/simulation/scenario_types.py
+++ b/pinspread/simulation/scenario_types.py
@@ -7,14 +7,10 @@
 import numpy as np
 from numpy.typing import NDArray
 
-ATTEMPT_DRAWS = (
-    8  # attempts of a message with their own random numbers; later ones reuse them from the first on
-)
+ATTEMPT_DRAWS = 8  # attempts of a message with their own random numbers; later ones start over with the first
 # Indices into the last axis of `Scenario.attempt_draws`, the uniform random numbers of an attempt.
 OUTBOUND_DELAY_DRAW, RETURN_DELAY_DRAW, ERROR_DRAW, RETRY_AFTER_DRAW = range(4)
-START_DRAWS = (
-    8  # starts of an instance with their own random numbers; later ones reuse them from the first on
-)
+START_DRAWS = 8  # starts of an instance with their own random numbers; later ones start over with the first
 
 
 @dataclass(slots=True)
