--- a/pinspread/testbed/clients.py
+++ b/pinspread/testbed/clients.py
@@ -158,7 +158,7 @@
         await self.ask(commands.Basic.Qos(0, prefetch))
         return await self.ask(commands.Basic.Consume(0, queue, "c"))
 
-    async def end(self, ack: bool = True) -> tuple[dict[str, Any], commands.Basic.Deliver]:
+    async def next_final(self, ack: bool = True) -> tuple[dict[str, Any], commands.Basic.Deliver]:
         """Return the next final result that is delivered, decoded, and its delivery."""
         while True:
             method, _, body = await self.next()
--- a/pinspread/testbed/traffic.py
+++ b/pinspread/testbed/traffic.py
@@ -168,7 +168,7 @@
                 client = await AmqpClient.open(f"{courier.real[0]}:{AMQP_PORT}", confirms=False)
                 await client.consume()
                 while True:
-                    final, _ = await client.end()
+                    final, _ = await client.next_final()
                     self.history.add("platform", "final", id=final["id"], state=final["state"])
             except (OSError, TimeoutError):
                 await anyio.sleep(RECONNECT_INTERVAL_S)
--- a/tests/test_amqp_broker.py
+++ b/tests/test_amqp_broker.py
@@ -50,7 +50,7 @@
         client = await AmqpClient.open(courier.amqp)
         await client.consume()
         await client.publish("p1", for_ms=700)
-        result, _ = await client.end()
+        result, _ = await client.next_final()
         assert result["state"] == state and len(broker.effects) == effects
         assert len(seen) > 1 if tries is None else len(seen) == tries
 
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -39,11 +39,11 @@
         await client.publish("m1", cls, for_ms=600)
         method, _, _ = await client.next()
         assert isinstance(method, commands.Basic.Ack) and method.delivery_tag == 1
-        result, _ = await client.end()
+        result, _ = await client.next_final()
         assert (result["id"], result["state"]) == ("m1", state)
         await wait_until(lambda: not courier.engine.messages_by_id)  # acknowledged: nothing is owed any more
         with pytest.raises(TimeoutError), anyio.fail_after(0.2):
-            await client.end()
+            await client.next_final()
         assert endpoint.requests[0][3]["request-id"] == "m1"
 
 
@@ -66,16 +66,16 @@
         client = await AmqpClient.open(courier.amqp)
         await client.publish("m1", for_ms=100)  # no endpoint: returned when its time is up
         await client.consume()
-        result, first = await client.end(ack=False)
+        result, first = await client.next_final(ack=False)
         client.close()
         client = await AmqpClient.open(courier.amqp)
         await client.consume()
-        again, second = await client.end(ack=False)
+        again, second = await client.next_final(ack=False)
         assert result == again and (first.redelivered, second.redelivered) == (False, True)
     async with running_courier(tmp_path) as courier:
         client = await AmqpClient.open(courier.amqp)
         await client.consume()
-        assert (await client.end())[0] == result
+        assert (await client.next_final())[0] == result
         await wait_until(lambda: not courier.engine.messages_by_id)
     async with running_courier(tmp_path) as courier:
         assert not courier.engine.messages_by_id
@@ -89,11 +89,11 @@
             await client.next()
         await wait_until(lambda: len(courier.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
         await client.consume(prefetch=1)
-        result, method = await client.end(ack=False)
+        result, method = await client.next_final(ack=False)
         await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, True), 1)
-        again, method = await client.end()
+        again, method = await client.next_final()
         assert result["id"] == again["id"] == "m1" and method.redelivered
-        assert (await client.end())[0]["id"] == "m2"
+        assert (await client.next_final())[0]["id"] == "m2"
 
 
 async def test_a_result_that_is_refused_for_good_makes_room_for_the_next(tmp_path):
@@ -104,10 +104,10 @@
             await client.next()
         await wait_until(lambda: len(courier.engine.fronts["amqp"].queues.get("ends").waiting) == 2)
         await client.consume(prefetch=1)
-        result, method = await client.end(ack=False)
+        result, method = await client.next_final(ack=False)
         await client.wire.send(commands.Basic.Nack(method.delivery_tag, False, False), 1)
         with anyio.fail_after(1):
-            assert (result["id"], (await client.end())[0]["id"]) == ("m1", "m2")
+            assert (result["id"], (await client.next_final())[0]["id"]) == ("m1", "m2")
 
 
 async def test_an_answer_that_waits_when_the_connection_is_closed_is_written_once(tmp_path):
@@ -245,7 +245,7 @@
             methods = [(await client.next())[0].name for _ in range(2 if again else 1)]
             assert methods == (["Basic.Return", "Basic.Nack"] if again else ["Basic.Ack"])
             await client.consume()
-            await client.end()
+            await client.next_final()
             await wait_until(lambda: not courier.engine.messages_by_id)
         async with running_courier(
             tmp_path
@@ -305,6 +305,6 @@
         for n in range(5):
             await client.ask(commands.Queue.Declare(queue=f"q{n}"))
         await client.consume()
-        await client.end()
+        await client.next_final()
         client.close()
         await wait_until(lambda: not queues)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -204,7 +204,7 @@
         await client.consume()
         await client.publish("h1", dest=1)
         await client.publish("b1", dest=3)
-        states = dict([((await client.end())[0]["id"], n) for n in range(2)])
+        states = dict([((await client.next_final())[0]["id"], n) for n in range(2)])
         assert set(states) == {"h1", "b1"} and broker.effects == ["b1"] and len(http_endpoint.requests) == 1
         (tmp_path / "z").write_text("not a zone")  # the endpoint list stays as it was
         await wait_until(lambda: courier.engine.endpoints)
