--- a/pinspread/testbed/client_traffic.py
+++ b/pinspread/testbed/client_traffic.py
@@ -1,4 +1,4 @@
-"""Clients that submit a scenario's messages to real couriers, and come again as the model says."""
+"""Clients that submit a scenario's messages to real couriers, and resubmit them as the model says."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -26,7 +26,10 @@
 
 
 class ClientTraffic:
-    """All clients of a run. Arrivals are open: a slow answer never delays a later message."""
+    """All clients of a run.
+
+    The load is open-loop: a slow answer never delays a later message.
+    """
 
     def __init__(self, run: PlatformRun, couriers: Sequence[CourierProcess], tasks: TaskGroup) -> None:
         self.run = run
@@ -34,7 +37,7 @@
         self.tasks = tasks
 
     async def submit_all(self) -> None:
-        """Submit each message at its time."""
+        """Submit each message at its arrival time."""
         for row, at_ns in enumerate(self.run.scenario.arrival_ns.tolist()):
             wait_s = self.run.engine.seconds_until(at_ns)
             if wait_s > 0:
@@ -42,7 +45,7 @@
             self.tasks.start_soon(self._submit, row)
 
     def on_final(self, notification: dict[str, Any]) -> None:
-        """A courier notifies the clients of a final result."""
+        """Handle a courier's notification of a final result."""
         run = self.run
         id_, state = notification["id"], notification["state"]
         row = run.row(id_)
@@ -56,20 +59,20 @@
             run.ended_ns[row] = run.engine.now
 
     async def _submit(self, row: int) -> None:
-        """Submit a message until it is accepted, its time is up, or its client gives up."""
+        """Submit a message until it is accepted, its deadline passes, or its client gives up."""
         run = self.run
         deadline_ns = run.clients.deadline_ns(row)
-        courier = None  # the one that has not answered yet
+        courier = None  # the courier of a submission that is still unanswered
         while True:
             left_ns = deadline_ns - run.engine.now
             if left_ns <= 0:
                 run.ended_ns[row] = run.engine.now
                 return
-            # It may have been accepted though the answer is lost. Under another id, or at another courier, it
-            # would be another message, and a payment would run twice by its client's fault.
-            courier = courier or self._courier(row)
+            # An unanswered submission may have been accepted. Submitted again under another id, or to another
+            # courier, it would be a second message, and the client itself would cause a payment to run twice.
+            courier = courier or self._select_courier(row)
             if self._message_id(row) in run.finals:
-                return  # it was accepted, and ended before the answer came
+                return  # accepted, and its final result came before the answer
             answer = await self._enqueue(courier, row, left_ns // MS) if courier and courier.ready else ""
             if answer.startswith("+"):
                 return
@@ -79,16 +82,16 @@
                 continue
             courier = None
             run.rejected += 1
-            words = answer.split()
-            if not await self._wait_to_come_again(row, int(words[1]) if len(words) > 1 else 0):
+            answer_words = answer.split()
+            if not await self._wait_before_retry(row, int(answer_words[1]) if len(answer_words) > 1 else 0):
                 return
 
     async def _submit_returned(self, row: int, retry_after_ms: int) -> None:
-        if await self._wait_to_come_again(row, retry_after_ms):
+        if await self._wait_before_retry(row, retry_after_ms):
             await self._submit(row)
 
-    async def _wait_to_come_again(self, row: int, retry_after_ms: int) -> bool:
-        """Wait as the message's client does; false where it does not come again."""
+    async def _wait_before_retry(self, row: int, retry_after_ms: int) -> bool:
+        """Wait as long as the message's client does; false if the client does not submit it again."""
         wait_ns = self.run.clients.retry_delay_ns(row, retry_after_ms * MS)
         if wait_ns is None:
             self.run.ended_ns[row] = self.run.engine.now
@@ -96,18 +99,18 @@
         await anyio.sleep(wait_ns / SECOND)
         return True
 
-    def _courier(self, row: int) -> CourierProcess | None:
-        """The courier of a message's client, or the next one that is ready."""
-        chosen = self.run.clients.instance_of(row)
-        in_turn = [*self.couriers[chosen:], *self.couriers[:chosen]]
-        return next((courier for courier in in_turn if courier.ready), None)
+    def _select_courier(self, row: int) -> CourierProcess | None:
+        """The courier that the message's client uses, or the next one that is ready; None if none is."""
+        preferred = self.run.clients.instance_of(row)
+        candidates = [*self.couriers[preferred:], *self.couriers[:preferred]]
+        return next((courier for courier in candidates if courier.ready), None)
 
     def _message_id(self, row: int) -> str:
-        """The id of a message, which begins with its row; another each time that its client comes again."""
+        """The id of a message, which begins with its row; each retry of the client gets another id."""
         run = self.run
-        tries = int(run.clients.retries[row])
+        retry_count = int(run.clients.retries[row])
         nonce = random_seed(run.scenario.seed, "id", row) & 0xFFFFFF
-        return f"{row:08x}{tries:02x}{nonce:06x}"
+        return f"{row:08x}{retry_count:02x}{nonce:06x}"
 
     def _options(self, row: int, left_ms: int) -> str:
         model, scenario = self.run.model, self.run.scenario
@@ -116,14 +119,14 @@
         return f"c={class_name},t={tenant},d={left_ms},k={row:016x},dest={int(scenario.destination[row])}"
 
     async def _enqueue(self, courier: CourierProcess, row: int, left_ms: int) -> str:
-        """Submit a message once; the answer, empty if none came."""
+        """Submit a message once and return the answer, which is empty if none came."""
         run = self.run
         id_ = self._message_id(row)
         key = str(int(run.scenario.ordering_key[row]))
         client = (
             courier.idle_clients.pop() if courier.idle_clients else Client(courier.address, reconnect=True)
         )
-        run.accepted[id_] = row  # it may be accepted though the answer is lost
+        run.accepted[id_] = row  # the courier may accept the message even if its answer is lost
         try:
             with anyio.fail_after(ANSWER_TIMEOUT_S):
                 answer = await client.say("ENQUEUE", key, id_, self._options(row, left_ms), BODY)
--- a/pinspread/testbed/clients.py
+++ b/pinspread/testbed/clients.py
@@ -21,12 +21,12 @@
 
 
 class SubmissionOptions(TypedDict, total=False):
-    """What is seldom given with a message.
+    """Options of a message that are seldom given.
 
     Attributes:
         dest: Number of the destination; 1 by default.
         body: The payload; one byte by default.
-        more: Further options of `ENQUEUE`, each with a comma before it.
+        more: Further options of `ENQUEUE`, each preceded by a comma.
     """
 
     dest: int
@@ -35,10 +35,13 @@
 
 
 class Client:
-    """A client of the courier's RESP2 front; it connects with its first command.
+    """A client of the courier's RESP2 front; it connects when its first command is sent.
 
     Attributes:
-        stream: The connection, None while there is none.
+        address: Host and port of the courier.
+        reconnect: Whether to connect again, once, if the courier has closed a kept connection.
+        stream: The connection; None while there is none.
+        submitted: How many messages `enqueue` has submitted.
     """
 
     def __init__(self, address: str, reconnect: bool = False) -> None:
@@ -46,7 +49,7 @@
 
         Args:
             address: Host and port of the courier.
-            reconnect: Whether to connect again, once, where the courier has closed a kept connection.
+            reconnect: Whether to connect again, once, if the courier has closed a kept connection.
         """
         self.address = sockets.split_address(address)
         self.reconnect = reconnect
@@ -54,7 +57,13 @@
         self.submitted = 0
 
     async def say(self, *words: str | bytes) -> str:
-        """Send a command and return its answer, as it came."""
+        """Send a command and return its answer as received.
+
+        Raises:
+            OSError: The connection cannot be opened.
+            anyio.EndOfStream: The courier closed the connection before it answered.
+            anyio.BrokenResourceError: The connection broke.
+        """
         kept = self.stream
         try:
             return await self._call(words)
@@ -81,7 +90,7 @@
         for_ms: int = 5000,
         **options: Unpack[SubmissionOptions],
     ) -> str:
-        """Submit a message of the tenant `north` and return the answer."""
+        """Submit a message of the tenant `north`, with a deadline in `for_ms`, and return the answer."""
         self.submitted += 1
         fields = (
             f"c={class_name},t=north,d={for_ms},k=ab12,dest={options.get('dest', 1)}{options.get('more', '')}"
@@ -103,10 +112,10 @@
 
         Args:
             address: Host and port of the courier's AMQP front.
-            confirms: Whether publishes are confirmed.
+            confirms: Whether to select publisher confirms.
 
         Raises:
-            OSError: There is no connection.
+            OSError: The connection cannot be opened.
             TimeoutError: An answer took too long.
         """
         self = cls(FrameStream(await sockets.dial(address), Clock()))
@@ -122,12 +131,16 @@
         return self
 
     async def ask(self, method: base.Frame, channel: int = CHANNEL) -> ReceivedMethod:
-        """Send a method and return the next that comes."""
+        """Send a method and return the next method received."""
         await self.wire.send(method, channel)
         return await self.next()
 
     async def next(self) -> ReceivedMethod:
-        """Return the next method that comes, with its content where it has any."""
+        """Return the next method received, with its content if it has any.
+
+        Raises:
+            TimeoutError: No method came within `ANSWER_TIMEOUT_S`.
+        """
         with anyio.fail_after(ANSWER_TIMEOUT_S):
             while True:
                 channel, payload = await self.wire.read_frame()
@@ -154,12 +167,16 @@
         await self.wire.write(frames.marshal_content(method, properties, body, CHANNEL, FRAME_MAX))
 
     async def consume(self, queue: str = REPLY_QUEUE, prefetch: int = 0) -> ReceivedMethod:
-        """Consume final results."""
+        """Start to consume final results; returns the answer to Basic.Consume."""
         await self.ask(commands.Basic.Qos(0, prefetch))
         return await self.ask(commands.Basic.Consume(0, queue, "c"))
 
     async def next_final(self, ack: bool = True) -> tuple[dict[str, Any], commands.Basic.Deliver]:
-        """Return the next final result that is delivered, decoded, and its delivery."""
+        """Return the next final result, decoded, and the Basic.Deliver that carried it.
+
+        Args:
+            ack: Whether to acknowledge the delivery.
+        """
         while True:
             method, _, body = await self.next()
             if isinstance(method, commands.Basic.Deliver):
--- a/pinspread/testbed/cluster.py
+++ b/pinspread/testbed/cluster.py
@@ -1,7 +1,7 @@
-"""Plays a scenario with couriers of one cluster on loopback, a proxy between them, and faults at their times.
+"""Plays a scenario with couriers of one cluster on loopback: a proxy between them, faults at scheduled times.
 
-`play(scenario, folder)` gives the verdicts; every line goes to `folder/history.jsonl`. Only processes that
-were started here are ended, by their ids, and every wait has a bound.
+`play(scenario, folder)` returns the verdicts; every event goes to `folder/history.jsonl`. Only processes that
+were started here are ended, by their process ids, and every wait has a time-out.
 """
 
 import asyncio
@@ -27,23 +27,23 @@
 from pinspread.testbed.resource import Resource
 from pinspread.testbed.traffic import Traffic
 
-READY_TIMEOUT_S = 30.0  # for all members to serve
+READY_TIMEOUT_S = 30.0  # for all members that start at once to serve
 READY_POLL_S = 0.05
 VIEW_POLL_S = 0.02
 HISTORY_FILE = "history.jsonl"
 
 
 class ClusterTestbed:
-    """A scenario on loopback.
+    """A scenario of a cluster, played on loopback.
 
     Attributes:
         members: The couriers, in order of their numbers.
-        history: What they and the test bed itself noted so far.
-        rules: What the proxy does to the members' datagrams and streams.
+        history: The events of the couriers and of the test bed so far.
+        rules: The faults that the proxy applies to the members' datagrams and streams.
     """
 
     def __init__(self, scenario: Mapping[str, Any], folder: Path | str) -> None:
-        """Prepare a scenario, given as a table, with all files in `folder`.
+        """Prepare a scenario, given as a table as in a scenario file, with all files in `folder`.
 
         Raises:
             ScenarioError: The scenario cannot be decoded.
@@ -59,8 +59,8 @@
         ]
         self.rules = LinkRules([member.id for member in self.members])
         real = {member.id: member.real for member in self.members}
-        fronts = {member.id: member.front for member in self.members}
-        self.proxy = Proxy(self.rules, real, fronts, self.scenario.seed)
+        advertised = {member.id: member.advertised for member in self.members}
+        self.proxy = Proxy(self.rules, real, advertised, self.scenario.seed)
         self.resource = Resource(self.history, self.addresses.resource)
         self.faults = ClusterFaults(self.members, self.rules, self.history, self.addresses)
         self.traffic: Traffic | None = None
@@ -73,7 +73,7 @@
         """Open the proxy, start the members that are not late, and wait until they serve.
 
         Raises:
-            ScenarioError: They did not all serve in time.
+            ScenarioError: Not all of them served within `READY_TIMEOUT_S`.
         """
         await self._open_sockets()
         serving = asyncio.Event()
@@ -81,13 +81,16 @@
             self._traffic_task = asyncio.create_task(self.traffic.run(serving))
         prefix = self.addresses.prefix
         self.history.add("stage", "stage_began", members=len(self.members), prefix=prefix)
-        first = [member for member in self.members if member.id not in self.scenario.late]
-        for member in first:
+        initial = [member for member in self.members if member.id not in self.scenario.late]
+        for member in initial:
             member.start()
         began = time.monotonic()
-        while not all(member.serving.is_set() for member in first):
+        while not all(member.serving.is_set() for member in initial):
             if time.monotonic() - began > READY_TIMEOUT_S:
-                raise ScenarioError("members did not all serve in time")
+                raise ScenarioError(
+                    f"members not serving within {READY_TIMEOUT_S} s: "
+                    f"{', '.join(member.id for member in initial if not member.serving.is_set())}"
+                )
             await asyncio.sleep(READY_POLL_S)
         self.history.add("stage", "serving")
         serving.set()
@@ -101,26 +104,26 @@
             await self.resource.open()
 
     async def act(self, fault: Mapping[str, Any]) -> None:
-        """Cause a fault now, given as a scenario's table.
+        """Cause a fault now, given as a table as in a scenario file.
 
         Raises:
-            ScenarioError: There is no such fault or member.
+            ScenarioError: The kind of fault or a member is unknown.
         """
         await self.faults.cause(FaultEvent.from_table(fault))
 
     async def stop_traffic(self) -> None:
-        """End the clients and their stand-ins, if there are any."""
+        """Stop the clients and their stand-ins, if there are any."""
         if self._traffic_task is not None and self.traffic is not None and self.traffic.scope is not None:
             self.traffic.scope.cancel()
             await self._traffic_task
 
     def finish(self) -> None:
-        """End every member that runs, and close the proxy and the history."""
+        """Stop every member that runs, then close the proxy, the resource and the history."""
         self.history.add("stage", "ending", proxy=self.proxy.counts)
         for member in self.members:
-            member.ask_to_end()
+            member.request_shutdown()
         for member in self.members:
-            member.end()
+            member.wait_or_kill()
         for member in self.members:
             member.wait_for_last_lines()
         self.proxy.close()
@@ -128,7 +131,7 @@
         self.history.close()
 
     def views(self) -> Views:
-        """Each running member's table, as its lines have told it so far."""
+        """Each running member's view of the others, rebuilt from its `member` events so far."""
         views: Views = {}
         for line in self.history.lines():
             who = line["who"]
@@ -139,7 +142,11 @@
         return {member.id: views.get(member.id, {}) for member in self.members if member.running()}
 
     async def until(self, condition: Callable[[Views], bool], timeout_s: float) -> float | None:
-        """Wait until a condition of the views holds; the seconds it took, None if it does not in time."""
+        """Wait until a condition on the views holds.
+
+        Returns:
+            The seconds it took; None if it did not hold within `timeout_s`.
+        """
         began = time.monotonic()
         while time.monotonic() - began < timeout_s:
             if condition(self.views()):
@@ -148,7 +155,7 @@
         return None
 
     async def run(self) -> list[dict[str, Any]]:
-        """Play the scenario to its end; the verdicts."""
+        """Play the scenario to its end and return the verdicts."""
         try:
             await self.begin()
             began = time.monotonic()
@@ -164,5 +171,5 @@
 
 
 def play(scenario: Mapping[str, Any], folder: Path | str) -> list[dict[str, Any]]:
-    """Play a scenario, given as a table, with its history in `folder`; the verdicts."""
+    """Play a scenario, given as a table, with its history in `folder`, and return the verdicts."""
     return asyncio.run(ClusterTestbed(scenario, folder).run())
--- a/pinspread/testbed/cluster_faults.py
+++ b/pinspread/testbed/cluster_faults.py
@@ -1,4 +1,4 @@
-"""Causes the faults of a scenario: of processes, files, clocks and the network, and strange datagrams."""
+"""Causes the faults of a scenario: of processes, files, clocks, the network, and datagrams of non-members."""
 
 import asyncio
 import os
@@ -20,7 +20,7 @@
 
 
 class ClusterFaults:
-    """Causes faults among the members, and notes them in the history."""
+    """Causes faults among the members, and records them in the history."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         """Cause a fault.
 
         Raises:
-            ScenarioError: It strikes a member that there is not.
+            ScenarioError: The fault names a member that the scenario does not have.
         """
         self.history.add("stage", "at", fault=fault.table)
         match fault.kind:
@@ -49,12 +49,12 @@
             case FaultKind.LOSS | FaultKind.DELAY | FaultKind.DUPLICATE | FaultKind.CUT:
                 self._change_rules(fault)
             case FaultKind.GARBAGE | FaultKind.STRANGER:
-                await self._send_strange_datagrams(fault)
+                await self._send_foreign_datagrams(fault)
             case _:
-                for member in self._struck(fault):
-                    await self._strike(member, fault)
+                for member in self._affected_members(fault):
+                    await self._apply(member, fault)
 
-    async def _strike(self, member: MemberProcess, fault: FaultEvent) -> None:
+    async def _apply(self, member: MemberProcess, fault: FaultEvent) -> None:
         match fault.kind:
             case FaultKind.WIPE:
                 self._wipe(member)
@@ -78,13 +78,13 @@
         """Flip one bit of a file of a member, if it has such a file that is not empty."""
         path = next(member.state_folder.glob(pattern), None)
         if path is not None and path.stat().st_size:
-            place, size = flip_bit(path)
-            self.history.add(member.id, "flipped", at=place, size=size)
+            offset, size = flip_bit(path)
+            self.history.add(member.id, "flipped", at=offset, size=size)
 
     @staticmethod
     async def _start(member: MemberProcess) -> None:
-        if member.ending:  # as whoever restarts it would wait
-            await asyncio.to_thread(member.end)
+        if member.ending:  # a supervisor, too, would wait for the old process to end
+            await asyncio.to_thread(member.wait_or_kill)
         if not member.running():
             member.start()
 
@@ -100,14 +100,14 @@
             case _:
                 self.rules.change(fault.sources, fault.targets, cut=True)
 
-    async def _send_strange_datagrams(self, fault: FaultEvent) -> None:
-        """Send datagrams from no member: random bytes, or well-formed ones of another fleet."""
+    async def _send_foreign_datagrams(self, fault: FaultEvent) -> None:
+        """Send datagrams from an address of no member: random bytes, or valid pings of another fleet."""
         rng = random.Random(fault.seed)
         stranger = self.addresses.stranger
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, (stranger, 0))
         try:
-            for member in self._struck(fault):
+            for member in self._affected_members(fault):
                 for number in range(fault.count):
                     if fault.kind is FaultKind.GARBAGE:
                         data = rng.randbytes(rng.randrange(1, MAX_GARBAGE_BYTES))
@@ -117,21 +117,21 @@
         finally:
             transport.close()
 
-    def _struck(self, fault: FaultEvent) -> list[MemberProcess]:
-        """The members that a fault strikes."""
+    def _affected_members(self, fault: FaultEvent) -> list[MemberProcess]:
+        """The members that a fault affects: those it names, or all if it names none."""
         names = self._resolve(fault.who) if fault.who else list(self.members)
         unknown = [name for name in names if name not in self.members]
         if unknown:
-            raise ScenarioError(f"fault {fault.kind}: no member {', '.join(unknown)}")
+            raise ScenarioError(f"fault {fault.kind}: the scenario has no member {', '.join(unknown)}")
         return [self.members[name] for name in names]
 
     def _resolve(self, names: Iterable[str]) -> list[str]:
-        """Members by name or role; a role that nobody is known to have is left out."""
-        found = [name if not name.startswith("@") else self._by_role(name) for name in names]
-        return [name for name in found if name]
+        """The ids of members given by id or by role; a role that no member is known to have is left out."""
+        member_ids = [name if not name.startswith("@") else self._member_with_role(name) for name in names]
+        return [member_id for member_id in member_ids if member_id]
 
-    def _by_role(self, role: str) -> str:
-        """Who is `@leader` or `@holder:TASK` by the history so far; empty if nobody is known."""
+    def _member_with_role(self, role: str) -> str:
+        """The id of the last known `@leader` or `@holder:TASK` in the history; empty if none is known."""
         event, field = ("quorum_leader", "leader") if role == LEADER else ("lease_held", "who")
         task = role.partition(":")[2]
         for line in reversed(self.history.lines()):
@@ -141,17 +141,21 @@
 
 
 def foreign_ping(sender: str, target: str, number: int) -> bytes:
-    """A well-formed ping of another fleet."""
+    """A valid ping of another fleet."""
     ping = {"t": "ping", "from": "x", "from_at": sender, "inc": 0, "up": [], "seq": number, "to": target}
     return codec.encode(ping, OTHER_FLEET)
 
 
 def flip_bit(path: Path) -> tuple[int, int]:
-    """Flip one bit of a file, a third from its start; where that is, and the file's size."""
+    """Flip one bit of a file, a third of the way into it.
+
+    Returns:
+        The offset of the changed byte, and the file's size, in bytes.
+    """
     with open(path, "r+b") as file:
         size = file.seek(0, os.SEEK_END)
-        place = file.seek(size // 3)
+        offset = file.seek(size // 3)
         byte = file.read(1)[0]
-        file.seek(place)
+        file.seek(offset)
         file.write(bytes([byte ^ 1]))
-    return place, size
+    return offset, size
--- a/pinspread/testbed/cluster_scenario.py
+++ b/pinspread/testbed/cluster_scenario.py
@@ -10,12 +10,12 @@
     [tuning]                    # goes into every courier's [members] table
     period_s = 0.2
     [leases]                    # optional: settings of every courier's [leases] table, and
-    voters = 3                  #   the first so many members vote
-    tasks = ["sweep"]           #   held and acted on at the stand-in resource, every act_s
+    voters = 3                  #   how many members, from the first, vote
+    tasks = ["sweep"]           #   tasks that are leased; a holder acts on the resource every act_s
     act_s = 0.1
     [copies]                    # optional: settings of every courier's [copies] table
     [traffic]                   # optional: clients, a destination and the platform (TrafficScenario)
-    [[at]]                      # a fault at a time; who may be "@leader" or "@holder:TASK"
+    [[at]]                      # a scheduled fault; `who` also takes "@leader" and "@holder:TASK"
     s = 4
     do = "pause"                # one of FaultKind
     who = ["m3"]
@@ -39,11 +39,11 @@
 
 
 class ScenarioError(PinspreadError):
-    """A scenario that cannot be played; the text says why."""
+    """A scenario cannot be decoded or played; the message says why."""
 
 
 class FaultKind(StrEnum):
-    """What a fault does (`do`)."""
+    """The kinds of faults (key `do`)."""
 
     PAUSE = "pause"
     RESUME = "resume"
@@ -65,25 +65,25 @@
 
 @dataclass(frozen=True)
 class FaultEvent:
-    """A fault at a time.
+    """A scheduled fault.
 
     Attributes:
         table: The fault as the scenario has it, for the history.
         kind: What it does.
-        at_s: When, in seconds after all members serve.
-        who: The members that it strikes; all where empty.
-        sources: For datagrams and streams: from these members, all where empty.
-        targets: To these members, all where empty.
-        groups: The sides of a split.
-        share: Of datagrams, for loss and duplicates.
-        delay_s: For a delay.
-        jitter_s: The most that chance adds to it.
+        at_s: When it is caused, in seconds after the members that start at once serve.
+        who: The members that it affects; all if empty.
+        sources: Members whose datagrams and streams are affected; all if empty.
+        targets: Members to which they are sent; all if empty.
+        groups: The groups of a split.
+        share: Share of datagrams that a loss drops or a duplication sends twice.
+        delay_s: How long a delay holds datagrams and streams.
+        jitter_s: Maximum of the random time added to `delay_s`.
         file: Pattern of the file in the state folder that a flip damages.
-        offset_ms: What a member's clock is off by from its next start.
-        clock_rate: How fast it runs.
-        seed: Of the bytes of garbage.
-        count: How many datagrams of garbage or strangers.
-        port: Where they go.
+        offset_ms: Offset of a member's clock from its next start on.
+        clock_rate: Rate of that clock; 1 is right.
+        seed: Seed of the random bytes of garbage.
+        count: How many datagrams of garbage or of a stranger are sent to each member.
+        port: The member's port to which they are sent.
     """
 
     table: Mapping[str, Any]
@@ -105,20 +105,22 @@
 
     @classmethod
     def from_table(cls, table: Mapping[str, Any]) -> Self:
-        """Decode a fault, of which only `do` must be there; keys that are unknown are ignored.
+        """Decode a fault; only `do` is required, and unknown keys are ignored.
 
         Raises:
-            ScenarioError: Its kind is unknown.
+            ScenarioError: The kind of fault (`do`) is unknown.
         """
         fields = {FAULT_KEYS[key]: value for key, value in table.items() if key in FAULT_KEYS}
         try:
             kind = FaultKind(table.get("do", ""))
         except ValueError:
-            raise ScenarioError(f"unknown fault {table.get('do', '')!r}") from None
+            raise ScenarioError(
+                f"unknown fault {table.get('do', '')!r}: expected one of {', '.join(FaultKind)}"
+            ) from None
         return cls(table=dict(table), kind=kind, **fields)
 
 
-# The keys of a fault in a scenario beside `do`, and the fields that they are.
+# The keys of a fault in a scenario, besides `do`, and the fields of FaultEvent that hold their values.
 FAULT_KEYS = {
     "s": "at_s",
     "who": "who",
@@ -142,10 +144,10 @@
     """Leases of a scenario.
 
     Attributes:
-        voters: How many members vote, from the first.
-        tasks: What is held and acted on.
-        act_s: How often a holder acts.
-        settings: The rest of each courier's `[leases]` table.
+        voters: How many members, from the first, are voters.
+        tasks: The tasks that are leased.
+        act_s: Interval at which a holder acts on its task.
+        settings: Further settings of each courier's `[leases]` table.
     """
 
     voters: int = 3
@@ -165,16 +167,17 @@
     """Traffic of a scenario.
 
     Attributes:
-        rate: Messages a second that clients submit at each courier.
-        for_s: For how many seconds.
-        deadline_s: The time of each message, in seconds.
-        slow_s: The most that the destination takes for one.
+        rate: Messages a second that clients submit to each courier.
+        for_s: For how many seconds they submit.
+        deadline_s: Deadline of each message, in seconds after its first submission.
+        slow_s: Maximum time that the destination takes for a message.
         busy_share: Share of its calls that the destination refuses.
-        amqp_share: Share of the messages that come by AMQP.
-        seed: Of the clients' draws.
-        loops: So many clients of a courier submit one message after the other instead, whatever `rate` is.
-        at: Only at these couriers; at all where empty.
-        limit: Calls a second that the destination is listed with.
+        amqp_share: Share of the messages that are published over AMQP.
+        seed: Seed of the random numbers of clients and destination.
+        loops: If not 0, this many clients of each courier submit one message after the other, in place of the
+            clients that submit at `rate`.
+        at: The couriers that get the traffic; all if empty.
+        limit: The rate limit that the destination is listed with, in calls a second.
     """
 
     rate: float = 10.0
@@ -203,20 +206,20 @@
 
 @dataclass(frozen=True)
 class ClusterScenario:
-    """A scenario of couriers with membership.
+    """A scenario of couriers that are members of one cluster.
 
     Attributes:
-        members: How many there are.
-        seconds: How long it goes, from when those that are not late serve.
-        late: Members that are not started at first.
-        seed: Of the proxy's draws.
-        fleet: The name that the members' datagrams carry.
-        service: The DNS-SD service by which they find their seeds; by a list where empty.
+        members: How many members there are.
+        seconds: Duration, counted from when all members that are not late serve.
+        late: Members that are not started at the beginning.
+        seed: Seed of the proxy's random numbers.
+        fleet: The fleet name that the members' datagrams carry.
+        service: The DNS-SD service by which the members find their seeds; if empty, each has a list of them.
         tuning: Settings of each courier's `[members]` table.
-        leases: None without leases.
+        leases: The leases; None without leases.
         replication: Settings of each courier's `[copies]` table; None without replication.
-        traffic: None without traffic.
-        faults: In order of their times.
+        traffic: The traffic; None without traffic.
+        faults: The faults, in order of their times.
         expectations: Tables of what the history is checked for.
     """
 
@@ -235,14 +238,16 @@
 
     @classmethod
     def from_table(cls, table: Mapping[str, Any]) -> Self:
-        """Decode a scenario, of which only `members` and `seconds` must be there.
+        """Decode a scenario; only `members` and `seconds` are required.
 
         Raises:
             ScenarioError: A fault or the traffic cannot be decoded, or a fault has no time.
         """
         faults = [FaultEvent.from_table(fault) for fault in table.get("at", ())]
         if not all("s" in fault.table for fault in faults):
-            raise ScenarioError("a fault has no time `s`")
+            raise ScenarioError(
+                f"a fault has no time `s`: {[fault.table for fault in faults if 's' not in fault.table]}"
+            )
         leases, traffic = table.get("leases"), table.get("traffic")
         return cls(
             members=table["members"],
@@ -261,10 +266,10 @@
 
 
 def load(path: str | PathLike[str]) -> dict[str, Any]:
-    """Read a scenario's file.
+    """Read a scenario file.
 
     Raises:
-        ScenarioError: It cannot be read, or a figure is out of range.
+        ScenarioError: The file cannot be read or decoded, or `members` or `seconds` is out of range.
     """
     try:
         with open(path, "rb") as file:
@@ -273,7 +278,11 @@
         raise ScenarioError(f"{path}: {error}") from None
     members, seconds = table.get("members"), table.get("seconds")
     if not isinstance(members, int) or not 1 <= members <= MAX_MEMBERS:
-        raise ScenarioError(f"{path}: members: from 1 to {MAX_MEMBERS}")
+        raise ScenarioError(
+            f"{path}: members: expected an integer from 1 to {MAX_MEMBERS}, found {members!r}"
+        )
     if not isinstance(seconds, int | float) or not 0 < seconds <= MAX_SECONDS:
-        raise ScenarioError(f"{path}: seconds: above 0, at most {MAX_SECONDS}")
+        raise ScenarioError(
+            f"{path}: seconds: expected a number above 0, at most {MAX_SECONDS}, found {seconds!r}"
+        )
     return table
--- a/pinspread/testbed/history.py
+++ b/pinspread/testbed/history.py
@@ -1,4 +1,4 @@
-"""The history of a cluster's test: one JSON line an event, of all processes, in monotonic time."""
+"""The history of a cluster test: the events of all its processes, one JSON line each, in monotonic time."""
 
 import queue
 import threading
@@ -13,14 +13,14 @@
 
 
 def monotonic_us() -> int:
-    """The machine's monotonic clock in microseconds, which is one for all its processes."""
+    """The monotonic clock in microseconds, which all processes of the machine share."""
     return time.monotonic_ns() // 1000
 
 
 class History:
-    """Collects lines from several threads and writes them to a file from a thread of its own.
+    """Collects events from several threads and writes them to a file in a separate thread.
 
-    A slow disk would otherwise stall the proxy, and with it all that the couriers say to each other.
+    In the caller's thread, a slow disk would stall the proxy, and with it all traffic between the couriers.
     """
 
     def __init__(self, path: Path) -> None:
@@ -36,18 +36,18 @@
         self.add_line({"mono_us": monotonic_us(), "who": who, "event": event, **fields})
 
     def add_line(self, line: Line) -> None:
-        """Add a line that has its time and origin."""
+        """Add a line that already has its time (`mono_us`) and origin (`who`)."""
         with self._lock:
             self._lines.append(line)
         self._unwritten.put(line)
 
     def lines(self) -> list[Line]:
-        """The lines so far, in order of their addition."""
+        """The lines so far, in the order in which they were added."""
         with self._lock:
             return list(self._lines)
 
     def close(self) -> None:
-        """Write what is left and close the file."""
+        """Write the remaining lines and close the file."""
         self._unwritten.put(None)
         self._writer.join()
 
--- a/pinspread/testbed/history_checker.py
+++ b/pinspread/testbed/history_checker.py
@@ -1,15 +1,16 @@
 """Checks a cluster's history: one JSON line an event, in monotonic microseconds of the machine.
 
-A line has `mono_us`, `who` (a member's id, or `stage`) and `event`. Each member's table is replayed from its
-`member` lines, and which processes ran from the test bed's own lines. Expectations, by their `kind`:
-
-- `dead`: every member that runs at the end says `of` is dead (or left) within `within_s` of `after_s`;
-- `never_dead`: nobody says any of `of` (all members if empty) is dead from `from_s` to `to_s`;
-- `one_table`: from `after_s` on, within `within_s`, every running member sees every running one alive and
-  none that is down alive, and that holds to the end (or to `until_s`);
-- `refuted`: `of` refuted a rumour of its end, or came back with a higher incarnation;
-- `ledger`: of at least `least` acknowledged messages none is lost, ended twice or out of order, and no
-  payment is delivered twice;
+A line has `mono_us`, `who` (a member's id, or `stage` for the test bed) and `event`. Each member's view of
+the others is replayed from its `member` lines, and which processes ran from the lines that the test bed adds.
+Expectations, by their `kind`:
+
+- `dead`: every member that runs at the end reports `of` as dead (or left) within `within_s` of `after_s`;
+- `never_dead`: no member reports any of `of` (all members if empty) as dead from `from_s` to `to_s`;
+- `one_table`: within `within_s` of `after_s`, every running member sees exactly the running members alive,
+  and this holds to the end (or to `until_s`);
+- `refuted`: `of` refuted a report that it is suspect or dead, or returned with a higher incarnation;
+- `ledger`: at least `least` messages are acknowledged; none of them is lost, has two final results or is
+  delivered out of order, and no payment is delivered twice;
 - those of leases, in `lease_checker`.
 """
 
@@ -25,20 +26,23 @@
 from pinspread.testbed.ledger import MAX_LISTED, ledger
 from pinspread.testbed.replay import SECOND_US, TO_THE_END_S, Check, Expectation, Finding, Replay
 
-GONE = ("dead", "left")
+DEAD_STATES = ("dead", "left")
 PROGRAM_FAULTS = ("fault", "internal_error", "crashed")
-MAX_FAULTS = 5  # that are listed
+MAX_FAULTS = 5  # listed in a verdict
 
 
 def read(path: str | PathLike[str]) -> list[Line]:
-    """The lines of a history's file, in order of time."""
+    """The lines of a history file, in order of time."""
     with open(path, "rb") as file:
         lines = [orjson.loads(line) for line in file if line.strip()]
     return sorted(lines, key=lambda line: line["mono_us"])
 
 
 def read_scenario(path: str | PathLike[str]) -> list[Line]:
-    """A scenario's history, whose times count from when all members served, as a scenario's times do."""
+    """The lines of a history file, with `stage_began` moved to when all members served.
+
+    The times of a scenario's faults and expectations count from then.
+    """
     lines = read(path)
     began_us = next(
         line["mono_us"] for line in lines if line.get("event") == "serving" and line["who"] == "stage"
@@ -48,9 +52,11 @@
 
 
 def check(lines: Sequence[Line], expectations: Sequence[Expectation]) -> list[dict[str, Any]]:
-    """The verdict on each expectation, and on whether a member had an internal error.
+    """Check a history, given in order of time.
 
-    Each verdict is a table of `ok`, the expectation and what was measured.
+    Returns:
+        A verdict on each expectation, then one on internal errors of members (`no_fault`). Each is a table of
+        `ok`, the expectation and what was measured.
 
     Raises:
         ScenarioError: An expectation's kind is unknown.
@@ -61,7 +67,7 @@
         run = CHECKS.get(expectation.get("kind", ""))
         if run is None:
             kinds = ", ".join(CHECKS)
-            raise ScenarioError(f"unknown expectation {expectation.get('kind')!r}: one of {kinds}")
+            raise ScenarioError(f"unknown expectation {expectation.get('kind')!r}: expected one of {kinds}")
         ok, measured = run(replay, expectation)
         verdicts.append({"ok": ok, **expectation, **measured})
     faults = [line for line in lines if line.get("event") in PROGRAM_FAULTS]
@@ -70,7 +76,7 @@
 
 
 def all_agree(running: set[str], views: Mapping[str, Mapping[str, str]], members: Sequence[str]) -> bool:
-    """Whether every running member sees every running one alive, and none of the others alive."""
+    """Whether every running member sees exactly the other running members alive."""
     return all(
         (views[observer].get(member) == "alive") == (member in running)
         for observer in running
@@ -80,14 +86,14 @@
 
 
 class FalseDeaths(NamedTuple):
-    """How often a member was called dead while it ran, not paused; and for how many hours members ran."""
+    """How often a member was reported dead while it ran unpaused, and the hours that members ran, summed."""
 
     deaths: int
     member_hours: float
 
 
 def false_deaths(lines: Sequence[Line]) -> FalseDeaths:
-    """The false deaths of a history."""
+    """Count the false deaths of a history, given in order of time."""
     replay = Replay(lines)
     false, member_us = 0, 0
     last_us: int | None = None
@@ -109,7 +115,7 @@
     for line in replay.lines:
         if line["mono_us"] < after_us or line.get("event") != "member" or line["id"] != dead:
             continue
-        if line["state"] in GONE and line["who"] in observers:
+        if line["state"] in DEAD_STATES and line["who"] in observers:
             took_s.setdefault(line["who"], (line["mono_us"] - after_us) / SECOND_US)
     slowest_s = max(took_s.values()) if took_s and len(took_s) == len(observers) else None
     measured = {"seers": len(observers), "told": len(took_s), "slowest_s": slowest_s}
@@ -137,7 +143,7 @@
 
 def _one_table(replay: Replay, expectation: Expectation) -> Finding:
     after_us = replay.after_us(expectation)
-    end_us = min(replay.end_us, replay.at(expectation.get("until_s", TO_THE_END_S)))
+    end_us = min(replay.end_us, replay.time_us(expectation.get("until_s", TO_THE_END_S)))
     since_us = None
     for moment in replay.moments():
         if moment.at_us < after_us:
--- a/pinspread/testbed/lease_checker.py
+++ b/pinspread/testbed/lease_checker.py
@@ -2,15 +2,15 @@
 
 Expectations, by their `kind`:
 
-- `one_holder`: no two members hold a task at one time, by their own word;
-- `tokens_grow`: the tokens that the resource took never fall, and each is one member's;
-- `stale_refused`: at least one action with an outdated token came, and was refused;
-- `held_again`: after `after_s` a member other than `of` holds each task within `within_s`;
-- `never_held`: none of `of` begins or keeps to hold anything from `from_s` to `to_s`.
-
-A *span* is from a member's `lease_held` to when its actions had to end: the last `stops_us` that it was told,
-or earlier, when it lost the lease, gave it back or its process ended. A paused process cannot act, but its
-span goes on, which is the harder reading.
+- `one_holder`: no two members hold a task at the same time, by the members' own events;
+- `tokens_grow`: the tokens that the resource accepted never decrease, and only one member uses each;
+- `stale_refused`: the resource received and refused at least one action with an outdated token;
+- `held_again`: within `within_s` of `after_s` a member other than `of` holds each task;
+- `never_held`: none of `of` obtains or renews a lease from `from_s` to `to_s`.
+
+A *span* lasts from a member's `lease_held` to when it must stop acting: at the last `stops_us` it was given,
+or earlier if it lost the lease, gave it back or its process ended. The span of a paused process goes on,
+although the process cannot act, which makes the checks stricter.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -25,7 +25,7 @@
 
 @dataclass
 class Span:
-    """One member's time as a task's holder; times are monotonic microseconds of the machine."""
+    """A time in which one member holds a task; in monotonic microseconds of the machine."""
 
     task: str
     member: str
@@ -33,38 +33,38 @@
     begin_us: int
     end_us: int
 
-    def end_by(self, at_us: int) -> None:
-        """End it at a time, unless it ends earlier."""
+    def end_no_later_than(self, at_us: int) -> None:
+        """Move the end to `at_us` if it is later."""
         self.end_us = min(self.end_us, at_us)
 
 
 def spans(lines: Iterable[Line]) -> list[Span]:
-    """Every time of holding, in order of its beginning."""
-    found: list[Span] = []
+    """All spans of a history, in order of their beginnings."""
+    all_spans: list[Span] = []
     current: dict[tuple[str, str], Span] = {}  # by member and task
     for line in lines:
         who, event, at_us = line["who"], line.get("event"), line["mono_us"]
-        place = (who, line.get("task", ""))
+        holding = (who, line.get("task", ""))
         if event == "lease_held":
-            current[place] = Span(line["task"], who, line["token"], at_us, line["stops_us"])
-            found.append(current[place])
-        elif event == "lease_kept" and place in current:
-            current[place].end_us = line["stops_us"]
-        elif event in LEASE_ENDS and place in current:
-            current.pop(place).end_by(at_us)
+            current[holding] = Span(line["task"], who, line["token"], at_us, line["stops_us"])
+            all_spans.append(current[holding])
+        elif event == "lease_kept" and holding in current:
+            current[holding].end_us = line["stops_us"]
+        elif event in LEASE_ENDS and holding in current:
+            current.pop(holding).end_no_later_than(at_us)
         elif event == "exited" or (event == "signalled" and line["do"] in KILLED):
-            for lost in [place for place in current if place[0] == who]:
-                current.pop(lost).end_by(at_us)
-    return found
+            for lost in [holding for holding in current if holding[0] == who]:
+                current.pop(lost).end_no_later_than(at_us)
+    return all_spans
 
 
 def actions(lines: Iterable[Line]) -> list[Line]:
-    """The actions that came to the resource."""
+    """The actions that the resource received."""
     return [line for line in lines if line.get("event") == "act"]
 
 
 def held_share(lines: Sequence[Line], begin_us: int, end_us: int) -> dict[str, float]:
-    """For each task the share of a time in which a member held it."""
+    """For each task, the share of the time from `begin_us` to `end_us` in which a member held it."""
     held_us: dict[str, int] = {}
     for span in spans(lines):
         within_us = max(0, min(span.end_us, end_us) - max(span.begin_us, begin_us))
@@ -73,11 +73,11 @@
 
 
 def gaps(lines: Sequence[Line]) -> list[float | None]:
-    """Seconds from each loss of a task's holder to the next member's holding; None if there is none.
+    """For each loss of a task's holder, the seconds until the task is held again; None if it never is.
 
     A holder is lost when it is killed, wiped or paused.
     """
-    found = []
+    gaps_s = []
     held = spans(lines)
     for line in lines:
         if line.get("event") != "signalled" or line["do"] not in KILLED | {"pause"}:
@@ -86,9 +86,9 @@
         for span in held:
             if span.member != line["who"] or not span.begin_us <= at_us <= span.end_us:
                 continue
-            after_us = [s.begin_us for s in held if s.task == span.task and s.begin_us > at_us]
-            found.append((min(after_us) - at_us) / SECOND_US if after_us else None)
-    return found
+            next_begins_us = [s.begin_us for s in held if s.task == span.task and s.begin_us > at_us]
+            gaps_s.append((min(next_begins_us) - at_us) / SECOND_US if next_begins_us else None)
+    return gaps_s
 
 
 def _one_holder(replay: Replay, expectation: Expectation) -> Finding:
--- a/pinspread/testbed/ledger.py
+++ b/pinspread/testbed/ledger.py
@@ -1,7 +1,8 @@
-"""What became of all messages that couriers acknowledged, from a history of the cluster's test.
+"""The outcome of all messages that couriers acknowledged, from the history of a cluster test.
 
-Events of the history: `acked` (a courier said +OK), `taken` (its own word that it accepted), `delivered` (the
-destination did it) and `final` (the platform was notified, or an AMQP consumer got it).
+Events of the history: `acked` (a client got a courier's +OK or confirm), `taken` (the courier's log of having
+accepted the message), `delivered` (the destination executed it) and `final` (the platform or an AMQP consumer
+received the final result).
 """
 
 from collections.abc import Iterable
@@ -13,12 +14,15 @@
 PAYMENT = "payment"
 FAILED = "failed"
 RETURNED = "returned"
-NOTIFICATION_GRACE_US = 1_000_000  # what a notification may take after a message's deadline
+NOTIFICATION_GRACE_US = 1_000_000  # how long after a message's deadline its notification may arrive
 MAX_LISTED = 10
 
 
 class Acceptance(NamedTuple):
-    """A courier's word that it accepted a message; the order of fields is the order of acceptance by key."""
+    """A courier's event that it accepted a message.
+
+    The order of the fields matters: sorted, acceptances of one courier and key are in order of acceptance.
+    """
 
     courier: str
     key: int
@@ -27,7 +31,7 @@
 
 
 class Final(NamedTuple):
-    """A final result that the client was notified of."""
+    """A final result of which the client was notified."""
 
     at_us: int
     state: str
@@ -46,37 +50,37 @@
 
     @property
     def states(self) -> set[str]:
-        """The states that the client was notified of."""
+        """The states of which the client was notified."""
         return {final.state for final in self.finals}
 
     @property
-    def silent(self) -> bool:
+    def unresolved(self) -> bool:
         """Whether it was neither delivered nor notified."""
         return not self.deliveries_us and not self.finals
 
     @property
     def ended_us(self) -> int:
         """When it was first delivered or notified; 0 if neither."""
-        ends = self.deliveries_us[:1] + [final.at_us for final in self.finals[:1]]
-        return min(ends, default=0)
+        times_us = self.deliveries_us[:1] + [final.at_us for final in self.finals[:1]]
+        return min(times_us, default=0)
 
     def open_at(self, end_us: int) -> bool:
-        """Whether its deadline is after a time."""
+        """Whether its deadline is after `end_us`."""
         return self.acceptance is not None and self.acceptance.deadline_us > end_us
 
     def late(self) -> bool:
-        """Whether it ended after its deadline and the notification's grace."""
+        """Whether it ended later than `NOTIFICATION_GRACE_US` after its deadline."""
         acceptance = self.acceptance
         return acceptance is not None and self.ended_us > acceptance.deadline_us + NOTIFICATION_GRACE_US
 
     def has_two_finals(self) -> bool:
-        """Whether it ended in two ways."""
+        """Whether it has two different final results, or was delivered after it was returned."""
         return len(self.states) > 1 or self._delivered_after_return()
 
     def _delivered_after_return(self) -> bool:
         """Whether it was acknowledged, then returned, and then delivered.
 
-        What was returned before it was acknowledged may be submitted again under its id.
+        A message that was returned before it was acknowledged may be submitted again under the same id.
         """
         if self.acked_us is None or not self.finals or not self.deliveries_us:
             return False
@@ -88,20 +92,23 @@
 
 @dataclass(frozen=True)
 class Ledger:
-    """Counts of messages, and the ids of those that must not be; all but the last are of acknowledged ones.
+    """Counts of messages, and the ids of those that violate a guarantee.
+
+    Only acknowledged messages are in `acked`, `delivered`, `failed`, `returned`, `lost`, `open`, `disordered`
+    and `late`.
 
     Attributes:
         acked: Acknowledged.
         delivered: Delivered.
         failed: Notified as failed.
         returned: Notified as returned.
-        lost: Neither delivered nor notified, with a deadline before the history's end.
-        open: The same with a later deadline.
-        two_finals: Ended in two ways.
+        lost: Neither delivered nor notified, with a deadline before the scenario's end.
+        open: Neither delivered nor notified, with a deadline after the scenario's end.
+        two_finals: With two different final results, or delivered after they were returned.
         payments_twice: Payments that were delivered more than once.
-        disordered: Delivered before an earlier one of their key.
-        delivered_and_failed: Notified as failed though delivered.
-        late: Ended after their deadline.
+        disordered: Delivered before an earlier message of the same ordering key.
+        delivered_and_failed: Notified as failed although they were delivered.
+        late: Ended later than `NOTIFICATION_GRACE_US` after their deadline.
         turned_away: How often a courier refused a message.
     """
 
@@ -120,16 +127,19 @@
 
     @property
     def clean(self) -> bool:
-        """Whether nothing is lost, ended in two ways, delivered twice or out of order."""
+        """Whether `lost`, `two_finals`, `payments_twice` and `disordered` are empty."""
         return not (self.lost or self.two_finals or self.payments_twice or self.disordered)
 
-    def to_dict(self, most: int | None = None) -> dict[str, Any]:
-        """The ledger as a table, with at most so many ids in each list."""
-        return {key: value if isinstance(value, int) else value[:most] for key, value in asdict(self).items()}
+    def to_dict(self, max_listed: int | None = None) -> dict[str, Any]:
+        """The ledger as a table, with at most `max_listed` ids in each list."""
+        return {
+            key: value if isinstance(value, int) else value[:max_listed]
+            for key, value in asdict(self).items()
+        }
 
 
 def message_records(lines: Iterable[Line]) -> dict[str, MessageRecord]:
-    """All messages of a history whose lines are in order of time."""
+    """All messages of a history, given in order of time, by id."""
     records: dict[str, MessageRecord] = {}
     for line in lines:
         id_ = line.get("id")
@@ -139,7 +149,7 @@
 
 
 def _add(record: MessageRecord, line: Line) -> None:
-    """Add a line to what is known of its message."""
+    """Update the record of a message with a line of the history."""
     at_us, who = line["mono_us"], line["who"]
     match line.get("event"):
         case "taken" if record.acceptance is None:
@@ -154,45 +164,58 @@
 
 
 def ledger(lines: Iterable[Line]) -> Ledger:
-    """What became of a history's messages; the lines are in order of time."""
+    """The outcome of the messages of a history, given in order of time."""
     lines = list(lines)
     end_us = next((line["mono_us"] for line in lines if line.get("event") == "ending"), 0)
     records = message_records(lines).values()
-    acked = sorted((one for one in records if one.acked_us is not None), key=lambda one: one.acked_us or 0)
-    delivered = sorted((one for one in records if one.deliveries_us), key=lambda one: one.deliveries_us[0])
-    notified = sorted((one for one in records if one.finals), key=lambda one: one.finals[0].at_us)
-    silent = [one for one in acked if one.silent]
+    acked = sorted(
+        (message for message in records if message.acked_us is not None),
+        key=lambda message: message.acked_us or 0,
+    )
+    delivered = sorted(
+        (message for message in records if message.deliveries_us),
+        key=lambda message: message.deliveries_us[0],
+    )
+    notified = sorted(
+        (message for message in records if message.finals), key=lambda message: message.finals[0].at_us
+    )
+    unresolved = [message for message in acked if message.unresolved]
     return Ledger(
         acked=len(acked),
-        delivered=sum(bool(one.deliveries_us) for one in acked),
-        failed=sum(FAILED in one.states for one in acked),
-        returned=sum(RETURNED in one.states for one in acked),
-        # What is open when the scenario ends is lost only if its time was up by then.
-        lost=[one.id for one in silent if not one.open_at(end_us)],
-        open=sum(one.open_at(end_us) for one in silent),
-        two_finals=[one.id for one in notified if one.has_two_finals()],
+        delivered=sum(bool(message.deliveries_us) for message in acked),
+        failed=sum(FAILED in message.states for message in acked),
+        returned=sum(RETURNED in message.states for message in acked),
+        # A message without an outcome at the scenario's end is lost only if its deadline has passed by then.
+        lost=[message.id for message in unresolved if not message.open_at(end_us)],
+        open=sum(message.open_at(end_us) for message in unresolved),
+        two_finals=[message.id for message in notified if message.has_two_finals()],
         payments_twice=[
-            one.id for one in delivered if len(one.deliveries_us) > 1 and one.class_name == PAYMENT
+            message.id
+            for message in delivered
+            if len(message.deliveries_us) > 1 and message.class_name == PAYMENT
         ],
         disordered=_disordered(acked),
-        delivered_and_failed=[one.id for one in notified if one.deliveries_us and FAILED in one.states],
-        late=[one.id for one in acked if one.late()],
+        delivered_and_failed=[
+            message.id for message in notified if message.deliveries_us and FAILED in message.states
+        ],
+        late=[message.id for message in acked if message.late()],
         turned_away=sum(line.get("event") == "turned_away" for line in lines),
     )
 
 
 def _disordered(acked: Iterable[MessageRecord]) -> list[str]:
-    """Ids of messages that were delivered before an earlier one of their key was, for the last time."""
+    """Ids of messages delivered before the last delivery of an earlier message of the same ordering key."""
     keyed = [
-        (one.acceptance, one)
-        for one in acked
-        if one.acceptance is not None and one.acceptance.key and one.deliveries_us
+        (message.acceptance, message)
+        for message in acked
+        if message.acceptance is not None and message.acceptance.key and message.deliveries_us
     ]
-    found = []
+    out_of_order = []
     last_us: dict[tuple[str, int], int] = {}
-    for acceptance, one in sorted(keyed, key=lambda pair: pair[0]):
-        place = acceptance.courier, acceptance.key
-        if one.deliveries_us[0] < last_us.get(place, 0):  # also one that was delivered again behind its next
-            found.append(one.id)
-        last_us[place] = max(one.deliveries_us[-1], last_us.get(place, 0))
-    return found
+    for acceptance, message in sorted(keyed, key=lambda pair: pair[0]):
+        order = acceptance.courier, acceptance.key
+        # This includes an earlier message that was delivered in order, and then again after this one.
+        if message.deliveries_us[0] < last_us.get(order, 0):
+            out_of_order.append(message.id)
+        last_us[order] = max(message.deliveries_us[-1], last_us.get(order, 0))
+    return out_of_order
--- a/pinspread/testbed/loopback.py
+++ b/pinspread/testbed/loopback.py
@@ -1,4 +1,4 @@
-"""Sockets on loopback and waiting, for stand-ins and for the tests that script them."""
+"""Servers on loopback, and waiting for conditions, for stand-ins and tests."""
 
 import time
 from collections.abc import AsyncIterator, Callable
@@ -15,18 +15,18 @@
 
 
 class ConditionTimeoutError(PinspreadError):
-    """A condition did not come to hold in time."""
+    """A condition did not hold within its time-out."""
 
 
 class Server(Protocol):
-    """What serves a listening socket until it is cancelled."""
+    """A server that serves a listening socket until it is cancelled."""
 
     async def run(self, sock: socket) -> None:
         """Serve the socket's connections."""
 
 
 def listener() -> tuple[socket, str]:
-    """Return a listening socket on a free port of loopback, and its address."""
+    """Return a listening socket on a free loopback port, and its address."""
     sock = sockets.listen("127.0.0.1:0")
     return sock, f"127.0.0.1:{sock.getsockname()[1]}"
 
@@ -35,18 +35,18 @@
     """Wait until a condition holds.
 
     Raises:
-        ConditionTimeoutError: It did not within `timeout_s`.
+        ConditionTimeoutError: It did not hold within `timeout_s`.
     """
-    end = time.monotonic() + timeout_s
+    deadline_s = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() >= end:
+        if time.monotonic() >= deadline_s:
             raise ConditionTimeoutError(f"the condition did not hold within {timeout_s} s")
         await anyio.sleep(POLL_INTERVAL_S)
 
 
 @asynccontextmanager
 async def serve_on_loopback(server: Server) -> AsyncIterator[str]:
-    """Serve on a free port of loopback while the context lasts; the context is the address."""
+    """Serve on a free loopback port while the context lasts; yields the address."""
     sock, address = listener()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.run, sock)
--- a/pinspread/testbed/member_configuration.py
+++ b/pinspread/testbed/member_configuration.py
@@ -1,4 +1,4 @@
-"""Addresses of a cluster's test, and what each courier is configured with."""
+"""The addresses of a cluster test, and the configuration of each courier."""
 
 import os
 from collections.abc import Iterable, Iterator, Mapping
@@ -18,19 +18,20 @@
 RESOURCE_PORT = 9700
 DESTINATION_PORT = 8080
 PLATFORM_PORT = 8500
-SEEDS = 2  # so many members, from the first, are seeds of the others
-QUOTA_PER_S = 300.0  # in place of the template's, so that the traffic stays within it
+SEEDS = 2  # number of members, from the first, that are seeds of the others
+QUOTA_PER_S = 300.0  # replaces the template's quota, so that the traffic stays within it
 ZONE_FILE = "partners.zone"
+# Each test bed takes the next block of addresses; processes start at different blocks.
 _blocks = count(os.getpid() % 200 * 8)
 
 Address = tuple[str, int]
 
 
 class ClusterAddresses:
-    """The addresses of one test bed, in a network of loopback of its own.
+    """The addresses of one test bed, in a loopback network of its own.
 
     Attributes:
-        prefix: The first three parts of all hosts.
+        prefix: The first three numbers of all its IPv4 addresses.
     """
 
     def __init__(self) -> None:
@@ -38,58 +39,58 @@
         self.prefix = f"127.{20 + block // 250 % 200}.{block % 250}"
 
     def real(self, number: int) -> Address:
-        """Where a member binds its gossip; its other ports are on the same host."""
+        """The address at which a member listens for gossip; its other ports are on the same host."""
         return f"{self.prefix}.{10 + number}", GOSSIP_PORT
 
-    def front(self, number: int) -> Address:
-        """Where the other members reach it: at the proxy."""
+    def advertised(self, number: int) -> Address:
+        """The address of the proxy at which the other members reach a member."""
         return f"{self.prefix}.{100 + number}", GOSSIP_PORT
 
     @property
     def resource(self) -> Address:
-        """The stand-in resource of the tasks."""
+        """The address of the resource on which the holders of tasks act."""
         return f"{self.prefix}.200", RESOURCE_PORT
 
     @property
     def destination(self) -> Address:
-        """The destination of the traffic."""
+        """The address of the traffic's destination."""
         return f"{self.prefix}.201", DESTINATION_PORT
 
     @property
     def platform(self) -> Address:
-        """Where notifications go."""
+        """The address to which notifications are sent."""
         return f"{self.prefix}.202", PLATFORM_PORT
 
     @property
     def stranger(self) -> str:
-        """The host of datagrams that come from no member."""
+        """The host from which datagrams of non-members are sent."""
         return f"{self.prefix}.250"
 
 
 @dataclass(frozen=True)
 class ClockError:
-    """How wrong a member's clock is."""
+    """The error of a member's clock: its offset, and its rate, of which 1 is right."""
 
     offset_ms: int = 0
     rate: float = 1.0
 
 
 def member_id(number: int) -> str:
-    """The name of a member."""
+    """The id of a member."""
     return f"m{number}"
 
 
 def member_configuration(
     scenario: ClusterScenario, addresses: ClusterAddresses, number: int, folder: Path, clock: ClockError
 ) -> str:
-    """A member's configuration file.
+    """The text of a member's configuration file.
 
     Args:
-        scenario: What all members are configured with.
-        addresses: Where everything is.
-        number: Which member.
-        folder: Its own folder, beside the zone file.
-        clock: What its clock is off by.
+        scenario: The scenario, with the settings of all members.
+        addresses: The addresses of the test bed.
+        number: The member's number.
+        folder: The member's folder; the zone file is in its parent.
+        clock: The error of the member's clock.
     """
     text = _template(addresses, number, folder) + _members_table(scenario, addresses, number, clock)
     if scenario.traffic:
@@ -106,14 +107,14 @@
 
 
 def zone(scenario: ClusterScenario, addresses: ClusterAddresses) -> Iterator[str]:
-    """The lines of the zone that all couriers discover by: the seeds, if by DNS-SD, and the destination."""
+    """The lines of the zone file of all couriers: the destination, and the seeds if found by DNS-SD."""
     yield "$TTL 60"
     service = scenario.service
     for number in range(min(SEEDS, scenario.members)) if service else ():
         id_ = member_id(number)
         yield f"{service} PTR {id_}.{service}"
         yield f"{id_}.{service} SRV 0 0 {GOSSIP_PORT} {id_}.members"
-        yield f"{id_}.members A {addresses.front(number)[0]}"
+        yield f"{id_}.members A {addresses.advertised(number)[0]}"
     if scenario.traffic:
         host, port = addresses.destination
         yield "_http._tcp PTR p1._http._tcp"
@@ -135,10 +136,10 @@
     scenario: ClusterScenario, addresses: ClusterAddresses, number: int, clock: ClockError
 ) -> str:
     others = [n for n in range(min(SEEDS, scenario.members)) if n != number]
-    seeds = [] if scenario.service else [_join(addresses.front(n)) for n in others]
+    seeds = [] if scenario.service else [_join(addresses.advertised(n)) for n in others]
     return (
         f'\n[members]\nid = "{member_id(number)}"\nlisten = "{_join(addresses.real(number))}"\n'
-        f'advertise = "{_join(addresses.front(number))}"\nseeds = {orjson.dumps(seeds).decode()}\n'
+        f'advertise = "{_join(addresses.advertised(number))}"\nseeds = {orjson.dumps(seeds).decode()}\n'
         f'fleet = "{scenario.fleet}"\nservice = "{scenario.service}"\nclock_offset_ms = {clock.offset_ms}\n'
         f"clock_rate = {clock.rate}\n{_settings(scenario.tuning)}"
     )
@@ -148,10 +149,10 @@
     leases: LeaseScenario, addresses: ClusterAddresses, number: int, voters: Iterable[int]
 ) -> str:
     lines = ["", "[leases]", f'listen = "{addresses.real(number)[0]}:{LEASES_PORT}"']
-    lines.append(f'advertise = "{addresses.front(number)[0]}:{LEASES_PORT}"')
+    lines.append(f'advertise = "{addresses.advertised(number)[0]}:{LEASES_PORT}"')
     lines += [f"{key} = {value}" for key, value in leases.settings.items()]
     for voter in voters:
-        address = f"{addresses.front(voter)[0]}:{LEASES_PORT}"
+        address = f"{addresses.advertised(voter)[0]}:{LEASES_PORT}"
         lines += ["[[leases.voter]]", f'id = "{member_id(voter)}"', f'address = "{address}"']
     for task in leases.tasks:
         lines += ["[[leases.task]]", f'name = "{task}"', f"every_s = {leases.act_s}"]
@@ -160,7 +161,7 @@
 
 
 def _settings(settings: Mapping[str, Any]) -> str:
-    """Settings as lines of a TOML table."""
+    """The lines of a TOML table with these settings."""
     return "".join(f"{key} = {orjson.dumps(value).decode()}\n" for key, value in settings.items())
 
 
--- a/pinspread/testbed/member_process.py
+++ b/pinspread/testbed/member_process.py
@@ -1,4 +1,4 @@
-"""One member of a cluster's test: a real courier in a process of its own, over its restarts."""
+"""One member of a cluster test: a real courier in its own process, over its restarts."""
 
 import signal
 import subprocess
@@ -19,9 +19,9 @@
 )
 
 ROOT = Path(__file__).parents[2]
-STOP_TIMEOUT_S = 4.0  # for a SIGTERM to end a member, after which SIGKILL
-READER_TIMEOUT_S = 5.0  # for the last lines of a process that has ended
-MAX_TEXT = 500  # characters that are kept of a line that is no JSON
+STOP_TIMEOUT_S = 4.0  # from SIGTERM to SIGKILL
+READER_TIMEOUT_S = 5.0  # for reading the last lines of a process that has ended
+MAX_TEXT = 500  # characters kept of an output line that is not JSON
 SIGNALS = {
     FaultKind.PAUSE: signal.SIGSTOP,
     FaultKind.RESUME: signal.SIGCONT,
@@ -31,15 +31,15 @@
 
 
 class MemberProcess:
-    """A member's process; only processes that were started here are signalled, by their ids.
+    """A member's process; only processes that were started here are signalled, by their process ids.
 
     Attributes:
-        id: The member's name.
-        real: Where it binds its gossip.
-        front: Where the others reach it.
-        clock: What its clock is off by from the next start on.
+        id: The member's id.
+        real: The address at which it listens for gossip.
+        advertised: The address at which the other members reach it, through the proxy.
+        clock: The error of its clock from the next start on.
         serving: Set once the process serves.
-        ending: Whether it was told to end, and was not started again since.
+        ending: Whether the last fault that sent a signal to the running process, if any, sent SIGTERM.
     """
 
     def __init__(
@@ -50,14 +50,14 @@
         number: int,
         folder: Path,
     ) -> None:
-        """Create a member; `folder` holds those of all members."""
+        """Create a member; its own folder is created in `folder`."""
         self.scenario = scenario
         self.addresses = addresses
         self.history = history
         self.number = number
         self.id = member_id(number)
         self.real = addresses.real(number)
-        self.front = addresses.front(number)
+        self.advertised = addresses.advertised(number)
         self.folder = folder / self.id
         self.clock = ClockError()
         self.serving = threading.Event()
@@ -67,11 +67,11 @@
 
     @property
     def state_folder(self) -> Path:
-        """What the member keeps over restarts."""
+        """The folder that the member keeps over restarts."""
         return self.folder / "state"
 
     def configuration(self) -> str:
-        """The text of its configuration file."""
+        """The text of the member's configuration file."""
         return member_configuration(self.scenario, self.addresses, self.number, self.folder, self.clock)
 
     def start(self) -> None:
@@ -91,7 +91,7 @@
         self._reader.start()
 
     def _read(self, process: subprocess.Popen[bytes]) -> None:
-        """Take the process's lines into the history until it ends."""
+        """Add the process's output to the history until it ends."""
         for raw in process.stdout or ():
             line = parse_line(raw)
             if line is None:
@@ -103,7 +103,7 @@
         self.history.add(self.id, "exited", code=process.wait())
 
     def running(self) -> bool:
-        """Whether the process runs, paused or not."""
+        """Whether the process exists, paused or not."""
         return self._process is not None and self._process.poll() is None
 
     def signal(self, kind: FaultKind) -> None:
@@ -119,15 +119,15 @@
         if self._process is not None:
             self._process.wait()
 
-    def ask_to_end(self) -> None:
-        """Have the process shut down, also if it is paused."""
+    def request_shutdown(self) -> None:
+        """Send SIGTERM to the process, and resume it so that a paused one shuts down as well."""
         process = self._process
         if process is not None and process.poll() is None:
             process.send_signal(signal.SIGCONT)
             process.send_signal(signal.SIGTERM)
 
-    def end(self) -> None:
-        """Wait for the process's end, and kill it if that takes too long."""
+    def wait_or_kill(self) -> None:
+        """Wait until the process has ended, and kill it after `STOP_TIMEOUT_S`."""
         process = self._process
         if process is None or process.poll() is not None:
             return
@@ -138,15 +138,18 @@
             process.wait()
 
     def wait_for_last_lines(self) -> None:
-        """Wait until what the process wrote is in the history."""
+        """Wait until the output of the ended process is in the history, for at most `READER_TIMEOUT_S`."""
         if self._reader is not None:
             self._reader.join(READER_TIMEOUT_S)
 
 
 def parse_line(raw: bytes) -> dict[str, object] | None:
-    """A line of a courier's output as an event, in the words of recordings; None if it is none.
+    """Decode a line of a courier's output as an event, in the vocabulary of recordings.
 
-    Text that is no JSON becomes an event `text`; errors of the program become events `fault`.
+    Text that is not JSON becomes an event `text`; internal errors and tracebacks become events `fault`.
+
+    Returns:
+        The event; None if the line is JSON but not an object.
     """
     try:
         line = recorded(orjson.loads(raw))
--- a/pinspread/testbed/plot.py
+++ b/pinspread/testbed/plot.py
@@ -10,7 +10,10 @@
 
 
 def alive_counts(lines: Sequence[Line]) -> dict[str, list[Point]]:
-    """For each member the times, in seconds, at which the number of others that see it alive changes."""
+    """For each member, the times in seconds at which the number of others that see it alive changes.
+
+    Each point is a time and the number from then on.
+    """
     replay = Replay(lines)
     series: dict[str, list[Point]] = {member: [] for member in replay.members}
     for at_us, running, views in replay.moments():
@@ -29,9 +32,9 @@
     """Write the plot as a PNG.
 
     Args:
-        lines: The history.
-        path: The file.
-        faults: Marks, each at seconds with a text.
+        lines: The history, in order of time.
+        path: The file to write.
+        faults: Vertical marks, each a time in seconds and a label.
     """
     import matplotlib
 
--- a/pinspread/testbed/proxy.py
+++ b/pinspread/testbed/proxy.py
@@ -1,13 +1,14 @@
-"""A proxy between the couriers of a cluster's test, and the rules that it keeps for each directed pair.
+"""A proxy between the couriers of a cluster test, and the faults that it applies to each directed pair.
 
-Member `i` binds `real(i)` and is reached by the others at `front(i)`, where the proxy listens. A datagram
-that comes to `front(i)` from `real(j)` goes `j -> i` and meets that pair's rule: lost (a share, or all of
-it on a cut), delayed (with jitter, which also reorders), sent twice. What comes from an address that is no
-member's passes unchanged, so that a stranger's garbage reaches the member as it was sent.
+Member `i` listens at `real[i]`; the others reach it at `advertised[i]`, where the proxy listens. To a
+datagram that arrives at `advertised[i]` from the host of `real[j]` the proxy applies the rule of the pair
+`j -> i`: it drops the datagram (a share of them, or all during a cut), delays it (with jitter, which also
+reorders) or sends it twice. A datagram from any other host is forwarded unchanged, so that a stranger's
+garbage reaches the member as it was sent.
 
-Streams (TCP) go the same way through `front(i)` at the ports that `open_streams` names, the sender known by
-the address that its connection comes from: a cut or a split closes the connection at its next bytes and
-refuses new ones; delay and jitter hold each chunk; loss and duplicates are left to TCP, which hides them.
+Streams (TCP) are forwarded in the same way, at the ports given to `open_streams`; the source is known by the
+host that the connection comes from. A cut or a split closes a connection at its next bytes and refuses new
+ones. Delay and jitter hold each chunk. Loss and duplicates do not apply, as TCP hides them.
 """
 
 import asyncio
@@ -23,14 +24,14 @@
 
 @dataclass(frozen=True)
 class LinkRule:
-    """What happens on the way from one member to another.
+    """The faults on the link from one member to another.
 
     Attributes:
-        loss: Share of the datagrams that is lost.
+        loss: Share of the datagrams that are dropped.
         delay_s: How long datagrams and chunks of streams are held.
-        jitter_s: The most that chance adds to it.
-        duplicate: Share of the datagrams that is sent twice.
-        cut: Whether nothing passes.
+        jitter_s: Maximum of the random time added to `delay_s`.
+        duplicate: Share of the datagrams that are sent twice.
+        cut: Whether everything is dropped.
     """
 
     loss: float = 0.0
@@ -44,22 +45,22 @@
 
 
 class LinkRules:
-    """The rule of each directed pair of members, as faults set and heal them."""
+    """The rule of each directed pair of members."""
 
     def __init__(self, members: Iterable[str]) -> None:
         self.members = list(members)
         self._pairs: dict[tuple[str, str], LinkRule] = {}
-        self._groups: list[set[str]] = []  # where there are any, all pairs across them are cut
+        self._groups: list[set[str]] = []  # of a split; all links between different groups are cut
 
     def between(self, source: str, target: str) -> LinkRule:
-        """The rule from one member to another."""
+        """The rule of the link from one member to another."""
         rule = self._pairs.get((source, target), NO_FAULT)
         if self._groups and not any(source in group and target in group for group in self._groups):
             rule = replace(rule, cut=True)
         return rule
 
     def change(self, sources: Iterable[str] = (), targets: Iterable[str] = (), **fields: Any) -> None:
-        """Set fields of the rules from `sources` to `targets`; from or to all members where empty."""
+        """Set fields of the rules from `sources` to `targets`; an empty one means all members."""
         targets = list(targets) or self.members
         for source in list(sources) or self.members:
             for target in targets:
@@ -68,19 +69,19 @@
                     self._pairs[source, target] = replace(rule, **fields)
 
     def split(self, groups: Iterable[Iterable[str]]) -> None:
-        """Let only members of one group reach each other; members named in no group form one more."""
+        """Cut all links between different groups; members in no given group form another one."""
         named = [set(group) for group in groups]
         rest = set(self.members).difference(*named)
         self._groups = [*named, rest] if rest else named
 
     def heal(self) -> None:
-        """End all faults."""
+        """Remove all faults."""
         self._pairs.clear()
         self._groups = []
 
 
-class _Front(asyncio.DatagramProtocol):
-    """The socket at which the others reach one port of a member."""
+class _DatagramListener(asyncio.DatagramProtocol):
+    """The socket of the proxy at which the other members reach one port of a member."""
 
     def __init__(self, proxy: "Proxy", member: str, port: int) -> None:
         self.proxy = proxy
@@ -89,7 +90,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Python 3.11 gives a transport that is not declared as a DatagramTransport.
+        # In Python 3.11 the transport that is passed is not declared as a DatagramTransport.
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, source: tuple[str | Any, int]) -> None:
@@ -98,50 +99,57 @@
 
 
 class Proxy:
-    """Forwards datagrams and streams between members by their rules.
+    """Forwards datagrams and streams between members, and applies the rules of their links.
 
     Attributes:
-        counts: Datagrams that were passed, lost, doubled and from strangers; streams reset and refused.
+        counts: Numbers of datagrams passed, lost, doubled and from strangers; of streams reset and refused.
     """
 
     def __init__(
         self,
         rules: LinkRules,
         real: Mapping[str, Address],
-        fronts: Mapping[str, Address],
+        advertised: Mapping[str, Address],
         seed: int = 0,
     ) -> None:
-        """Create a proxy for members with these real addresses and fronts."""
+        """Create a proxy.
+
+        Args:
+            rules: The faults of each link.
+            real: The address at which each member listens.
+            advertised: The address at which the proxy listens for each member.
+            seed: Seed of the random numbers.
+        """
         self.rules = rules
         self.real = real
-        self.fronts = fronts
+        self.advertised = advertised
         self._by_host = {address[0]: member for member, address in real.items()}
         self._rng = random.Random(seed)
         self._sockets: list[asyncio.BaseTransport | asyncio.Server] = []
         self.counts = {"passed": 0, "lost": 0, "doubled": 0, "strangers": 0}
 
     async def open(self, more_ports: Iterable[int] = ()) -> None:
-        """Listen for datagrams at every member's front, on further ports of it too.
+        """Listen for datagrams at every member's advertised address, and at `more_ports` of its host.
 
         Raises:
-            OSError: An address is taken.
+            OSError: An address is in use.
         """
         loop = asyncio.get_running_loop()
         more_ports = list(more_ports)
-        for member, (host, gossip_port) in self.fronts.items():
+        for member, (host, gossip_port) in self.advertised.items():
             for port in (gossip_port, *more_ports):
-                protocol = partial(_Front, self, member, port)
+                protocol = partial(_DatagramListener, self, member, port)
                 transport, _ = await loop.create_datagram_endpoint(protocol, (host, port))
                 self._sockets.append(transport)
 
     async def open_streams(self, ports: Iterable[int]) -> None:
-        """Listen for TCP at every member's front, on each of these ports.
+        """Listen for TCP at the host of every member's advertised address, on each of `ports`.
 
         Raises:
-            OSError: An address is taken.
+            OSError: An address is in use.
         """
         ports = list(ports)
-        for member, (host, _) in self.fronts.items():
+        for member, (host, _) in self.advertised.items():
             for port in ports:
                 serve = partial(self._forward_stream, member, port)
                 self._sockets.append(await asyncio.start_server(serve, host, port))
@@ -154,7 +162,7 @@
     def forward(
         self, transport: asyncio.DatagramTransport, data: bytes, host: str, member: str, port: int
     ) -> None:
-        """Forward a datagram from `host` to a port of a member, by the rule of the pair."""
+        """Forward a datagram from `host` to a port of a member, and apply the rule of the link."""
         address = (self.real[member][0], port)
         source = self._by_host.get(host)
         if source is None:
@@ -181,38 +189,38 @@
     async def _forward_stream(
         self, member: str, port: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Forward a connection to a port of a member, both ways."""
+        """Forward a connection to a port of a member, in both directions."""
         source = self._by_host.get(writer.get_extra_info("peername")[0])
         if source is not None and self.rules.between(source, member).cut:
             self._count("refused")
             writer.close()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(self.real[member][0], port)
+            target_reader, target_writer = await asyncio.open_connection(self.real[member][0], port)
         except OSError:
             writer.close()
             return
-        there = (source, member) if source is not None else None
-        back = (member, source) if source is not None else None
+        forward_pair = (source, member) if source is not None else None
+        return_pair = (member, source) if source is not None else None
         await asyncio.gather(
-            self._pump(reader, far_writer, there, writer),
-            self._pump(far_reader, writer, back, far_writer),
+            self._forward_direction(reader, target_writer, forward_pair, writer),
+            self._forward_direction(target_reader, writer, return_pair, target_writer),
             return_exceptions=True,
         )
 
-    async def _pump(
+    async def _forward_direction(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         pair: tuple[str, str] | None,
         other: asyncio.StreamWriter,
     ) -> None:
-        """Forward one direction by its rule, chunk by chunk; at a cut or its end close both sides.
+        """Forward one direction of a connection by its rule; close both sides on a cut or at its end.
 
         Args:
-            reader: Where the chunks come from.
-            writer: Where they go.
-            pair: Source and target, None for a stranger's connection.
+            reader: The stream that is read.
+            writer: The stream to which its bytes are written.
+            pair: Source and target member; None for a connection of a stranger.
             other: The writer of the other direction.
         """
         try:
@@ -232,11 +240,11 @@
             writer.close()
             other.close()
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, name: str) -> None:
+        self.counts[name] = self.counts.get(name, 0) + 1
 
 
 def _send(transport: asyncio.DatagramTransport, data: bytes, address: Address) -> None:
-    """Send a delayed datagram, if the proxy is still open."""
+    """Send a delayed datagram if the proxy is still open."""
     if not transport.is_closing():
         transport.sendto(data, address)
--- a/pinspread/testbed/real_time.py
+++ b/pinspread/testbed/real_time.py
@@ -1,4 +1,4 @@
-"""The simulation's engine on real time, so that its destinations also serve real sockets."""
+"""The simulation's engine in real time, so that its destinations can serve real sockets."""
 
 import asyncio
 import time
@@ -8,14 +8,14 @@
 
 
 class RealTimeEngine:
-    """Calls functions at their times on the running event loop.
+    """Calls functions at scheduled times on the running event loop.
 
-    It has what the simulation's parties use of `simulation.engine.Engine`; times are nanoseconds since the
-    scenario began.
+    It has the part of the interface of `simulation.engine.Engine` that the simulation's parties use. Times
+    are nanoseconds since the scenario began.
 
     Attributes:
-        start_ns: The monotonic clock at the beginning of the scenario.
-        events: Always 0: events are not counted here.
+        start_ns: The monotonic time at which the scenario begins.
+        events: Always 0; the real-time engine does not count events.
     """
 
     def __init__(self) -> None:
@@ -24,17 +24,17 @@
 
     @property
     def now(self) -> int:
-        """The present; negative before the scenario begins."""
+        """The current time of the scenario; negative before it begins."""
         return time.monotonic_ns() - self.start_ns
 
     def after(self, delay_ns: int, call: Callable[..., object], *arguments: object) -> None:
-        """Call a function after a while."""
+        """Call a function after a delay."""
         asyncio.get_running_loop().call_later(max(0, delay_ns) / SECOND, call, *arguments)
 
     def at(self, when_ns: int, call: Callable[..., object], *arguments: object) -> None:
-        """Call a function at a time, or now if that is past."""
+        """Call a function at a time of the scenario, or as soon as possible if that is past."""
         self.after(when_ns - self.now, call, *arguments)
 
     def seconds_until(self, when_ns: int) -> float:
-        """How long it is until a time, in seconds; 0 if that is past."""
+        """The seconds until a time of the scenario; 0 if that is past."""
         return max(0, when_ns - self.now) / SECOND
--- a/pinspread/testbed/replay.py
+++ b/pinspread/testbed/replay.py
@@ -1,6 +1,6 @@
-"""Replays a history: who ran at each moment, and what each member saw.
+"""Replays a history: which members ran at each moment, and how each saw the others.
 
-All checks of a history build on it: each is given the replay and an expectation, and gives a finding.
+All checks of a history are functions of a replay and an expectation that return a finding.
 """
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
@@ -14,11 +14,11 @@
 TO_THE_END_S = 1e9
 
 Expectation = Mapping[str, Any]
-Views = dict[str, dict[str, str]]  # {observer: {member: its state as the observer has it}}
+Views = dict[str, dict[str, str]]  # {observer: {member: its state in the observer's view}}
 
 
 class Finding(NamedTuple):
-    """What a check found: whether the expectation is met, and what was measured."""
+    """The result of a check: whether the expectation is met, and what was measured."""
 
     ok: bool
     measured: dict[str, Any]
@@ -30,7 +30,7 @@
     Attributes:
         at_us: The line's time.
         running: The members that run and are not paused.
-        views: Each member's table; it changes as the replay goes on.
+        views: Each member's view of the others; the replay changes this same dictionary as it goes on.
     """
 
     at_us: int
@@ -42,9 +42,10 @@
     """A history whose lines are in order of time.
 
     Attributes:
+        lines: The lines.
         begin_us: When the scenario began.
-        end_us: When it ended, before its members were ended.
-        members: All that were ever started.
+        end_us: When it ended, before its members were stopped.
+        members: All members that were ever started.
     """
 
     def __init__(self, lines: Sequence[Line]) -> None:
@@ -53,21 +54,21 @@
         self.end_us = self._time_of("ending", lines[-1])
         self.members = sorted({line["who"] for line in lines if line.get("event") == "started"})
 
-    def _time_of(self, event: str, otherwise: Line) -> int:
-        first = next((line for line in self.lines if line.get("event") == event), otherwise)
+    def _time_of(self, event: str, default: Line) -> int:
+        first = next((line for line in self.lines if line.get("event") == event), default)
         return int(first["mono_us"])
 
-    def at(self, seconds: float) -> int:
-        """A time of the scenario in monotonic microseconds."""
+    def time_us(self, seconds: float) -> int:
+        """Convert seconds since the scenario's beginning to monotonic microseconds."""
         return self.begin_us + int(seconds * SECOND_US)
 
     def after_us(self, expectation: Expectation) -> int:
-        """Since when an expectation counts (`after_s`)."""
-        return self.at(expectation.get("after_s", 0))
+        """The time from which an expectation applies (`after_s`)."""
+        return self.time_us(expectation.get("after_s", 0))
 
     def span_us(self, expectation: Expectation) -> tuple[int, int]:
-        """The time that an expectation counts in (`from_s`, `to_s`)."""
-        return self.at(expectation.get("from_s", 0)), self.at(expectation.get("to_s", TO_THE_END_S))
+        """The beginning and end of the time in which an expectation applies (`from_s`, `to_s`)."""
+        return self.time_us(expectation.get("from_s", 0)), self.time_us(expectation.get("to_s", TO_THE_END_S))
 
     def running_at_end(self) -> set[str]:
         """The members that ran and were not paused when the scenario ended."""
@@ -102,7 +103,7 @@
 
 
 def _apply_signal(kind: str, member: str, running: set[str], paused: set[str]) -> None:
-    """Bring who runs and who is paused up to date with a signal to a member."""
+    """Update the sets of running and paused members after a signal to a member."""
     if kind in ENDED:
         running.discard(member)
         paused.discard(member)
--- a/pinspread/testbed/resource.py
+++ b/pinspread/testbed/resource.py
@@ -1,7 +1,7 @@
-"""A stand-in for what a fleet-wide task acts on, which refuses outdated fencing tokens.
+"""A stand-in for the resource that a task's holder acts on; it refuses outdated fencing tokens.
 
-Every action, which comes by HTTP, goes to the history as `act`, with the task, the holder, the token and
-whether it was taken: one with a token older than the newest of its task is refused with 409 (Kleppmann's
+Actions are HTTP requests. Each goes to the history as `act`, with the task, the holder, the token and whether
+it was accepted (`taken`): one with a token older than the newest of its task is refused with 409 (Kleppmann's
 fencing).
 """
 
@@ -13,14 +13,14 @@
 
 
 class EventRecorder(Protocol):
-    """Where events go."""
+    """Records events."""
 
     def add(self, who: str, event: str, **fields: object) -> None:
         """Add an event that happens now."""
 
 
 class Action(NamedTuple):
-    """A request to act on a task, as `holder` with a fencing token."""
+    """A request of `holder` to act on a task, with its fencing token."""
 
     task: str
     holder: str
@@ -28,12 +28,12 @@
 
 
 class Resource:
-    """The stand-in.
+    """The HTTP server of the resource.
 
     Attributes:
         address: Host and port where it listens.
         fenced: Whether it refuses outdated tokens.
-        newest: The newest token of each task.
+        newest: The newest token accepted for each task.
         server: The listening server; None while closed.
     """
 
@@ -45,10 +45,10 @@
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Listen.
+        """Start to listen.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is in use.
         """
         self.server = await asyncio.start_server(self._serve, *self.address)
 
@@ -69,20 +69,20 @@
             writer.close()
 
     def _respond(self, head: str) -> str:
-        """Take a request; the status line's end."""
+        """Accept or refuse a request, record it, and return the status code and reason of the response."""
         action = parse_action(head)
         if action is None:
             return "400 Bad Request"
-        taken = action.token >= self.newest.get(action.task, 0) or not self.fenced
-        if taken:
+        accepted = action.token >= self.newest.get(action.task, 0) or not self.fenced
+        if accepted:
             self.newest[action.task] = action.token
         task, holder, token = action
-        self.history.add("resource", "act", task=task, token=token, holder=holder, taken=taken)
-        return "200 OK" if taken else "409 Conflict"
+        self.history.add("resource", "act", task=task, token=token, holder=holder, taken=accepted)
+        return "200 OK" if accepted else "409 Conflict"
 
 
 def parse_action(head: str) -> Action | None:
-    """The action of a request's head; None if it is none."""
+    """Decode the head of a request as an action; None if it is not a POST with a numeric fencing token."""
     first, *lines = head.split("\r\n")
     fields = dict(line.lower().split(": ", 1) for line in lines if ": " in line)
     words = first.split(" ")
--- a/pinspread/testbed/stand_ins.py
+++ b/pinspread/testbed/stand_ins.py
@@ -1,4 +1,4 @@
-"""An HTTP server that stands in for an endpoint or for the platform of a courier."""
+"""An HTTP server that stands in for an endpoint or for the platform."""
 
 import time
 from collections.abc import Awaitable, Callable, Sequence
@@ -12,13 +12,13 @@
 from pinspread import sockets
 
 Headers = Sequence[tuple[str, str]]
-# Bytes are sent as they are and leave the connection open; None closes it without an answer.
+# Status, headers and body; bytes are sent unchanged and leave the connection open; None closes it unanswered.
 Response = tuple[int, Headers, bytes] | bytes | None
 Answer = Response | Awaitable[Response]
 
 
 class ReceivedRequest(NamedTuple):
-    """A request that a stand-in received; `received_s` is of the monotonic clock."""
+    """A request that a stand-in received; `received_s` is in seconds of the monotonic clock."""
 
     received_s: float
     method: str
@@ -28,17 +28,18 @@
 
 
 def _no_content(request: ReceivedRequest) -> Answer:
-    """The answer of a stand-in that was given none: 200 without a body."""
+    """The default answer of a stand-in: 200 without a body."""
     return 200, [], b""
 
 
 class HttpStandIn:
-    """A server that answers each request as it is told to.
+    """A server that answers each request with the result of a function.
 
     Attributes:
-        requests: What was received, in order.
+        answer: Gives the answer to a request.
+        requests: The requests received, in order.
         connections: How many connections were accepted.
-        open: Those that are open.
+        open: The connections that are open.
     """
 
     def __init__(self, answer: Callable[[ReceivedRequest], Answer] = _no_content) -> None:
@@ -74,27 +75,27 @@
             connection.close()
 
     def reply(self, request: ReceivedRequest, connection: sockets.Connection, first: bool) -> Answer:
-        """The answer to a request.
+        """Return the answer to a request.
 
         Args:
             request: The request.
-            connection: Where it came.
-            first: Whether it is the connection's first.
+            connection: The connection on which it came.
+            first: Whether it is the first request of the connection.
         """
         return self.answer(request)
 
     @property
     def lines(self) -> list[dict[str, Any]]:
-        """The notifications that were received, decoded."""
+        """The received notifications, decoded: one from each line of the request bodies."""
         return [orjson.loads(line) for request in self.requests for line in request.body.splitlines()]
 
 
 async def read_request(connection: sockets.Connection) -> tuple[h11.Connection, ReceivedRequest] | None:
-    """Read one request, and return it with what encodes its response; None if the peer has closed.
+    """Read one request; return it with what encodes its response, or None if the peer has closed.
 
     Raises:
         OSError: The connection ended.
-        h11.RemoteProtocolError: What came is not HTTP/1.1.
+        h11.RemoteProtocolError: The received bytes are not valid HTTP/1.1.
     """
     wire = h11.Connection(h11.SERVER)
     head: h11.Request | None = None
@@ -116,7 +117,7 @@
 
 
 def encode_response(wire: h11.Connection, response: tuple[int, Headers, bytes] | bytes) -> bytes:
-    """A response as it goes out."""
+    """Encode a response."""
     if isinstance(response, bytes):
         return response
     status, headers, body = response
--- a/pinspread/testbed/traffic.py
+++ b/pinspread/testbed/traffic.py
@@ -1,8 +1,8 @@
-"""Traffic of a cluster's test: clients of every courier, one destination, and the notified platform.
+"""Traffic of a cluster test: clients of every courier, one destination, and the platform.
 
-A share of the messages comes by AMQP: published with confirms, their final results consumed at every courier.
-A client that gets no answer submits the same message again at the same courier until its time is up.
-What happens goes to the history in the events that `ledger` reads.
+A share of the messages is published over AMQP, with confirms; their final results are consumed at every
+courier. A client that gets no answer submits the same message to the same courier again until its deadline.
+The events go to the history, where `ledger` reads them.
 """
 
 import asyncio
@@ -26,19 +26,19 @@
 
 CLASS_SHARES = {"payment": 0.4, "booking-change": 0.4, "status-update": 0.2}
 ORDERED_CLASS = "booking-change"
-LOOPED_CLASS = "status-update"
+LOOP_CLASS = "status-update"
 KEYS = 8
 ANSWER_TIMEOUT_S = 1.0
 RESUBMIT_INTERVAL_S = 0.3
 RECONNECT_INTERVAL_S = 0.2
-MAX_ANSWER = 200  # characters of a refusal that are noted
+MAX_ANSWER = 200  # characters of a refusal that the history keeps
 ACCEPTED = "+OK"
 BUSY = "-BUSY"
 
 
 @dataclass(frozen=True)
 class Submission:
-    """A message as a client submits it; `key` is 0 for one without an order."""
+    """A message as a client submits it; `key` is the ordering key, 0 for none."""
 
     id: str
     class_name: str
@@ -52,7 +52,7 @@
     """The clients of all couriers, with the destination and the platform as stand-ins.
 
     Attributes:
-        scope: The scope that all of it runs in; None until it runs.
+        scope: The cancel scope of all its tasks; None until `run` is called.
     """
 
     def __init__(
@@ -70,31 +70,31 @@
         self.scope: anyio.CancelScope | None = None
 
     async def run(self, serving: asyncio.Event) -> None:
-        """Run the stand-ins, and the clients from when `serving` is set, until cancelled."""
+        """Run the stand-ins, and once `serving` is set the clients, until cancelled."""
         with anyio.CancelScope() as self.scope:
             async with anyio.create_task_group() as tasks:
-                self._listen(tasks, self.addresses.destination, HttpStandIn(self._deliver))
-                self._listen(tasks, self.addresses.platform, HttpStandIn(self._take_notifications))
+                self._serve(tasks, self.addresses.destination, HttpStandIn(self._deliver))
+                self._serve(tasks, self.addresses.platform, HttpStandIn(self._receive_notifications))
                 await serving.wait()
                 for courier in self.couriers:
                     if not self.scenario.at or courier.id in self.scenario.at:
                         self._start_clients(tasks, courier)
 
     @staticmethod
-    def _listen(tasks: TaskGroup, address: Address, stand_in: HttpStandIn) -> None:
+    def _serve(tasks: TaskGroup, address: Address, stand_in: HttpStandIn) -> None:
         sock = sockets.listen(f"{address[0]}:{address[1]}")
         tasks.start_soon(stand_in.run, sock)
 
     def _start_clients(self, tasks: TaskGroup, courier: MemberProcess) -> None:
         for number in range(self.scenario.loops):
-            tasks.start_soon(self._submit_in_turn, courier, number)
+            tasks.start_soon(self._submit_in_loop, courier, number)
         if not self.scenario.loops:
             tasks.start_soon(self._submit_at_rate, tasks, courier)
         if self.scenario.amqp_share:
             tasks.start_soon(self._consume_finals, courier)
 
     async def _deliver(self, request: ReceivedRequest) -> Response:
-        """The destination's answer."""
+        """Answer a call or health check as the destination, and record a delivery."""
         if request.method != "POST":
             return 200, [], b""
         if self.rng.random() < self.scenario.busy_share:
@@ -103,15 +103,15 @@
         await anyio.sleep(self.scenario.slow_s * self.rng.random())
         return 200, [], b""
 
-    def _take_notifications(self, request: ReceivedRequest) -> Response:
-        """The platform's answer."""
+    def _receive_notifications(self, request: ReceivedRequest) -> Response:
+        """Answer as the platform, and record the final results."""
         for line in request.body.splitlines():
             final = orjson.loads(line)
             self.history.add("platform", "final", id=final["id"], state=final["state"])
         return 204, [], b""
 
     async def _submit_at_rate(self, tasks: TaskGroup, courier: MemberProcess) -> None:
-        """Submit messages as a Poisson process, each by a client of its own."""
+        """Submit messages as a Poisson process, each from its own client."""
         end_s = anyio.current_time() + self.scenario.for_s
         for serial in count(1):
             if anyio.current_time() >= end_s:
@@ -123,17 +123,17 @@
             tasks.start_soon(self._submit, submit, courier, submission)
             await anyio.sleep(self.rng.expovariate(self.scenario.rate))
 
-    async def _submit_in_turn(self, courier: MemberProcess, number: int) -> None:
-        """One client that submits the next message as soon as it has the answer to the last."""
+    async def _submit_in_loop(self, courier: MemberProcess, number: int) -> None:
+        """Submit messages as one client that waits for each to be settled before it submits the next."""
         end_s = anyio.current_time() + self.scenario.for_s
         for serial in count(1):
             if anyio.current_time() >= end_s:
                 return
-            submission = Submission(f"{courier.id}-{number}-{serial}", LOOPED_CLASS)
+            submission = Submission(f"{courier.id}-{number}-{serial}", LOOP_CLASS)
             await self._submit(submit_by_resp, courier, submission)
 
     async def _submit(self, submit: Submit, courier: MemberProcess, submission: Submission) -> None:
-        """Submit a message until it is acknowledged or refused, or its time is up."""
+        """Submit a message until it is acknowledged or refused, or its deadline is near."""
         deadline_s = anyio.current_time() + self.scenario.deadline_s
         while (left_s := deadline_s - anyio.current_time()) > ANSWER_TIMEOUT_S:
             began_s = anyio.current_time()
@@ -152,7 +152,7 @@
 
     @staticmethod
     async def _answer(submission: Awaitable[str]) -> str:
-        """The answer to a submission; empty if none comes in time."""
+        """The answer to a submission; empty if none comes within `ANSWER_TIMEOUT_S`."""
         try:
             with anyio.move_on_after(ANSWER_TIMEOUT_S):
                 return await submission
@@ -161,7 +161,7 @@
         return ""
 
     async def _consume_finals(self, courier: MemberProcess) -> None:
-        """Consume the final results of what was published at a courier, over its restarts."""
+        """Consume the final results of messages published to a courier, over its restarts."""
         while True:
             client = None
             try:
@@ -178,7 +178,7 @@
 
 
 async def submit_by_resp(host: str, submission: Submission, time_left_ms: int) -> str:
-    """Submit a message by RESP2; the answer."""
+    """Submit a message over RESP2 and return the answer."""
     client = Client(f"{host}:{RESP_PORT}")
     id_ = submission.id
     options = f"c={submission.class_name},t=all,d={time_left_ms},k={id_},dest=1"
@@ -191,7 +191,12 @@
 
 
 async def submit_by_amqp(host: str, submission: Submission, time_left_ms: int) -> str:
-    """Publish a message and wait for its confirm; the answer in words of RESP2, empty if none comes."""
+    """Publish a message over AMQP and wait for its confirm.
+
+    Returns:
+        The equivalent answer of RESP2: `ACCEPTED` or `BUSY`; empty if the courier's next method is neither a
+        confirm nor a return.
+    """
     client = await AmqpClient.open(f"{host}:{AMQP_PORT}")
     id_ = submission.id
     headers = {"key": f"{submission.key:x}", "idempotency-key": id_}
--- a/tests/test_testbed_history.py
+++ b/tests/test_testbed_history.py
@@ -124,8 +124,8 @@
 @pytest.mark.parametrize(
     ("text", "why"),
     [
-        ("members = 0\nseconds = 1", "members: from 1 to 60"),
-        ("members = 3\nseconds = 0", "seconds: above 0, at most 3600"),
+        ("members = 0\nseconds = 1", "members: expected an integer from 1 to 60, found 0"),
+        ("members = 3\nseconds = 0", "seconds: expected a number above 0, at most 3600, found 0"),
         ("members = ", "Invalid value (at end of document)"),
     ],
 )
@@ -169,9 +169,9 @@
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        ({"at": [{"s": 1, "do": "burn"}]}, "unknown fault 'burn'"),
-        ({"at": [{"s": 1}]}, "unknown fault ''"),
-        ({"at": [{"do": "heal"}]}, "no time `s`"),
+        ({"at": [{"s": 1, "do": "burn"}]}, "unknown fault 'burn': expected one of pause, resume, kill"),
+        ({"at": [{"s": 1}]}, "unknown fault '': expected one of pause, resume, kill"),
+        ({"at": [{"do": "heal"}]}, "no time `s`: \\[{'do': 'heal'}\\]"),
         ({"traffic": {"rates": 1.0}}, "traffic: .*rates"),
     ],
 )
@@ -191,7 +191,7 @@
 def test_a_fault_on_a_member_that_there_is_not_is_a_scenario_error(tmp_path):
     testbed = cluster.ClusterTestbed({"members": 2, "seconds": 1}, tmp_path)
     try:
-        with pytest.raises(ScenarioError, match="no member m7"):
+        with pytest.raises(ScenarioError, match="fault kill: the scenario has no member m7"):
             asyncio.run(testbed.act({"s": 0, "do": "kill", "who": ["m7"]}))
         asyncio.run(testbed.act({"s": 0, "do": "kill", "who": ["@leader"]}))  # nobody is known to lead
     finally:
@@ -199,7 +199,7 @@
 
 
 def test_an_unknown_expectation_is_a_scenario_error(history):
-    with pytest.raises(ScenarioError, match="unknown expectation 'joy': one of dead, never_dead"):
+    with pytest.raises(ScenarioError, match="unknown expectation 'joy': expected one of dead, never_dead"):
         history_checker.check(history_checker.read(history), [{"kind": "joy"}])
 
 
