--- a/pinspread/testbed/cluster.py
+++ b/pinspread/testbed/cluster.py
@@ -59,8 +59,8 @@
         ]
         self.rules = LinkRules([member.id for member in self.members])
         real = {member.id: member.real for member in self.members}
-        advertised = {member.id: member.advertised for member in self.members}
-        self.proxy = Proxy(self.rules, real, advertised, self.scenario.seed)
+        advertised_addresses = {member.id: member.advertised for member in self.members}
+        self.proxy = Proxy(self.rules, real, advertised_addresses, self.scenario.seed)
         self.resource = Resource(self.history, self.addresses.resource)
         self.faults = ClusterFaults(self.members, self.rules, self.history, self.addresses)
         self.traffic: Traffic | None = None
--- a/pinspread/testbed/courier_logs.py
+++ b/pinspread/testbed/courier_logs.py
@@ -1,4 +1,4 @@
-"""What only the couriers' logs tell of a run: health checks, attempts without a call, who saw failures."""
+"""Reads what only the couriers' logs show: health checks, attempts, and which courier saw which failure."""
 
 import time
 from collections.abc import Iterable, Iterator
@@ -12,13 +12,13 @@
 from pinspread.testbed.platform_run import PlatformRun
 
 MICROSECONDS = 1_000_000
-# Outcomes that tell nothing of a destination's health, in the words of recordings.
+# Outcomes that are no failure of an endpoint, in the vocabulary of recordings.
 NEUTRAL_OUTCOMES = ("OK", "NOT_SENT", "MOOT")
 UNSENT_OUTCOMES = ("NOT_SENT", "MOOT")
 
 
 class ObservedFailure(NamedTuple):
-    """An attempt or health check that a courier saw fail; `at_ns` counts from the scenario's beginning."""
+    """A failed attempt or health check in a courier's log; `at_ns` counts from the scenario's beginning."""
 
     courier: int
     destination: int
@@ -26,11 +26,11 @@
 
 
 def read_logs(run: PlatformRun, logs: Iterable[tuple[int, Path]]) -> None:
-    """Take health checks and attempts into the run, and check who knew of outages.
+    """Record the health checks and attempts of all logs in the run, and check rule `cold`.
 
     Args:
-        run: The run, which is over.
-        logs: Each courier's number and log.
+        run: The finished run.
+        logs: The number of each courier and the path of its log.
     """
     began_s = time.time() - run.engine.now / SECOND
     run.attempt_times_ns, run.retry_times_ns, run.health_checks = [], [], 0
@@ -52,7 +52,7 @@
 
 
 def read_events(path: Path) -> Iterator[dict[str, Any]]:
-    """The events of a log, in the words of recordings; a line that a kill cut short is left out."""
+    """The events of a log, in the vocabulary of recordings; a line truncated by a kill is skipped."""
     for line in path.read_bytes().splitlines():
         try:
             event = recorded(orjson.loads(line))
@@ -63,7 +63,7 @@
 
 
 def _record_attempt(run: PlatformRun, event: dict[str, Any], began_s: float) -> None:
-    """An attempt that was sent."""
+    """Record the time of an attempt that was sent."""
     started_s = (event["at_us"] - event["took_us"]) / MICROSECONDS - began_s
     at_ns = int(max(0, started_s) * SECOND)
     run.attempt_times_ns.append(at_ns)
@@ -72,9 +72,9 @@
 
 
 def check_overloads(run: PlatformRun, failures: list[ObservedFailure]) -> None:
-    """Check rule `cold`: whether couriers that saw an outage overloaded a destination while it warmed up.
+    """Check rule `cold`: couriers that saw an outage must not overload the destination while it warms up.
 
-    Who was refused a connection is known from the couriers' own logs alone.
+    Which couriers were refused a connection is known only from their logs.
     """
     for destination in run.destinations.values():
         for overloaded_ns, down_ns, up_ns, callers in destination.collapses:
--- a/pinspread/testbed/courier_process.py
+++ b/pinspread/testbed/courier_process.py
@@ -1,4 +1,4 @@
-"""A real courier in a process of its own, started and ended as a scenario says."""
+"""A real courier in its own process, started, restarted and killed as a scenario says."""
 
 import os
 import signal
@@ -26,9 +26,9 @@
     """One courier over its restarts.
 
     Attributes:
-        address: Where it listens.
-        ready: Whether it has answered since its last start.
-        idle_clients: Clients with connections that are free.
+        address: Host and port at which it listens.
+        ready: Whether it has answered a PING since its last start.
+        idle_clients: Clients whose connections are not in use.
         start_times_s: Seconds from each start to the first PONG.
     """
 
@@ -47,7 +47,7 @@
         self._state.mkdir(exist_ok=True)
 
     def start(self) -> None:
-        """Start the process."""
+        """Write the configuration and start the process."""
         endpoints = self.platform.endpoint_list()
         configuration = courier_configuration(self.run, self.number, endpoints, str(self._state))
         path = self.folder / f"config{self.number}.json"
@@ -58,38 +58,38 @@
             self.process = subprocess.Popen(command, env=environment, stdout=log, stderr=log, cwd=ROOT)
 
     async def wait_until_ready(self) -> None:
-        """Wait for PONG, and note how long it took.
+        """Wait for the first PONG, and record how long it took.
 
         Raises:
-            TimeoutError: It did not come in time.
+            TimeoutError: There was no PONG within `START_TIMEOUT_S`.
         """
         began = time.monotonic()
         with anyio.fail_after(START_TIMEOUT_S):
-            while not await self._answers():
+            while not await self._is_answering():
                 await anyio.sleep(POLL_INTERVAL_S)
         self.ready = True
         self.start_times_s.append(round(time.monotonic() - began, 3))
 
-    async def _answers(self) -> bool:
+    async def _is_answering(self) -> bool:
         try:
             return (await Client(self.address).say("PING")).startswith("+PONG")
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
             return False
 
     async def restart(self, gracefully: bool, down_ns: int) -> None:
-        """End the process by SIGTERM or by SIGKILL, and start it again after a while."""
+        """Stop the process by SIGTERM or by SIGKILL, and start it again after `down_ns`."""
         self.ready = False
         if gracefully and self.process is not None:
             self.process.send_signal(signal.SIGTERM)
             with anyio.move_on_after(STOP_TIMEOUT_S):
                 while self.process.poll() is None:
                     await anyio.sleep(POLL_INTERVAL_S)
-        self.end()
+        self.kill()
         await anyio.sleep(down_ns / SECOND)
         self.start()
         await self.wait_until_ready()
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kill the process if it runs."""
         if self.process is not None:
             if self.process.poll() is None:
--- a/pinspread/testbed/courier_settings.py
+++ b/pinspread/testbed/courier_settings.py
@@ -1,4 +1,4 @@
-"""A courier's configuration and endpoint list as the platform writes them, for tests and benchmarks."""
+"""A courier's configuration and endpoint entries in the platform's form, for tests and benchmarks."""
 
 from os import PathLike
 from typing import Any
@@ -27,7 +27,7 @@
 
     Args:
         state: Its state folder.
-        limits: `disk_mb`, and fields of `policyLimits`, in place of the usual ones.
+        limits: `disk_mb`, and fields of `policyLimits`, which replace the defaults.
     """
     disk_mb = limits.pop("disk_mb", 3)
     return {
@@ -53,7 +53,7 @@
 
 
 def host(id_: str, address: str, dest: int = 1, health: str = "ready") -> dict[str, Any]:
-    """An endpoint as an entry of the platform's list."""
+    """An entry of the platform's endpoint list."""
     return {
         "host": id_,
         "dial": address,
--- a/pinspread/testbed/endpoint_stand_in.py
+++ b/pinspread/testbed/endpoint_stand_in.py
@@ -1,4 +1,4 @@
-"""Endpoints on real sockets: the simulation's decisions, with the network's delays as waits."""
+"""Endpoints on real sockets: the simulation decides on each call; the delays of its network are waits."""
 
 import asyncio
 import socket
@@ -15,20 +15,23 @@
 from pinspread.testbed.platform_run import PlatformRun
 from pinspread.testbed.stand_ins import Answer, HttpStandIn, ReceivedRequest, Response
 
-CALLER_CHECK_S = 0.05  # how soon it is seen that the caller of an unanswered call is gone
-DRAIN_GRACE_NS = 300 * MS  # 250 ms, and the 50 more that sockets get
+CALLER_CHECK_S = 0.05  # how often an unanswered call is checked for a caller that is gone
+DRAIN_GRACE_NS = 300 * MS  # 250 ms, and 50 ms more for delays of sockets
 HEALTH_CHECK_WORK_NS = 5 * MS
-HEALTH_CHECK_CHANCES = (0.5, 0.5, 0.5, 0.5)
+HEALTH_CHECK_DRAWS = (0.5, 0.5, 0.5, 0.5)
 FOREVER_S = 1e6
 LINGER_ZERO = b"\1\0\0\0\0\0\0\0"  # struct linger: on, 0 s; closing then resets the connection
 DOWN = (ServingState.CRASHED, ServingState.COLLAPSED)
 
 
 class IncomingCall:
-    """A call that has come to a stand-in: the simulation's `Call` on a socket.
+    """A call that a stand-in received: the simulation's `IncomingCall` on a socket.
 
     Attributes:
+        instance: Number of the calling courier.
         row: The message's row in the scenario; None for a health check.
+        work_ns: How long the work takes at the usual pace.
+        draws: The call's uniform random numbers.
         abandoned: Whether the caller is gone.
         result: The outcome, with the Retry-After in nanoseconds.
     """
@@ -45,44 +48,44 @@
         self.result: asyncio.Future[tuple[Outcome, int]] = asyncio.get_running_loop().create_future()
 
     def work_started(self) -> None:
-        """The call takes effect."""
+        """Count the call as executed; it takes effect from here on."""
         if self.row is not None:
             self.run.executions[self.row] += 1
             self.run.work_done_ns += self.work_ns
 
     def respond(self, outcome: Outcome, retry_after_ns: int) -> None:
-        """The endpoint answers."""
+        """Set the outcome that the endpoint answers with."""
         if self.abandoned and outcome is Outcome.OK and self.row is not None:
             self.run.unheard += 1
         if not self.result.done():
             self.result.set_result((outcome, retry_after_ns))
 
     def reset(self) -> None:
-        """The connection is reset."""
+        """Set the outcome to a reset of the connection."""
         if not self.result.done():
             self.result.set_result((Outcome.RESET, 0))
 
 
 class _Work(NamedTuple):
-    """What a call asks of its endpoint.
+    """The work that a call requires of its endpoint.
 
     Attributes:
         row: The message's row in the scenario; None for a health check.
         work_ns: How long the work takes at the usual pace.
-        chance: Uniform numbers: delays there and back, error, whether a Retry-After is given.
+        draws: Uniform random numbers: delays of request and response, error, whether Retry-After is given.
     """
 
     row: int | None
     work_ns: int
-    chance: Sequence[float]
+    draws: Sequence[float]
 
 
 class EndpointStandIn(HttpStandIn):
     """One endpoint as one courier reaches it.
 
     Attributes:
-        listening: The scope in which connections are accepted; None until then.
-        over_table: Open connections for which the endpoint's table had no room.
+        listening: The cancel scope in which connections are accepted; None before the first.
+        over_limit: Open connections above the endpoint's connection limit; their calls are answered with 503.
     """
 
     def __init__(self, run: PlatformRun, endpoint: Endpoint, courier: int) -> None:
@@ -93,7 +96,7 @@
         endpoint.connection_owners.append(self)
         self.address = run.addresses.endpoint(courier, endpoint.id)
         self.listening: anyio.CancelScope | None = None
-        self.over_table: set[sockets.Connection] = set()
+        self.over_limit: set[sockets.Connection] = set()
 
     async def listen(self) -> None:
         """Accept connections until cancelled; while the endpoint is down, its address refuses them."""
@@ -107,17 +110,17 @@
             await wait_until(lambda: self.endpoint.state not in DOWN, FOREVER_S)
 
     async def serve(self, connection: sockets.Connection) -> None:
-        """Serve a connection, unless the endpoint is down or its table is full."""
+        """Serve a connection; reset it if the endpoint is down, mark it if the limit is reached."""
         endpoint = self.endpoint
         if endpoint.state in DOWN:
             reset_connection(connection)
             return
         if endpoint.connection_limit and endpoint.connections >= endpoint.connection_limit:
-            self.over_table.add(connection)
+            self.over_limit.add(connection)
             try:
                 await super().serve(connection)
             finally:
-                self.over_table.discard(connection)
+                self.over_limit.discard(connection)
             return
         endpoint.connections += 1
         self.run_state.handshakes += 1
@@ -127,10 +130,10 @@
             endpoint.connections -= 1
 
     def close_expired(self) -> None:
-        """Close idle connections: nothing to do, as they end by themselves."""
+        """Close idle connections: nothing to do, as each ends by itself when its courier closes it."""
 
     def connection_lost(self, reset: bool) -> None:
-        """The endpoint is gone: with a reset all its connections end."""
+        """Handle the loss of the endpoint: on a reset, reset all its connections and stop listening."""
         if not reset:
             return
         for connection in list(self.open):
@@ -139,20 +142,21 @@
             self.listening.cancel()
 
     def reply(self, request: ReceivedRequest, connection: sockets.Connection, first: bool) -> Answer:
-        """The simulation's answer, after the network's delays."""
+        """Return the answer that the simulation decides on, after the network's delays."""
         return self._reply(request, connection, first)
 
     async def _reply(self, request: ReceivedRequest, connection: sockets.Connection, first: bool) -> Response:
         run, endpoint = self.run_state, self.endpoint
         work = self._work(request)
-        delay_there_s, delay_back_s = self._delays_s(work)
-        await anyio.sleep(3 * delay_there_s if first else delay_there_s)  # the handshake goes there and back
-        if connection in self.over_table:
+        request_delay_s, response_delay_s = self._delays_s(work)
+        # The handshake before a connection's first request takes one round trip more.
+        await anyio.sleep(3 * request_delay_s if first else request_delay_s)
+        if connection in self.over_limit:
             run.count_outcome(Outcome.OVERLOADED)
-            await anyio.sleep(delay_back_s)
+            await anyio.sleep(response_delay_s)
             return 503, [("Connection", "close")], b""
         handshake_ns = int(run.model.network.handshake_ms * MS) if first else 0
-        call = IncomingCall(run, self.courier, work.row, work.work_ns, work.chance)
+        call = IncomingCall(run, self.courier, work.row, work.work_ns, work.draws)
         endpoint.destination.arrive(endpoint, call, work.work_ns + handshake_ns)
         result = await self._result(call, connection)
         if result is None:
@@ -162,7 +166,7 @@
         if outcome is Outcome.RESET:
             reset_connection(connection)
             return None
-        await anyio.sleep(delay_back_s)
+        await anyio.sleep(response_delay_s)
         if outcome is Outcome.OK and work.row is not None:
             if peer_closed(connection):
                 run.unheard += 1
@@ -172,7 +176,7 @@
 
     def _work(self, request: ReceivedRequest) -> _Work:
         if request.method != "POST":
-            return _Work(None, HEALTH_CHECK_WORK_NS, HEALTH_CHECK_CHANCES)
+            return _Work(None, HEALTH_CHECK_WORK_NS, HEALTH_CHECK_DRAWS)
         run, scenario = self.run_state, self.run_state.scenario
         row = run.row(request.headers["request-id"])
         drained_ns = run.draining_since.get((self.courier, self.endpoint.id))
@@ -183,18 +187,18 @@
         return _Work(row, int(scenario.work_ns[row, draw]), scenario.attempt_draws[row, draw])
 
     def _delays_s(self, work: _Work) -> tuple[float, float]:
-        """The network's delays there and back, in seconds."""
+        """The network's delays of the request and of the response, in seconds."""
         run = self.run_state
         delay_s = float(run.scenario.delay_ns[self.endpoint.destination.number - 1]) / SECOND
         jitter = run.model.network.jitter
-        there, back = (delay_s * (1 + jitter * (2 * float(work.chance[n]) - 1)) for n in (0, 1))
-        return there, back
+        request_s, response_s = (delay_s * (1 + jitter * (2 * float(work.draws[n]) - 1)) for n in (0, 1))
+        return request_s, response_s
 
     @staticmethod
     async def _result(call: IncomingCall, connection: sockets.Connection) -> tuple[Outcome, int] | None:
-        """The result of a call; None once its caller is gone."""
-        # A silent endpoint never answers. Without the look at the connection, one whose caller has gone
-        # would stay in the endpoint's table for good.
+        """Wait for the result of a call; None if its caller is gone before."""
+        # A silent endpoint never answers. Without this check of the connection, a call whose caller has gone
+        # would count against the endpoint's connection limit forever.
         while not (await asyncio.wait({call.result}, timeout=CALLER_CHECK_S))[0]:
             if peer_closed(connection):
                 call.abandoned = True
@@ -203,7 +207,7 @@
 
 
 def response_of(outcome: Outcome, retry_after_ns: int) -> Response:
-    """The response that tells a courier of an outcome."""
+    """The response by which a courier learns of an outcome."""
     if outcome is Outcome.OK:
         return 200, [], b""
     if outcome is Outcome.ERROR:
@@ -214,7 +218,7 @@
 
 
 def peer_closed(connection: sockets.Connection) -> bool:
-    """Whether the other side has closed the connection, or its process has ended."""
+    """Whether the peer has closed the connection, or its process has ended."""
     try:
         return connection.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
     except BlockingIOError:
@@ -224,7 +228,7 @@
 
 
 def reset_connection(connection: sockets.Connection) -> None:
-    """End a connection at once, with a reset."""
+    """Close a connection at once with a TCP reset."""
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     anyio.notify_closing(connection.sock)
     connection.close()
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -1,8 +1,8 @@
-"""Plays a scenario of the simulation on real sockets, with real couriers among stand-ins.
+"""Plays a scenario of the simulation on real sockets, with real couriers and stand-ins for other parties.
 
-What destinations decide (limits, queues, outages, warming up) is the simulation's `destination.Destination`
-on a real clock; the network's delays are waits. Couriers are real processes, started and killed as the
-scenario says, and each reaches every other party at addresses of its own.
+Destinations (limits, queues, outages, warming up) are the simulation's `destination.Destination` on a real
+clock; the network's delays are waits. Couriers are real processes, started and killed as the scenario says,
+and each of them has its own addresses for every other party.
 """
 
 import tempfile
@@ -28,20 +28,20 @@
 from pinspread.testbed.platform_run import PlatformRun
 from pinspread.testbed.platform_stand_in import PlatformStandIn
 
-LEAD_NS = SECOND // 5  # from all couriers ready to the scenario's beginning
+LEAD_NS = SECOND // 5  # from when all couriers are ready to the scenario's beginning
 FINAL_GRACE_S = 2.0  # after the longest deadline
 
 
 class PlatformTestbed:
-    """A scenario on loopback.
+    """A scenario of the simulation, played on loopback.
 
     Attributes:
-        run: What the parts share and count; after `play`, what the metrics measure.
+        run: The state and counters that the parts share, from which the metrics are computed.
     """
 
     def __init__(self, model: FleetModel, scenario: Scenario, folder: Path | str) -> None:
-        # Message ids come again with each play of a scenario: the journal of an earlier play would have the
-        # couriers take them for finished.
+        # Each play of a scenario uses the same message ids. With the journals of an earlier play, couriers
+        # would treat these messages as ended.
         Path(folder).mkdir(parents=True, exist_ok=True)
         self.folder = Path(tempfile.mkdtemp(prefix="play-", dir=folder))
         self.run = PlatformRun(model, scenario)
@@ -49,7 +49,7 @@
         self.platforms: list[PlatformStandIn] = []
 
     async def play(self) -> dict[str, Any]:
-        """Play the scenario; its metrics, with what the stand-ins counted beside them."""
+        """Play the scenario and return its metrics, with further counts of the test bed."""
         with ExitStack() as open_sockets:
             async with anyio.create_task_group() as tasks:
                 traffic = ClientTraffic(self.run, self.couriers, tasks)
@@ -61,12 +61,12 @@
                     await self._wait_for_finals()
                 finally:
                     for courier in self.couriers:
-                        courier.end()
+                        courier.kill()
                 tasks.cancel_scope.cancel()
         return self._measure()
 
     def _start_stand_ins(self, traffic: ClientTraffic, open_sockets: ExitStack, tasks: TaskGroup) -> None:
-        """Start the stand-ins of each courier, and prepare its process."""
+        """Start the stand-ins of each courier, and create its process object."""
         for number in range(self.run.model.couriers.count):
             platform = PlatformStandIn(self.run, number, traffic.on_final)
             self.platforms.append(platform)
@@ -86,11 +86,11 @@
         self.run.engine.start_ns = time.monotonic_ns() + LEAD_NS
 
     async def _wait_for_finals(self) -> None:
-        """Wait for the scenario's end, and then until all messages have ended or must have."""
+        """Wait for the scenario's end, then until all messages have ended or must have ended."""
         run = self.run
         await anyio.sleep(run.engine.seconds_until(run.scenario.length_ns))
-        longest_s = max(one.deadline_s for one in run.model.classes) + FINAL_GRACE_S
-        with suppress(ConditionTimeoutError):  # `_measure` counts what is open as lost
+        longest_s = max(traffic_class.deadline_s for traffic_class in run.model.classes) + FINAL_GRACE_S
+        with suppress(ConditionTimeoutError):  # `_measure` counts open messages as lost
             await wait_until(lambda: not run.open_messages(), longest_s)
 
     def _measure(self) -> dict[str, Any]:
@@ -108,5 +108,5 @@
 
 
 def play(model: FleetModel, scenario: Scenario, folder: Path | str) -> dict[str, Any]:
-    """Play a scenario on loopback, with logs and journals in a new folder under `folder`; its metrics."""
+    """Play a scenario on loopback, with logs and journals in a new folder in `folder`; return its metrics."""
     return anyio.run(PlatformTestbed(model, scenario, folder).play)
--- a/pinspread/testbed/platform_configuration.py
+++ b/pinspread/testbed/platform_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform writes for a courier, from the model and a scenario."""
+"""The configuration that the platform would write for a courier of a model and a scenario."""
 
 import time
 from typing import Any
@@ -18,9 +18,9 @@
     """A courier's configuration, in the platform's form.
 
     Args:
-        run: The run, with what all couriers are told.
-        number: Which courier.
-        endpoints: The endpoint list that it begins with.
+        run: The run, with the settings of all couriers.
+        number: The courier's number.
+        endpoints: Its initial endpoint list.
         state: Its state folder.
     """
     return {
@@ -38,7 +38,7 @@
 def _settings(model: FleetModel, settings: Settings) -> dict[str, Any]:
     return {
         "balancers": settings.senders,
-        "lanes": [_traffic_class(one) for one in model.classes],
+        "lanes": [_traffic_class(traffic_class) for traffic_class in model.classes],
         "policyLimits": _policy_limits(model, settings),
         "overShareWorth": settings.over_quota_weight,
         "prices": {"handshake": settings.handshake_price},
@@ -64,17 +64,17 @@
     }
 
 
-def _traffic_class(one: TrafficClassModel) -> dict[str, Any]:
+def _traffic_class(traffic_class: TrafficClassModel) -> dict[str, Any]:
     return {
-        "name": one.name,
-        "aimNs": int(one.aim_s * SECOND),
-        "deadlineNs": int(one.deadline_s * SECOND),
-        "effect": one.effect,
+        "name": traffic_class.name,
+        "aimNs": int(traffic_class.aim_s * SECOND),
+        "deadlineNs": int(traffic_class.deadline_s * SECOND),
+        "effect": traffic_class.effect,
         "group": "all",
-        "windowNs": int(one.window_s * SECOND),
-        "serialByKey": one.in_order,
-        "value": one.worth,
-        "lateShare": one.late_share,
+        "windowNs": int(traffic_class.window_s * SECOND),
+        "serialByKey": traffic_class.in_order,
+        "value": traffic_class.worth,
+        "lateShare": traffic_class.late_share,
     }
 
 
--- a/pinspread/testbed/platform_faults.py
+++ b/pinspread/testbed/platform_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a scenario on real sockets: outages, restarts, and endpoints that drain or are replaced."""
+"""The faults of a scenario on real sockets: outages, restarts, and endpoints drained or replaced."""
 
 from collections.abc import Sequence
 
@@ -20,7 +20,11 @@
 
 
 class FaultSchedule:
-    """Causes the scenario's faults at their times."""
+    """Causes the scenario's faults at their times.
+
+    Attributes:
+        lag_s: For each courier, the seconds from a change of the endpoint list to its notification.
+    """
 
     def __init__(
         self,
@@ -35,7 +39,6 @@
         self.platforms = platforms
         low, high = run.model.network.list_late_s
         count = run.model.couriers.count
-        # How late each courier hears of a change of the endpoint list.
         self.lag_s: list[float] = random_stream(run.scenario.seed, "lag").uniform(low, high, count).tolist()
 
     def start(self) -> None:
@@ -63,7 +66,7 @@
         await courier.restart(fault.kind == "restart", fault.down_ns)
 
     async def _change_endpoint(self, endpoint: Endpoint, fault: ScheduledFault) -> None:
-        """An endpoint drains for a while, or is replaced by another at a new address."""
+        """Drain an endpoint until the fault ends, or replace it by another at a new address."""
         await anyio.sleep(self.run.engine.seconds_until(fault.at_ns))
         if fault.kind == "drain":
             self._notify(endpoint, DRAINING)
@@ -80,7 +83,7 @@
             stand_in.connection_lost(True)
 
     def _add_successor(self, endpoint: Endpoint) -> Endpoint:
-        """Add an endpoint like another one, in the state that one is in."""
+        """Add an endpoint with the same properties and state as `endpoint`, at a new address."""
         new_id = len(self.run.endpoints) + 1
         successor = Endpoint(
             new_id, endpoint.destination, endpoint.cores, endpoint.queue_limit, endpoint.connection_limit
@@ -93,7 +96,7 @@
         return successor
 
     def _notify(self, endpoint: Endpoint, health: str) -> None:
-        """Tell all couriers of a change, each after its own delay."""
+        """Notify all couriers of a change of an endpoint, each after its own delay."""
         for platform, lag_s in zip(self.platforms, self.lag_s, strict=True):
             self.tasks.start_soon(self._notify_late, platform, lag_s, endpoint, health)
 
@@ -101,9 +104,9 @@
         self, platform: PlatformStandIn, lag_s: float, endpoint: Endpoint, health: str
     ) -> None:
         await anyio.sleep(lag_s)
-        draining_since, place = self.run.draining_since, (platform.courier, endpoint.id)
+        draining_since, key = self.run.draining_since, (platform.courier, endpoint.id)
         if health == READY:
-            draining_since.pop(place, None)
+            draining_since.pop(key, None)
         else:
-            draining_since.setdefault(place, self.run.engine.now)
+            draining_since.setdefault(key, self.run.engine.now)
         platform.update(endpoint, health)
--- a/pinspread/testbed/platform_run.py
+++ b/pinspread/testbed/platform_run.py
@@ -1,6 +1,6 @@
-"""What the parts of one run on the platform's stand-ins share, and what they count.
+"""The state and counters that the parts of one run of the platform's test bed share.
 
-`simulation.metrics` measures a run by these figures, so those that it reads have the names it reads them by.
+`simulation.metrics` computes the metrics of a run from these attributes, under their names here.
 """
 
 import os
@@ -23,56 +23,59 @@
 COURIERS_PER_BLOCK = 16
 FIRST_PORT = 21_000
 FIRST_ENDPOINT_PORT = 21_010
-# Blocks of addresses, so that test beds side by side do not meet.
+# Test beds that run side by side take different blocks of addresses, so that they do not collide.
 _blocks = count(os.getpid() % 200 * 64)
 
 
 class LoopbackAddresses:
-    """The addresses of one test bed: each courier reaches every other party at a host of its own."""
+    """The addresses of one test bed; each courier has its own host for itself and all parties it reaches."""
 
     def __init__(self) -> None:
         self.block = next(_blocks)
 
     def courier(self, courier: int) -> str:
-        """Where a courier listens."""
+        """The address at which a courier listens."""
         return f"{self._host(courier)}:{FIRST_PORT}"
 
     def platform(self, courier: int) -> str:
-        """Where a courier reaches discovery and sends its notifications."""
+        """The address of discovery and of the notifications' receiver, for one courier."""
         return f"{self._host(courier)}:{FIRST_PORT + 1}"
 
     def endpoint(self, courier: int, endpoint_id: int) -> str:
-        """Where a courier reaches an endpoint."""
+        """The address of an endpoint, for one courier."""
         return f"{self._host(courier)}:{FIRST_ENDPOINT_PORT + endpoint_id}"
 
     def _host(self, courier: int) -> str:
-        place = self.block * COURIERS_PER_BLOCK + courier
-        return f"127.{10 + place // 62_500 % 200}.{place // 250 % 250}.{1 + place % 250}"
+        index = self.block * COURIERS_PER_BLOCK + courier
+        return f"127.{10 + index // 62_500 % 200}.{index // 250 % 250}.{1 + index % 250}"
 
 
 class _OverloadsIgnored:
-    """Takes the place of the rule checker for destinations, whose overloads are judged after the run."""
+    """Replaces the rule checker in destinations, whose overloads are checked after the run."""
 
     @staticmethod
-    def destination_collapsed(*what: object) -> None:
-        """Ignore a destination that was overloaded while it warmed up."""
+    def destination_collapsed(*arguments: object) -> None:
+        """Ignore that a destination was overloaded while it warmed up."""
 
 
 class PlatformRun:
-    """One run of a scenario: its parties, and what became of its messages.
+    """One run of a scenario: its parties, and the outcome of its messages.
 
     Attributes:
         delivered_ns: When each message was first delivered; -1 before.
         ended_ns: When each message ended, delivered or not; -1 before.
         executions: How often each message took effect.
         attempts: How many attempts of each message reached an endpoint.
+        rejected: How many submissions were refused with -BUSY.
+        unanswered: How many submissions got no answer.
         accepted: Ids that a courier may have accepted, with the message's row.
-        finals: How each id ended.
-        unheard: Calls that took effect, and whose courier was gone when they were answered.
-        calls_after_drain: Calls to an endpoint after the grace from its courier's notification.
-        draining_since: When a courier was notified that an endpoint drains or goes, by (courier, endpoint).
+        finals: The final result of each id.
+        unheard: Number of calls that took effect, but whose caller was gone when they were answered.
+        calls_after_drain: Number of calls to a draining endpoint later than the grace after the caller was
+            notified.
+        draining_since: When a courier was notified that an endpoint drains or is gone; by courier, endpoint.
         attempt_times_ns: When the couriers' attempts began.
-        retry_times_ns: The same, of those that are not the first of their message.
+        retry_times_ns: When the couriers' attempts other than a message's first began.
     """
 
     def __init__(self, model: FleetModel, scenario: Scenario) -> None:
@@ -83,7 +86,7 @@
         self.settings = policy_settings(model, scenario, {})
         self.checker = RuleChecker(self.settings.classes, self.settings.max_attempts)
         self.clients = ClientBehavior(model, scenario)
-        # Who knew of an outage is known from the couriers' logs alone, after the run: see `courier_logs`.
+        # Which courier knew of an outage is known only from the logs, after the run: see `courier_logs`.
         self.destinations, self.endpoints = build_destinations(
             scenario, self.engine, model, _OverloadsIgnored
         )
@@ -106,23 +109,23 @@
 
     @property
     def instances(self) -> list["PlatformRun"]:
-        """For `metrics`: one that holds what all couriers did."""
+        """The instances that `metrics` reads: this run, whose counters cover all couriers."""
         return [self]
 
     def row(self, message_id: str) -> int:
-        """The row in the scenario of the message that was submitted under an id."""
+        """The row in the scenario of the message that was submitted under `message_id`."""
         return int(message_id[:ROW_DIGITS], 16)
 
     def open_messages(self) -> set[str]:
-        """Ids that were accepted and have not ended."""
+        """Ids that may have been accepted and have no final result yet."""
         return self.accepted.keys() - self.finals.keys()
 
     def count_outcome(self, outcome: Outcome) -> None:
-        """An endpoint answers a call."""
+        """Count an endpoint's answer to a call."""
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
 
     def record_delivery(self, row: int, message_id: str) -> None:
-        """A message that was submitted under an id was delivered, and its courier is told so."""
+        """Record the delivery of a message, which its courier learns from the answer."""
         if self.delivered_ns[row] < 0:
             self.delivered_ns[row] = self.ended_ns[row] = self.engine.now
         self.finals.setdefault(message_id, DELIVERED)
--- a/pinspread/testbed/platform_stand_in.py
+++ b/pinspread/testbed/platform_stand_in.py
@@ -1,4 +1,4 @@
-"""The platform as one courier reaches it: discovery of endpoints, and notifications of final results."""
+"""The platform as one courier sees it: endpoint discovery, and the receiver of final results."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,11 +23,11 @@
     """Discovery and the receiver of notifications for one courier.
 
     Attributes:
-        health: What this courier was told of each endpoint, where it was told anything.
+        health: The last health sent to the courier of each endpoint that has changed.
     """
 
     def __init__(self, run: PlatformRun, courier: int, on_final: Callable[[dict[str, Any]], None]) -> None:
-        """Create the stand-in; `on_final` is called with each notification."""
+        """Create a stand-in; `on_final` is called with each notification."""
         super().__init__()
         self.run_state = run
         self.courier = courier
@@ -37,7 +37,7 @@
         self.sequence = 1
 
     def update(self, endpoint: Endpoint, health: str) -> None:
-        """Tell the courier of a change."""
+        """Send a change of an endpoint to the courier's watches."""
         self.sequence += 1
         self.health[endpoint.id] = health
         entry = self._entry(endpoint) | {"health": health}
@@ -45,7 +45,7 @@
             queue.put_nowait({"seq": self.sequence, "whole": False, "hosts": [entry]})
 
     def endpoint_list(self) -> dict[str, Any]:
-        """The whole list, as the courier is told it."""
+        """The full endpoint list, in the form that is sent to the courier."""
         hosts = []
         for endpoint in self.run_state.endpoints.values():
             known_from_start = endpoint.id <= self.run_state.initial_endpoints
@@ -68,7 +68,7 @@
         }
 
     def reply(self, request: ReceivedRequest, connection: sockets.Connection, first: bool) -> Answer:
-        """Answer with the list, open a watch, or take notifications."""
+        """Receive notifications, open a watch, or answer with the endpoint list."""
         if request.method == "POST":
             for line in request.body.splitlines():
                 self.on_final(orjson.loads(line))
