--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""The platform's testbed on loopback: real couriers, and the model's figures beside theirs."""
+"""The platform's test bed on loopback: real couriers, compared with the simulation of the same scenario."""
 
 import os
 import subprocess
@@ -30,25 +30,25 @@
 
 
 def test_a_day_on_sockets_goes_as_the_model_says_and_its_logs_can_be_replayed(tmp_path):
-    world = FleetModel.model_validate(CALM | {"couriers": {"count": 2}})
-    drawn = draw_scenario(world, 4)
-    found = platform.play(world, drawn, tmp_path)
-    said = simulate.Simulation(world, drawn).run()
-    assert not found["broken"] and found["lost"] == 0
-    assert found["delivered"] == found["messages"] == said["messages"]
-    assert found["service_unbroken"] == pytest.approx(said["service_unbroken"], abs=0.05)
+    model = FleetModel.model_validate(CALM | {"couriers": {"count": 2}})
+    scenario = draw_scenario(model, 4)
+    measured = platform.play(model, scenario, tmp_path)
+    simulated = simulate.Simulation(model, scenario).run()
+    assert not measured["broken"] and measured["lost"] == 0
+    assert measured["delivered"] == measured["messages"] == simulated["messages"]
+    assert measured["service_unbroken"] == pytest.approx(simulated["service_unbroken"], abs=0.05)
     logs = [(p.name, p.read_bytes().splitlines()) for p in sorted(tmp_path.glob("play-*/*.log"))]
     recorded = trace_recording.record_trace(logs, b"sixteen bytes or more")
-    assert len(recorded.arrivals.at_us) == found["messages"] and recorded.instance_count == 2
+    assert len(recorded.arrivals.at_us) == measured["messages"] and recorded.instance_count == 2
     trace.write_trace(recorded, str(tmp_path / "t"))
-    again = simulate.Simulation(world, trace_replay.replay_trace(str(tmp_path / "t"), world, 1)).run()
-    assert again["messages"] == found["messages"]
-    ours, theirs = again["latency_all"]["ms"]["50"], found["latency_all"]["ms"]["50"]
-    assert ours == pytest.approx(theirs, rel=0.4)
+    replayed = simulate.Simulation(model, trace_replay.replay_trace(str(tmp_path / "t"), model, 1)).run()
+    assert replayed["messages"] == measured["messages"]
+    replayed_ms, played_ms = replayed["latency_all"]["ms"]["50"], measured["latency_all"]["ms"]["50"]
+    assert replayed_ms == pytest.approx(played_ms, rel=0.4)
 
 
 def test_troubles_on_sockets_break_no_rule(tmp_path):
-    world = FleetModel.model_validate(
+    model = FleetModel.model_validate(
         CALM
         | {
             "length_s": 8,
@@ -60,31 +60,31 @@
             ],
         }
     )
-    found = platform.play(world, draw_scenario(world, 2), tmp_path)
-    assert not found["broken"] and found["lost"] == 0 and found["payments_twice"] == 0
-    assert found["delivered"] > 0.8 * found["messages"]
+    measured = platform.play(model, draw_scenario(model, 2), tmp_path)
+    assert not measured["broken"] and measured["lost"] == 0 and measured["payments_twice"] == 0
+    assert measured["delivered"] > 0.8 * measured["messages"]
 
 
 def test_the_demo_shows_what_became_of_the_traffic(tmp_path):
-    call = [sys.executable, "-m", "pinspread", "demo", "--seconds", "4", "--keep", str(tmp_path)]
-    done = subprocess.run(call, capture_output=True, text=True, cwd=ROOT, env=os.environ)
-    assert done.returncode == 0, done.stderr
-    assert "payments run twice: 0; messages without an end: 0" in done.stdout
-    assert "refuses connections" in done.stdout
+    command = [sys.executable, "-m", "pinspread", "demo", "--seconds", "4", "--keep", str(tmp_path)]
+    completed = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, env=os.environ)
+    assert completed.returncode == 0, completed.stderr
+    assert "payments run twice: 0; messages without an end: 0" in completed.stdout
+    assert "refuses connections" in completed.stdout
 
 
 @pytest.mark.parametrize("weights", [0.0, 0.3])
-def test_couriers_on_sockets_are_told_what_the_models_are(weights, tmp_path):
-    world = FleetModel.model_validate(CALM | {"partners": {"weights": weights}})
-    run = PlatformRun(world, draw_scenario(world, 3))
+def test_couriers_on_sockets_are_configured_as_the_models_are(weights, tmp_path):
+    model = FleetModel.model_validate(CALM | {"partners": {"weights": weights}})
+    run = PlatformRun(model, draw_scenario(model, 3))
     endpoints = PlatformStandIn(run, 0, lambda notification: None).endpoint_list()
-    told = orjson.loads(orjson.dumps(courier_configuration(run, 0, endpoints, str(tmp_path))))
-    assert settings.read(told, {}).policy_settings == run.settings
+    configuration = orjson.loads(orjson.dumps(courier_configuration(run, 0, endpoints, str(tmp_path))))
+    assert settings.read(configuration, {}).policy_settings == run.settings
     assert run.settings.weights_exact == (weights == 0)
 
 
 def test_a_client_dials_again_where_its_kept_connection_was_closed():
-    async def scene():
+    async def run_test():
         async def one_answer(stream):
             async with stream:
                 await stream.receive()
@@ -99,28 +99,28 @@
             client = Client(f"127.0.0.1:{port}", reconnect=True)
             for _ in range(3):
                 assert await client.say("PING") == "+OK\r\n"
-                await anyio.sleep(0.02)  # the close comes in
+                await anyio.sleep(0.02)  # for the close to arrive
             tasks.cancel_scope.cancel()
 
-    anyio.run(scene)
+    anyio.run(run_test)
 
 
-@pytest.mark.parametrize("ends_unheard", [False, True])
-def test_a_client_without_an_answer_submits_under_the_same_id_at_the_same_courier(ends_unheard):
-    heard = []  # (courier, id)
+@pytest.mark.parametrize("ended_before_answer", [False, True])
+def test_a_client_without_an_answer_submits_under_the_same_id_at_the_same_courier(ended_before_answer):
+    received = []  # (courier, id)
 
-    async def scene():
-        world = FleetModel.model_validate(CALM)
-        run = PlatformRun(world, draw_scenario(world, 3))
+    async def run_test():
+        model = FleetModel.model_validate(CALM)
+        run = PlatformRun(model, draw_scenario(model, 3))
 
         def courier(number):
             async def answer(stream):
                 async with stream:
-                    heard.append((number, (await stream.receive()).split(b"\r\n")[6].decode()))
-                    if len(heard) > 1:
+                    received.append((number, (await stream.receive()).split(b"\r\n")[6].decode()))
+                    if len(received) > 1:
                         await stream.send(b"+OK\r\n")
-                    elif ends_unheard:
-                        clients.on_final({"id": heard[0][1], "state": "failed"})
+                    elif ended_before_answer:
+                        clients.on_final({"id": received[0][1], "state": "failed"})
                     await anyio.sleep(1)
 
             return answer
@@ -133,47 +133,48 @@
                 tasks.start_soon(listener.serve, courier(number))
                 port = listener.extra(anyio.abc.SocketAttribute.local_port)
                 couriers.append(SimpleNamespace(address=f"127.0.0.1:{port}", ready=True, idle_clients=[]))
-            run.clients.courier = lambda row: len(heard) % 2  # another one each time, were it asked again
+            # If it were asked again, it would give another courier each time.
+            run.clients.instance_of = lambda row: len(received) % 2
             await clients._submit(0)
             tasks.cancel_scope.cancel()
         assert run.unanswered == 1
 
-    anyio.run(scene)
-    assert heard == heard[:1] * (1 if ends_unheard else 2)
+    anyio.run(run_test)
+    assert received == received[:1] * (1 if ended_before_answer else 2)
 
 
-def test_a_silent_partner_does_not_keep_the_places_of_callers_that_are_gone():
-    async def scene():
-        world = FleetModel.model_validate(CALM)
-        run = PlatformRun(world, draw_scenario(world, 3))
+def test_a_silent_partner_does_not_keep_connections_of_callers_that_are_gone():
+    async def run_test():
+        model = FleetModel.model_validate(CALM)
+        run = PlatformRun(model, draw_scenario(model, 3))
         endpoint = run.endpoints[1]
         endpoint.connection_limit = 2
-        hop = EndpointStandIn(run, endpoint, 0)
-        host, port = hop.address.rsplit(":", 1)
+        stand_in = EndpointStandIn(run, endpoint, 0)
+        host, port = stand_in.address.rsplit(":", 1)
         call = b"POST /x HTTP/1.1\r\nHost: p\r\nRequest-Id: 0000000000aaaaaa\r\nContent-Length: 0\r\n\r\n"
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(hop.listen)
-            await wait_until(lambda: hop.listening is not None)
+            tasks.start_soon(stand_in.listen)
+            await wait_until(lambda: stand_in.listening is not None)
             endpoint.state = ServingState.SILENT
             callers = [await anyio.connect_tcp(host, int(port)) for _ in range(3)]
             for caller in callers:
                 await caller.send(call)
-            assert b" 503 " in await callers[2].receive()  # one too many for its table
+            assert b" 503 " in await callers[2].receive()  # one above the connection limit
             assert endpoint.connections == 2
             for caller in callers:
                 await caller.aclose()
             await wait_until(lambda: endpoint.connections == 0)
             tasks.cancel_scope.cancel()
 
-    anyio.run(scene)
+    anyio.run(run_test)
 
 
 @pytest.mark.parametrize(("failed_at_s", "broken"), [(6.0, True), (1.0, False), (10.0, False)])
 def test_who_was_refused_a_connection_is_read_from_the_logs(failed_at_s, broken):
-    world = FleetModel.model_validate(CALM)
-    run = PlatformRun(world, draw_scenario(world, 3))
-    # Down from 5 to 9 s, pushed over at 11 s; what failed after its return is no outage.
+    model = FleetModel.model_validate(CALM)
+    run = PlatformRun(model, draw_scenario(model, 3))
+    # Destination 1 is down from 5 to 9 s and overloaded at 11 s; failures after 9 s are not of the outage.
     run.destinations[1].collapses.append((int(11e9), int(5e9), int(9e9), [0, 0, 1]))
-    seen = [ObservedFailure(0, 1, int(failed_at_s * 1e9)), ObservedFailure(1, 2, int(6e9))]
-    check_overloads(run, seen)
+    failures = [ObservedFailure(0, 1, int(failed_at_s * 1e9)), ObservedFailure(1, 2, int(6e9))]
+    check_overloads(run, failures)
     assert bool(run.checker.counts["cold"]) == broken
--- a/tests/test_testbed_history.py
+++ b/tests/test_testbed_history.py
@@ -1,4 +1,4 @@
-"""The testbed reads, checks and configures as it did when the history in tests/data/testbed was recorded."""
+"""The test beds read, check and configure as they did when the files in tests/data/testbed were recorded."""
 
 import asyncio
 import gzip
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def history(tmp_path):
-    """The recorded history, in a file of its own."""
+    """A copy of the recorded history file."""
     path = tmp_path / "recorded" / "history.jsonl"
     path.parent.mkdir()
     path.write_bytes(gzip.decompress((DATA / "history.jsonl.gz").read_bytes()))
@@ -44,37 +44,37 @@
 
 
 def broken(lines):
-    """The history with faults of the couriers in it: each kind of expectation meets what it looks for."""
+    """The history with faults of couriers added, so that each kind of expectation finds violations."""
     acked = [li for li in lines if li.get("event") == "acked"]
     notified = [li["id"] for li in lines if li.get("event") == "final" and li["who"] == "platform"]
     returned, failed = notified[:2]
     lost, late = [li["id"] for li in acked if li["id"] not in (returned, failed)][:2]
-    again = {returned, *(li["id"] for li in acked if li["cls"] == "payment" or li["key"])}
-    found, seen = [], set()
+    repeated = {returned, *(li["id"] for li in acked if li["cls"] == "payment" or li["key"])}
+    changed, tasks = [], set()
     for line in lines:
         event, id_ = line.get("event"), line.get("id")
         if id_ == lost and event in ("delivered", "final"):
             continue
         if event in ("lease_lost", "lease_given_back", "exited"):
             continue
-        if event == "act" and line["task"] not in seen:
-            seen.add(line["task"])
-            found.append(line | {"mono_us": line["mono_us"] + 3_000_000, "taken": False})
-            found.append(line | {"mono_us": line["mono_us"] + 4_000_000, "token": 0, "holder": "m9"})
-        if event == "delivered" and id_ in again:
-            found.append(line | {"mono_us": line["mono_us"] + 9_000_000})
+        if event == "act" and line["task"] not in tasks:
+            tasks.add(line["task"])
+            changed.append(line | {"mono_us": line["mono_us"] + 3_000_000, "taken": False})
+            changed.append(line | {"mono_us": line["mono_us"] + 4_000_000, "token": 0, "holder": "m9"})
+        if event == "delivered" and id_ in repeated:
+            changed.append(line | {"mono_us": line["mono_us"] + 9_000_000})
         if event == "final" and id_ == returned and line["who"] == "platform":
             line = line | {"state": "returned", "mono_us": line["mono_us"] + 100_000}
         if event == "taken":
             line = line | {"key": 1}
         if event == "final" and id_ == failed:
-            found.append(line | {"state": "failed"})
+            changed.append(line | {"state": "failed"})
         if event in ("final", "delivered") and id_ == late:
             line = line | {"mono_us": line["mono_us"] + 9_000_000}
-        found.append(line)
+        changed.append(line)
     end = next(li for li in lines if li.get("event") == "ending")
-    found.append(end | {"who": "m1", "event": "internal_error"})
-    return sorted(found, key=lambda li: li["mono_us"])
+    changed.append(end | {"who": "m1", "event": "internal_error"})
+    return sorted(changed, key=lambda li: li["mono_us"])
 
 
 def test_the_recorded_history_gets_the_recorded_verdicts(history):
@@ -108,7 +108,7 @@
     out = tmp_path / "out"
     assert main(["testbed", "run", str(DATA / "short.toml"), "--out", str(out)]) == 1
     shown = capsys.readouterr().out.replace(str(out), "OUT").replace(str(DATA), "DATA").splitlines()
-    # The order of the tasks in `took_s` is any.
+    # The order of the tasks in `took_s` is arbitrary.
     assert [line.partition('"took_s":{')[0] for line in shown] == recorded("printed.json")
     assert json.loads((out / "verdicts.json").read_text()) == recorded("verdicts.json")
     assert (out / "members.png").stat().st_size > 1000
@@ -133,36 +133,36 @@
     path = tmp_path / "bad.toml"
     path.write_text(text)
     assert main(["testbed", "check", str(path)]) == 2
-    said = capsys.readouterr()
-    assert f"{path}: {why}" in said.out + said.err
+    output = capsys.readouterr()
+    assert f"{path}: {why}" in output.out + output.err
 
 
 def test_members_are_configured_as_recorded(tmp_path):
     scenario = load(str(DATA / "short.toml"))
-    found = {}
+    configured = {}
     for name, change in {"list": {}, "service": {"service": "_pinspread-swim._udp"}}.items():
         testbed = cluster.ClusterTestbed(scenario | change, tmp_path / name)
         try:
             for member in testbed.members:
                 member.folder.mkdir(parents=True, exist_ok=True)
-                found[f"{name} {member.id}"] = member.configuration()
-            found[f"{name} zone"] = (tmp_path / name / "partners.zone").read_text()
+                configured[f"{name} {member.id}"] = member.configuration()
+            configured[f"{name} zone"] = (tmp_path / name / "partners.zone").read_text()
         finally:
             testbed.history.close()
-        for key, text in found.items():
+        for key, text in configured.items():
             text = text.replace(testbed.addresses.prefix, "PREFIX").replace(str(testbed.folder), "FOLDER")
-            found[key] = text
-    assert found == recorded("members.json")
+            configured[key] = text
+    assert configured == recorded("members.json")
 
 
 def test_couriers_of_the_model_are_configured_as_recorded():
     model = FleetModel.model_validate({"length_s": 5, "traffic": {"load": 0.5}, "couriers": {"count": 2}})
     run = PlatformRun(model, draw_scenario(model, 4))
     endpoints = PlatformStandIn(run, 1, lambda notification: None).endpoint_list()
-    found = courier_configuration(run, 1, endpoints, "STATE")
-    assert found.pop("seed")
-    first, own = (run.addresses.courier(number).partition(":")[0] for number in range(2))
-    text = json.dumps(found).replace(own + ":", "OWN:").replace(first + ":", "FIRST:")
+    configured = courier_configuration(run, 1, endpoints, "STATE")
+    assert configured.pop("seed")
+    first_host, own_host = (run.addresses.courier(number).partition(":")[0] for number in range(2))
+    text = json.dumps(configured).replace(own_host + ":", "OWN:").replace(first_host + ":", "FIRST:")
     assert json.loads(text) == recorded("courier.json")
 
 
@@ -188,12 +188,12 @@
     assert FaultEvent.from_table({"do": "heal", "why": "as a note"}).at_s == 0
 
 
-def test_a_fault_on_a_member_that_there_is_not_is_a_scenario_error(tmp_path):
+def test_a_fault_on_an_unknown_member_is_a_scenario_error(tmp_path):
     testbed = cluster.ClusterTestbed({"members": 2, "seconds": 1}, tmp_path)
     try:
         with pytest.raises(ScenarioError, match="fault kill: the scenario has no member m7"):
             asyncio.run(testbed.act({"s": 0, "do": "kill", "who": ["m7"]}))
-        asyncio.run(testbed.act({"s": 0, "do": "kill", "who": ["@leader"]}))  # nobody is known to lead
+        asyncio.run(testbed.act({"s": 0, "do": "kill", "who": ["@leader"]}))  # no effect: no leader is known
     finally:
         testbed.history.close()
 
@@ -214,12 +214,12 @@
     ],
 )
 def test_a_line_of_a_couriers_output_is_an_event(raw, event):
-    found = parse_line(raw)
-    assert found == event or (found and found["event"] == event)
+    parsed = parse_line(raw)
+    assert parsed == event or (parsed and parsed["event"] == event)
 
 
 class Receiver(asyncio.DatagramProtocol):
-    """Keeps what it receives."""
+    """Appends each datagram that it receives to a list."""
 
     def __init__(self, received):
         self.received = received
@@ -231,20 +231,20 @@
 def test_datagrams_through_the_proxy_are_passed_lost_doubled_and_cut_by_the_rules():
     prefix = "127.31.78"
     real = {"a": (f"{prefix}.10", 7946), "b": (f"{prefix}.11", 7946)}
-    fronts = {"a": (f"{prefix}.100", 7946), "b": (f"{prefix}.101", 7946)}
+    advertised = {"a": (f"{prefix}.100", 7946), "b": (f"{prefix}.101", 7946)}
     received = []
 
     async def play():
         loop = asyncio.get_running_loop()
         rules = LinkRules(real)
-        proxy = Proxy(rules, real, fronts)
+        proxy = Proxy(rules, real, advertised)
         await proxy.open()
         sender, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, real["a"])
         target, _ = await loop.create_datagram_endpoint(lambda: Receiver(received), real["b"])
         stranger, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, (f"{prefix}.12", 0))
 
         async def send(data, transport=sender):
-            transport.sendto(data, fronts["b"])
+            transport.sendto(data, advertised["b"])
             await asyncio.sleep(0.1)
 
         await send(b"passed")
