--- a/pinspread/testbed/courier_process.py
+++ b/pinspread/testbed/courier_process.py
@@ -84,13 +84,13 @@
             with anyio.move_on_after(STOP_TIMEOUT_S):
                 while self.process.poll() is None:
                     await anyio.sleep(POLL_INTERVAL_S)
-        self.kill()
+        self.kill_if_running()
         await anyio.sleep(down_ns / SECOND)
         self.start()
         await self.wait_until_ready()
 
-    def kill(self) -> None:
-        """Kill the process if it runs."""
+    def kill_if_running(self) -> None:
+        """Kill the process if it runs, and wait until it has ended."""
         if self.process is not None:
             if self.process.poll() is None:
                 self.process.kill()
--- a/pinspread/testbed/history_checker.py
+++ b/pinspread/testbed/history_checker.py
@@ -168,8 +168,8 @@
 
 
 def _ledger(replay: Replay, expectation: Expectation) -> Finding:
-    found = ledger(replay.lines)
-    return Finding(found.clean and found.acked >= expectation.get("least", 1), found.to_dict(MAX_LISTED))
+    counts = ledger(replay.lines)
+    return Finding(counts.clean and counts.acked >= expectation.get("least", 1), counts.to_dict(MAX_LISTED))
 
 
 CHECKS: Mapping[str, Check] = {
--- a/pinspread/testbed/platform.py
+++ b/pinspread/testbed/platform.py
@@ -61,7 +61,7 @@
                     await self._wait_for_finals()
                 finally:
                     for courier in self.couriers:
-                        courier.kill()
+                        courier.kill_if_running()
                 tasks.cancel_scope.cancel()
         return self._measure()
 
--- a/pinspread/testbed/traffic.py
+++ b/pinspread/testbed/traffic.py
@@ -52,6 +52,7 @@
     """The clients of all couriers, with the destination and the platform as stand-ins.
 
     Attributes:
+        rng: The source of all its random numbers.
         scope: The cancel scope of all its tasks; None until `run` is called.
     """
 
