--- a/pinspread/simulation/__init__.py
+++ b/pinspread/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A simulation of many couriers and destinations under the delivery policy; no serving process loads it."""
+"""Simulation of many couriers and destinations under the delivery policy; couriers never import it."""
--- a/pinspread/simulation/cli.py
+++ b/pinspread/simulation/cli.py
@@ -1,6 +1,6 @@
-"""The command line of the simulation and the test beds: `pinspread fleet …`, `demo` and `stage`.
+"""Command line of the simulation and the test beds: `pinspread fleet …`, `demo` and `stage`.
 
-Exit codes: 0 done, 1 a rule was broken or an expectation failed, 2 unusable input.
+Exit codes: 0 success, 1 a rule was broken or an expectation failed, 2 unusable input.
 """
 
 import typer
@@ -8,7 +8,7 @@
 from pinspread.simulation import cli_experiments, cli_loopback, cli_testbed, cli_traffic
 
 app = typer.Typer(
-    help="A model of the fleet: try settings and versions before a partner sees them.",
+    help="Simulate a fleet: try out settings and versions before they reach a partner.",
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
@@ -29,12 +29,12 @@
 demo = typer.Typer(add_completion=False, pretty_exceptions_enable=False, rich_markup_mode=None)
 demo.command(
     "play",
-    help="A real courier, three stand-in partners of which one goes down, and traffic;"
-    " prints what became of it.",
+    help="Run a real courier with traffic for three stand-in partners, one of which goes down;"
+    " print a summary of the messages' results.",
 )(cli_loopback.demo)
 
 stage = typer.Typer(
-    help="The fault stage: couriers with membership on loopback, faults between them.",
+    help="Cluster test bed: couriers with membership on loopback, and faults injected between them.",
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
--- a/pinspread/simulation/cli_common.py
+++ b/pinspread/simulation/cli_common.py
@@ -1,4 +1,4 @@
-"""What the sub-commands of the simulation share: arguments, and the exit for unusable input."""
+"""Arguments, exit codes and error handling that the sub-commands of the simulation share."""
 
 import sys
 from pathlib import Path
@@ -11,11 +11,12 @@
 
 File = Annotated[Path, typer.Argument(metavar="FILE", show_default=False)]
 Out = Annotated[
-    Path, typer.Option("--out", help="the folder for results; runs that are there are not run again")
+    Path,
+    typer.Option("--out", help="folder for results; runs whose results it already holds are not repeated"),
 ]
 
 
 def fail(error: object) -> NoReturn:
-    """Print what is wrong, a line a problem, on standard error, and exit with code 2."""
+    """Print an error, one problem per line, to standard error, and exit with code 2."""
     print(error, file=sys.stderr)
     raise typer.Exit(EXIT_UNUSABLE)
--- a/pinspread/simulation/cli_experiments.py
+++ b/pinspread/simulation/cli_experiments.py
@@ -1,4 +1,4 @@
-"""Sub-commands that check, run and compare experiments; what they need is loaded when they are called."""
+"""Sub-commands that check, run and compare experiments. Each imports what it needs when it is called."""
 
 from pathlib import Path
 from typing import Annotated
@@ -11,7 +11,7 @@
 
 
 def check(file: File) -> None:
-    """Name every problem of an experiment file with its place."""
+    """Print every problem of an experiment file with its location."""
     from pinspread.simulation.experiment import load_experiment
     from pinspread.simulation.experiment_file import ExperimentError
 
@@ -25,11 +25,11 @@
 def run(
     file: File,
     out: Out,
-    processes: Annotated[int, typer.Option(help="how many at once; 0: all cores")] = 0,
+    processes: Annotated[int, typer.Option(help="how many runs at once; 0: one per core")] = 0,
     quiet: Annotated[bool, typer.Option(help="no progress bar")] = False,
-    report: Annotated[bool, typer.Option(help="write report.md and plots too")] = True,
+    report: Annotated[bool, typer.Option(help="also write report.md and plots")] = True,
 ) -> None:
-    """Run an experiment; stop it with Ctrl-C and start it again, and it goes on where it was."""
+    """Run an experiment. After an interruption with Ctrl-C, the same command resumes it."""
     from pinspread.simulation.experiment import load_experiment
     from pinspread.simulation.experiment_file import ExperimentError
     from pinspread.simulation.report import write_report
@@ -52,17 +52,20 @@
 
 def compare(
     a: Annotated[
-        str, typer.Argument(metavar="A", help="FILE or FILE:VARIANT, of a result.json", show_default=False)
+        str,
+        typer.Argument(
+            metavar="A", help="FILE or FILE:VARIANT, where FILE is a result.json", show_default=False
+        ),
     ],
     b: Annotated[str, typer.Argument(metavar="B", show_default=False)],
-    as_json: Annotated[bool, typer.Option("--json", help="for programs")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="print JSON")] = False,
 ) -> None:
-    """Compare two variants on the same days: differences with intervals, and a plain verdict."""
+    """Compare two variants on the same days: differences with confidence intervals, and a verdict."""
     from pinspread.simulation.compare import compare_variants, format_comparison
 
-    first, second = _point_of(a), _point_of(b)
+    first, second = _load_point(a), _load_point(b)
     if first.seeds != second.seeds:
-        fail(f"{a} and {b}: the days differ: other seeds")
+        fail(f"{a} and {b}: the days differ: the seeds are {first.seeds} and {second.seeds}")
     comparison = compare_variants(first, second)
     if as_json:
         print(orjson.dumps(comparison.to_document()).decode())
@@ -70,24 +73,24 @@
         print(format_comparison(comparison))
 
 
-def _point_of(text: str) -> PointResult:
-    """The point that FILE or FILE:VARIANT names: the first one of the file, or of the variant."""
+def _load_point(text: str) -> PointResult:
+    """Return the point that FILE or FILE:VARIANT names: the first of the file, or of the variant."""
     path, _, name = text.partition(":")
     try:
         points = points_of(orjson.loads(Path(path).read_bytes()))
     except (OSError, orjson.JSONDecodeError, KeyError) as error:
         fail(f"{path}: no result of an experiment: {error}")
-    found = next((point for point in points if not name or name in (point.variant, point.label)), None)
-    if found is None:
+    named = next((point for point in points if not name or name in (point.variant, point.label)), None)
+    if named is None:
         fail(f"{path}: has no variant {name!r}; it has {', '.join(repr(point.variant) for point in points)}")
-    return found
+    return named
 
 
 def report(folder: Annotated[Path, typer.Argument(metavar="DIR", show_default=False)]) -> None:
-    """Write report.md and the plots of a folder's result again."""
+    """Write report.md and the plots again from the result.json of a folder."""
     from pinspread.simulation.report import write_report
 
     try:
         print(write_report(orjson.loads((folder / "result.json").read_bytes()), str(folder)))
     except (OSError, orjson.JSONDecodeError) as error:
-        fail(f"{folder}/result.json: {error}")
+        fail(f"{folder}/result.json cannot be read: {error}")
--- a/pinspread/simulation/cli_loopback.py
+++ b/pinspread/simulation/cli_loopback.py
@@ -1,4 +1,4 @@
-"""Sub-commands that play a day on real sockets: `fleet loopback`, and `demo`."""
+"""Sub-commands that run a scenario on real sockets: `fleet loopback`, and `demo`."""
 
 import tempfile
 from collections.abc import Iterator
@@ -19,11 +19,16 @@
 
 def loopback(
     file: File,
-    out: Annotated[Path, typer.Option("--out", help="a folder for logs, journals and accounts")],
-    seed: Annotated[int, typer.Option(help="which day")] = 1,
-    variant: Annotated[str, typer.Option(help="whose world; the couriers are this checkout's")] = "",
+    out: Annotated[Path, typer.Option("--out", help="folder for logs, journals and accounts.json")],
+    seed: Annotated[int, typer.Option(help="seed from which the day is drawn")] = 1,
+    variant: Annotated[
+        str,
+        typer.Option(
+            help="variant whose model is used; the couriers run this version of the code whatever the variant"
+        ),
+    ] = "",
 ) -> None:
-    """Play one day of an experiment on real sockets, with real couriers among stand-ins."""
+    """Run one day of an experiment on real sockets, with real couriers and stand-in destinations."""
     from pinspread.simulation.experiment import load_experiment
     from pinspread.simulation.experiment_file import ExperimentError
     from pinspread.simulation.scenario import draw_scenario
@@ -38,14 +43,16 @@
     scenario = draw_scenario(point.model, seed)
     measured = _play(point.model, scenario, out)
     (out / "accounts.json").write_bytes(orjson.dumps(measured))
-    _finish(point.model, scenario, measured)
+    _report_and_exit(point.model, scenario, measured)
 
 
 def demo(
-    seconds: Annotated[float, typer.Option(help="how long traffic comes")] = 20.0,
-    keep: Annotated[Path | None, typer.Option(help="a folder for the courier's log and journal")] = None,
+    seconds: Annotated[float, typer.Option(help="duration of the traffic")] = 20.0,
+    keep: Annotated[
+        Path | None, typer.Option(help="folder in which the courier's log and journal are kept")
+    ] = None,
 ) -> None:
-    """Play a short day with one real courier and three destinations, of which one goes down."""
+    """Run a short day with one real courier and three destinations, one of which goes down."""
     from pinspread.simulation.model import FleetModel
     from pinspread.simulation.scenario import draw_scenario
 
@@ -69,25 +76,25 @@
     )
     with tempfile.TemporaryDirectory() as folder:
         measured = _play(model, scenario, keep or Path(folder))
-    _finish(model, scenario, measured)
+    _report_and_exit(model, scenario, measured)
 
 
 def _play(model: "FleetModel", scenario: "Scenario", folder: Path) -> dict[str, Any]:
-    """Play a scenario with real couriers, whose files go to the folder; gives the measurements."""
+    """Run a scenario with real couriers, whose files go to the folder, and return the measurements."""
     from pinspread.testbed import platform
 
     return platform.play(model, scenario, folder)
 
 
-def _finish(model: "FleetModel", scenario: "Scenario", measured: dict[str, Any]) -> None:
-    """Print what was measured, and exit with 1 where a rule was broken."""
+def _report_and_exit(model: "FleetModel", scenario: "Scenario", measured: dict[str, Any]) -> None:
+    """Print a summary of the measurements; exit with 1 if a rule was broken, else with 0."""
     for line in _summary(model, scenario, measured):
         print(line)
     raise typer.Exit(EXIT_FAILED if measured["broken"] else 0)
 
 
 def _summary(model: "FleetModel", scenario: "Scenario", measured: dict[str, Any]) -> Iterator[str]:
-    """What became of the messages, in a few lines."""
+    """Yield the lines of a summary of the messages' results."""
     yield f"{'class':16} {'messages':>8} {'delivered':>9} {'p50 ms':>7} {'p99 ms':>7}"
     for index, traffic_class in enumerate(model.classes):
         latency = measured["latency"][traffic_class.name]
@@ -96,7 +103,7 @@
         yield f"{traffic_class.name:16} {messages:8} {latency['count']:9} {p50_ms:7.0f} {p99_ms:7.0f}"
     yield (
         f"{measured['delivered']} of {measured['messages']} delivered,"
-        f" {measured['in_time']} within the wanted time; {measured['branches']} calls,"
+        f" {measured['in_time']} within their latency objective; {measured['branches']} attempts,"
         f" {measured['retries']} of them retries, {measured['handshakes']} connections"
     )
     yield f"payments run twice: {measured['payments_twice']}; messages without an end: {measured['lost']}"
--- a/pinspread/simulation/cli_testbed.py
+++ b/pinspread/simulation/cli_testbed.py
@@ -1,4 +1,4 @@
-"""Sub-commands of the cluster's test bed: `pinspread stage …`."""
+"""Sub-commands of the cluster test bed: `pinspread stage …`."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from pathlib import Path
@@ -9,12 +9,13 @@
 
 from pinspread.simulation.cli_common import EXIT_FAILED, File, Out, fail
 
-SHOWN_CHARACTERS = 300  # of a verdict's details
-HIDDEN_KEYS = ("ok", "kind", "faults", "each_s")  # of a verdict; the first two are shown in front
+MAX_DETAIL_CHARACTERS = 300  # a verdict's details are cut after so many
+# Keys of a verdict that its printed details leave out; "ok" and "kind" are printed in front of them.
+HIDDEN_KEYS = ("ok", "kind", "faults", "each_s")
 
 
 def run(file: File, out: Out = Path("found/stage")) -> None:
-    """Play a scene; its history and verdicts go to OUT; exit code 1 if an expectation failed."""
+    """Run a scenario; write its history and verdicts to OUT. Exit code 1 if an expectation failed."""
     from pinspread.testbed import cluster
     from pinspread.testbed.cluster_scenario import ScenarioError, load
 
@@ -32,7 +33,7 @@
 
 
 def check(file: File) -> None:
-    """Name a scene's problem, or say that it can be played."""
+    """Check a scenario file; print its first problem, or that it has none."""
     from pinspread.testbed.cluster_scenario import ScenarioError, load
 
     try:
@@ -45,12 +46,12 @@
 def _print_verdicts(verdicts: Iterable[Mapping[str, Any]]) -> None:
     for verdict in verdicts:
         details = {key: value for key, value in verdict.items() if key not in HIDDEN_KEYS}
-        shown = orjson.dumps(details).decode()[:SHOWN_CHARACTERS]
+        shown = orjson.dumps(details).decode()[:MAX_DETAIL_CHARACTERS]
         print("ok  " if verdict["ok"] else "FAIL", verdict["kind"], shown)
 
 
 def _plot(scenario: Mapping[str, Any], folder: Path) -> None:
-    """Plot the members over time, with the faults marked, and print where the files are."""
+    """Plot the members over time with the faults marked, and print the paths of history and plot."""
     from pinspread.testbed import history_checker, plot
 
     history, picture = folder / "history.jsonl", folder / "members.png"
--- a/pinspread/simulation/cli_traffic.py
+++ b/pinspread/simulation/cli_traffic.py
@@ -1,4 +1,4 @@
-"""Sub-commands that read couriers' logs and recorded traffic."""
+"""Sub-commands that read couriers' logs and traces."""
 
 from pathlib import Path
 from typing import TYPE_CHECKING, Annotated
@@ -14,26 +14,31 @@
 
 def losses(
     folder: Annotated[Path, typer.Argument(metavar="LOGS", show_default=False)],
-    partner: Annotated[list[int] | None, typer.Option(help="second by second for this one, too")] = None,
+    partner: Annotated[
+        list[int] | None, typer.Option(help="number of a partner whose outcomes are also shown by second")
+    ] = None,
 ) -> None:
-    """Count where a day's messages went, from the logs (*.log) of all its couriers in a folder."""
+    """Count how a day's messages and attempts ended, from the logs (*.log) of all couriers in a folder."""
     from pinspread.simulation.losses import LossReport, format_report
 
     if not any(folder.glob("*.log")):
-        fail(f"{folder}: no *.log there")
+        fail(f"{folder}: the folder has no *.log file")
     print(format_report(LossReport(folder), partner or ()))
 
 
 def record(
     logs: Annotated[
-        list[Path], typer.Argument(metavar="LOG...", help="one log a courier", show_default=False)
+        list[Path], typer.Argument(metavar="LOG...", help="one log per courier", show_default=False)
     ],
-    out: Annotated[Path, typer.Option("--out", help="the trace")],
+    out: Annotated[Path, typer.Option("--out", help="trace file to write")],
     key: Annotated[
-        Path, typer.Option("--key", help="a file with the secret that hashes ids and keys, 16 bytes or more")
+        Path,
+        typer.Option(
+            "--key", help="file with the secret for hashing ids, keys and endpoints, at least 16 bytes"
+        ),
     ],
 ) -> None:
-    """Turn couriers' logs into a trace, and say what was fitted and how well it holds."""
+    """Make a trace from couriers' logs; print the fitted models and the quality of each fit."""
     from pinspread.simulation.trace import TraceError, write_trace
     from pinspread.simulation.trace_recording import record_trace
 
@@ -43,32 +48,32 @@
         write_trace(trace, str(out))
     except (OSError, TraceError) as error:
         fail(error)
-    _show(trace, out)
+    _print_summary(trace, out)
 
 
 def inspect(file: File) -> None:
-    """Check a trace and show what it holds."""
+    """Check a trace and print a summary."""
     from pinspread.simulation.trace import TraceError, read_trace
 
     try:
-        _show(read_trace(str(file)), file)
+        _print_summary(read_trace(str(file)), file)
     except TraceError as error:
         fail(error)
 
 
-def _show(trace: "Trace", path: Path) -> None:
-    """Print what a trace holds."""
+def _print_summary(trace: "Trace", path: Path) -> None:
+    """Print a summary of a trace."""
     arrivals_us = trace.arrivals.at_us
     print(
         f"{path}: {len(arrivals_us)} messages in {max(arrivals_us) / 1e6:.1f} s"
         f" from {trace.instance_count} couriers; {trace.skipped_lines} lines skipped"
     )
     for fit in trace.fits:
-        print(_describe(fit))
+        print(_describe_fit(fit))
 
 
-def _describe(fit: "DestinationFit") -> str:
-    """What was fitted to one destination, in a line."""
+def _describe_fit(fit: "DestinationFit") -> str:
+    """Describe the models fitted to one destination in a line."""
     latency, limit = fit.latency, fit.limit
     distance = "" if latency.distance is None else f" (distance {latency.distance:.3f})"
     limited = f"limit {limit.per_s:.1f} a second, holds {limit.quality}" if limit.per_s else limit.quality
--- a/pinspread/simulation/compare.py
+++ b/pinspread/simulation/compare.py
@@ -1,4 +1,4 @@
-"""Two variants on the same days: paired differences with bootstrap intervals, and a plain verdict."""
+"""Comparison of two variants on the same days: paired differences with bootstrap intervals, and a verdict."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 from pinspread.simulation.random_streams import random_stream
 from pinspread.simulation.results import PointResult, RunResult, Violation
 
-LEVEL = 0.90  # of all intervals
+CONFIDENCE_LEVEL = 0.90  # of all intervals
 RESAMPLES = 2000
-MIN_RUNS = 5  # under that no interval is honest
-RELEVANT_DIFFERENCE = 0.005  # a difference of service that someone would act on
+MIN_RUNS = 5  # a bootstrap interval from fewer runs is not reliable
+RELEVANT_DIFFERENCE = 0.005  # the smallest difference of service that someone would act on
 
 
 class VerdictWord(StrEnum):
-    """What a comparison comes to."""
+    """The outcome of a comparison."""
 
     BETTER = "better"
     WORSE = "worse"
@@ -27,14 +27,14 @@
 
 
 class Verdict(NamedTuple):
-    """What a comparison says of its second side, and why, as part of a sentence."""
+    """How the second side compares with the first, and the reason, as part of a sentence."""
 
     word: VerdictWord
     reason: str
 
 
 class Interval(NamedTuple):
-    """A mean and the ends of its interval of confidence."""
+    """A mean and the bounds of its confidence interval."""
 
     mean: float
     low: float
@@ -43,14 +43,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """A figure of a run that is compared."""
+    """A figure of a run that comparisons cover, and how to read it from the run's result."""
 
     name: str
     read: Callable[[RunResult], float]
     more_is_better: bool
 
 
-# The first is the one that verdicts are about; it counts stalled runs too.
+# Verdicts are about service. Stalled runs count in it; the other figures are
+# compared over completed runs only.
 SERVICE = Figure("service", lambda run: run.service, more_is_better=True)
 FIGURES = (
     SERVICE,
@@ -75,11 +76,11 @@
     """A figure on both sides of a comparison.
 
     Attributes:
-        figure: Which one.
+        figure: The figure that is compared.
         first_mean: Its mean over the runs of the first side.
         second_mean: The same for the second side.
-        interval: Of the mean of second minus first, run by run.
-        pairs: How many pairs of runs there were.
+        interval: Confidence interval of the mean of second minus first, paired by seed.
+        pairs: Number of pairs of runs.
         deviation: The standard deviation of these differences; 0 for a single pair.
     """
 
@@ -91,7 +92,7 @@
     deviation: float
 
     def describe(self) -> str:
-        """The difference with its interval, as part of a sentence."""
+        """Describe the difference and its interval as part of a sentence."""
         mean, low, high = self.interval
         return f"{self.figure.name} {mean:+.4f}, 90% interval {low:+.4f} to {high:+.4f}"
 
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ComparedSide:
-    """One of the two sides: its label, and its runs that broke a rule."""
+    """One side of a comparison: its label, and those of its runs that broke a rule."""
 
     label: str
     broken: list[BrokenRun]
@@ -115,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Two points on the same days; differences and the verdict are of the second against the first."""
+    """Two points compared on the same days; differences and verdict are of the second against the first."""
 
     first: ComparedSide
     second: ComparedSide
@@ -123,7 +124,7 @@
     differences: list[Difference]
 
     def to_document(self) -> dict[str, Any]:
-        """The JSON object that `pinspread fleet compare --json` prints."""
+        """Return the JSON object that `pinspread fleet compare --json` prints."""
         sides = (("a", self.first), ("b", self.second))
         return {
             **{key: side.label for key, side in sides},
@@ -153,18 +154,21 @@
     }
 
 
-def interval(values: ArrayLike, level: float = LEVEL, seed: int = 0, resamples: int = RESAMPLES) -> Interval:
-    """The mean of some values and its bootstrap interval.
+def interval(
+    values: ArrayLike, level: float = CONFIDENCE_LEVEL, seed: int = 0, resamples: int = RESAMPLES
+) -> Interval:
+    """Return the mean of some values and its bootstrap interval.
 
-    The expanded percentile interval (Hesterberg 2014, "What teachers should know about the bootstrap"): the
-    plain one is too narrow for a dozen runs, by the root of n/(n-1) and by what Student's t is wider than
-    the normal distribution. Its coverage is measured in docs/fleet.md.
+    This is the expanded percentile interval (Hesterberg 2014, "What teachers should know about the
+    bootstrap"). The plain percentile interval is too narrow for a dozen runs: by the factor sqrt(n/(n-1)),
+    and by how much wider Student's t is than the normal distribution. docs/fleet.md gives the
+    measured coverage.
 
     Args:
         values: One for each run.
-        level: The part of all such intervals that shall hold the true mean, between 0 and 1.
-        seed: Of the resampling.
-        resamples: How many resamples are drawn.
+        level: Confidence level, between 0 and 1.
+        seed: Seed of the resampling.
+        resamples: Number of resamples.
     """
     sample: NDArray[np.float64] = np.asarray(values, dtype=float)
     n, mean = len(sample), float(sample.mean())
@@ -180,7 +184,7 @@
 def measure_difference(
     figure: Figure, first: Sequence[RunResult], second: Sequence[RunResult]
 ) -> Difference | None:
-    """A figure of two sides, over runs in the same order of seeds; None where no pair of runs has it."""
+    """Compare a figure over runs in the same order of seeds; None where no pair of runs has the figure."""
     pairs = [
         (figure.read(a), figure.read(b))
         for a, b in zip(first, second, strict=True)
@@ -200,7 +204,7 @@
 
 
 def difference_verdict(difference: Difference) -> Verdict:
-    """Better, worse, or cannot tell (and how many more runs would)."""
+    """Judge a difference: better, worse, or cannot tell, with how many more runs would decide it."""
     n, (mean, low, high) = difference.pairs, difference.interval
     if mean == low == high == 0:
         return Verdict(VerdictWord.CANNOT_TELL, f"the two were the same in all {n} pairs of runs")
@@ -216,7 +220,8 @@
     if abs(mean) < RELEVANT_DIFFERENCE and half_width < RELEVANT_DIFFERENCE:
         reason = f"{difference.describe()}: if there is a difference, it is under {RELEVANT_DIFFERENCE}"
         return Verdict(VerdictWord.CANNOT_TELL, reason)
-    # The half width shrinks with the root of the runs; it must come under what is seen, or what matters.
+    # The half width shrinks with the root of the number of runs. It has to fall below the measured
+    # difference, or below the smallest relevant one if that is larger.
     detectable = max(abs(mean), RELEVANT_DIFFERENCE)
     more = max(1, int(np.ceil(n * (half_width / detectable) ** 2 - n)))
     needed = f"about {more} more pairs of runs would tell a difference of {detectable:.4f}"
@@ -226,26 +231,31 @@
 def unbroken_pairs(
     first: Sequence[RunResult], second: Sequence[RunResult]
 ) -> list[tuple[RunResult, RunResult]]:
-    """The pairs of runs on the same day of which neither broke a rule."""
+    """Return the pairs of runs on the same day in which neither run broke a rule."""
     pairs = zip(first, second, strict=True)
     return [(a, b) for a, b in pairs if not a.broken_rules and not b.broken_rules]
 
 
 def compare_points(first: Sequence[RunResult], second: Sequence[RunResult]) -> Verdict:
-    """The verdict on two sides: rules first, then service on the days on which both kept them.
+    """Judge two sides: first by broken rules, then by service on the days on which neither broke a rule.
 
-    A run that broke a rule counts as 0, and one such day among twenty moves a mean further than any bootstrap
-    of it can know. So days that differ in rules are counted, by an exact test.
+    The service of a run that broke a rule counts as 0. One such day among twenty shifts the mean by more than
+    a bootstrap interval can account for, so the days on which only one side broke a rule are compared by an
+    exact binomial test.
     """
     pairs = list(zip(first, second, strict=True))
-    lost = sum(not a.broken_rules and bool(b.broken_rules) for a, b in pairs)
-    won = sum(bool(a.broken_rules) and not b.broken_rules for a, b in pairs)
-    p_value = stats.binomtest(won, won + lost).pvalue if won + lost else 1.0
+    only_second_broke = sum(not a.broken_rules and bool(b.broken_rules) for a, b in pairs)
+    only_first_broke = sum(bool(a.broken_rules) and not b.broken_rules for a, b in pairs)
+    p_value = (
+        stats.binomtest(only_first_broke, only_first_broke + only_second_broke).pvalue
+        if only_first_broke + only_second_broke
+        else 1.0
+    )
     first_broken = sum(bool(run.broken_rules) for run in first)
     second_broken = sum(bool(run.broken_rules) for run in second)
     days = f"rules broken on {first_broken} and {second_broken} of {len(pairs)} days"
-    if p_value < 1 - LEVEL:
-        word = VerdictWord.BETTER if won > lost else VerdictWord.WORSE
+    if p_value < 1 - CONFIDENCE_LEVEL:
+        word = VerdictWord.BETTER if only_first_broke > only_second_broke else VerdictWord.WORSE
         return Verdict(word, f"{days}; chance alone would differ so with p = {p_value:.2g}")
     unbroken = unbroken_pairs(first, second)
     difference = measure_difference(SERVICE, [a for a, _ in unbroken], [b for _, b in unbroken])
@@ -263,9 +273,9 @@
     """Compare two points with the same seeds.
 
     Args:
-        first: What the second is measured against.
-        second: What the verdict is about.
-        labels: What the two are called; without them, by their variants.
+        first: The baseline.
+        second: The point that the verdict is about.
+        labels: Labels of the two; the names of their variants by default.
     """
     first_label, second_label = labels or (first.variant, second.variant)
     differences = [measure_difference(figure, first.runs, second.runs) for figure in FIGURES]
@@ -286,7 +296,7 @@
 
 
 def format_comparison(comparison: Comparison) -> str:
-    """A comparison as a Markdown table."""
+    """Format a comparison as Markdown: verdict, table of differences, runs that broke a rule."""
     first, second = comparison.first, comparison.second
     lines = [
         f"**{second.label} against {first.label}: {comparison.verdict.word}.** {comparison.verdict.reason}.",
--- a/pinspread/simulation/fit.py
+++ b/pinspread/simulation/fit.py
@@ -1,4 +1,4 @@
-"""What recorded attempts tell of each destination: latency, rate limit, outages, and how well each fit holds.
+"""Models of destinations fitted to recorded attempts: latency, rate limit and outages, with quality of fit.
 
 Times are in microseconds unless a name says otherwise.
 """
@@ -13,22 +13,23 @@
 from numpy.typing import ArrayLike, NDArray
 from scipy import stats
 
-MIN_SAMPLES = 20  # latencies under which no distribution is fitted
-MIN_FAILURES = 3  # failures in a row that make an outage, and rejections that make a limit
-LIMIT_SPAN_US = 1_000_000  # the span of time in which a limit is taken to count
-LONG_RETRY_AFTER_US = 2_500_000  # a Retry-After longer than any limit's span: the destination is closed
-JOIN_US = 5_000_000  # outages by fast errors that are closer than this are one outage
-MIN_LATENCY_MS = 0.001  # what is shorter counts as this, since logarithms are taken
-DEFAULT_SIGMA = 0.5  # of the logarithms, where too few latencies were recorded
-LILLIEFORS_1_PERCENT = 1.031  # the bound of the distance, times the root of the sample's size
-MAX_ROUGH_DISTANCE = 0.15  # up to which a distribution holds roughly
-MAX_GOOD_SPREAD = 0.3  # quartile range of the calls at a limit, over their median, up to which it holds well
-MAX_ROUGH_SPREAD = 1.0  # the same for a limit that holds roughly
+MIN_SAMPLES = 20  # no distribution is fitted to fewer latencies
+MIN_FAILURES = 3  # consecutive failures that count as an outage, and rejections that show a rate limit
+LIMIT_SPAN_US = 1_000_000  # the window over which a rate limit is assumed to count calls
+LONG_RETRY_AFTER_US = 2_500_000  # longer than any rate limit's window: the destination is closed
+MERGE_GAP_US = 5_000_000  # outages by fast errors with a shorter gap between them are merged into one
+MIN_LATENCY_MS = 0.001  # shorter latencies count as this, since their logarithms are taken
+DEFAULT_SIGMA = 0.5  # standard deviation of the logarithms where too few latencies were recorded
+LILLIEFORS_1_PERCENT = 1.031  # critical distance at the 1% level, times the root of the sample size
+MAX_ROUGH_DISTANCE = 0.15  # a fit with a smaller distance holds roughly
+# Interquartile range of the calls at a rate limit over their median, up to which it holds well or roughly.
+MAX_GOOD_SPREAD = 0.3
+MAX_ROUGH_SPREAD = 1.0
 
 SUCCESS = "OK"
 REJECTED = "FULL"
 FAILURES = ("CONNECT_FAILED", "TIMEOUT", "ERROR", "RESET")
-# The kind of fault that shows as a recorded outcome. Of several with equal counts the first is taken.
+# The kind of fault that each recorded outcome indicates. Of outcomes with equal counts the first here wins.
 FAULT_KINDS = {
     "CONNECT_FAILED": "crash",
     "TIMEOUT": "silent",
@@ -39,7 +40,7 @@
 
 
 class FitQuality(StrEnum):
-    """How well a fit holds, in the words of trace files."""
+    """How well a fit matches the recorded attempts; the values stand in trace files."""
 
     WELL = "well"
     ROUGHLY = "roughly"
@@ -49,17 +50,17 @@
 
 
 class RecordedAttempt(NamedTuple):
-    """An attempt that was recorded, in the order of a trace file's columns.
+    """A recorded attempt; its fields are in the order of a trace file's columns.
 
     Attributes:
         message: Number of its message, in order of arrival.
-        end_us: When it ended.
+        end_us: Time of its end.
         destination: Number of the destination.
         endpoint: Hash of the endpoint's name.
-        outcome: The recorded word: OK, FULL, or one of `FAILURES`, among others.
-        elapsed_us: How long it took.
-        retry_after_us: Its Retry-After; 0 where it has none.
-        idle_us: How long its connection had been idle; negative for a new one.
+        outcome: The recorded outcome: OK, FULL, one of `FAILURES`, or another.
+        elapsed_us: Its duration.
+        retry_after_us: Retry-After of its answer; 0 without one.
+        idle_us: How long its connection had been idle; negative for a new connection.
     """
 
     message: int
@@ -73,12 +74,12 @@
 
     @property
     def start_us(self) -> int:
-        """When it was sent."""
+        """Time at which it was sent."""
         return self.end_us - self.elapsed_us
 
     @property
     def failed(self) -> bool:
-        """Whether it shows that the destination is out: a failure, or a rejection for a long time."""
+        """Whether it indicates an outage: a failure, or a rejection with a long Retry-After."""
         if self.outcome == REJECTED:
             return self.retry_after_us > LONG_RETRY_AFTER_US
         return self.outcome in FAILURES
@@ -89,11 +90,11 @@
     """A log-normal distribution of latencies.
 
     Attributes:
-        count: How many latencies there were.
-        mean_ms: Their mean; 0 where there were none.
+        count: Number of latencies.
+        mean_ms: Their mean; 0 without latencies.
         sigma: Standard deviation of their natural logarithms.
         distance: Kolmogorov-Smirnov distance from the fitted distribution; None where none was fitted.
-        quality: How well it holds; TOO_FEW where none was fitted.
+        quality: Quality of the fit; TOO_FEW where none was fitted.
     """
 
     count: int
@@ -108,8 +109,8 @@
     """A rate limit.
 
     Attributes:
-        per_s: Calls a second that went through where others were rejected; 0 where no limit shows.
-        quality: How well it holds; NO_LIMIT where none shows.
+        per_s: Calls per second that succeeded while others were rejected; 0 where no limit is visible.
+        quality: Quality of the fit; NO_LIMIT where no limit is visible.
     """
 
     per_s: float
@@ -118,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """A span of time in which a destination failed."""
+    """A period in which a destination failed."""
 
     kind: str
     from_us: int
@@ -128,18 +129,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DestinationFit:
-    """What was recorded of one destination.
+    """The models fitted to one destination, and counts of what was recorded.
 
     Attributes:
         destination: Its number in the logs.
-        calls: How many attempts ended.
-        endpoints: How many endpoints were called.
-        max_in_flight: The most attempts that were in flight at once.
-        latency: Of the attempts that succeeded.
+        calls: Number of attempts that ended.
+        endpoints: Number of endpoints that were called.
+        max_in_flight: Maximum number of attempts in flight at once.
+        latency: Fit of the latencies of successful attempts.
         limit: Its rate limit.
-        retry_after_share: The share of rejections that had a Retry-After.
-        rejected: How many attempts were rejected.
-        outages: In order of time.
+        retry_after_share: Share of the rejections that carried a Retry-After.
+        rejected: Number of rejected attempts.
+        outages: Its outages, in order of time.
     """
 
     destination: int
@@ -159,8 +160,8 @@
     """Return a fit for each destination, in order of their numbers.
 
     Args:
-        destinations: Numbers of all destinations, each once or more often.
-        attempts: In order of their ends.
+        destinations: Numbers of all destinations; repetitions are ignored.
+        attempts: All attempts, in order of their ends.
     """
     by_destination: dict[int, list[RecordedAttempt]] = {number: [] for number in sorted(set(destinations))}
     for attempt in attempts:
@@ -187,13 +188,13 @@
 
 
 def fit_latency(latencies_ms: ArrayLike) -> LatencyFit:
-    """Fit a log-normal distribution, and measure how well it holds.
+    """Fit a log-normal distribution, and measure the quality of the fit.
 
-    `quality` compares the Kolmogorov-Smirnov distance with the 1% bound for fitted parameters (Lilliefors);
-    large samples of real latencies seldom meet it, so the distance itself is given too.
+    `quality` compares the Kolmogorov-Smirnov distance with the critical value at the 1% level for fitted
+    parameters (Lilliefors). Large samples of real latencies seldom pass, so the distance is returned too.
 
     Args:
-        latencies_ms: Milliseconds, [attempts].
+        latencies_ms: Latencies in milliseconds, [attempts].
     """
     sample: NDArray[np.float64] = np.asarray(latencies_ms, dtype=float)
     count = len(sample)
@@ -218,18 +219,18 @@
 
 
 def _max_in_flight(attempts: Iterable[RecordedAttempt]) -> int:
-    """The most attempts that were in flight at once."""
+    """Return the maximum number of attempts in flight at once."""
     starts = [(attempt.start_us, 1) for attempt in attempts]
     ends = [(attempt.end_us, -1) for attempt in attempts]
-    most = in_flight = 0
+    peak = in_flight = 0
     for _, change in sorted(starts + ends):
         in_flight += change
-        most = max(most, in_flight)
-    return most
+        peak = max(peak, in_flight)
+    return peak
 
 
 def _fit_limit(succeeded: Sequence[RecordedAttempt], rejected: Sequence[RecordedAttempt]) -> LimitFit:
-    """Take the calls that succeeded in the second before a rejection as the limit."""
+    """Estimate the limit as the median number of calls that succeeded in the second before a rejection."""
     limited = [attempt for attempt in rejected if 0 < attempt.retry_after_us <= LONG_RETRY_AFTER_US]
     if len(limited) < MIN_FAILURES:
         return LimitFit(0.0, FitQuality.NO_LIMIT)
@@ -251,10 +252,10 @@
 
 
 def _find_outages(attempts: Iterable[RecordedAttempt]) -> list[Outage]:
-    """Failures in a row, with no success between them; outages by fast errors are joined.
+    """Find runs of failures without a success between them; nearby outages by fast errors are merged.
 
-    Nothing tells when an outage began but that it lies between the last success and the first failure: the
-    middle is taken, and of its end likewise.
+    An outage began at an unknown time between the last success and the first failure, so the midpoint is
+    taken; its end is estimated likewise.
     """
     outages: list[Outage] = []
     failures: list[RecordedAttempt] = []
@@ -269,32 +270,32 @@
             last_success_us = attempt.end_us
     if len(failures) >= MIN_FAILURES:
         outages.append(_outage(failures, last_success_us, None))
-    return _join_outages(outages)
+    return _merge_outages(outages)
 
 
 def _outage(failures: Sequence[RecordedAttempt], before_us: int | None, after_us: int | None) -> Outage:
-    """The outage that failures in a row show, between the success before them and the one after them."""
+    """Return the outage that consecutive failures indicate, between the successes before and after them."""
     first_us, last_us = failures[0].start_us, failures[-1].end_us
     counts = Counter(attempt.outcome for attempt in failures)
     kind = FAULT_KINDS[max(FAULT_KINDS, key=lambda outcome: counts[outcome])]
-    if kind == "shut":  # the rejections tell when it opens
+    if kind == "shut":  # the Retry-After of the rejections gives the end
         last_us = after_us = max(attempt.end_us + attempt.retry_after_us for attempt in failures)
     from_us = first_us if before_us is None else min(first_us, (before_us + first_us) // 2)
     until_us = last_us if after_us is None else max(last_us, (last_us + after_us) // 2)
     return Outage(kind, max(0, from_us), until_us, len(failures))
 
 
-def _join_outages(outages: Iterable[Outage]) -> list[Outage]:
-    """Fast errors let some calls through: spans of them that lie close together are one outage."""
-    joined: list[Outage] = []
+def _merge_outages(outages: Iterable[Outage]) -> list[Outage]:
+    """Merge outages by fast errors that lie close together: some calls succeed during such an outage."""
+    merged: list[Outage] = []
     for outage in outages:
-        last = joined[-1] if joined else None
+        last = merged[-1] if merged else None
         if (
             last is not None
             and last.kind == outage.kind == "errors"
-            and outage.from_us - last.until_us < JOIN_US
+            and outage.from_us - last.until_us < MERGE_GAP_US
         ):
-            joined[-1] = Outage(last.kind, last.from_us, outage.until_us, last.failures + outage.failures)
+            merged[-1] = Outage(last.kind, last.from_us, outage.until_us, last.failures + outage.failures)
         else:
-            joined.append(outage)
-    return joined
+            merged.append(outage)
+    return merged
--- a/pinspread/simulation/losses.py
+++ b/pinspread/simulation/losses.py
@@ -1,8 +1,8 @@
-"""Where a day's messages went, counted from the logs of all its couriers: `pinspread fleet losses LOGS`.
+"""Counts from couriers' logs of how a day's messages and attempts ended: `pinspread fleet losses LOGS`.
 
-A log line is an event's JSON object, with or without the seconds at which a runner saw it in front. Times are
-microseconds of Unix time. What is counted is what the couriers logged: an answer that was lost on its way
-counts as the courier saw it. The words of the report are those of recorded logs.
+A log line is an event's JSON object; the program that ran the courier may have put in front the seconds at
+which it read the line. Times are Unix time in microseconds. Events count as the couriers logged them: an
+answer that was lost on its way counts as the outcome that the courier saw. The report uses recorded terms.
 """
 
 from collections import Counter
@@ -17,13 +17,13 @@
 
 US_PER_S = 1e6
 US_PER_MS = 1000
-UNKNOWN_DESTINATION = -1  # of an attempt whose message was not logged
-MOST_NOTES = 8  # that the report shows
+UNKNOWN_DESTINATION = -1  # destination of an attempt whose message was not logged
+MAX_NOTES = 8  # number of different notes in the report
 DELIVERED = "DELIVERED"
 
 
 class LogEvent(NamedTuple):
-    """An event in recorded words, and the courier whose log has it."""
+    """An event under its recorded names, and the courier that logged it."""
 
     courier: str
     event: dict[str, Any]
@@ -31,9 +31,9 @@
 
 @dataclass(slots=True)
 class MessageRecord:
-    """One message at one courier: when it was accepted, how its attempts ended, how it ended.
+    """One message at one courier: its acceptance, the outcomes of its attempts, and its final result.
 
-    `state` is empty, and `end_us` 0, until there is a final result.
+    `state` is empty and `end_us` is 0 until the message has a final result.
     """
 
     courier: str
@@ -47,7 +47,7 @@
     retry_after_ms: int = 0
 
     def fate(self) -> str:
-        """How it ended, and how its last attempt had ended by then."""
+        """Describe its final result, and the outcome of its last attempt by then."""
         if not self.state:
             return "open at the end"
         if self.state == DELIVERED:
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptRecord:
-    """One attempt; `idle_us`, how long its connection had been idle, is negative for a new one."""
+    """One attempt; `idle_us` is how long its connection had been idle, negative for a new connection."""
 
     end_us: int
     courier: str
@@ -85,7 +85,9 @@
 
 
 def read_events(folder: str | Path) -> list[LogEvent]:
-    """The events of all logs (*.log) of a folder, in order of time; a line that is none counts as `unread`.
+    """Return the events of all logs (*.log) of a folder in order of time.
+
+    A line that is not an event is returned as an event `unread`.
 
     Raises:
         OSError: A log cannot be read.
@@ -100,24 +102,24 @@
                 event = recorded(orjson.loads(line[start:]))
                 timed.append((event["at_us"], LogEvent(path.stem, event)))
             except (orjson.JSONDecodeError, KeyError, TypeError):
-                # The last line of a courier that was killed may be cut; what a runtime prints is no event.
+                # The last line of a courier that was killed may be truncated; a traceback is not an event.
                 timed.append((0, LogEvent(path.stem, {"event": "unread", "line": number})))
     timed.sort(key=lambda row: row[0])
     return [event for _, event in timed]
 
 
 class LossReport:
-    """The account of a day.
+    """Counts of a day's messages, attempts and health checks.
 
     Args:
-        folder: Holds the logs of all couriers.
+        folder: Folder with the logs of all couriers.
 
     Attributes:
         messages: All messages, in order of their acceptance.
         attempts: All attempts, in order of their ends.
         health_checks: All health checks, in order of their ends.
-        others: How many events of other kinds there were.
-        from_us: The time of the first event; 0 without one.
+        others: Number of events of each other kind.
+        from_us: Time of the first event; 0 without events.
     """
 
     def __init__(self, folder: str | Path):
@@ -126,12 +128,12 @@
         self.health_checks: list[HealthCheckRecord] = []
         self.others: Counter[str] = Counter()
         self.from_us = 0
-        self._by_id: dict[tuple[str, str], MessageRecord] = {}  # the latest of a courier and an id
+        self._by_id: dict[tuple[str, str], MessageRecord] = {}  # the latest message by courier and id
         for courier, event in read_events(folder):
             self._add(courier, event)
 
     def _add(self, courier: str, event: dict[str, Any]) -> None:
-        """Take the next event in order of time."""
+        """Count an event; events come in order of time."""
         kind = event["event"]
         if not self.from_us and "at_us" in event:
             self.from_us = event["at_us"]
@@ -177,15 +179,15 @@
             message.retry_after_ms = event["after_ms"]
 
     def _interval(self, at_us: int, length_s: float) -> int:
-        """The number of the interval of some length in which a time lies."""
+        """Return the number of the interval in which a time lies; all have the same length."""
         return int((at_us - self.from_us) / US_PER_S // length_s)
 
     def fates(self) -> Counter[str]:
-        """How messages ended."""
+        """Count how messages ended."""
         return Counter(message.fate() for message in self.messages)
 
     def by_interval(self, length_s: float = 5.0) -> dict[float, Counter[str]]:
-        """Fates, outcomes of attempts and health checks, and opened connections, by start in seconds."""
+        """Count fates, outcomes, health checks and opened connections, by start of interval in seconds."""
         rows: dict[int, Counter[str]] = {}
 
         def row(at_us: int) -> Counter[str]:
@@ -202,7 +204,7 @@
         return {number * length_s: rows[number] for number in sorted(rows)}
 
     def by_destination(self) -> dict[int, Counter[str]]:
-        """Fates, outcomes, rejections with a Retry-After, and how long what was not delivered was held."""
+        """Count fates, outcomes and Retry-Afters, and sum the time that undelivered messages were held."""
         rows: dict[int, Counter[str]] = {}
         for message in self.messages:
             counts = rows.setdefault(message.destination, Counter())
@@ -217,7 +219,7 @@
         return dict(sorted(rows.items()))
 
     def outcomes_at(self, destination: int, length_s: float = 1.0) -> list[tuple[float, Counter[str]]]:
-        """Outcomes of all couriers' attempts at a destination: (start in seconds, outcomes) by interval."""
+        """Count the outcomes of a destination's attempts: (start of the interval in seconds, counts)."""
         rows: dict[int, Counter[str]] = {}
         for attempt in self.attempts:
             if attempt.destination == destination:
@@ -226,14 +228,14 @@
         return [(number * length_s, rows[number]) for number in sorted(rows)]
 
     def notes(self) -> Counter[str]:
-        """What attempts without an answer noted, after their outcomes."""
+        """Count the notes of attempts that got no answer, each prefixed by the outcome."""
         return Counter(f"{attempt.outcome}: {attempt.note}" for attempt in self.attempts if attempt.note)
 
 
 def format_report(report: LossReport, destinations: Iterable[int] = ()) -> str:
-    """The account as plain text; second by second for the destinations named."""
+    """Format the counts as plain text, with the outcomes by second for the given destinations."""
     fates = ", ".join(f"{name} {count}" for name, count in report.fates().most_common())
-    notes = ", ".join(f"{name} ({count})" for name, count in report.notes().most_common(MOST_NOTES))
+    notes = ", ".join(f"{name} ({count})" for name, count in report.notes().most_common(MAX_NOTES))
     others = ", ".join(f"{name} {count}" for name, count in report.others.most_common())
     lines = [f"fates: {fates}", f"notes: {notes}", f"events: {others}"]
     lines += _format_table("by span, s", report.by_interval())
@@ -247,7 +249,7 @@
 
 
 def _format_table(title: str, rows: Mapping[Any, Counter[str]]) -> list[str]:
-    """A table of counters by name; a column with a letter for each key that any row has."""
+    """Format counters as a table: a row for each counter, a lettered column for each key."""
     names = sorted({name for row in rows.values() for name in row}, key=lambda name: (name != "taken", name))
     letters = [chr(ord("a") + number) if number < 26 else str(number) for number in range(len(names))]
     lines = [title, *(f"  {letter} = {name}" for letter, name in zip(letters, names, strict=True))]
--- a/pinspread/simulation/metrics.py
+++ b/pinspread/simulation/metrics.py
@@ -1,9 +1,10 @@
-"""Measures a run, as the operators count it. The keys of the results are those of result files, and stay.
+"""Measures a run by the operators' metrics. The keys of the results are those of result files, and stay.
 
-Service: 30% the whole run, 40% its worst 10 s, 20% the worst-served class, 10% the worst-served tenant
-within its quota. Deductions, in points of service in 100: 2.8 for all failing only after their latency
-objective, 2.4 for as much work wasted as was asked for, 2 for a new connection a message, 1.4 for a health
-check a message, 3 for a call rejected over a limit a message. A run that breaks a rule counts as 0.
+Service is a weighted sum: 30% the whole run, 40% its worst 10 s, 20% the worst-served class, 10% the
+worst-served tenant within its quota. Deductions, in percentage points of service: 2.8 if all messages fail,
+and only after their latency objective; 2.4 if as much work is wasted as was requested; 2 for one new
+connection per message; 1.4 for one health check per message; 3 for one call per message rejected over a rate
+limit. The service of a run that breaks a rule is 0.
 """
 
 from collections.abc import Mapping, Sequence
@@ -24,7 +25,7 @@
 WORST_WINDOW_S = 10
 LATE_FAILURE_PRICE = 0.028
 WASTE_PRICE = 0.024
-MAX_WASTE = 2.0  # times the work that was asked for
+MAX_WASTE = 2.0  # wasted work counts up to this multiple of the requested work
 HANDSHAKE_PRICE = 0.020
 HEALTH_CHECK_PRICE = 0.014
 REJECTION_PRICE = 0.030
@@ -36,7 +37,7 @@
 
 
 class MeasuredInstance(Protocol):
-    """What is counted of an instance."""
+    """The counters of an instance that are measured."""
 
     handshakes: int
     health_checks: int
@@ -50,7 +51,7 @@
 
 
 class MeasuredRun(Protocol):
-    """A run that is over, as `measure` reads it: a `Simulation`, or one on real sockets."""
+    """A finished run as `measure` reads it: a `Simulation`, or a run on real sockets."""
 
     model: FleetModel
     scenario: Scenario
@@ -78,9 +79,9 @@
 
 
 class MessageTable(NamedTuple):
-    """What service follows from: arrays with an element for each message.
+    """The data from which service is computed: arrays with an element for each message.
 
-    `age_ns` is the age at delivery, negative where a message was not delivered.
+    `age_ns` is the age at delivery; negative if the message was not delivered.
     """
 
     arrival_ns: NDArray[np.int64]
@@ -91,15 +92,15 @@
 
 
 def message_values(model: FleetModel, messages: MessageTable) -> tuple[NDArray[Any], NDArray[Any]]:
-    """Return what each message could earn at most, and what it earned."""
-    of_class = messages.class_index
-    weight = np.array([c.worth for c in model.classes])[of_class]
-    objective_ns = np.array([c.aim_s for c in model.classes])[of_class] * SECOND
-    least_share = np.array([c.late_share for c in model.classes])[of_class]
-    deadline_ns = np.array([c.deadline_s for c in model.classes])[of_class] * SECOND
+    """Return the maximum value and the earned value of each message."""
+    class_indices = messages.class_index
+    weight = np.array([c.worth for c in model.classes])[class_indices]
+    objective_ns = np.array([c.aim_s for c in model.classes])[class_indices] * SECOND
+    min_share = np.array([c.late_share for c in model.classes])[class_indices]
+    deadline_ns = np.array([c.deadline_s for c in model.classes])[class_indices] * SECOND
     age_ns = messages.age_ns
-    # Each further latency objective halves the value, down to the least share.
-    share = np.maximum(least_share, 0.5 ** np.maximum(0, (age_ns - objective_ns) / objective_ns))
+    # Each further latency objective that passes halves the value, down to the minimum share.
+    share = np.maximum(min_share, 0.5 ** np.maximum(0, (age_ns - objective_ns) / objective_ns))
     earned = weight * np.where((age_ns >= 0) & (age_ns <= deadline_ns), share, 0.0)
     quota_factor = np.where(messages.within_quota, 1.0, model.traffic.over_share_worth)
     return weight * quota_factor, earned * quota_factor
@@ -138,7 +139,7 @@
 def _worst_window(
     seconds: NDArray[np.int64], possible: NDArray[Any], earned: NDArray[Any], length_s: int
 ) -> float:
-    """Return the least share that was earned in any 10 s, from the first counted second on."""
+    """Return the minimum share of the value earned in any 10 s, from the first counted second on."""
     possible_by_second = np.bincount(seconds, possible, minlength=length_s)
     earned_by_second = np.bincount(seconds, earned, minlength=length_s)
     window = np.ones(min(WORST_WINDOW_S, max(1, len(possible_by_second) - FIRST_COUNTED_S)))
@@ -149,19 +150,19 @@
 
 
 def seconds_of(length_ns: int) -> int:
-    """Return how many seconds a time is, rounded up; at least 1."""
+    """Return a time in seconds, rounded up; at least 1."""
     return max(1, -(-length_ns // SECOND))
 
 
 def measure(run: MeasuredRun, violations: Mapping[str, int] | None = None) -> dict[str, Any]:
-    """Measure a run that is over.
+    """Measure a finished run.
 
     Args:
         run: The run.
-        violations: Violations by rule that others have seen, in place of the checker's count.
+        violations: Counts by rule from another source; they replace the checker's counts of these rules.
 
     Returns:
-        Plain numbers, lists and names only; equal for equal runs.
+        Measurements by key: numbers, strings and containers of them only, and equal for equal runs.
     """
     scenario = run.scenario
     delivered = run.delivered_ns >= 0
@@ -173,10 +174,10 @@
     deductions = _deductions(run)
     broken = _broken_rules(run) | dict(violations or {})
     net = max(0.0, parts["total"] - sum(deductions.values()))
-    of_class = scenario.class_index
+    class_indices = scenario.class_index
     latencies = {
-        one.name: latency_distribution(age_ns[(of_class == n) & delivered])
-        for n, one in enumerate(run.model.classes)
+        traffic_class.name: latency_distribution(age_ns[(class_indices == n) & delivered])
+        for n, traffic_class in enumerate(run.model.classes)
     }
     destinations = run.destinations.values()
     return {
@@ -195,13 +196,13 @@
         "retries": len(run.retry_times_ns),
         "busy": run.rejected,
         "unanswered": run.unanswered,
-        "handshakes": sum(one.handshakes for one in run.instances),
-        "probes": sum(one.health_checks for one in run.instances),
-        "refused": sum(one.rejected for one in destinations),
-        "refused_limit": sum(one.rejected_over_limit for one in destinations),
-        "falls": sum(len(one.collapses) for one in destinations),
+        "handshakes": sum(instance.handshakes for instance in run.instances),
+        "probes": sum(instance.health_checks for instance in run.instances),
+        "refused": sum(destination.rejected for destination in destinations),
+        "refused_limit": sum(destination.rejected_over_limit for destination in destinations),
+        "falls": sum(len(destination.collapses) for destination in destinations),
         "verdicts": {Outcome(o).name.lower(): count for o, count in sorted(run.outcomes.items())},
-        "turns": sum(one.turns for one in run.instances),
+        "turns": sum(instance.turns for instance in run.instances),
         "events": run.engine.events,
         "latency": latencies,
         "latency_all": latency_distribution(age_ns[delivered]),
@@ -214,7 +215,7 @@
 
 
 def _objective_ns(run: MeasuredRun) -> NDArray[Any]:
-    """The latency objective of each message."""
+    """Return the latency objective of each message."""
     objectives_ns: NDArray[Any] = np.array([c.aim_s for c in run.model.classes]) * SECOND
     return objectives_ns[run.scenario.class_index]
 
@@ -226,15 +227,15 @@
     end_age_ns = run.ended_ns - scenario.arrival_ns
     failed_late = failed & ((run.ended_ns < 0) | (end_age_ns > _objective_ns(run)))
     first_work_ns = scenario.work_ns[:, 0]
-    asked_ns = float(first_work_ns.sum()) or 1.0
+    requested_ns = float(first_work_ns.sum()) or 1.0
     useful_ns = float(first_work_ns[~failed].sum())
     wasted_ns = max(0.0, run.work_done_ns - useful_ns)
-    handshakes = sum(one.handshakes for one in run.instances)
-    health_checks = sum(one.health_checks for one in run.instances)
-    rejections = sum(one.rejected_over_limit for one in run.destinations.values())
+    handshakes = sum(instance.handshakes for instance in run.instances)
+    health_checks = sum(instance.health_checks for instance in run.instances)
+    rejections = sum(destination.rejected_over_limit for destination in run.destinations.values())
     return {
         "late_failures": LATE_FAILURE_PRICE * float(failed_late.sum()) / messages,
-        "waste": WASTE_PRICE * min(wasted_ns / asked_ns, MAX_WASTE),
+        "waste": WASTE_PRICE * min(wasted_ns / requested_ns, MAX_WASTE),
         "handshakes": HANDSHAKE_PRICE * handshakes / messages,
         "probes": HEALTH_CHECK_PRICE * health_checks / messages,
         "refused": REJECTION_PRICE * rejections / messages,
@@ -242,7 +243,7 @@
 
 
 def _executed_twice(run: MeasuredRun) -> int:
-    """How many messages that must take effect at most once did so more than once."""
+    """Count the messages that may take effect at most once but did so more than once."""
     once = np.array([c.effect == "once" for c in run.model.classes])[run.scenario.class_index]
     return int((run.executions[once] > 1).sum())
 
@@ -250,13 +251,13 @@
 def _broken_rules(run: MeasuredRun) -> dict[str, int]:
     broken = {rule: count for rule, count in run.checker.counts.items() if count}
     twice = _executed_twice(run)
-    if twice:  # the destinations' own count is a witness beside the checker
+    if twice:  # the destinations' own count is independent of the checker's
         broken["repeat"] = max(twice, broken.get("repeat", 0))
     return broken
 
 
 def _series(run: MeasuredRun, messages: MessageTable) -> dict[str, Any]:
-    """Sums for each second of the run; what comes after its end counts to its last second."""
+    """Return sums for each second of the run; what happens after its end counts in the last second."""
     length_s = seconds_of(run.scenario.length_ns)
 
     def by_second(times_ns: ArrayLike, weights: NDArray[Any] | None = None) -> list[float]:
--- a/pinspread/simulation/paper.py
+++ b/pinspread/simulation/paper.py
@@ -1,4 +1,4 @@
-"""The figures of the paper on retry strategies, computed again."""
+"""Recomputes the figures of the paper on retry strategies."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -9,17 +9,17 @@
 from pinspread.simulation.experiment_file import RetryPaper
 from pinspread.simulation.random_streams import random_stream
 
-PAPER_LAST_RETRY = {0.01: 35, 0.5: 5}  # most requests at once at the last retry, by randomness
+PAPER_LAST_RETRY = {0.01: 35, 0.5: 5}  # maximum of concurrent requests at the last retry, by randomness
 PAPER_CHAIN_CALLS = 81
 
 
 def retry_times(paper: RetryPaper, randomness: float, seed: int) -> NDArray[np.float64]:
-    """When each request's retries go out, in ms after its first failure: [requests, retries].
+    """Return the times of all retries in ms after the first failure of their request: [requests, retries].
 
     Args:
-        paper: Says how many there are, and how their pauses grow.
-        randomness: Each pause is stretched or cut by up to this fraction, from 0 to 1.
-        seed: Of the random numbers.
+        paper: Numbers of requests and retries, and the growth of the pauses.
+        randomness: Maximum fraction by which a pause is lengthened or shortened, from 0 to 1.
+        seed: Seed of the random numbers.
     """
     shape = (paper.requests, paper.retries)
     scale = random_stream(seed, "paper", randomness).uniform(1 - randomness, 1 + randomness, shape)
@@ -28,52 +28,52 @@
     return times
 
 
-def most_at_once(times_ms: NDArray[np.float64], step_ms: float) -> list[int]:
-    """The most requests in one step of time, for each retry.
+def max_concurrent_requests(times_ms: NDArray[np.float64], step_ms: float) -> list[int]:
+    """Return, for each retry, the maximum number of requests in one time step.
 
     Args:
-        times_ms: [requests, retries].
-        step_ms: Length of a step.
+        times_ms: Times of the retries in ms, [requests, retries].
+        step_ms: Length of a time step in ms.
     """
-    most = []
+    maxima = []
     for column in times_ms.T:
         first_step = column.min() // step_ms
         steps = (column // step_ms - first_step).astype(int)
-        most.append(int(np.bincount(steps).max()))
-    return most
+        maxima.append(int(np.bincount(steps).max()))
+    return maxima
 
 
 def chain_calls(services: int, calls: int, retry_tokens: int | None = None) -> int:
-    """Calls that the last of a chain of services sees for one request, where all of them fail.
+    """Count the calls that the last service of a chain receives for one request if all calls fail.
 
     Args:
         services: The length of the chain.
-        calls: How often each service calls the next for one call that it gets itself.
-        retry_tokens: Retries that each service may make in all; None for any number.
+        calls: Number of attempts that each service makes for each call that it receives.
+        retry_tokens: Total number of retries that each service may make; None for no limit.
     """
-    seen = 0
-    left = None if retry_tokens is None else [retry_tokens] * services
+    received = 0
+    tokens_left = None if retry_tokens is None else [retry_tokens] * services
 
     def call(depth: int) -> None:
-        nonlocal seen
+        nonlocal received
         if depth == services:
-            seen += 1
+            received += 1
             return
         for attempt in range(calls):
-            if attempt and left is not None:
-                if left[depth] < 1:
+            if attempt and tokens_left is not None:
+                if tokens_left[depth] < 1:
                     return
-                left[depth] -= 1
+                tokens_left[depth] -= 1
             call(depth + 1)
 
     call(0)
-    return seen
+    return received
 
 
 def recompute_figures(paper: RetryPaper, seeds: Sequence[int]) -> dict[str, Any]:
-    """The paper's numbers beside ours, as result.json holds them.
+    """Return the recomputed figures beside the paper's, as result.json holds them.
 
-    These are the most concurrent requests at the last retry, and the calls at the end of the chain.
+    These are the maximum of concurrent requests at the last retry, and the calls at the end of the chain.
     """
     return {
         "randomness": {
@@ -86,11 +86,13 @@
 
 
 def _last_retry_figures(paper: RetryPaper, randomness: float, seeds: Sequence[int]) -> dict[str, Any]:
-    most = np.array([most_at_once(retry_times(paper, randomness, seed), paper.step_ms) for seed in seeds])
-    last_retry = most[:, -1]
+    maxima = np.array(
+        [max_concurrent_requests(retry_times(paper, randomness, seed), paper.step_ms) for seed in seeds]
+    )
+    last_retry = maxima[:, -1]
     return {
         "last_retry_mean": float(last_retry.mean()),
         "last_retry_5_95": [float(share) for share in np.percentile(last_retry, (5, 95))],
         "paper": PAPER_LAST_RETRY.get(randomness),
-        "by_retry": [float(mean) for mean in most.mean(axis=0)],
+        "by_retry": [float(mean) for mean in maxima.mean(axis=0)],
     }
--- a/pinspread/simulation/recorded_events.py
+++ b/pinspread/simulation/recorded_events.py
@@ -1,7 +1,7 @@
-"""Log events in the words of recorded logs and traces, whichever version of the program wrote them.
+"""Conversion of log events to the names in recorded logs and traces, whichever version wrote the log.
 
-Recordings outlive names in the code: what reads them uses the recorded words, and a log of the present
-version is brought to these words here, and nowhere else.
+Recordings outlive the names of events and fields in the code. Code that reads logs therefore uses the
+recorded names, and only this module converts events of the current version to them.
 """
 
 from collections.abc import Mapping
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True)
 class RecordedForm:
-    """What recordings call an event of the log.
+    """The names of a log event and of its fields in recordings.
 
     Attributes:
         event: The event's name in recordings.
-        fields: The names of its fields in the present log, where recordings have others, and those.
+        fields: Recorded name by current name, for the fields whose names differ.
     """
 
     event: str
     fields: Mapping[str, str] = field(default_factory=dict)
 
 
-# The present names of events, and what recordings call them.
+# Recorded form by the current name of an event.
 RECORDED_EVENTS = {
     "accepted": RecordedForm(
         "taken",
@@ -55,13 +55,13 @@
     "endpoint_disabled": RecordedForm("endpoint_out", {"endpoint": "hop", "disabled": "out"}),
     "endpoint_enabled": RecordedForm("endpoint_back", {"endpoint": "hop", "disabled": "out"}),
 }
-# The present names of outcomes and endpoint states, and what recordings call them.
+# Recorded name by current name of outcomes and of endpoint states.
 RECORDED_OUTCOMES = {"OVERLOADED": "FULL", "NOT_SENT": "MOOT"}
 RECORDED_STATES = {"REMOVED": "GONE"}
 
 
 def recorded(event: Any) -> Any:
-    """Return a log event with its names as recordings have them; what is no event comes back unchanged."""
+    """Return a log event under its recorded names; a value that is not an event is returned unchanged."""
     if not isinstance(event, dict):
         return event
     form = RECORDED_EVENTS.get(str(event.get("event")))
--- a/pinspread/simulation/report.py
+++ b/pinspread/simulation/report.py
@@ -1,4 +1,4 @@
-"""One Markdown report of a result, with its plots, for a reader who does not know the experiment."""
+"""Markdown report of a result, with plots, for readers who do not know the experiment."""
 
 from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
@@ -7,15 +7,15 @@
 from pinspread.simulation.compare import compare_variants, format_comparison, interval
 from pinspread.simulation.results import PointResult, RunResult, points_of
 
-MAX_PLOTTED = 4  # points that one plot shows; of more, the first and the last are shown
+MAX_PLOTTED = 4  # points in one plot; if there are more, only the first and the last are shown
 
 
 def write_report(result: Mapping[str, Any], folder: str) -> Path:
     """Write report.md and its plots.
 
     Args:
-        result: What result.json holds.
-        folder: Where they go; it is made if it is not there.
+        result: The content of result.json.
+        folder: The folder to write to; it is created if missing.
 
     Returns:
         The path of report.md.
@@ -86,16 +86,16 @@
 
 
 def _comparison_section(points: Sequence[PointResult], point: PointResult) -> list[str]:
-    """A point against the first one, or against the first variant at the same value of the sweep."""
+    """Compare a point with the first one, or with the first variant at the same value of the sweep."""
     base = points[0]
     if point.value != base.value and point.variant != base.variant:
-        base = next(one for one in points if one.variant == base.variant and one.value == point.value)
+        base = next(other for other in points if other.variant == base.variant and other.value == point.value)
     comparison = compare_variants(base, point, (base.label, point.label))
     return [f"## {point.label}", "", format_comparison(comparison), ""]
 
 
 def _plots_section(points: Sequence[PointResult], folder: Path) -> list[str]:
-    from pinspread.simulation import plots  # which loads matplotlib
+    from pinspread.simulation import plots  # imported here since it loads matplotlib
 
     shown = points if len(points) <= MAX_PLOTTED else [points[0], points[-1]]
     titles = [
--- a/pinspread/simulation/result_files.py
+++ b/pinspread/simulation/result_files.py
@@ -1,4 +1,4 @@
-"""The written form of experiments' results: what result.json and manifest.json hold, and their bytes."""
+"""Content and encoding of the result files of experiments: result.json and manifest.json."""
 
 import hashlib
 import platform
@@ -16,12 +16,12 @@
 
 
 def canonical_json(value: Any) -> bytes:
-    """The one text of a value: sorted names, no spaces, so that equal results are equal bytes."""
+    """Encode a value with sorted keys and without spaces, so that equal results give equal bytes."""
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS | orjson.OPT_SERIALIZE_NUMPY)
 
 
 def paper_result(experiment: Experiment) -> dict[str, Any]:
-    """What result.json holds for an experiment of kind `paper`."""
+    """Return the content of result.json for an experiment of kind `paper`."""
     return {
         "format": FORMAT,
         "experiment": experiment.name,
@@ -31,11 +31,11 @@
 
 
 def days_result(experiment: Experiment, runs: Sequence[Mapping[str, Any] | None]) -> dict[str, Any]:
-    """What result.json holds for an experiment of kind `days`.
+    """Return the content of result.json for an experiment of kind `days`.
 
     Args:
-        experiment: What was run.
-        runs: The measurements of all runs, by point and then by seed.
+        experiment: The experiment that was run.
+        runs: The measurements of all runs, ordered by point and then by seed.
     """
     points = []
     for number, point in enumerate(experiment.points):
@@ -64,20 +64,20 @@
 
 
 def written_model(point: ExperimentPoint) -> dict[str, Any]:
-    """A point's model by the keys of experiment files."""
+    """Return a point's model under the keys of experiment files."""
     return point.model.model_dump(mode="json", by_alias=True, warnings=False)
 
 
 def manifest(
     experiment: Experiment, result: Mapping[str, Any], runs_done: int, took_s: float
 ) -> dict[str, Any]:
-    """What manifest.json holds.
+    """Return the content of manifest.json.
 
     Args:
-        experiment: What was run.
-        result: What result.json holds.
-        runs_done: How many runs were not there before.
-        took_s: How long all took, in seconds.
+        experiment: The experiment that was run.
+        result: The content of result.json.
+        runs_done: Number of runs that were executed now rather than read from earlier results.
+        took_s: Duration of the whole command in seconds.
     """
     settings = canonical_json(experiment.file.model_dump(mode="json", by_alias=True))
     versions = {name: version(name) for name in LIBRARIES} | {"python": platform.python_version()}
--- a/pinspread/simulation/results.py
+++ b/pinspread/simulation/results.py
@@ -1,4 +1,4 @@
-"""Results of experiments, read from result.json; its keys stand here for comparisons, reports and plots."""
+"""Typed access to result.json for comparisons, reports and plots, which do not use its keys themselves."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -13,8 +13,8 @@
 
     Attributes:
         reason: What happened.
-        at_s: When; None where the run stalled, or nothing was noted.
-        record: The same by its written names.
+        at_s: When it happened; None if the run stalled or the time was not recorded.
+        record: The violation as result.json holds it.
     """
 
     reason: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultSpan:
-    """When a fault was in force."""
+    """The kind of a fault and the time for which it was active."""
 
     kind: str
     from_s: float
@@ -33,66 +33,66 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """The measurements of one run. A run that stalled has no more than service and broken rules.
+    """The measurements of one run. A run that stalled has only its service and broken rules.
 
     Args:
-        record: The measurements by their written names.
+        record: The measurements as result.json holds them.
     """
 
     record: Record
 
     @property
     def service(self) -> float:
-        """From 0 to 1; 0 where a rule was broken."""
+        """The service, from 0 to 1; 0 if a rule was broken."""
         return float(self.record["service"])
 
     @property
     def service_without_rules(self) -> float:
-        """From 0 to 1, whether or not rules were broken."""
+        """The service, from 0 to 1, regardless of broken rules."""
         return float(self.record["service_unbroken"])
 
     @property
     def broken_rules(self) -> dict[str, int]:
-        """How often each rule was broken; rules that were kept are absent."""
+        """Number of violations by rule; rules that were not broken are absent."""
         return dict(self.record["broken"])
 
     @property
     def first_violation(self) -> Violation:
-        """The first broken rule; only for a run that broke one."""
+        """The first violation of a run that broke a rule."""
         listed = self.record.get("breaks") or [{"why": self.record.get("stuck", "")}]
         return Violation(listed[0]["why"], listed[0].get("at_s"), listed[0])
 
     @property
     def completed(self) -> bool:
-        """Whether it ran to its end, and all of the below was measured."""
+        """Whether the run did not stall; only then are the measurements below available."""
         return "parts" in self.record
 
     def service_part(self, name: str) -> float:
-        """A part of the service: `whole`, `worst_10s`, `worst_class` or `worst_team`."""
+        """Return a part of the service: `whole`, `worst_10s`, `worst_class` or `worst_team`."""
         return float(self.record["parts"][name])
 
     @property
     def deductions(self) -> dict[str, float]:
-        """What was taken off the service, by reason."""
+        """Deductions from the service, by reason."""
         return dict(self.record["deductions"])
 
     @property
     def messages(self) -> int:
-        """How many messages arrived."""
+        """Number of messages that arrived."""
         return int(self.record["messages"])
 
     @property
     def retries(self) -> int:
-        """How many attempts were retries."""
+        """Number of attempts that were retries."""
         return int(self.record["retries"])
 
     @property
     def retries_per_message(self) -> float:
-        """Retries over messages; 0 without messages."""
+        """Retries per message; a run without messages counts as if it had one."""
         return self.retries / max(1, self.messages)
 
     def latency_ms(self, percentile: int) -> float:
-        """A percentile of the time to delivery, in milliseconds; 0 where nothing was delivered."""
+        """Return a percentile of the time to delivery in milliseconds; 0 if nothing was delivered."""
         return float(self.record["latency_all"]["ms"].get(str(percentile), 0.0))
 
     @property
@@ -101,13 +101,15 @@
         return str(self.record["latency_all"]["hdr"])
 
     def per_second(self, name: str) -> list[float]:
-        """A figure by second: `asked`, `earned`, `first_tries`, `branches` or `retries`."""
+        """Return a figure by second: `asked`, `earned`, `first_tries`, `branches` or `retries`."""
         return list(self.record["series"][name])
 
     @property
     def faults(self) -> list[FaultSpan]:
         """The faults of the scenario."""
-        return [FaultSpan(one["kind"], one["at_s"], one["until_s"]) for one in self.record["troubles"]]
+        return [
+            FaultSpan(fault["kind"], fault["at_s"], fault["until_s"]) for fault in self.record["troubles"]
+        ]
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,10 +118,10 @@
 
     Attributes:
         variant: The variant's name.
-        value: The value of the sweep; None without one.
+        value: The value of the sweep; None without a sweep.
         seeds: The seed of each run.
-        runs: One for each seed, in their order.
-        world: The model of the fleet, by the keys of experiment files; empty where it was not kept.
+        runs: One run for each seed, in the order of `seeds`.
+        world: The model of the fleet under the keys of experiment files; empty if it was not stored.
     """
 
     variant: str
@@ -130,7 +132,7 @@
 
     @classmethod
     def from_record(cls, record: Record, seeds: Sequence[int]) -> "PointResult":
-        """A point of result.json, and the seeds of that file.
+        """Return a point of result.json, given the seeds of that file.
 
         Raises:
             KeyError: A key is missing.
@@ -150,12 +152,12 @@
 
     @property
     def broken_count(self) -> int:
-        """How many runs broke a rule."""
+        """Number of runs that broke a rule."""
         return sum(bool(run.broken_rules) for run in self.runs)
 
 
 def points_of(result: Record) -> list[PointResult]:
-    """The points of a result.
+    """Return the points of a result.
 
     Raises:
         KeyError: A key is missing.
--- a/pinspread/simulation/runs.py
+++ b/pinspread/simulation/runs.py
@@ -1,4 +1,4 @@
-"""Runs an experiment over all cores: resumable, and the same bytes whatever the number of processes."""
+"""Runs an experiment on all cores: resumable, and byte-identical results for any number of processes."""
 
 import hashlib
 import multiprocessing
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRun:
-    """A point and a seed, and the file that holds the measurements once they are there."""
+    """A point, a seed, and the file that holds the measurements after the run."""
 
     point: ExperimentPoint
     seed: int
     file: Path
 
     def measurements(self) -> dict[str, Any] | None:
-        """What was measured; None where the run has not finished, or its file was cut."""
+        """Return the measurements; None if the run has not finished or its file is truncated."""
         try:
             measured: dict[str, Any] = orjson.loads(self.file.read_bytes())
         except (OSError, orjson.JSONDecodeError):
@@ -44,7 +44,7 @@
 
 def run_point(point: ExperimentPoint, seed: int) -> dict[str, Any]:
     """Run a point with one seed in this process, and return its measurements."""
-    # Loaded here, as another version of the policy has to be in force before the model is.
+    # Imported here: a version of the policy has to be installed before the simulation is imported.
     from pinspread.simulation import scenario as scenarios
     from pinspread.simulation import simulate, trace_replay
     from pinspread.simulation.engine import SimulationStalledError
@@ -60,12 +60,13 @@
             simulation = simulate.Simulation(point.model, scenario, policy_seed, point.settings)
             return simulation.run()
         except SimulationStalledError as error:
-            # A policy that never stops waking itself serves nobody: the run counts, as one that broke a rule.
+            # A policy that always sets a timer due at once delivers nothing: the run counts as one that broke
+            # a rule.
             return {"service": 0.0, "service_unbroken": 0.0, "broken": {"stuck": 1}, "stuck": str(error)}
 
 
 def run_key(point: ExperimentPoint, seed: int) -> str:
-    """A hash of all that a run depends on, by which a finished one is found."""
+    """Return a hash of everything that a run depends on; results of finished runs are found by it."""
     depends_on = {
         "world": written_model(point),
         "settings": point.settings,
@@ -83,16 +84,16 @@
 def run_experiment(
     experiment: Experiment, folder: str, processes: int = 0, quiet: bool = False
 ) -> dict[str, Any]:
-    """Run what has not been run yet, and write result.json and manifest.json.
+    """Run what has no stored result yet, and write result.json and manifest.json.
 
     Args:
-        experiment: What to run.
-        folder: Where results go; runs that are there are not run again.
-        processes: How many run at once; 0 for as many as there are cores.
-        quiet: Whether to show no progress bar.
+        experiment: The experiment to run.
+        folder: The folder for results; runs whose results it already holds are not repeated.
+        processes: Number of processes; 0 for one per core.
+        quiet: Whether to hide the progress bar.
 
     Returns:
-        What result.json holds.
+        The content of result.json.
     """
     path = Path(folder)
     (path / "runs").mkdir(parents=True, exist_ok=True)
@@ -113,7 +114,7 @@
 
 
 def _write_atomically(file: Path, data: bytes) -> None:
-    """Write a file whole or not at all."""
+    """Write a file completely or not at all."""
     part = file.with_name(file.name + ".part")
     part.write_bytes(data)
     part.replace(file)
@@ -123,7 +124,7 @@
 
 
 def _plan(experiment: Experiment, folder: Path) -> list[PlannedRun]:
-    """All runs, by point and then by seed."""
+    """Return all runs, ordered by point and then by seed."""
     return [
         PlannedRun(point, seed, folder / f"{run_key(point, seed)}.json")
         for point in experiment.points
@@ -132,7 +133,7 @@
 
 
 def _run_all(missing: list[PlannedRun], processes: int, quiet: bool) -> None:
-    """Run what is missing; runs of one version of the policy share their processes."""
+    """Run the missing runs; those with the same version of the policy share a process pool."""
     by_version: dict[str, list[PlannedRun]] = {}
     for run in missing:
         by_version.setdefault(run.point.policy_digest, []).append(run)
@@ -151,13 +152,13 @@
 
 
 def _run_in_pool(runs: list[PlannedRun], processes: int, bar: tqdm) -> None:
-    """Run one version of the policy in processes of its own."""
-    spawn = multiprocessing.get_context("spawn")  # nothing of this process is loaded there yet
+    """Run the runs of one version of the policy in processes of their own."""
+    spawn = multiprocessing.get_context("spawn")  # a new process has not imported any version of the policy
     sources = runs[0].point.policy_sources
     with ProcessPoolExecutor(
         processes, mp_context=spawn, initializer=variants.install_sources, initargs=(sources,)
     ) as pool:
-        # The sources are there already, and need not be sent with each run.
+        # The initializer has installed the sources, so they are not sent again with each run.
         files = {}
         for run in runs:
             point = replace(run.point, policy_sources=None)
--- a/pinspread/simulation/trace.py
+++ b/pinspread/simulation/trace.py
@@ -1,9 +1,9 @@
-"""Trace files: recorded traffic and what was fitted to it, compressed and checked.
+"""Trace files: recorded traffic and the models fitted to it, compressed and with a checksum.
 
-A trace file is 8 bytes of magic, 2 of version, 8 of length, 32 of SHA-256 over the payload, and the payload:
-zlib over one JSON object. Names and bodies are not kept; ids, keys and endpoints are hashed with a secret
-key. This module maps the words of the file to those of the code; `trace_recording` makes traces from logs,
-and `trace_replay` turns them into scenarios.
+A trace file has 8 bytes of magic, 2 of version, 8 of payload length, 32 of SHA-256 over the payload, and the
+payload: one JSON object, compressed by zlib. Names and bodies are not kept; ids, keys and endpoints are
+hashed with a secret key. This module maps the keys of the file to the names in the code; `trace_recording`
+makes traces from logs, and `trace_replay` turns them into scenarios.
 """
 
 import hashlib
@@ -29,26 +29,26 @@
 MAGIC = b"PINTRACE"
 VERSION = 1
 HEADER = struct.Struct(">8sHQ32s")
-MAX_PAYLOAD_BYTES = 1 << 30  # unpacked: a damaged length must not fill the memory
+MAX_PAYLOAD_BYTES = 1 << 30  # decompressed; limits the memory that a damaged file can take
 
 
 class TraceError(PinspreadError, ValueError):
-    """A trace or a log that cannot be used; the text says why."""
+    """A trace or a log cannot be used; the message says why."""
 
 
 @dataclass(slots=True)
 class Arrivals:
-    """Columns with one entry a message, in order of arrival.
+    """Columns with one entry per message, in order of arrival.
 
     Attributes:
-        at_us: When it was accepted, from the start of the trace on.
-        class_index: Its class, as a place in `Trace.class_names`.
-        tenant_index: Its tenant, numbered as they came.
+        at_us: Time at which it was accepted, from the start of the trace.
+        class_index: Its class, as an index into `Trace.class_names`.
+        tenant_index: Its tenant; tenants are numbered from 0 in the order of the logs.
         destination: Number of the destination.
-        ordering_key: Its ordering key, numbered from 1 as they came; 0 for none.
+        ordering_key: Its ordering key, numbered from 1 in order of first use; 0 for none.
         size_bytes: Size of its body.
-        time_left_ms: How long before its deadline it was accepted.
-        instance: The courier that accepted it, numbered as the logs.
+        time_left_ms: Time from its acceptance to its deadline.
+        instance: The courier that accepted it, numbered in the order of the logs.
         id: Hash of its id.
     """
 
@@ -63,7 +63,7 @@
     id: list[str] = field(default_factory=list)
 
 
-# What a trace file calls the columns of `Arrivals`.
+# Key in a trace file by the name of a column of `Arrivals`.
 ARRIVAL_KEYS = {
     "at_us": "at_us",
     "class_index": "cls",
@@ -78,7 +78,7 @@
 
 
 class RecordedEndpointList(NamedTuple):
-    """An update of the endpoint list at one courier: states by hash of the endpoint's name."""
+    """An update of the endpoint list at one courier: states by the hash of the endpoint's name."""
 
     instance: int
     at_us: int
@@ -90,14 +90,14 @@
     """Recorded traffic.
 
     Attributes:
-        class_names: Names of the classes of messages, in order of their numbers.
-        tenant_count: How many tenants there were.
-        instance_count: How many couriers' logs it was made from.
+        class_names: Names of the traffic classes, in order of their numbers.
+        tenant_count: Number of tenants.
+        instance_count: Number of couriers whose logs it was made from.
         arrivals: The messages.
-        attempts: In order of their ends.
+        attempts: The attempts, in order of their ends.
         endpoint_lists: Updates of the endpoint list, in order of the logs.
-        skipped_lines: Lines of the logs that are no events.
-        fits: One for each destination, in order of their numbers.
+        skipped_lines: Number of log lines that are not events.
+        fits: One fit for each destination, in order of their numbers.
     """
 
     class_names: list[str]
@@ -125,7 +125,7 @@
     """Read a trace file.
 
     Raises:
-        TraceError: It cannot be read, is no trace, is of a later version, or is not whole.
+        TraceError: It cannot be read, is not a trace, is of a later version, or is truncated or damaged.
     """
     try:
         data = Path(path).read_bytes()
@@ -133,43 +133,47 @@
         raise TraceError(f"{path}: {error.strerror}") from None
     payload = _checked_payload(path, data)
     try:
-        return from_document(orjson.loads(_unpacked(payload)))
+        return from_document(orjson.loads(_decompress(payload)))
     except TraceError as error:
         raise TraceError(f"{path}: {error}") from None
     except (zlib.error, KeyError, TypeError, ValueError) as error:
-        raise TraceError(f"{path}: its content cannot be read: {error!r}") from None
+        raise TraceError(f"{path}: its payload cannot be decoded: {error!r}") from None
 
 
 def _checked_payload(path: str, data: bytes) -> bytes:
-    """What follows the header, once it has been checked against it."""
+    """Return the payload after checking it against the header."""
     if not data.startswith(MAGIC):
-        raise TraceError(f"{path}: this is no trace of pinspread's")
+        raise TraceError(f"{path}: no trace file: it does not begin with {MAGIC!r}")
     if len(data) < HEADER.size:
-        raise TraceError(f"{path}: cut off in its head, after {len(data)} bytes")
+        raise TraceError(f"{path}: cut off in its header: {len(data)} of {HEADER.size} bytes")
     _, version, length, digest = HEADER.unpack_from(data)
     if version > VERSION:
-        raise TraceError(f"{path}: version {version}; this program reads up to {VERSION}")
+        raise TraceError(
+            f"{path}: trace version {version} is not supported; this program reads versions up to {VERSION}"
+        )
     payload = data[HEADER.size :]
     if len(payload) != length:
-        raise TraceError(f"{path}: holds {len(payload)} bytes of {length}: cut off, or added to")
+        raise TraceError(
+            f"{path}: truncated or extended: the payload has {len(payload)} bytes, its header says {length}"
+        )
     if hashlib.sha256(payload).digest() != digest:
-        raise TraceError(f"{path}: damaged: its checksum does not fit")
+        raise TraceError(f"{path}: damaged: the SHA-256 of the payload does not match the header")
     return payload
 
 
-def _unpacked(payload: bytes) -> bytes:
-    unpacker = zlib.decompressobj()
-    text = unpacker.decompress(payload, MAX_PAYLOAD_BYTES)
-    if unpacker.unconsumed_tail:
-        raise TraceError(f"over {MAX_PAYLOAD_BYTES} bytes when unpacked")
+def _decompress(payload: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
+    text = decompressor.decompress(payload, MAX_PAYLOAD_BYTES)
+    if decompressor.unconsumed_tail:
+        raise TraceError(f"the decompressed payload has more than {MAX_PAYLOAD_BYTES} bytes")
     return text
 
 
-# --- the words of the file ------------------------------------------------------------------------
+# --- the keys of the file -------------------------------------------------------------------------
 
 
 def to_document(trace: Trace) -> dict[str, Any]:
-    """The JSON object of a trace."""
+    """Return the JSON object of a trace."""
     arrivals = {key: getattr(trace.arrivals, name) for name, key in ARRIVAL_KEYS.items()}
     return {
         "classes": trace.class_names,
@@ -184,17 +188,17 @@
 
 
 def from_document(document: Mapping[str, Any]) -> Trace:
-    """The trace that a JSON object describes.
+    """Return the trace that a JSON object describes.
 
     Raises:
-        TraceError: The columns of the arrivals are not of one length.
+        TraceError: The columns of the arrivals differ in length, or the fits are not a list.
         KeyError: A key is missing.
-        TypeError: A value has another type than it should.
-        ValueError: A word for the quality of a fit is unknown.
+        TypeError: A value has an unexpected type.
+        ValueError: The quality of a fit is unknown.
     """
     columns = {name: document["arrivals"][key] for name, key in ARRIVAL_KEYS.items()}
     if len({len(column) for column in columns.values()}) != 1 or not isinstance(document["fits"], list):
-        raise TraceError("its columns are not of one length")
+        raise TraceError("the columns of its arrivals differ in length, or its fits are not a list")
     return Trace(
         class_names=document["classes"],
         tenant_count=document["teams"],
--- a/pinspread/simulation/trace_recording.py
+++ b/pinspread/simulation/trace_recording.py
@@ -1,4 +1,4 @@
-"""Traces from couriers' logs."""
+"""Makes traces from couriers' logs."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Hasher:
-    """Hashes words with a secret key, to 16 hexadecimal digits.
+    """Hashes names with a secret key, to 16 hexadecimal digits.
 
     Args:
         key: The secret, of at least `MIN_KEY_BYTES` bytes.
@@ -25,18 +25,18 @@
 
     def __init__(self, key: bytes):
         if len(key) < MIN_KEY_BYTES:
-            raise TraceError(f"the secret key has {len(key)} bytes; it needs {MIN_KEY_BYTES}")
+            raise TraceError(f"the secret key has {len(key)} bytes; it needs at least {MIN_KEY_BYTES}")
         self._key = key
 
-    def __call__(self, word: object) -> str:
-        """Return the hash of a word, or of what else has a text."""
+    def __call__(self, value: object) -> str:
+        """Return the hash of a value's text."""
         code = hmac.HMAC(self._key, hashes.SHA256())
-        code.update(str(word).encode())
+        code.update(str(value).encode())
         return code.finalize()[:8].hex()
 
 
 class _Acceptance(NamedTuple):
-    """A message as its courier's log has it: its time absolute, its ordering key hashed (empty for none)."""
+    """A message as logged at its acceptance: `at_us` is Unix time; the ordering key is hashed, or empty."""
 
     at_us: int
     class_index: int
@@ -60,11 +60,11 @@
         self.attempts: list[RecordedAttempt] = []
         self.endpoint_lists: list[RecordedEndpointList] = []
         self.skipped_lines = 0
-        self.without_deadline = 0  # messages of a version that did not log it
-        self._number_of: dict[tuple[int, str], int] = {}  # of a message, by courier and id
+        self.without_deadline = 0  # messages logged by a version that did not log the deadline
+        self._number_of: dict[tuple[int, str], int] = {}  # number of a message, by courier and id
 
     def read(self, instance: int, lines: Sequence[bytes]) -> None:
-        """Read one courier's log; lines that are no events are counted and skipped."""
+        """Read one courier's log; lines that are not events are counted and skipped."""
         for line in lines:
             try:
                 self._read_event(instance, recorded(orjson.loads(line)))
@@ -121,28 +121,32 @@
     """Make a trace from couriers' logs.
 
     Args:
-        logs: The name and the lines of each log, one log a courier.
-        key: The secret with which ids, ordering keys and endpoints are hashed.
+        logs: The name and the lines of each log, one log per courier.
+        key: The secret key for hashing ids, ordering keys and endpoints.
 
     Raises:
-        TraceError: The key is too short, or the logs hold no message that can be used.
+        TraceError: The key is too short, or the logs contain no usable message.
     """
     reader = _LogReader(Hasher(key))
     for instance, (_, lines) in enumerate(logs):
         reader.read(instance, lines)
     if not reader.acceptances:
-        too_old = reader.without_deadline
-        more = f"; {too_old} messages are from a version that logs too little" if too_old else ""
-        raise TraceError(f"no message was taken on in these logs{more}")
+        unusable_count = reader.without_deadline
+        detail = (
+            f"; {unusable_count} messages were logged by a version that did not log deadlines"
+            if unusable_count
+            else ""
+        )
+        raise TraceError(f"no message was accepted in these logs{detail}")
     return _trace_of(reader, len(logs))
 
 
 def _trace_of(reader: _LogReader, instance_count: int) -> Trace:
-    """The trace of all logs: messages in order of arrival, times from the first one on."""
+    """Return the trace of all logs: messages in order of arrival, times from the first arrival on."""
     acceptances = reader.acceptances
     start_us = min(acceptance.at_us for acceptance in acceptances)
     order = sorted(range(len(acceptances)), key=lambda number: acceptances[number].at_us)
-    number_in_trace = {number: place for place, number in enumerate(order)}
+    number_in_trace = {number: index for index, number in enumerate(order)}
     attempts = [
         attempt._replace(message=number_in_trace[attempt.message], end_us=attempt.end_us - start_us)
         for attempt in reader.attempts
@@ -162,7 +166,7 @@
 
 
 def _arrivals(acceptances: Sequence[_Acceptance], start_us: int) -> Arrivals:
-    """The columns of messages in order of arrival, their ordering keys numbered."""
+    """Return the columns of messages, given in order of arrival; number their ordering keys."""
     numbers: dict[str, int] = {"": 0}
     arrivals = Arrivals()
     for acceptance in acceptances:
--- a/pinspread/simulation/trace_replay.py
+++ b/pinspread/simulation/trace_replay.py
@@ -1,4 +1,4 @@
-"""Scenarios from traces: recorded arrivals, and destinations as they were fitted."""
+"""Makes scenarios from traces: recorded arrivals, and destinations with the fitted models."""
 
 import math
 from collections.abc import Sequence
@@ -22,63 +22,69 @@
 
 MS_PER_S = 1000
 NS_PER_US = 1000
-AFTER_LAST_NS = 2 * SECOND  # how long a scenario lasts after its last arrival
-MIN_WORK_FACTOR = 0.05  # of a destination, times the work of its messages' classes
-# How far above the recorded use the fitted capacities lie: what was not used at its most left no trace.
+AFTER_LAST_NS = 2 * SECOND  # time from the last arrival to the end of the scenario
+MIN_WORK_FACTOR = 0.05  # smallest work of a destination, relative to the work of its messages' classes
+# Factors from recorded usage to capacity: a trace shows only as much of a capacity as was used.
 CORES_HEADROOM = 1.5
 SLOTS_HEADROOM = 2.2
-HELD_S = 9  # seconds of an instance's full load that it may hold
-QUEUE_S = 2  # seconds of an endpoint's capacity that its queue holds
+HELD_S = 9  # an instance may hold the messages of so many seconds at its full load
+QUEUE_S = 2  # an endpoint's queue holds the calls of so many seconds at its capacity
 
 
 def replay_trace(path: str, model: FleetModel, seed: int) -> Scenario:
-    """A scenario with a trace's arrivals, and destinations as they were fitted.
+    """Return a scenario with a trace's arrivals and the fitted destinations.
 
     Args:
         path: The trace file.
-        model: Says what a trace does not: classes, tenants, network, clients.
-        seed: Draws what was not recorded, as the work of each message.
+        model: Supplies what a trace does not record: classes, tenants, network, clients.
+        seed: Seed for drawing what was not recorded, such as the work of each message.
 
     Raises:
-        TraceError: The trace cannot be read, or has a class that the model does not know.
+        TraceError: The trace cannot be read, or has a class that the model lacks.
     """
     trace = read_trace(path)
     return _Replay(path, trace, model, seed).scenario()
 
 
-def _bounds(figure: Any) -> tuple[float, float]:
-    """The ends of a range of the model; once it is checked it is a pair, whatever the file gave."""
-    low, high = figure
+def _bounds(value: Any) -> tuple[float, float]:
+    """Return the bounds of a range of the model; validation makes it a pair whatever the file held."""
+    low, high = value
     return low, high
 
 
 class _Replay:
-    """One trace on its way to a scenario. Destinations are numbered anew, from 1 on."""
+    """Converts one trace to a scenario. Destinations are renumbered from 1."""
 
     def __init__(self, path: str, trace: Trace, model: FleetModel, seed: int):
         self.trace = trace
         self.model = model
         self.seed = seed
-        self.numbers = {number: n for n, number in enumerate(sorted(set(trace.arrivals.destination)), 1)}
+        self.destination_numbers = {
+            number: n for n, number in enumerate(sorted(set(trace.arrivals.destination)), 1)
+        }
         self.class_index = self._class_index(path)
         self.arrival_ns: NDArray[np.int64] = np.array(trace.arrivals.at_us, dtype=np.int64) * NS_PER_US
         self.destination: NDArray[np.int32] = np.array(
-            [self.numbers[number] for number in trace.arrivals.destination], dtype=np.int32
+            [self.destination_numbers[number] for number in trace.arrivals.destination], dtype=np.int32
         )
         self.length_ns = int(self.arrival_ns.max()) + AFTER_LAST_NS
-        self.work_s = np.array([sum(_bounds(one.work_ms)) / (2 * MS_PER_S) for one in model.classes])
+        self.work_s = np.array(
+            [sum(_bounds(traffic_class.work_ms)) / (2 * MS_PER_S) for traffic_class in model.classes]
+        )
 
     def _class_index(self, path: str) -> NDArray[np.int16]:
-        """Each message's class, as a place in the model's list."""
-        names = [one.name for one in self.model.classes]
+        """Return each message's class, as an index into the model's classes."""
+        names = [traffic_class.name for traffic_class in self.model.classes]
         for name in self.trace.class_names:
             if name not in names:
-                raise TraceError(f"{path}: has messages of class {name!r}, which the world does not know")
-        places = [names.index(name) for name in self.trace.class_names]
-        return np.array([places[one] for one in self.trace.arrivals.class_index], dtype=np.int16)
+                raise TraceError(f"{path}: has messages of class {name!r}; the model has only {names}")
+        indices = [names.index(name) for name in self.trace.class_names]
+        return np.array(
+            [indices[class_number] for class_number in self.trace.arrivals.class_index], dtype=np.int16
+        )
 
     def scenario(self) -> Scenario:
-        """The whole scenario."""
+        """Return the scenario."""
         arrivals, model, seed = self.trace.arrivals, self.model, self.seed
         count = len(self.arrival_ns)
         instance_count = max(1, self.trace.instance_count)
@@ -109,9 +115,11 @@
         )
 
     def _mean_work_ns(self) -> NDArray[np.float64]:
-        """The mean work of each message, drawn from the range of its class."""
+        """Draw the mean work of each message from the range of its class."""
         shortest, longest = (
-            np.array([_bounds(one.work_ms)[end] for one in self.model.classes])[self.class_index]
+            np.array([_bounds(traffic_class.work_ms)[end] for traffic_class in self.model.classes])[
+                self.class_index
+            ]
             for end in (0, 1)
         )
         draws = random_stream(self.seed, "messages").random(len(self.arrival_ns))
@@ -119,21 +127,21 @@
         return drawn
 
     def _work_ns(self, mean_ns: NDArray[np.float64]) -> NDArray[np.int64]:
-        """Work of each attempt, spread as its destination's latency: [messages, ATTEMPT_DRAWS]."""
+        """Draw the work of each attempt, spread like its destination's latency: [messages, ATTEMPT_DRAWS]."""
         sigma_of = {
-            self.numbers[fit.destination]: (
+            self.destination_numbers[fit.destination]: (
                 fit.latency.sigma if fit.latency.count else self.model.partners.work_spread
             )
             for fit in self.trace.fits
         }
         sigma = np.array([sigma_of[int(number)] for number in self.destination])[:, None]
         draws = random_stream(self.seed, "work").standard_normal((len(mean_ns), ATTEMPT_DRAWS))
-        factor = np.exp(draws * sigma - sigma**2 / 2)  # of mean 1
+        factor = np.exp(draws * sigma - sigma**2 / 2)  # has mean 1
         work: NDArray[np.int64] = (mean_ns[:, None] * factor).astype(np.int64) + 1
         return work
 
     def _instance_share(self) -> NDArray[np.float64]:
-        """Each instance's share of the messages, the recorded ones folded onto the model's count."""
+        """Return each instance's share of the messages; recorded couriers are mapped to them by modulo."""
         count = self.model.couriers.count
         instances = np.array(self.trace.arrivals.instance) % count
         messages = np.bincount(instances, minlength=count) + 1e-9
@@ -141,8 +149,8 @@
         return share
 
     def _destination_spec(self, fit: DestinationFit) -> DestinationSpec:
-        """A destination whose latency, capacity and limit are as fitted."""
-        number = self.numbers[fit.destination]
+        """Return a destination with the fitted latency, capacity and limit."""
+        number = self.destination_numbers[fit.destination]
         work_factor = self._work_factor(fit, number)
         endpoints = max(1, fit.endpoints)
         cores_needed = math.ceil(fit.max_in_flight * CORES_HEADROOM / endpoints)
@@ -167,19 +175,19 @@
         return spec
 
     def _work_factor(self, fit: DestinationFit, number: int) -> float:
-        """How long a destination works on a message, times the mean work of its class."""
+        """Return the work of a destination on a message, relative to the mean work of its class."""
         latency = fit.latency
         mean_s = latency.mean_ms / MS_PER_S if latency.count else float(self.work_s.mean())
         network_s = 2 * sum(_bounds(self.model.network.delay_ms)) / (2 * MS_PER_S)
         return max(MIN_WORK_FACTOR, (mean_s - network_s) / self._usual_work_s(number))
 
     def _usual_work_s(self, number: int) -> float:
-        """The mean work of a destination's messages where the work factor is 1."""
-        mine = self.class_index[self.destination == number]
-        return float(self.work_s[mine].mean()) if len(mine) else float(self.work_s.mean())
+        """Return the mean work in seconds of a destination's messages at a work factor of 1."""
+        class_indices = self.class_index[self.destination == number]
+        return float(self.work_s[class_indices].mean()) if len(class_indices) else float(self.work_s.mean())
 
     def _faults(self, fit: DestinationFit) -> Sequence[ScheduledFault]:
-        number = self.numbers[fit.destination]
+        number = self.destination_numbers[fit.destination]
         return [
             ScheduledFault(
                 outage.kind, outage.from_us * NS_PER_US, outage.until_us * NS_PER_US, 1.0, [number]
