--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""The account of a day from its couriers' logs."""
+"""Counts of messages and attempts from couriers' logs, and the conversion of log events to recorded names."""
 
 import orjson
 import pytest
@@ -13,25 +13,26 @@
 pytestmark = pytest.mark.anyio
 
 
-BRANCH = '"event":"branch","id":"x","hop":"h","took_us":5'
-ONE = """0.1 {"at_us":1,"event":"taken","id":"x","cls":"a","dest":1,"for_ms":900}
+ATTEMPT = '"event":"branch","id":"x","hop":"h","took_us":5'
+FIRST_LOG = """0.1 {"at_us":1,"event":"taken","id":"x","cls":"a","dest":1,"for_ms":900}
 0.1 {"at_us":2,%s,"verdict":"FULL","note":"","idle_us":-1,"wait_us":9}
 {"at_us":3,%s,"verdict":"OK","note":"","idle_us":4,"wait_us":0}
 {"at_us":3,"event":"final","id":"x","state":"DELIVERED","after_ms":0}
 Traceback (most recent call last):
 """
-OTHER = """{"at_us":2,"event":"taken","id":"x","cls":"a","dest":1,"for_ms":900}
+SECOND_LOG = """{"at_us":2,"event":"taken","id":"x","cls":"a","dest":1,"for_ms":900}
 {"at_us":6000000,"event":"final","id":"x","state":"RETURNED","after_ms":0}
 {"at_us":7,"event":"bra"""
 
 
 def test_outcomes_and_destinations_are_counted_over_all_couriers_and_other_lines_are_skipped(tmp_path):
     assert CliRunner().invoke(cli.app, ["losses", str(tmp_path)]).exit_code == 2
-    (tmp_path / "n0.log").write_text(ONE % (BRANCH, BRANCH))
-    (tmp_path / "n1.log").write_text(OTHER)  # the same id at another courier, which was killed as it wrote
-    found = losses.LossReport(tmp_path)
-    assert found.fates() == {"DELIVERED": 1, "RETURNED never called": 1} and found.others["unread"] == 2
-    row = found.by_destination()[1]
+    (tmp_path / "n0.log").write_text(FIRST_LOG % (ATTEMPT, ATTEMPT))
+    # The same id at another courier, which was killed while it wrote a line.
+    (tmp_path / "n1.log").write_text(SECOND_LOG)
+    report = losses.LossReport(tmp_path)
+    assert report.fates() == {"DELIVERED": 1, "RETURNED never called": 1} and report.others["unread"] == 2
+    row = report.by_destination()[1]
     assert (row["taken"], row["branch FULL"], row["told"], row["opened"], row["held_ms"]) == (
         2,
         1,
@@ -39,11 +40,11 @@
         1,
         5999,
     )
-    shown = CliRunner().invoke(cli.app, ["losses", str(tmp_path), "--partner", "1"])
-    assert shown.exit_code == 0 and "FULL 1 OK 1" in shown.output
+    printed = CliRunner().invoke(cli.app, ["losses", str(tmp_path), "--partner", "1"])
+    assert printed.exit_code == 0 and "FULL 1 OK 1" in printed.output
 
 
-# Each event of the engine with all its fields: in the words of recordings, and as the present log has it.
+# Each event of the engine with all its fields: under the recorded names, and under those of the current log.
 EVENTS = [
     (
         {
@@ -119,7 +120,7 @@
 
 
 @pytest.mark.parametrize(("old", "present"), EVENTS)
-def test_present_log_events_read_like_recorded_ones_which_stay_as_they_are(old, present):
+def test_current_log_events_get_their_recorded_names_and_recorded_events_stay_unchanged(old, present):
     assert list(recorded({"at_us": 1} | present).items()) == list(({"at_us": 1} | old).items())
     assert recorded({"at_us": 1} | old) == {"at_us": 1} | old
 
@@ -133,9 +134,9 @@
         assert await Client(courier.address).enqueue() == "+OK\r\n"
         await wait_until(lambda: not courier.engine.messages_by_id)
     lines = [orjson.loads(line) for line in capfd.readouterr().out.splitlines()]
-    seen = {event["event"]: list(event)[1:] for event in map(recorded, lines)}
+    logged_fields = {event["event"]: list(event)[1:] for event in map(recorded, lines)}
     expected = {old["event"]: list(old) for old, _ in EVENTS}
-    assert {kind: seen.get(kind) for kind in ("taken", "branch", "final", "recovered")} == {
+    assert {kind: logged_fields.get(kind) for kind in ("taken", "branch", "final", "recovered")} == {
         kind: expected[kind] for kind in ("taken", "branch", "final", "recovered")
     }
 
@@ -148,6 +149,6 @@
         "seq": 2,
         "endpoints": {"s-1": "REMOVED"},
     }
-    found = {"at_us": 1, "event": "list", "scope": "DELTA", "seq": 2, "hops": {"s-1": "GONE"}}
-    assert recorded(dict(logged)) == found
-    assert recorded(dict(found)) == found  # a log of an earlier version
+    recorded_form = {"at_us": 1, "event": "list", "scope": "DELTA", "seq": 2, "hops": {"s-1": "GONE"}}
+    assert recorded(dict(logged)) == recorded_form
+    assert recorded(dict(recorded_form)) == recorded_form  # a log of an earlier version
--- a/tests/test_simulation_command_line.py
+++ b/tests/test_simulation_command_line.py
@@ -1,4 +1,4 @@
-"""The command line of the simulation: its report, its messages and its exit codes."""
+"""The command line of the simulation: report, messages and exit codes."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 
 
 def test_the_smoke_experiment_leaves_a_report_with_its_plots(tmp_path):
-    call = [
+    command = [
         sys.executable,
         "-m",
         "pinspread",
@@ -18,8 +18,8 @@
         "--out",
         tmp_path,
     ]
-    done = subprocess.run(call, capture_output=True, text=True, cwd=ROOT)
-    assert done.returncode == 0, done.stderr
+    completed = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
+    assert completed.returncode == 0, completed.stderr
     report = (tmp_path / "report.md").read_text()
     assert "no jitter against as is" in report
     for name in ("time", "latency", "retries", "variants"):
@@ -40,7 +40,7 @@
     ],
 )
 def test_the_command_line_says_what_is_wrong_and_exits_as_stated(words, code, said):
-    call = [sys.executable, "-m", "pinspread", *words]
-    done = subprocess.run(call, capture_output=True, text=True, cwd=ROOT)
-    assert done.returncode == code and said in done.stdout + done.stderr
-    assert "Traceback" not in done.stderr
+    command = [sys.executable, "-m", "pinspread", *words]
+    completed = subprocess.run(command, capture_output=True, text=True, cwd=ROOT)
+    assert completed.returncode == code and said in completed.stdout + completed.stderr
+    assert "Traceback" not in completed.stderr
--- a/tests/test_simulation_traces.py
+++ b/tests/test_simulation_traces.py
@@ -1,4 +1,4 @@
-"""Traces: recorded from logs without names, played by the simulation, and refused when damaged."""
+"""Traces: made from logs without any names, replayed by the simulation, and rejected when damaged."""
 
 import orjson
 import pytest
@@ -28,20 +28,20 @@
 
 
 def test_a_log_becomes_a_trace_that_can_be_played_and_holds_no_names(tmp_path):
-    found = record_trace([("a", [*log_lines(), b"not json", b"{}"])], KEY)
-    write_trace(found, str(tmp_path / "t"))
-    back = read_trace(str(tmp_path / "t"))
-    assert back == found and back.skipped_lines == 2
-    text = orjson.dumps(to_document(back))
+    recorded = record_trace([("a", [*log_lines(), b"not json", b"{}"])], KEY)
+    write_trace(recorded, str(tmp_path / "t"))
+    restored = read_trace(str(tmp_path / "t"))
+    assert restored == recorded and restored.skipped_lines == 2
+    text = orjson.dumps(to_document(restored))
     assert b"north-circuit" not in text and b"id7" not in text and b"s-1" not in text
     other = record_trace([("a", log_lines())], KEY + b"!")
-    assert other.arrivals.id != found.arrivals.id
-    played = Simulation(world(), replay_trace(str(tmp_path / "t"), world(), 1)).run()
-    assert played["messages"] == 60 and played["delivered"] == 60
-    assert played["latency_all"]["ms"]["50"] == pytest.approx(125, rel=0.5)
+    assert other.arrivals.id != recorded.arrivals.id
+    replayed = Simulation(world(), replay_trace(str(tmp_path / "t"), world(), 1)).run()
+    assert replayed["messages"] == 60 and replayed["delivered"] == 60
+    assert replayed["latency_all"]["ms"]["50"] == pytest.approx(125, rel=0.5)
 
 
-def test_a_run_is_not_found_again_by_its_traces_name_when_what_is_in_it_has_changed(tmp_path):
+def test_the_key_of_a_run_depends_on_the_content_of_its_trace(tmp_path):
     keys = []
     for count in (20, 30):
         write_trace(record_trace([("a", log_lines(count))], KEY), str(tmp_path / "t"))
@@ -61,13 +61,17 @@
 @given(st.data())
 def test_a_damaged_or_cut_trace_is_refused_with_a_reason(written, data):
     whole = written.read_bytes()
-    where = data.draw(st.integers(0, len(whole) - 1))
+    position = data.draw(st.integers(0, len(whole) - 1))
     if data.draw(st.booleans()):
-        spoilt = whole[:where]
+        damaged = whole[:position]
     else:
-        spoilt = whole[:where] + bytes([whole[where] ^ data.draw(st.integers(1, 255))]) + whole[where + 1 :]
+        damaged = (
+            whole[:position]
+            + bytes([whole[position] ^ data.draw(st.integers(1, 255))])
+            + whole[position + 1 :]
+        )
     file = written.with_name("spoilt")
-    file.write_bytes(spoilt)
+    file.write_bytes(damaged)
     with pytest.raises(TraceError) as caught:
         read_trace(str(file))
     assert "spoilt" in str(caught.value)
