--- a/benchmarks/decisions/__init__.py
+++ b/benchmarks/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Recordings of what the policy decides: the streams that are recorded, and what writes them."""
+"""Records the policy's decisions: generators of event streams, and the writer of the recordings."""
--- a/benchmarks/decisions/fleets.py
+++ b/benchmarks/decisions/fleets.py
@@ -1,7 +1,7 @@
-"""Streams out of the model of the fleet: single policies of simulated days.
+"""Streams of single policies recorded from simulated days of a fleet.
 
-The model's couriers are given in addition what it lacks: answers to polls of the endpoint list, load reports,
-and the mark of messages recovered by a restart.
+Events that the model lacks are added for the recorded couriers: answers to polls of the endpoint list, load
+reports, and the flag of messages recovered by a restart.
 """
 
 import random
@@ -20,15 +20,15 @@
 
 
 class RecordedCourier:
-    """Stands where a courier's policy stands, and adds to the events what the model lacks."""
+    """Replaces a courier's policy: adds what the model lacks to its events, and records it."""
 
     def __init__(self, fleet, courier, recorder, start):
         self.fleet, self.courier, self.recorder, self.start = fleet, courier, recorder, start
-        self.chance = random.Random(courier * 100 + start)
+        self.rng = random.Random(courier * 100 + start)
         self.is_first_turn = True
 
     def handle(self, now_ns, events):
-        """Complete a turn's events and hand them to the recorded policy; its actions."""
+        """Complete a turn's events, pass them to the recorded policy, and return its actions."""
         for event in events:
             if isinstance(event, MessageAccepted) and self.is_first_turn and self.start:
                 event.recovered = True
@@ -37,8 +37,8 @@
                 event.limit_per_s = float(
                     self.fleet.endpoints[event.endpoint].destination.spec.capacity_per_s
                 )
-                full = event.outcome is Outcome.OVERLOADED
-                event.limit_remaining = 0.0 if full else round(self.chance.random(), 3)
+                overloaded = event.outcome is Outcome.OVERLOADED
+                event.limit_remaining = 0.0 if overloaded else round(self.rng.random(), 3)
         self.is_first_turn = False
         actions = self.recorder.handle(now_ns, events)
         if any(isinstance(action, Subscribe) for action in actions):
@@ -47,18 +47,18 @@
         return actions
 
     def answer_poll(self, incarnation):
-        """Discovery answers a poll, unless the courier that polled has ended."""
+        """Answer a poll of the endpoint list, unless the courier that polled has stopped."""
         courier = self.fleet.instances[self.courier]
         if courier.incarnation != incarnation or not courier.up:
             return
-        if self.chance.random() < 0.4:
+        if self.rng.random() < 0.4:
             courier.update_endpoints(UpdateScope.FAILED, [])
         else:
             courier.update_endpoints(UpdateScope.FULL, list(self.fleet.directory.entries.values()))
 
 
 class RecordedFleet(simulate.Simulation):
-    """A fleet of which some couriers' policies are recorded, each process as a stream of its own."""
+    """A fleet in which the policies of some couriers are recorded, with a separate stream for each process."""
 
     def __init__(self, day, *simulation_arguments, **options):
         super().__init__(*simulation_arguments, **options)
@@ -67,7 +67,7 @@
         self.recorders = []
 
     def make_policy(self, courier, start):
-        """The policy of a courier's process number `start`."""
+        """Return the policy of a courier's process; `start` counts the courier's starts."""
         if courier not in self.day.recorded:
             return super().make_policy(courier, start)
         seed = random_seed(self.policy_seed, "module", courier, start)
@@ -77,15 +77,15 @@
 
 
 class FleetDay(NamedTuple):
-    """One simulated day of which policies are recorded."""
+    """One simulated day, and the couriers whose policies are recorded."""
 
     name: str
     seed: int
     couriers: int
     recorded: tuple[int, ...]  # numbers of the couriers
-    reports_limits: bool = False  # answers carry load reports
-    model: dict[str, Any] = {}  # tables of the model that differ from its defaults
-    settings: dict[str, Any] = {}  # settings that differ from the model's
+    reports_limits: bool = False  # whether answers carry load reports
+    model: dict[str, Any] = {}  # tables of the model that differ from the defaults
+    settings: dict[str, Any] = {}  # settings that differ from those of the model
 
 
 POLLED = {
@@ -174,7 +174,7 @@
 
 
 def record_fleets():
-    """The recorders of all days, played to their end."""
+    """Simulate all days, and return the recorders of their policies."""
     recorders = []
     for day in DAYS:
         tables = {"length_s": DAY_LENGTH_S, "couriers": {"count": day.couriers}} | day.model
--- a/benchmarks/decisions/recorder.py
+++ b/benchmarks/decisions/recorder.py
@@ -1,4 +1,4 @@
-"""Writes the life of one policy as a file of `tests/data/decisions/`."""
+"""Records the events and actions of one policy in a file of `tests/data/decisions/`."""
 
 import gzip
 
@@ -8,7 +8,7 @@
 
 
 class Recorder:
-    """A policy that writes down its events and actions, up to `max_turns` turns."""
+    """A policy that records its events and actions for up to `max_turns` turns."""
 
     def __init__(self, name, settings, seed, max_turns):
         self.name, self.max_turns = name, max_turns
@@ -19,11 +19,11 @@
 
     @property
     def turns(self):
-        """How many turns are written down."""
+        """Number of recorded turns."""
         return len(self.lines) - 1
 
     def handle(self, now_ns, events):
-        """Hand a turn's events to the policy; its actions."""
+        """Pass a turn's events to the policy, and return its actions."""
         if self.turns >= self.max_turns:
             self.digest = self.digest or decision_recordings.random_digest(self.policy)
             return self.policy.handle(now_ns, events)
@@ -38,7 +38,7 @@
         return actions
 
     def save(self):
-        """Write the file and replay it; the numbers of turns, actions and bytes."""
+        """Write the file and replay it; return the numbers of turns, actions and bytes."""
         lines = [*self.lines, self.digest or decision_recordings.random_digest(self.policy)]
         packed = gzip.compress("\n".join(lines).encode(), 9, mtime=0)
         (decision_recordings.RECORDINGS / f"{self.name}.gz").write_bytes(packed)
--- a/benchmarks/decisions/site.py
+++ b/benchmarks/decisions/site.py
@@ -1,7 +1,7 @@
-"""Streams of a site of its own: one policy, its clients and its endpoints, all by chance.
+"""Streams of a simulated site: one policy with random clients and endpoints.
 
-The site feeds the policy random yet plausible outcomes of every kind. Faults strike one destination after the
-other. The same scenario gives the same stream: the order of the random draws is part of what is recorded.
+The site feeds the policy random but plausible outcomes of every kind, and injects one fault after the
+other into random destinations. The same scenario gives the same stream, so the order of the random draws must not change.
 """
 
 import random
@@ -32,51 +32,51 @@
 
 
 class Site:
-    """Plays one scenario."""
+    """Simulates one scenario and records its policy."""
 
     def __init__(self, scenario: SiteScenario) -> None:
         self.scenario = scenario
         self.settings = scenario.settings
-        self.chance = random.Random(scenario.seed)
+        self.rng = random.Random(scenario.seed)
         name, seed = f"site-{scenario.name}", scenario.seed + 1000
         self.recorder = Recorder(name, scenario.settings, seed, scenario.turns)
         self.now = 1_000 * SECOND
-        self.planned = 0
+        self.scheduled = 0
         self.heap: list[tuple[int, int, object]] = []
-        self.serial = 0
-        self.live: dict[int, MessageAccepted] = {}
-        self.attempts: dict[int, int] = {}  # by request
-        self.calls = SimulatedCalls(scenario, self.chance)
+        self.last_request = 0
+        self.open_messages: dict[int, MessageAccepted] = {}
+        self.attempts: dict[int, int] = {}  # number of attempts by request
+        self.calls = SimulatedCalls(scenario, self.rng)
         self.entries: dict[object, EndpointEntry] = {}
         kinds = scenario.kinds
         for n in range(1, 13):
             destination = 1 + (n - 1) // 2 if n < 11 else 1
             self.add_endpoint(n, destination, kinds[(destination - 1) % len(kinds)])
-        self.last_id = 12
-        self.plan()
+        self.last_endpoint = 12
+        self.schedule_initial_events()
 
     def endpoint_id(self, n: int) -> str | int:
-        """The id of endpoint `n`."""
+        """Return the id of endpoint `n`."""
         return f"10.0.0.{n}:80" if self.scenario.named else n
 
     def add_endpoint(self, n: int, destination: int, kind: int) -> EndpointEntry:
-        """Put a new endpoint, ready, into the list."""
-        weight = round(self.chance.uniform(3, 30), 2)
+        """Add a ready endpoint to the list, and return its entry."""
+        weight = round(self.rng.uniform(3, 30), 2)
         entry = EndpointEntry(self.endpoint_id(n), destination, n % 2, kind, EndpointState.READY, weight)
         self.entries[entry.endpoint] = entry
         return entry
 
     def at(self, when: float, event: object) -> None:
-        """Plan an event, or a function that gives events, for a time in ns."""
-        self.planned += 1
-        heappush(self.heap, (int(when), self.planned, event))
+        """Schedule an event, or a function that returns events, at a time in ns."""
+        self.scheduled += 1
+        heappush(self.heap, (int(when), self.scheduled, event))
 
     def after(self, seconds: float, event: object) -> None:
-        """Plan an event, or a function that gives events, for so many seconds from now."""
+        """Schedule an event, or a function that returns events, after a delay in seconds."""
         self.at(self.now + int(seconds * SECOND), event)
 
-    def plan(self) -> None:
-        """Plan what starts by itself: the first list, recovered messages, traffic, faults, changes."""
+    def schedule_initial_events(self) -> None:
+        """Schedule the first endpoint list, recovered messages, traffic, faults and changes of the settings."""
         scenario = self.scenario
         self.at(self.now, EndpointsChanged(UpdateScope.CACHED, list(self.entries.values())))
         for _ in range(scenario.recovered):
@@ -89,16 +89,16 @@
             self.after(seconds, SettingsChanged(settings))
 
     def recovered_message(self) -> MessageAccepted:
-        """A message of before a restart."""
-        chance = self.chance
+        """Return a message that was accepted before a restart."""
+        rng = self.rng
         message = self.message()
-        message.recovered = chance.random() < 0.8
-        message.attempts = chance.choice((0, 0, 1, 2, 6))
-        message.max_attempts = chance.choice((0, 3, 9))
-        if message.attempts and chance.random() < 0.6:
-            message.may_have_run_ns = self.now - int(chance.uniform(0.1, 8) * SECOND)
-            message.may_have_run_zone = chance.randrange(2)
-        if chance.random() < 0.3:
+        message.recovered = rng.random() < 0.8
+        message.attempts = rng.choice((0, 0, 1, 2, 6))
+        message.max_attempts = rng.choice((0, 3, 9))
+        if message.attempts and rng.random() < 0.6:
+            message.may_have_run_ns = self.now - int(rng.uniform(0.1, 8) * SECOND)
+            message.may_have_run_zone = rng.randrange(2)
+        if rng.random() < 0.3:
             message.traffic_class = replace(
                 self.settings.classes[message.class_index],
                 latency_objective_ns=SECOND,
@@ -109,134 +109,134 @@
         return message
 
     def message(self) -> MessageAccepted:
-        """A new message of any class, for any destination; one of them may not exist."""
-        chance = self.chance
-        self.serial += 1
+        """Return a new message of a random class to a random destination, which may have no endpoints."""
+        rng = self.rng
+        self.last_request += 1
         classes = self.settings.classes
-        class_index = chance.randrange(len(classes))
-        destination = min(7, int(chance.paretovariate(self.scenario.skew)))
+        class_index = rng.randrange(len(classes))
+        destination = min(7, int(rng.paretovariate(self.scenario.skew)))
         in_order = classes[class_index].in_order
-        key = chance.randrange(1, self.scenario.keys) if in_order and chance.random() < 0.9 else 0
+        key = rng.randrange(1, self.scenario.keys) if in_order and rng.random() < 0.9 else 0
         key = destination * 1000 + key if key else 0
-        time_left = chance.choice((1.0, 1.0, 0.5, 0.1))
+        time_left = rng.choice((1.0, 1.0, 0.5, 0.1))
         deadline_ns = self.now + int(classes[class_index].deadline_ns * time_left)
-        tenant = chance.randrange(3)
-        message = MessageAccepted(self.serial, class_index, destination, deadline_ns, key, tenant)
-        self.live[self.serial] = message
+        tenant = rng.randrange(3)
+        message = MessageAccepted(self.last_request, class_index, destination, deadline_ns, key, tenant)
+        self.open_messages[self.last_request] = message
         return message
 
-    # --- what happens by itself: each gives the events of this moment and plans the next one ---------
+    # --- recurring events: each function returns the events of now, and schedules its next call -------
 
     def arrive(self) -> list[MessageAccepted]:
-        """Clients submit a message, or now and then a burst."""
-        burst = self.chance.choice((1, 1, 1, 1, 1, 1, 6))
-        self.after(self.chance.expovariate(self.scenario.rate / 1.7), self.arrive)
+        """Return new messages from clients: one, or at times a burst."""
+        burst = self.rng.choice((1, 1, 1, 1, 1, 1, 6))
+        self.after(self.rng.expovariate(self.scenario.rate / 1.7), self.arrive)
         return [self.message() for _ in range(burst)]
 
     def start_fault(self) -> list[object]:
-        """A fault begins at a destination, and ends after a while."""
+        """Start a fault at a random destination, and schedule its end."""
         scenario = self.scenario
-        destination = min(6, int(self.chance.paretovariate(0.7)))
-        self.calls.faults[destination] = self.chance.choice(scenario.faults)
-        length_s = self.chance.uniform(0.1, 1.0) * scenario.fault_s
+        destination = min(6, int(self.rng.paretovariate(0.7)))
+        self.calls.faults[destination] = self.rng.choice(scenario.faults)
+        length_s = self.rng.uniform(0.1, 1.0) * scenario.fault_s
         self.after(length_s, lambda: self.calls.faults.pop(destination, None) and [])
-        pause_s = length_s * 0.7 + self.chance.uniform(0.2, 1) * scenario.calm_s
+        pause_s = length_s * 0.7 + self.rng.uniform(0.2, 1) * scenario.calm_s
         self.after(pause_s, self.start_fault)
         return []
 
     def cancel(self) -> list[ClientCancelled]:
-        """A client cancels a message, or one that is over already."""
-        self.after(self.chance.uniform(0.1, 1.0), self.cancel)
-        if not self.live:
-            return [ClientCancelled(self.serial)]
-        request = self.chance.choice(list(self.live))
-        del self.live[request]
+        """Cancel a random open message, or if there is none the latest one, which has ended."""
+        self.after(self.rng.uniform(0.1, 1.0), self.cancel)
+        if not self.open_messages:
+            return [ClientCancelled(self.last_request)]
+        request = self.rng.choice(list(self.open_messages))
+        del self.open_messages[request]
         return [ClientCancelled(request)]
 
     def change_list(self) -> list[EndpointsChanged]:
-        """Endpoints drain, come back, are replaced, or have just been started again."""
-        chance = self.chance
-        self.after(chance.uniform(0.2, 2) * self.scenario.list_s, self.change_list)
-        entry = self.entries[chance.choice(list(self.entries))]
-        change = chance.choice(("drain", "ready", "replace", "cold", "again", "weight", "unknown"))
+        """Change the endpoint list: endpoints drain, become ready, are replaced, restart cold or change weight."""
+        rng = self.rng
+        self.after(rng.uniform(0.2, 2) * self.scenario.list_s, self.change_list)
+        entry = self.entries[rng.choice(list(self.entries))]
+        change = rng.choice(("drain", "ready", "replace", "cold", "again", "weight", "unknown"))
         changes = {
             "drain": self.drain,
             "ready": self.all_ready,
             "replace": self.replace_endpoint,
             "cold": lambda entry: [replace(entry, cold=True)],
             "again": lambda entry: [],
-            "weight": lambda entry: [replace(entry, weight=round(entry.weight * chance.uniform(0.5, 2), 2))],
+            "weight": lambda entry: [replace(entry, weight=round(entry.weight * rng.uniform(0.5, 2), 2))],
             "unknown": self.remove_unknown,
         }
         changed = changes[change](entry)
-        for one in changed:
-            if one.endpoint in self.entries:
-                self.entries[one.endpoint] = replace(one, cold=False)
+        for changed_entry in changed:
+            if changed_entry.endpoint in self.entries:
+                self.entries[changed_entry.endpoint] = replace(changed_entry, cold=False)
         if change == "again":
-            scope = chance.choice((UpdateScope.FULL, UpdateScope.CACHED))
+            scope = rng.choice((UpdateScope.FULL, UpdateScope.CACHED))
             return [EndpointsChanged(scope, list(self.entries.values()))]
         if self.settings.polled_discovery or not changed:
-            return []  # the next poll brings it
+            return []  # the next poll returns the change
         return [EndpointsChanged(UpdateScope.DELTA, changed)]
 
     def drain(self, entry: EndpointEntry) -> list[EndpointEntry]:
-        """The endpoint drains, unless too few others are ready."""
-        ready = sum(one.state is EndpointState.READY for one in self.entries.values())
+        """Return the endpoint as draining, unless too few endpoints are ready."""
+        ready = sum(other.state is EndpointState.READY for other in self.entries.values())
         return [replace(entry, state=EndpointState.DRAINING)] if ready > MIN_READY_ENDPOINTS else []
 
     def all_ready(self, _: EndpointEntry) -> list[EndpointEntry]:
-        """All endpoints are ready."""
-        return [replace(one, state=EndpointState.READY) for one in self.entries.values()]
+        """Return all endpoints as ready."""
+        return [replace(other, state=EndpointState.READY) for other in self.entries.values()]
 
     def replace_endpoint(self, entry: EndpointEntry) -> list[EndpointEntry]:
-        """The endpoint goes and another one comes, in either order."""
-        self.last_id += 1
-        changed = [self.add_endpoint(self.last_id, entry.destination, entry.kind)]
+        """Return the removal of an endpoint and the addition of another, in random order."""
+        self.last_endpoint += 1
+        changed = [self.add_endpoint(self.last_endpoint, entry.destination, entry.kind)]
         del self.entries[entry.endpoint]
         changed.append(replace(entry, state=EndpointState.REMOVED))
-        if self.chance.random() < 0.5:
+        if self.rng.random() < 0.5:
             changed.reverse()
         return changed
 
     def remove_unknown(self, entry: EndpointEntry) -> list[EndpointEntry]:
-        """An endpoint that was never listed goes."""
-        unknown = self.endpoint_id(900 + self.chance.randrange(9))
+        """Return the removal of an endpoint that was never listed."""
+        unknown = self.endpoint_id(900 + self.rng.randrange(9))
         return [replace(entry, endpoint=unknown, state=EndpointState.REMOVED)]
 
     # --- the policy's turns ---------------------------------------------------------------------------
 
     def play(self) -> Recorder:
-        """Play until the turns are full; the recorder."""
+        """Run until the recorder has all turns of the scenario, and return it."""
         while self.recorder.turns < self.scenario.turns:
             self.now = max(self.now, self.heap[0][0])
-            slack_ns = self.chance.choice((0, 0, 0, MS, 5 * MS))
+            slack_ns = self.rng.choice((0, 0, 0, MS, 5 * MS))
             events = self.due_events(slack_ns)
             if events:
-                self.carry_out(self.recorder.handle(self.now, events))
+                self.execute(self.recorder.handle(self.now, events))
         return self.recorder
 
     def due_events(self, slack_ns: int) -> list[object]:
-        """The events that are due, each at most so long after the one before; time moves to the last of them."""
+        """Return the due events, each at most the slack after the one before; advance the time to the last."""
         events: list[object] = []
         while self.heap and self.heap[0][0] <= self.now + slack_ns:
             when, _, event = heappop(self.heap)
             self.now = max(self.now, when)
-            found = event() if callable(event) else [event]
-            events += found or []
+            due = event() if callable(event) else [event]
+            events += due or []
         return events
 
-    def carry_out(self, actions: list[object]) -> None:
-        """Carry the policy's actions out; what is sent to one endpoint shares a call."""
+    def execute(self, actions: list[object]) -> None:
+        """Execute the policy's actions; messages to the same endpoint share a call."""
         bundles: dict[object, list[Send]] = {}
         for action in actions:
             match action:
                 case SetTimer():
-                    late_ns = self.chance.choice((0, 0, MS // 2))
+                    late_ns = self.rng.choice((0, 0, MS // 2))
                     self.at(self.now + action.delay_ns + late_ns, TimerFired(action.tag))
                 case Send():
                     bundles.setdefault(action.endpoint, []).append(action)
                 case Reject() | Fail():
-                    self.live.pop(action.request, None)
+                    self.open_messages.pop(action.request, None)
                 case CheckHealth():
                     self.check_health(action.endpoint)
                 case Subscribe():
@@ -245,13 +245,13 @@
             self.send(endpoint, sends)
 
     def answer_poll(self) -> None:
-        """Discovery answers in a while, with the list or without."""
-        scope = self.chance.choice((UpdateScope.FAILED, UpdateScope.DELTA, UpdateScope.FULL))
+        """Schedule the answer to a poll of the endpoint list, or its failure."""
+        scope = self.rng.choice((UpdateScope.FAILED, UpdateScope.DELTA, UpdateScope.FULL))
         entries = [] if scope is UpdateScope.FAILED else list(self.entries.values())
-        self.after(self.chance.uniform(0.01, 0.2), EndpointsChanged(scope, entries))
+        self.after(self.rng.uniform(0.01, 0.2), EndpointsChanged(scope, entries))
 
     def send(self, endpoint: object, sends: list[Send]) -> None:
-        """Make one call for these messages; each has its outcome when the call ends."""
+        """Make one call with these messages; each gets its outcome when the call ends."""
         result = self.call(endpoint, min(send.timeout_ns for send in sends))
         retry_after_ns = result.retry_after_ns
         for send in sends:
@@ -262,36 +262,36 @@
                 self.now + result.elapsed_ns,
                 lambda send=send, attempt=attempt, own=own: [self.completed(send, attempt, own)],
             )
-            if retry_after_ns and self.chance.random() < 0.5:
+            if retry_after_ns and self.rng.random() < 0.5:
                 retry_after_ns += 300 * MS
 
     def call(self, endpoint: object, timeout_ns: int) -> CallResult:
-        """How a call to this endpoint ends."""
+        """Draw the result of a call to an endpoint."""
         entry = self.entries.get(endpoint)
         return self.calls.call(entry.destination if entry else 0, self.now, timeout_ns)
 
     def completed(self, send: Send, attempt: int, result: CallResult) -> AttemptCompleted:
-        """The event of an attempt's end."""
+        """Return the event of a completed attempt."""
         done = self.is_done(send.request, result.outcome)
         return AttemptCompleted(
             send.request, attempt, send.endpoint, result.outcome, result.elapsed_ns, done, *result[2:]
         )
 
     def is_done(self, request: int, outcome: Outcome) -> bool:
-        """Whether a message has ended with this outcome; it counts as ended from then on."""
+        """Return whether a message is done after this outcome; a success ends it."""
         if outcome is Outcome.OK:
-            self.live.pop(request, None)
-        return request not in self.live
+            self.open_messages.pop(request, None)
+        return request not in self.open_messages
 
     def check_health(self, endpoint: object) -> None:
-        """Make one health check."""
-        chance = self.chance
+        """Make a health check, and schedule its completion."""
+        rng = self.rng
         outcome, elapsed_ns, retry_after_ns, *_ = self.call(endpoint, HEALTH_CHECK_TIMEOUT_NS)
-        if outcome is Outcome.ERROR and chance.random() < self.scenario.healthy_check_share:
-            outcome = Outcome.OK  # answered where calls fail
-        elif outcome is Outcome.ERROR and chance.random() < 0.5:
-            outcome, retry_after_ns = Outcome.OVERLOADED, chance.choice((0, 700 * MS, 3 * SECOND))
-        elif chance.random() < 0.06:
+        if outcome is Outcome.ERROR and rng.random() < self.scenario.healthy_check_share:
+            outcome = Outcome.OK  # the check succeeds although calls fail
+        elif outcome is Outcome.ERROR and rng.random() < 0.5:
+            outcome, retry_after_ns = Outcome.OVERLOADED, rng.choice((0, 700 * MS, 3 * SECOND))
+        elif rng.random() < 0.06:
             outcome, elapsed_ns, retry_after_ns = Outcome.NOT_SENT, MS, 0
         event = HealthCheckCompleted(endpoint, outcome, elapsed_ns, retry_after_ns)
         self.after(elapsed_ns / SECOND, event)
--- a/benchmarks/decisions/site_scenarios.py
+++ b/benchmarks/decisions/site_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the recorded sites."""
+"""Scenarios of the recorded sites."""
 
 from dataclasses import dataclass, replace
 
@@ -11,7 +11,7 @@
 )
 
 MS, SECOND = 1_000_000, 1_000_000_000
-# What may be wrong with a destination.
+# The faults that a destination may have; `SimulatedCalls` defines their effects.
 FAULTS = (
     "refusing",
     "silent",
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class SiteScenario:
-    """What one site is like; times are in seconds, shares are of 1."""
+    """Parameters of one site; times are in seconds, shares range from 0 to 1."""
 
     name: str
     settings: Settings
@@ -38,18 +38,18 @@
     faults: tuple[str, ...] = FAULTS
     rate: float = 25.0  # messages a second
     calm_s: float = 2.0  # mean time between faults
-    fault_s: float = 4.0  # longest fault
-    named: bool = False  # endpoints are named by addresses, not numbers
-    healthy_check_share: float = 0.6  # health checks that succeed where calls get errors
+    fault_s: float = 4.0  # maximum duration of a fault
+    named: bool = False  # endpoint ids are addresses rather than numbers
+    healthy_check_share: float = 0.6  # share of health checks that succeed while calls get errors
     list_s: float = 1.5  # mean time between changes of the endpoint list
-    recovered: int = 0  # messages that a restart recovered
-    reports_limit: bool = False  # answers carry load reports
-    changes: tuple[tuple[float, Settings], ...] = ()  # settings that come in force, by time
+    recovered: int = 0  # number of messages recovered by a restart
+    reports_limit: bool = False  # whether answers carry load reports
+    changes: tuple[tuple[float, Settings], ...] = ()  # new settings, and the time at which they take effect
     skew: float = 1.0  # shape of the Pareto distribution of messages over destinations
-    kinds: tuple[int, ...] = (0, 0, 1, 2, 3, 9)  # kinds of the destinations, in turn
-    keys: int = 9  # ordering keys of a destination, plus one
+    kinds: tuple[int, ...] = (0, 0, 1, 2, 3, 9)  # kinds of the destinations, repeated in turn
+    keys: int = 9  # number of ordering keys of a destination, plus one
     loss: float = 0.0  # share of the calls to all destinations that are never answered
-    reports_opened: bool = True  # outcomes say whether a connection was opened
+    reports_opened: bool = True  # whether outcomes report that a connection was opened
 
 
 CLASSES = [
@@ -85,20 +85,20 @@
 
 
 def site_scenarios():
-    """All sites: both shapes of the settings and fleets of several sizes, then what needs a stream of its own."""
+    """Yield all scenarios: both base settings with several fleet sizes, then scenarios for single features."""
     for shape, base in (("first", BASE), ("second", POLLED)):
         for senders in (1, 4, 40, 250):
             settings = replace(base, senders=senders)
             reports = senders in (4, 250)
             yield SiteScenario(f"{shape}-{senders}", settings, senders, 900, reports_limit=reports)
-    dark = replace(
+    no_weights = replace(
         BASE,
         weights_known=False,
         senders=40,
         health_checks_allowed=False,
         retry_after_allowed=False,
     )
-    yield SiteScenario("no-weights", dark, 21, 800)
+    yield SiteScenario("no-weights", no_weights, 21, 800)
     yield SiteScenario(
         "limits", replace(BASE, senders=12), 22, 800, ("limited", "jammed", "shut"), reports_limit=True
     )
@@ -162,7 +162,7 @@
             14,
             replace(
                 BASE,
-                classes=[replace(one, priority_weight=1.0) for one in CLASSES],
+                classes=[replace(traffic_class, priority_weight=1.0) for traffic_class in CLASSES],
                 slow_start_ns=0,
                 keepalive_ns=0,
             ),
@@ -170,13 +170,15 @@
         (19, replace(BASE, senders=250, weights_known=False, max_attempts=2)),
     )
     yield SiteScenario("changes", BASE, 39, 900, changes=changes)
-    wide = replace(BASE, classes=[CLASSES[3], CLASSES[1]], kinds=[DestinationKind(max_bundle_size=16)], max_concurrent_calls=16,
+    many_keys = replace(BASE, classes=[CLASSES[3], CLASSES[1]], kinds=[DestinationKind(max_bundle_size=16)], max_concurrent_calls=16,
                    max_held_messages=500, slow_start_ns=SECOND, senders=2)  # fmt: skip
-    yield SiteScenario("many-keys", wide, 41, 1200, ("slow",), 300.0, loss=0.3, kinds=(0,), keys=900)
-    bundling = replace(
+    yield SiteScenario("many-keys", many_keys, 41, 1200, ("slow",), 300.0, loss=0.3, kinds=(0,), keys=900)
+    large_bundles = replace(
         BASE, kinds=[DestinationKind(max_bundle_size=6)], slow_start_ns=SECOND, max_held_messages=120
     )
-    yield SiteScenario("bundles-limited", bundling, 47, 900, ("limited", "jammed", "shut"), 60.0, fault_s=9.0)
+    yield SiteScenario(
+        "bundles-limited", large_bundles, 47, 900, ("limited", "jammed", "shut"), 60.0, fault_s=9.0
+    )
     routes = replace(BASE, senders=5, zone_fees=[0.1, 0.0], weights_exact=False)
     yield SiteScenario(
         "routes", routes, 42, 900, ("limited", "jammed"), 40.0, fault_s=8.0, reports_limit=True, kinds=(2, 3)
@@ -199,12 +201,28 @@
         ("slow", "silent"),
         40.0,
     )
-    unsafe = replace(BASE, senders=3, classes=[CLASSES[2], CLASSES[6]], slow_start_ns=2 * SECOND)
+    not_idempotent = replace(BASE, senders=3, classes=[CLASSES[2], CLASSES[6]], slow_start_ns=2 * SECOND)
     yield SiteScenario(
-        "probes", unsafe, 46, 800, ("errors", "barred", "errors"), 20.0, fault_s=9.0, healthy_check_share=0.3
+        "probes",
+        not_idempotent,
+        46,
+        800,
+        ("errors", "barred", "errors"),
+        20.0,
+        fault_s=9.0,
+        healthy_check_share=0.3,
     )
-    untold = replace(BASE, senders=8, max_concurrent_calls=20)
+    opened_unreported = replace(BASE, senders=8, max_concurrent_calls=20)
     yield SiteScenario(
-        "tables-cleared", untold, 50, 1200, ("full",), 40.0, 6.0, kinds=(0,), skew=3.0, reports_opened=False
+        "tables-cleared",
+        opened_unreported,
+        50,
+        1200,
+        ("full",),
+        40.0,
+        6.0,
+        kinds=(0,),
+        skew=3.0,
+        reports_opened=False,
     )
     yield SiteScenario("one-destination", replace(BASE, senders=6), 40, 800, skew=6.0, rate=40.0)
--- a/benchmarks/decisions/unreached_lines.py
+++ b/benchmarks/decisions/unreached_lines.py
@@ -1,4 +1,4 @@
-"""Which lines of the policy no recording reaches."""
+"""Finds the lines of the policy that no recording reaches."""
 
 import ast
 import sys
@@ -10,7 +10,7 @@
 
 
 def print_unreached_lines():
-    """Print the lines of the policy that no recording reaches; those run at import are left out."""
+    """Print the lines of the policy that no recording reaches, except lines that run at import."""
     for file, reached in reached_lines().items():
         source = Path(file).read_text()
         lines = executable_lines(source, file)
@@ -21,7 +21,7 @@
 
 
 def reached_lines():
-    """For each file of the policy, the lines that a replay of all recordings runs."""
+    """Return, for each file of the policy, the lines that a replay of all recordings runs."""
     files = {str(file): set() for file in sorted(POLICY_FOLDER.glob("*.py"))}
 
     def trace(frame, *_):
@@ -40,7 +40,7 @@
 
 
 def executable_lines(source, file):
-    """The lines of a file's functions that code was made of, without their first lines."""
+    """Return the executable lines of a file's functions, without the first line of each function."""
     lines, codes = set(), [compile(source, file, "exec")]
     classes = {node.name for node in ast.parse(source).body if isinstance(node, ast.ClassDef)}
     while codes:
--- a/benchmarks/gates.py
+++ b/benchmarks/gates.py
@@ -1,7 +1,7 @@
-"""Gate by seed and day, out of the bench's journal: `gates.py JOURNAL [SITE]` prints a Markdown table for each commit.
+"""Scores by seed and day from the bench's journal: `gates.py JOURNAL [SITE]` prints a Markdown table for each commit.
 
-A cell is the day's score, or the rule or fault that it broke. Days that a floor failed stand in the last column, with
-what the bench said; a run that was ended before its last day is left out.
+A cell holds the day's score, a fault, or the rules that were broken. The last column holds the bench's verdict, with the
+days that failed a floor. Runs that were stopped before their last day are left out.
 """
 
 import json
@@ -11,23 +11,23 @@
 RULES = {"dup": "duplicate", "failback": "cold"}
 
 
-def runs(folder, site):
-    """(commit, panel, seed) -> the entry, for every finished score of a site; the newest where there are several."""
-    found = {}
+def read_scores(folder, site):
+    """Return the finished scores of a site: (commit, panel) -> seed -> entry; of several entries the newest."""
+    entries = {}
     for path in sorted(Path(folder).glob("*.json")):
         entry = json.loads(path.read_bytes())
         if entry.get("cmd") != "real-score" or entry.get("site") != site or not entry.get("days"):
             continue
-        words = entry["argv"]
-        panel = words[words.index("--panel") + 1] if "--panel" in words else "mass"
-        panel += " quick" if "--quick" in words else ""
-        seed = words[words.index("--seed") + 1] if "--seed" in words else "1"
-        found.setdefault((entry["head"][:7], panel), {})[seed] = entry
-    return found
+        arguments = entry["argv"]
+        panel = arguments[arguments.index("--panel") + 1] if "--panel" in arguments else "mass"
+        panel += " quick" if "--quick" in arguments else ""
+        seed = arguments[arguments.index("--seed") + 1] if "--seed" in arguments else "1"
+        entries.setdefault((entry["head"][:7], panel), {})[seed] = entry
+    return entries
 
 
-def cell(day):
-    """What a day came to."""
+def format_day(day):
+    """Format the result of a day."""
     broken = [RULES.get(rule, rule) for rule, n in (day.get("rules") or {}).items() if n]
     if day.get("fault"):
         return "**fault**"
@@ -36,8 +36,8 @@
     return f"{day['score']:.2f}"
 
 
-def table(by_seed):
-    """Lines of a table: a row a seed, a column a day."""
+def format_table(by_seed):
+    """Yield the lines of a table with a row for each seed and a column for each day."""
     names = [day["name"] for day in next(iter(by_seed.values()))["days"]]
     yield (
         "| seed | " + " | ".join(n.replace("+mass-", " ").replace("+brink", "") for n in names) + " | gate |"
@@ -45,13 +45,13 @@
     yield "| --- |" + " --- |" * (len(names) + 1)
     for seed, entry in sorted(by_seed.items(), key=lambda pair: int(pair[0])):
         gate = next((line for line in entry["digest"].splitlines() if line.startswith("GATE")), "none said")
-        cells = [cell(day) for day in entry["days"]]
+        cells = [format_day(day) for day in entry["days"]]
         yield f"| {seed} | " + " | ".join(cells) + f" | {gate.removeprefix('GATE ')} |"
 
 
 if __name__ == "__main__":
-    for (head, panel), by_seed in runs(
+    for (head, panel), by_seed in read_scores(
         sys.argv[1], sys.argv[2] if len(sys.argv) > 2 else "addis-office"
     ).items():
         print(f"\n{panel} at {head}\n")
-        print(*table(by_seed), sep="\n")
+        print(*format_table(by_seed), sep="\n")
--- a/benchmarks/record_decisions.py
+++ b/benchmarks/record_decisions.py
@@ -1,12 +1,12 @@
-"""Record what policies decide, for `tests/test_recorded_decisions.py`.
+"""Record the decisions of policies for `tests/test_recorded_decisions.py`.
 
     python benchmarks/record_decisions.py [--lines]
 
-Makes all files of `tests/data/decisions/` anew, from the code that is imported, and replays each at once. Streams
-named `fleet-*` are single policies out of days of the model of the fleet (`decisions/fleets.py`); streams named
-`site-*` come from a driver of its own (`decisions/site.py`). The same code gives the same files, byte for byte. Make
-them anew only after a change of decisions that was meant, in a commit that says why; `--lines` records nothing and
-prints which lines of `pinspread/policy` the recordings never reach.
+Rewrites all files of `tests/data/decisions/` with the imported code, and replays each one to check it. Streams named
+`fleet-*` are single policies of simulated days of a fleet (`decisions/fleets.py`); streams named `site-*` come from a
+separate driver (`decisions/site.py`). The same code gives the same files, byte for byte. Rewrite them only after an
+intended change of decisions, in a commit that says why. `--lines` records nothing, and prints the lines of
+`pinspread/policy` that the recordings never reach.
 """
 
 import argparse
@@ -23,19 +23,21 @@
 
 
 def record():
-    """Make all files anew."""
+    """Rewrite all files."""
     decision_recordings.RECORDINGS.mkdir(parents=True, exist_ok=True)
     for path in decision_recordings.RECORDINGS.glob("*.gz"):
         path.unlink()
     recorders = record_fleets() + [Site(scenario).play() for scenario in site_scenarios()]
-    totals = [sum(column) for column in zip(*(one.save() for one in recorders), strict=True)]
+    totals = [sum(column) for column in zip(*(recorder.save() for recorder in recorders), strict=True)]
     print(f"{len(recorders)} streams, {totals[0]} turns, {totals[1]} actions, {totals[2]} bytes")
 
 
 def main():
-    """Record, or say what the recordings do not reach."""
-    parser = argparse.ArgumentParser(description="Record what policies decide.")
-    parser.add_argument("--lines", action="store_true", help="print the lines of the policy never reached")
+    """Record, or print the lines that the recordings do not reach."""
+    parser = argparse.ArgumentParser(description="Record the decisions of policies.")
+    parser.add_argument(
+        "--lines", action="store_true", help="print the lines of the policy that no recording reaches"
+    )
     if parser.parse_args().lines:
         print_unreached_lines()
     else:
--- a/benchmarks/replays.py
+++ b/benchmarks/replays.py
@@ -1,9 +1,9 @@
-"""Loopback replays against the model: does measured service lie inside the model's 90% interval?
+"""Compares runs on loopback with the model: is the measured service inside the model's 90% interval?
 
     python benchmarks/replays.py found/replays [--models 40] [--side 3] [--shift 0]
 
-Each scenario is a world and a seed. The model plays that day with many seeds of the module's own chance; its
-interval is the 5% to 95% quantile of their service. Loopback plays it once, with real couriers.
+Each scenario is a model and a seed. The model simulates that day with many seeds of the policy's random numbers; the
+interval is the 5% to 95% quantile of their service. On loopback it is run once, with real couriers.
 """
 
 import argparse
@@ -22,9 +22,9 @@
 
 # On loopback the day begins when all couriers are ready.
 BASE = {"length_s": 20.0, "network": {"silent_accepts": True}, "couriers": {"start_spread_s": 0.0}}
-# From a message's time to its entry in the courier's log: of 673 a play, a twentieth under 1.0 ms, half under 1.7 ms
-# and a twentieth over 2.7 ms. Those close together change places.
-LATE_MS = 0.9, 0.9
+# Delay from a message's time to its entry in the courier's log: minimum, and mean of an exponential part. Of 673
+# messages in a run, 5% were under 1.0 ms, half under 1.7 ms and 5% over 2.7 ms; messages close together may swap places.
+SUBMIT_DELAY_MS = 0.9, 0.9
 SCENARIOS = [
     ("calm", {"traffic": {"load": 0.45}}, 101),
     ("usual load", {}, 102),
@@ -43,46 +43,46 @@
 ]  # fmt: skip
 
 
-def world(scenario):
-    """The scenario's world; what it names replaces the base's tables."""
+def fleet_model(scenario):
+    """Return the scenario's model; its tables replace those of `BASE`."""
     return FleetModel.model_validate(BASE | scenario[1])
 
 
-def model(scenario, seed):
-    """One run of the model: the module's chance, jitter, the time of starts and clients' timing drawn anew."""
-    one = world(scenario)
-    drawn = draw_scenario(one, scenario[2])
+def simulate_service(scenario, seed):
+    """Return the service of one simulated run; the seed draws the policy's choices, jitter, start times and clients' timing."""
+    fleet = fleet_model(scenario)
+    drawn = draw_scenario(fleet, scenario[2])
     rng = random_stream(seed, "replay")
     drawn.attempt_draws[:, :, :2] = rng.random(drawn.attempt_draws.shape[:2] + (2,))
     drawn.start_draws = rng.random(drawn.start_draws.shape)
-    late = LATE_MS[0] + rng.exponential(LATE_MS[1], len(drawn.arrival_ns))
-    drawn.submit_delay_ns = (late * 1e6).astype(np.int64)
-    return simulate.Simulation(one, drawn, seed).run()["service_unbroken"]
+    delay_ms = SUBMIT_DELAY_MS[0] + rng.exponential(SUBMIT_DELAY_MS[1], len(drawn.arrival_ns))
+    drawn.submit_delay_ns = (delay_ms * 1e6).astype(np.int64)
+    return simulate.Simulation(fleet, drawn, seed).run()["service_unbroken"]
 
 
-def place_of(folder, name):
-    """The folder of a scenario's play."""
+def scenario_folder(folder, name):
+    """Return the folder of a scenario's run on loopback."""
     return Path(folder) / name.replace(" ", "-").replace(",", "")
 
 
 def loopback(scenario, folder, shift):
-    """One play on loopback, in a process of its own."""
-    place = place_of(folder, scenario[0])
-    call = [sys.executable, __file__, str(place), "--one", scenario[0], "--shift", str(shift)]
-    done = subprocess.run(call, capture_output=True, text=True, timeout=180)
-    if done.returncode:
-        return {"error": done.stderr.strip().splitlines()[-1] if done.stderr else "no output"}
-    return orjson.loads((place / "accounts.json").read_bytes())
+    """Run a scenario on loopback in a separate process, and return its measurements."""
+    run_folder = scenario_folder(folder, scenario[0])
+    call = [sys.executable, __file__, str(run_folder), "--one", scenario[0], "--shift", str(shift)]
+    completed = subprocess.run(call, capture_output=True, text=True, timeout=180)
+    if completed.returncode:
+        return {"error": completed.stderr.strip().splitlines()[-1] if completed.stderr else "no output"}
+    return orjson.loads((run_folder / "accounts.json").read_bytes())
 
 
 def main():
-    """Play all; print and keep the table."""
+    """Run all scenarios on loopback and in the model; print the table and write it to a file."""
     parser = argparse.ArgumentParser()
     parser.add_argument("folder")
     parser.add_argument("--models", type=int, default=40)
     parser.add_argument("--side", type=int, default=3)
     parser.add_argument("--one", default="")
-    parser.add_argument("--shift", type=int, default=0, help="added to the seeds: other days")
+    parser.add_argument("--shift", type=int, default=0, help="added to the seeds, to draw other days")
     chosen = parser.parse_args()
     SCENARIOS[:] = [(name, tables, seed + chosen.shift) for name, tables, seed in SCENARIOS]
     folder = Path(chosen.folder)
@@ -90,31 +90,35 @@
         from pinspread.testbed import platform
 
         scenario = next(s for s in SCENARIOS if s[0] == chosen.one)
-        found = platform.play(world(scenario), draw_scenario(world(scenario), scenario[2]), folder)
-        (folder / "accounts.json").write_bytes(orjson.dumps(found))
+        measured = platform.play(
+            fleet_model(scenario), draw_scenario(fleet_model(scenario), scenario[2]), folder
+        )
+        (folder / "accounts.json").write_bytes(orjson.dumps(measured))
         return
     folder.mkdir(parents=True, exist_ok=True)
     with ThreadPoolExecutor(chosen.side) as pool:
         played = list(pool.map(lambda s: loopback(s, folder, chosen.shift), SCENARIOS))
     with ProcessPoolExecutor() as pool:
         jobs = [(s, n) for s in SCENARIOS for n in range(1, chosen.models + 1)]
-        services = list(pool.map(model, *zip(*jobs, strict=True), chunksize=4))
+        services = list(pool.map(simulate_service, *zip(*jobs, strict=True), chunksize=4))
     lines = [
         "| replay | loopback | model, 5% to 95% | inside | rules broken, lost |",
         "| --- | ---: | ---: | --- | --- |",
     ]
     inside = 0
-    for n, (scenario, one) in enumerate(zip(SCENARIOS, played, strict=True)):
+    for n, (scenario, result) in enumerate(zip(SCENARIOS, played, strict=True)):
         low, high = np.quantile(services[n * chosen.models : (n + 1) * chosen.models], (0.05, 0.95))
-        if "error" in one:
-            lines.append(f"| {scenario[0]} | failed: {one['error'][:80]} | {low:.4f} to {high:.4f} | no | |")
+        if "error" in result:
+            lines.append(
+                f"| {scenario[0]} | failed: {result['error'][:80]} | {low:.4f} to {high:.4f} | no | |"
+            )
             continue
-        value = one["service_unbroken"]
-        ok = low <= value <= high
-        inside += ok
+        value = result["service_unbroken"]
+        is_inside = low <= value <= high
+        inside += is_inside
         lines.append(
-            f"| {scenario[0]} | {value:.4f} | {low:.4f} to {high:.4f} | {'yes' if ok else 'no'} |"
-            f" {one['broken'] or 'none'}, {one['lost']} |"
+            f"| {scenario[0]} | {value:.4f} | {low:.4f} to {high:.4f} | {'yes' if is_inside else 'no'} |"
+            f" {result['broken'] or 'none'}, {result['lost']} |"
         )
     lines.append(f"\n{inside} of {len(SCENARIOS)} inside.")
     text = "\n".join(lines)
--- a/benchmarks/untried.py
+++ b/benchmarks/untried.py
@@ -1,8 +1,9 @@
-"""What restarts found accepted without an attempt, and what became of it, from a day's logs: `untried.py LOGS`.
+"""Counts how messages ended that had no attempt when their courier restarted, from a day's logs: `untried.py LOGS`.
 
-A message counts where it was accepted before a start, had no attempt in the log by then, over half of its time was
-left, and its first attempt afterwards, if any, is number 0. One that was in flight at a kill leaves no line and counts
-as untried where no attempt follows, so what is shown given up is an upper bound: up to the slots of each courier.
+A message counts if it was accepted before a start and had no attempt in the log by then, at least half of its time was
+left, and its first attempt afterwards, if any, has number 0. An attempt in flight at a kill leaves no line, so its
+message counts as untried if no attempt follows. The number of messages given up is therefore an upper bound: it may be
+too high by as many as each courier has slots for concurrent calls.
 """
 
 import sys
@@ -12,35 +13,35 @@
 
 from pinspread.simulation.losses import read_events
 
-DEADLINE_TOLERANCE_US = 50_000  # a message given up this close to its deadline was given up for its time
+DEADLINE_TOLERANCE_US = 50_000  # a message given up this close to its deadline counts as expired
 
 
 @dataclass
 class OpenMessage:
-    """A message without a final result; times in microseconds of the courier's clock."""
+    """A message without a final result; times are in microseconds of the courier's clock."""
 
     accepted_us: int
     deadline_us: int
     has_attempt: bool = False
 
     def is_young(self, now_us):
-        """Whether at least half of its time is left."""
+        """Return whether at least half of its time is left."""
         return (self.deadline_us - now_us) * 2 >= self.deadline_us - self.accepted_us
 
 
 class Untried(NamedTuple):
-    """A message that a restart found without an attempt."""
+    """A message that had no attempt when its courier restarted."""
 
     deadline_us: int
     start_us: int
 
 
 class CourierLog:
-    """Follows the events of one courier, in order of time."""
+    """Processes the events of one courier in order of time."""
 
     def __init__(self):
         self.fates = Counter()
-        self.early_s = []  # from the start to the end of what was given up early without a call
+        self.early_s = []  # seconds from the start to the end, of messages given up early without a call
         self.open = {}
         self.untried = {}
         self.handlers = {
@@ -51,31 +52,31 @@
         }
 
     def follow(self, event):
-        """Take one event of the log into account."""
+        """Process one event of the log."""
         handler = self.handlers.get(event["event"])
         if handler:
             handler(event, event.get("id"), event.get("at_us", 0))
 
     def recovered(self, _, __, at_us):
-        """The courier has started again."""
+        """Process a restart of the courier."""
         for id_, message in self.open.items():
             if not message.has_attempt and message.is_young(at_us) and id_ not in self.untried:
                 self.untried[id_] = Untried(message.deadline_us, at_us)
 
     def accepted(self, event, id_, at_us):
-        """A message was accepted."""
+        """Process the acceptance of a message."""
         self.open[id_] = OpenMessage(at_us, at_us + event["for_ms"] * 1000)
 
     def attempted(self, event, id_, _):
-        """An attempt has ended."""
+        """Process the end of an attempt."""
         if id_ not in self.open:
             return
         self.open[id_].has_attempt = True
         if self.untried.pop(id_, None):
-            self.fates["tried" if event["n"] == 0 else "was out at the kill"] += 1
+            self.fates["tried" if event["n"] == 0 else "was in flight at the kill"] += 1
 
     def ended(self, event, id_, at_us):
-        """A message has its final result."""
+        """Process the final result of a message."""
         if not self.open.pop(id_, None) or id_ not in self.untried:
             return
         untried = self.untried.pop(id_)
@@ -83,11 +84,11 @@
             self.fates["given up early, no call: " + event["state"]] += 1
             self.early_s.append((at_us - untried.start_us) / 1e6)
         else:
-            self.fates["time over, no call"] += 1
+            self.fates["expired, no call"] += 1
 
 
 def count_fates(folder):
-    """Counter of fates, and seconds from the start to the end for what was given up early with no call."""
+    """Return a counter of fates, and the seconds from start to end of messages given up early without a call."""
     fates, early_s = Counter(), []
     for events in by_courier(folder).values():
         log = CourierLog()
@@ -100,7 +101,7 @@
 
 
 def by_courier(folder):
-    """courier -> its events, in order of time."""
+    """Return the events of each courier in order of time."""
     rows = defaultdict(list)
     for courier, event in read_events(folder):
         rows[courier].append(event)
