--- a/pinspread/config/dnssd.py
+++ b/pinspread/config/dnssd.py
@@ -165,7 +165,7 @@
         """Return an empty snapshot, since another process reads the records itself."""
         return {}
 
-    def resume(self, found: dict[str, Any]) -> None:
+    def resume(self, discovery_state: dict[str, Any]) -> None:
         """Do nothing, since the records are read anyway."""
 
     def poll(self) -> None:
--- a/pinspread/core/engine.py
+++ b/pinspread/core/engine.py
@@ -255,13 +255,13 @@
         """Return whether this process serves."""
         return self.serving and not self.stopping and not self.successor
 
-    async def disable(self, id_: str) -> bool:
+    async def disable(self, endpoint_id: str) -> bool:
         """Disable an endpoint until it is enabled again; see `ports.EndpointAdmin`."""
-        return await self.registry.disable(id_)
+        return await self.registry.disable(endpoint_id)
 
-    async def enable(self, id_: str) -> bool:
+    async def enable(self, endpoint_id: str) -> bool:
         """Enable an endpoint again, and treat it as just started; see `ports.EndpointAdmin`."""
-        return await self.registry.enable(id_)
+        return await self.registry.enable(endpoint_id)
 
     # --- hot restart ------------------------------------------------------------------------------
 
--- a/pinspread/core/ports.py
+++ b/pinspread/core/ports.py
@@ -128,7 +128,7 @@
     def ready(self) -> bool:
         """Return whether this process serves."""
 
-    async def disable(self, id_: str) -> bool:
+    async def disable(self, endpoint_id: str) -> bool:
         """Disable an endpoint; return false if no endpoint with this id is known.
 
         The change is in the journal when this returns.
@@ -138,7 +138,7 @@
             JournalFullError: The change could not be recorded, and was not made.
         """
 
-    async def enable(self, id_: str) -> bool:
+    async def enable(self, endpoint_id: str) -> bool:
         """Enable an endpoint; return false if its id is unknown. Raises the same errors as `disable`."""
 
 
@@ -148,13 +148,13 @@
     def attempt_ended(self, number: int, attempt_number: int, result: AttemptResult) -> None:
         """Report the result of an attempt of this process; `number` is that of its message."""
 
-    def apply_retry_after(self, id_: str, retry_after_us: int) -> None:
+    def apply_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
         """Report a Retry-After of an endpoint, in microseconds."""
 
-    def health_check_ended(self, id_: str, result: AttemptResult) -> None:
+    def health_check_ended(self, endpoint_id: str, result: AttemptResult) -> None:
         """Report the result of a health check of this process."""
 
-    async def set_blocked(self, id_: str, blocked: bool) -> bool:
+    async def set_blocked(self, endpoint_id: str, blocked: bool) -> bool:
         """Forward an operator's request to this process; return false if the id is unknown there.
 
         Raises:
--- a/pinspread/discovery/client.py
+++ b/pinspread/discovery/client.py
@@ -27,7 +27,7 @@
 from pinspread.policy.settings import Settings
 
 # A change that a silent watch misses counts as reported to the courier 6 s after the watch fell silent, so
-# another watch must be up by then. Discovery sends an empty line every 2 s. These timeouts leave time for a
+# another watch must be up by then. Discovery sends an empty line every 2 s. These time-outs leave time for a
 # second watch that is silent as well.
 LINE_TIMEOUT_S = 2.8  # a watch without a complete line for this time is silent
 FIRST_LINE_TIMEOUT_S = 1.0  # the same for the first line, which is sent at once
@@ -119,14 +119,14 @@
         self._apply(parse_update(cached), UpdateScope.CACHED)
 
     def snapshot(self) -> dict[str, str | int]:
-        """Return the state from which another process can go on."""
+        """Return the state from which another process can continue."""
         return {"address": self.address, "seq": self.sequence}
 
-    def resume(self, snapshot: dict[str, Any]) -> None:
-        """Go on from another process's state; the list itself was transferred with the engine's state."""
+    def resume(self, discovery_state: dict[str, Any]) -> None:
+        """Continue from another process's state; the list itself was transferred with the engine's state."""
         self._departed.load()
-        if snapshot.get("address") == self.address:
-            self.sequence = snapshot["seq"]
+        if discovery_state.get("address") == self.address:
+            self.sequence = discovery_state["seq"]
 
     def poll(self) -> None:
         """Answer the policy's poll with no change, because the watch reports changes by itself."""
--- a/pinspread/hot_restart/source.py
+++ b/pinspread/hot_restart/source.py
@@ -96,19 +96,21 @@
         self.queue.append((kind, orjson.dumps(fields)))
         self._packet_queued.set()
 
-    def attempt_ended(self, number: int, attempt: int, outcome: AttemptResult) -> None:
+    def attempt_ended(self, number: int, attempt_number: int, result: AttemptResult) -> None:
         """Report the result of an attempt that was in flight here."""
-        self._enqueue(PacketKind.ATTEMPT_COMPLETED, number, attempt, packet_codec.result_to_json(outcome))
+        self._enqueue(
+            PacketKind.ATTEMPT_COMPLETED, number, attempt_number, packet_codec.result_to_json(result)
+        )
 
-    def apply_retry_after(self, id_: str, retry_after_us: int) -> None:
+    def apply_retry_after(self, endpoint_id: str, retry_after_us: int) -> None:
         """Report that an endpoint sent a Retry-After, in microseconds."""
-        self._enqueue(PacketKind.RETRY_AFTER, id_, retry_after_us)
+        self._enqueue(PacketKind.RETRY_AFTER, endpoint_id, retry_after_us)
 
-    def health_check_ended(self, id_: str, outcome: AttemptResult) -> None:
+    def health_check_ended(self, endpoint_id: str, result: AttemptResult) -> None:
         """Report the result of a health check that was in flight here."""
-        self._enqueue(PacketKind.HEALTH_CHECK_COMPLETED, id_, packet_codec.result_to_json(outcome))
+        self._enqueue(PacketKind.HEALTH_CHECK_COMPLETED, endpoint_id, packet_codec.result_to_json(result))
 
-    async def set_blocked(self, id_: str, blocked: bool) -> bool:
+    async def set_blocked(self, endpoint_id: str, blocked: bool) -> bool:
         """Pass on an operator's request to disable or enable an endpoint; return whether it is known.
 
         Raises:
@@ -116,7 +118,7 @@
         """
         number = len(self._pending_requests)
         pending = self._pending_requests[number] = _PendingRequest()
-        self._enqueue(PacketKind.SET_ENDPOINT_DISABLED, id_, blocked, number)
+        self._enqueue(PacketKind.SET_ENDPOINT_DISABLED, endpoint_id, blocked, number)
         with anyio.fail_after(ADMIN_ANSWER_S):
             await pending.answered.wait()
         return pending.known
@@ -140,7 +142,8 @@
     async def _read_answers(self, scope: anyio.CancelScope) -> None:
         """Receive answers until the new process has ended.
 
-        A malformed answer must not end this: once the link closes, the new process takes this one for ended.
+        A malformed answer must not end this: once the link closes, the new process assumes that this one has
+        ended.
         """
         while True:
             try:
