--- a/pinspread/http/transport.py
+++ b/pinspread/http/transport.py
@@ -34,7 +34,7 @@
     Args:
         clock: The clock of the process.
         pool: The idle connections.
-        dial_us: The timeout for opening a connection, in microseconds.
+        dial_us: The time-out for opening a connection, in microseconds.
         reports: Whether responses report the endpoint's limits.
     """
 
@@ -51,11 +51,10 @@
         return state.annotate(result)
 
     async def send_many(self, attempts: list[Attempt]) -> list[AttemptResult]:
-        """Run several attempts to one endpoint as one call, which has the earliest of their timeouts."""
+        """Run several attempts to one endpoint as one call, which has the earliest of their time-outs."""
         state = CallState()
-        results: dict[
-            str, AttemptResult
-        ] = {}  # message id -> result, for attempts with a result of their own
+        # Message id -> result, for attempts with a result of their own.
+        results: dict[str, AttemptResult] = {}
         ends_us = min(attempt.ends_us() for attempt in attempts)
         common = await self._run(ends_us, state, lambda: self._call_many(attempts, ends_us, state, results))
         return [state.annotate(results.get(attempt.message.id) or common) for attempt in attempts]
@@ -63,7 +62,7 @@
     async def _run(
         self, ends_us: int, state: CallState, call: Callable[[], Coroutine[Any, Any, AttemptResult]]
     ) -> AttemptResult:
-        """Run a call with its timeout, and close its connection unless it was returned to the pool."""
+        """Run a call with its time-out, and close its connection unless it was returned to the pool."""
         try:
             with anyio.move_on_after(self._seconds_until(ends_us)):
                 return await call()
@@ -221,7 +220,7 @@
         """Read the rest of a response with status 200: for its load report, and to reuse the connection.
 
         The delivery is proven already. It may take at most `DRAIN_TIMEOUT_S` seconds: a head or body that
-        never ends would turn a delivery into a timeout, and a payment that was made into a failed one.
+        never ends would turn a delivery into a time-out, and a payment that was made into a failed one.
         """
         with anyio.move_on_after(DRAIN_TIMEOUT_S):
             try:
--- a/pinspread/policy/settings.py
+++ b/pinspread/policy/settings.py
@@ -78,9 +78,8 @@
     overload_multiple: float = 1.0  # multiple of its present capacity above which a warming destination fails
     ordering_pause_ns: int = 0  # pause of an ordering key after an attempt that may still be running
     polled_discovery: bool = False  # changes of the endpoint list come only in answer to polls
-    max_poll_interval_ns: int = (
-        0  # a drain counts as notified this long after the last poll, with or without a next
-    )
+    # A drain counts as notified this long after the last poll, with or without a next one.
+    max_poll_interval_ns: int = 0
     handshake_price: float = 0.0  # cost of a new connection, in units of a message's mean priority weight
     cross_zone_price: float = 0.0  # cost of a call to another zone, in the same units
     zone_fees: list[float] = field(default_factory=list)  # cost by zone, for endpoints with their own limits
--- a/tests/test_amqp_front.py
+++ b/tests/test_amqp_front.py
@@ -300,9 +300,8 @@
         queues = courier.engine.fronts["amqp"].queues
         client = await AmqpClient.open(courier.amqp)
         await client.publish("m1", for_ms=100)
-        await wait_until(
-            lambda: "ends" in queues
-        )  # it holds a final result that no consumer has received yet
+        # The queue holds a final result that no consumer has received yet.
+        await wait_until(lambda: "ends" in queues)
         for n in range(5):
             await client.ask(commands.Queue.Declare(queue=f"q{n}"))
         await client.consume()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -125,9 +125,8 @@
     records.zone_file = str(tmp_path / "none")
     assert seeds.find_seeds_or_none(records, "_pinspread-swim._udp") is None
     effective_settings = application.effective_settings(application.load(str(path)), seed=1)
-    assert (
-        effective_settings.inherited_listener_descriptor is None
-    )  # so that no second process binds membership's port while the first runs
+    # No descriptor, so that no second process binds membership's port while the first runs.
+    assert effective_settings.inherited_listener_descriptor is None
 
 
 def test_the_couriers_own_records_are_a_zone_that_leads_to_it(tmp_path, capsys):
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -87,9 +87,8 @@
         client = Client(courier.address)
         await client.enqueue(id_="before")
         number = courier.engine.messages_by_id["before"].number
-        await wait_until(
-            lambda: not courier.engine.messages_by_id
-        )  # it ended, and its final result was acknowledged
+        # The message has ended, and its final result was acknowledged.
+        await wait_until(lambda: not courier.engine.messages_by_id)
         state = courier.engine.pause_for_handover(SimpleNamespace())
         courier.engine.cancel_handover()
         courier.engine.resume_from_handover(state)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -23,12 +23,8 @@
     ("row", "command", "after", "why"),
     [
         (LeaseRecord(), Command("grant", "a", 0, 7), LeaseRecord("a", 1, 1, 7), "ok"),
-        (
-            LeaseRecord("a", 1, 1, 7),
-            Command("grant", "a", 0, 7),
-            LeaseRecord("a", 1, 1, 7),
-            "ok",
-        ),  # a repeated request
+        # A repeated request.
+        (LeaseRecord("a", 1, 1, 7), Command("grant", "a", 0, 7), LeaseRecord("a", 1, 1, 7), "ok"),
         (LeaseRecord("a", 1, 3, 7), Command("grant", "b", 3, 8), LeaseRecord("b", 4, 4, 8), "ok"),
         (
             LeaseRecord("a", 1, 4, 7),
@@ -81,9 +77,8 @@
     assert state_machine.may_act(claim, TERMS, 1029) and not state_machine.may_act(claim, TERMS, 1030)
     claim, renewal = state_machine.tick(claim, TERMS, A, 601, 9)
     assert renewal == Request("keep", "t", "a", 5, 9)
-    assert (
-        state_machine.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
-    )  # the answer is to another request
+    # The answer is to another request.
+    assert state_machine.apply_answer(claim, Answer("t", 8, "not the holder"), TERMS, 610) == claim
     renewed = state_machine.apply_answer(claim, Answer("t", 9, "ok", 5), TERMS, 700)
     assert renewed.expiry_us == 1601
     lost = state_machine.apply_answer(claim, Answer("t", 9, "not the holder"), TERMS, 700)
--- a/tests/test_leases_stage.py
+++ b/tests/test_leases_stage.py
@@ -223,9 +223,8 @@
     after = raft_messages.skip_applied_entries(message, 6)
     assert (after["prevLogIdx"], after["prevLogTerm"], after["entries"]) == (6, 2, entries[2:])
     assert raft_messages.skip_applied_entries(message, 8)["entries"] == []  # only a heartbeat is left
-    assert (
-        raft_messages.skip_applied_entries(message | {"entries": entries[:1]}, 8) is None
-    )  # the library would have removed three applied entries
+    # The library would have removed three applied entries.
+    assert raft_messages.skip_applied_entries(message | {"entries": entries[:1]}, 8) is None
     assert raft_messages.skip_applied_entries({"type": "request_vote"}, 8) == {"type": "request_vote"}
 
 
--- a/tests/test_platform_discovery.py
+++ b/tests/test_platform_discovery.py
@@ -81,9 +81,8 @@
         serve_on_loopback(HttpStandIn(discovery)) as platform_address,
     ):
         update = {"seq": 9, "whole": True, "hosts": [host("s-1", address, health="draining")]}
-        process = await CourierProcess(
-            tmp_path, address, platform_address
-        ).ready()  # its configuration still has the endpoint as ready
+        # The courier's configuration still has the endpoint as ready.
+        process = await CourierProcess(tmp_path, address, platform_address).ready()
         await anyio.sleep(0.3)
         assert not endpoint.requests
         await process.end(signal.SIGKILL)
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -33,15 +33,13 @@
     answers = [anyio.sleep_forever(), (429, [("Retry-After", "60")], b"")]
     endpoint = HttpStandIn(lambda request: answers.pop(0))
     async with serve_on_loopback(endpoint) as address:
-        async with running_courier(
-            tmp_path, endpoints=[(address,)]
-        ) as courier:  # killed with the first attempt in flight
+        # This courier is killed with the first attempt in flight.
+        async with running_courier(tmp_path, endpoints=[(address,)]) as courier:
             await Client(courier.address).enqueue("booking-change", for_ms=60_000)
             await wait_until(lambda: endpoint.requests)
             written_us = courier.engine.messages_by_id["id1"].in_flight_since_unix_us
-        async with running_courier(
-            tmp_path, endpoints=[(address,)]
-        ) as courier:  # killed after one that did not run
+        # This courier is killed after an attempt that did not run.
+        async with running_courier(tmp_path, endpoints=[(address,)]) as courier:
             await wait_until(lambda: len(endpoint.requests) == 2 and not courier.engine.attempts)
         async with running_courier(tmp_path) as courier:
             message = courier.engine.messages_by_id["id1"]
--- a/tests/test_upgrade_interrupted.py
+++ b/tests/test_upgrade_interrupted.py
@@ -78,10 +78,8 @@
             new = deployment.start()
             if fault == "kill new":
                 await anyio.to_thread.run_sync(new.wait)
-                if kind not in (
-                    "TAKEN_OVER",
-                    "ATTEMPT_COMPLETED",
-                ):  # the old process continues to serve, and hands over to the next one
+                # The old process continues to serve, and hands over to the next one.
+                if kind not in ("TAKEN_OVER", "ATTEMPT_COMPLETED"):
                     assert await wait_ready(deployment.processes[0], 3) < 3
                     assert await Client(deployment.address).say("PING") == "+PONG\r\n"
                 else:
