--- a/pinspread/amqp/pending_confirm.py
+++ b/pinspread/amqp/pending_confirm.py
@@ -42,7 +42,7 @@
         return self.result
 
     def proven_result(self) -> AttemptResult | None:
-        """Return the result that is proven when the time for the confirm is over; None if none is."""
+        """Return the result that is proven when the wait for the confirm times out; None if none is."""
         if self.result is None and self.returned:
             return AttemptResult(Outcome.OVERLOADED, note=UNROUTABLE)
         return self.result
--- a/pinspread/amqp/transport.py
+++ b/pinspread/amqp/transport.py
@@ -69,7 +69,7 @@
         return self._timed_out(attempt, confirm)
 
     def _timed_out(self, attempt: Attempt, confirm: PendingConfirm) -> AttemptResult:
-        """Return the result of an attempt whose time is over; a result proven by then is kept."""
+        """Return the result of an attempt that has timed out; a result proven by then is kept."""
         proven = confirm.proven_result()
         if proven is not None:
             return proven
--- a/pinspread/core/attempts.py
+++ b/pinspread/core/attempts.py
@@ -232,7 +232,7 @@
             context.record(context.journal.attempt_ended, message, attempt.number, may_have_run)
 
     def apply_delayed_results(self) -> None:
-        """Handle the attempts that ended during a hand-over, after the successor failed to take over."""
+        """Handle the attempts that ended during a handover, after the successor failed to take over."""
         delayed, self.delayed_results = self.delayed_results, []
         for attempt, result in delayed:
             self.in_flight[attempt.message.number, attempt.number] = attempt
--- a/pinspread/core/endpoint_registry.py
+++ b/pinspread/core/endpoint_registry.py
@@ -150,7 +150,7 @@
     # --- what may be called -----------------------------------------------------------------------
 
     def apply_retry_after(self, endpoint: Endpoint, retry_after_us: int) -> None:
-        """Block calls to all that shares the endpoint's limit for so many microseconds; 0 does nothing."""
+        """Block calls to all endpoints that share this one's limit for `retry_after_us`; 0 does nothing."""
         if not retry_after_us:
             return
         if self._context.successor:
--- a/pinspread/core/handover.py
+++ b/pinspread/core/handover.py
@@ -1,4 +1,4 @@
-"""State machines of a hand-over: which of two processes owns the messages at each moment. No I/O, no clock.
+"""State machines of a handover: which of two processes owns the messages at each moment. No I/O, no clock.
 
 `docs/daily.md` describes the steps. Each method takes an event and returns the step to perform next.
 """
@@ -48,7 +48,7 @@
     Attributes:
         shape: A fingerprint of the format of the state that this process sends; a new process can read the
             state only if its own fingerprint is equal.
-        state: The state of the hand-over.
+        state: The state of the handover.
         decline_reason: Why the last request was declined.
     """
 
@@ -105,7 +105,7 @@
     """The new process: it owns nothing until it has the lock and has confirmed that it took over.
 
     Attributes:
-        state: The state of the hand-over.
+        state: The state of the handover.
     """
 
     def __init__(self) -> None:
--- a/pinspread/core/journal.py
+++ b/pinspread/core/journal.py
@@ -139,7 +139,7 @@
     # --- records: all raise JournalFullError if nothing was written -------------------------------
 
     def message_accepted(self, message: Message) -> None:
-        """Record a message before the client is told that it was accepted."""
+        """Record a message before its acceptance is acknowledged to the client."""
         record = self._accepted_record(message)
         reserved_bytes = self._reserved_size(record)
         self._append(record)
--- a/pinspread/core/ownership.py
+++ b/pinspread/core/ownership.py
@@ -49,7 +49,7 @@
 
 
 class Ownership:
-    """Moves the ownership of all pending messages between two processes, when `handover` says so."""
+    """Moves the ownership of all pending messages between two processes, as `handover` decides."""
 
     def __init__(
         self,
@@ -153,8 +153,8 @@
         """Handle that the predecessor has not reported the end of an attempt in time.
 
         The attempt ends here, but may still run in the predecessor. Its message is not sent again, because
-        its time is over. It must not be accepted again under its id either, until the attempt is reported or
-        the predecessor has exited.
+        its deadline has passed. It must not be accepted again under its id either, until the attempt is
+        reported or the predecessor has exited.
         """
         attempt = self._attempts.in_flight.get((number, attempt_number))
         if attempt is not None:
--- a/pinspread/discovery/watch.py
+++ b/pinspread/discovery/watch.py
@@ -39,7 +39,7 @@
         Args:
             sequence: Returns that version; called once the connection is open, because another watch may
                 change the version until then.
-            timeout_s: The timeout in seconds until the response begins.
+            timeout_s: The time-out in seconds until the response begins.
 
         Raises:
             OSError: Discovery cannot be reached, or does not answer in time (TimeoutError).
--- a/pinspread/hot_restart/target.py
+++ b/pinspread/hot_restart/target.py
@@ -199,7 +199,7 @@
         """Take ownership and tell the old process, if the transfer is complete; return whether it was.
 
         Raises:
-            JournalFormatError: The journal is of a newer version; the old process was told so.
+            JournalFormatError: The journal is of a newer version; the old process has been notified.
         """
         with ExitStack() as on_failure:
             on_failure.callback(os.close, lock_descriptor)
--- a/pinspread/leases/claims.py
+++ b/pinspread/leases/claims.py
@@ -100,7 +100,7 @@
         }
 
     def _remaining_us(self, claim: Claim, now_us: int) -> int:
-        """Return the time left for acting on a claim, in microseconds; negative if it is over."""
+        """Return the time left for acting on a claim, in microseconds; negative if it has ended."""
         return claim.expiry_us - self._terms.drift_us - self._terms.margin_us - now_us
 
     # --- changes --------------------------------------------------------------------------------------
--- a/pinspread/leases/raft.py
+++ b/pinspread/leases/raft.py
@@ -172,7 +172,7 @@
             task: The task that the command is for.
             command: The command.
             on_applied: Called once this voter has applied the command, with the record and `OK` or the reason
-                for refusing the command. It is never called if the library cannot tell the result.
+                for refusing the command. It is never called if the library does not know the result.
         """
 
         def on_result(result: tuple[LeaseRecord, str] | None, error: int) -> None:
@@ -239,7 +239,7 @@
             self.sync_object.destroy()
 
     async def _run_library(self) -> None:
-        """Run the library until its log cannot be written; the instance then goes on without its vote."""
+        """Run the library until its log cannot be written; the instance then continues without voting."""
         while True:
             try:
                 self.sync_object.doTick(0.0)
--- a/pinspread/policy/dispatch.py
+++ b/pinspread/policy/dispatch.py
@@ -13,7 +13,7 @@
 MAY_HAVE_RUN = (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.ERROR)
 PAUSE_CLEANUP_THRESHOLD = 256  # number of ordering pauses above which the expired ones are dropped
 RECOVERED_WAIT = 0.5  # fraction of its time left after which only Retry-After holds back a recovered message
-RESERVED_QUEUE_SHARE = 0.05  # fraction of the messages that may be held that is kept free for new ones
+RESERVED_QUEUE_SHARE = 0.05  # fraction of `max_held_messages` that is kept free for new messages
 MIN_PRIORITY = 0.25  # fraction of its priority weight below which a refused message is ended, for newer ones
 
 
@@ -24,7 +24,7 @@
         self.context, self.limits, self.outliers = outliers.context, outliers.limits, outliers
         self.messages: dict[int, QueuedMessage] = {}  # by request
         self.waiting: dict[int, Destination] = {}  # destinations with a queue, by number
-        self.expiry: list[tuple[int, int]] = []  # heap of (end of its time for repeats, request)
+        self.expiry: list[tuple[int, int]] = []  # heap of (deadline or end of deduplication, request)
         self.keys: dict[int, deque[QueuedMessage]] = {}  # by ordering key, in the order accepted
         self.ordering_pauses: dict[int, int] = {}  # by ordering key: end of its pause
         self.attempts: dict[tuple[int, int], PendingAttempt] = {}  # by request and attempt
@@ -201,7 +201,7 @@
                 overdue_ns = self.outliers.destination_available_from_ns(destination, True)
                 self._wake_by(max(message.overdue_from_ns, overdue_ns))
             if at_ns < NEVER and not self.may_repeat(message, at_ns):
-                self.reject_or_fail(message)  # its waits would outlast its time
+                self.reject_or_fail(message)  # its waits end too late for another attempt
                 continue
             at_ns = self._ready_from_ns(message)
             at_ns = at_ns if now_ns < at_ns < message.deadline_ns else message.deadline_ns
--- a/pinspread/policy/outlier_detection.py
+++ b/pinspread/policy/outlier_detection.py
@@ -7,7 +7,7 @@
 from pinspread.policy.state import MS, NEVER, SECOND, Call, Destination, QueuedMessage, TrackedEndpoint
 
 EJECTED_FROM = 0.5  # failure rate above which an endpoint is ejected
-SUSPECT_FROM = 0.25  # failure rate above which messages that must not be repeated let others probe first
+SUSPECT_FROM = 0.25  # failure rate above which messages that must not be repeated are sent after others
 FAILURE_WEIGHT = 0.3  # weight of the newest outcome in the failure rate: two failures in a row eject
 RECENT_SUCCESS_NS = 2 * SECOND  # success within which an endpoint with overdue calls may be tried again
 MIN_OUTAGE_FAILURES = 3  # hard failures from which a short silence counts as an outage
@@ -16,10 +16,13 @@
 TIMEOUT_DEVIATIONS = 4  # a time-out is twice (mean + this many deviations)
 MIN_TIMEOUT_NS = SECOND  # shorter time-outs would turn congestion into lost calls
 MAX_TIMEOUT_NS = 3 * SECOND  # unless the mean latency is over half of it
-MAX_TIMEOUT_FACTOR = 2.0  # maximum growth of time-outs in a row: hung calls must not hold the slots
+# Time-outs in a row make the next time-out longer by at most this factor: hung calls must not hold the slots.
+MAX_TIMEOUT_FACTOR = 2.0
 UNSAFE_FACTOR = 2.5  # on the time-out of messages that are not idempotent, which a time-out loses
 UNSAFE_CROWDED_FACTOR = 1.5  # the same where half the slots are taken
-LOST_SHARE = 0.15  # slot time of lost calls, as a fraction of that of answered ones, that ends MIN_TIMEOUT_NS
+# While slots are scarce and lost calls take more than this fraction of the slot time of answered calls,
+# SILENCE_NS replaces MIN_TIMEOUT_NS.
+LOST_SHARE = 0.15
 LOST_GAIN = 0.05  # weight of the newest call in the fraction of lost calls
 SILENCE_NS = 300 * MS  # minimum silence, with calls in flight, that makes an endpoint suspect
 NOT_SENT_BACKOFF_STEP = 2  # backoff step after a health check or call that could not be sent: 160 ms median
--- a/pinspread/policy/rate_limit.py
+++ b/pinspread/policy/rate_limit.py
@@ -6,7 +6,9 @@
 from pinspread.policy.state import MS, NEVER, SECOND, PolicyContext, RateLimiter, TrackedEndpoint
 
 LONGEST_WAIT_NS = SECOND  # maximum wait of few senders between health checks or after refusals
-HEALTH_CHECK_SHARE = 0.3  # health checks of all senders, as a share of the usual calls; half: 0.03 lower
+# Health checks of all senders, as a share of the usual calls. With half this share, the overall score of a
+# simulated day was 0.03 lower.
+HEALTH_CHECK_SHARE = 0.3
 RATE_GAIN = 0.08  # relative growth of a rate with each success
 LOW_REMAINING = 0.15  # remaining fraction of a limit below which a sender waits as after a refusal
 EXHAUSTED_RATE_FACTOR = 0.6  # factor on the usual rate after a refusal by an exhausted limit
@@ -15,11 +17,11 @@
 MIN_RATE = 1.5  # calls a second that no rate falls below, so that recovery can be seen
 RATE_SPAN_S = 8.0  # time constant of the mean of delivered rates
 USUAL_RATE_SPAN_S = 60.0  # time constant of the usual rate's decay: longer than outages and throttled times
-SMALL_FLEET_SIZE = 4  # up to so many senders, each behaves as if it were alone
+SMALL_FLEET_SIZE = 4  # up to this number of senders, each behaves as if it were alone
 UNAVAILABLE_REFUSALS = 4  # refusals in a row from which a destination may be unavailable
 UNAVAILABLE_SPAN_NS = SECOND  # and their minimum duration: a rate limit lets something through in that time
 LONG_RETRY_AFTER_NS = 2500 * MS  # longer ones are no rate limit: the destination is unavailable
-WEIGHT_TRUST = 0.67  # fraction of what rough listed weights promise that is counted on
+WEIGHT_TRUST = 0.67  # fraction of a rough listed weight that is used as the limit
 EXHAUSTED_FROM = 0.6  # fraction of refusals with a low remaining limit from which a kind's calls exhaust it
 REFUSAL_GAIN = 0.12  # weight of the newest refusal in that fraction, and of a connection in LoadBalancer's
 RAMP_SAFETY = 0.8  # fraction of the permitted overload that a slow start uses: arrivals vary by chance
@@ -165,7 +167,7 @@
         endpoint.next_call_ns = self.ramp_next_ns(endpoint, self.context.random.random())
 
     def ramp_next_ns(self, endpoint: TrackedEndpoint, calls: float) -> int:
-        """When the ramp has room for so many more calls of this sender.
+        """When the slow start permits this many more calls of this sender.
 
         The ramps of all senders together do not overload a destination or endpoint that is warming up.
         """
--- a/pinspread/replication/primary.py
+++ b/pinspread/replication/primary.py
@@ -105,7 +105,7 @@
     def _warn_unreplicated(self) -> None:
         if clock.monotonic_us() - self._last_unreplicated_us > WARNING_INTERVAL_US:
             self._last_unreplicated_us = clock.monotonic_us()
-            self.node.events("copies_alone", warning="promised on one disk: too few copies")
+            self.node.events("copies_alone", warning="acknowledged on one disk: too few copies")
 
     def _warn_overdue(self) -> None:
         if clock.monotonic_us() - self._last_overdue_us > WARNING_INTERVAL_US:
--- a/pinspread/resp/session.py
+++ b/pinspread/resp/session.py
@@ -88,7 +88,7 @@
     async def _wait_committed(self) -> bool:
         """Wait until an OK may be written; false if the engine cannot confirm that the messages are safe.
 
-        If a hot restart cancels the wait, the connection cannot go on in the next process: replies to its
+        If a hot restart cancels the wait, the next process cannot continue the connection: replies to its
         commands may not be written yet, and the client would take the replies to later commands for them.
         """
         can_continue, self.can_continue = self.can_continue, False
--- a/pinspread/simulation/rules.py
+++ b/pinspread/simulation/rules.py
@@ -137,7 +137,7 @@
         """Check a message that the policy sends to an endpoint of `destination`."""
         message = self._messages.get((instance, request))
         if message is None:
-            self.record_violation("final", now_ns, instance, f"sends message {request}, which is over")
+            self.record_violation("final", now_ns, instance, f"sends message {request}, which has ended")
             return
         problems = [
             *self._repeat_problems(message, now_ns, request),
@@ -254,7 +254,7 @@
         since_ns = self._unusable_since_ns.get(target)
         if since_ns is not None and now_ns > since_ns + DRAIN_GRACE_NS:
             late_ms = (now_ns - since_ns) // MS
-            problems.append(f"to endpoint {target[1]}, {late_ms} ms after its end was told")
+            problems.append(f"to endpoint {target[1]}, {late_ms} ms after its drain or removal was reported")
         return [("drain", why) for why in problems]
 
     def _overtakes(self, instance: int, message: MessageRecord) -> bool:
--- a/pinspread/testbed/endpoint_stand_in.py
+++ b/pinspread/testbed/endpoint_stand_in.py
@@ -196,9 +196,9 @@
 
     @staticmethod
     async def _result(call: IncomingCall, connection: sockets.Connection) -> tuple[Outcome, int] | None:
-        """Wait for the result of a call; None if its caller is gone before."""
-        # A silent endpoint never answers. Without this check of the connection, a call whose caller has gone
-        # would count against the endpoint's connection limit forever.
+        """Wait for the result of a call; None if its caller disconnects before."""
+        # A silent endpoint never answers. Without this check of the connection, a call whose caller has
+        # disconnected would count against the endpoint's connection limit forever.
         while not (await asyncio.wait({call.result}, timeout=CALLER_CHECK_S))[0]:
             if peer_closed(connection):
                 call.abandoned = True
--- a/tests/stored_courier.py
+++ b/tests/stored_courier.py
@@ -289,7 +289,7 @@
 
 
 async def packets():
-    """Return the packets of a hand-over, as they are sent on the socket."""
+    """Return the packets of a handover, as they are sent on the socket."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     await send_handover(ours)
     theirs.setblocking(False)
@@ -310,7 +310,7 @@
 
 
 async def handed_over():
-    """Return what the new process reads from the packets of a hand-over."""
+    """Return what the new process reads from the packets of a handover."""
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     await send_handover(ours)
     received = await receive_handover(theirs, 5)
--- a/tests/test_platform_client_connections.py
+++ b/tests/test_platform_client_connections.py
@@ -1,4 +1,4 @@
-"""The platform's rules for client connections: limits, timeouts, and a fair share of the event loop."""
+"""The platform's rules for client connections: limits, time-outs, and a fair share of the event loop."""
 
 import socket
 import time
--- a/tests/test_policy_outlier_detection.py
+++ b/tests/test_policy_outlier_detection.py
@@ -1,4 +1,4 @@
-"""The delivery policy's outlier detection and timeouts: silent endpoints, lost calls and resets."""
+"""The delivery policy's outlier detection and time-outs: silent endpoints, lost calls and resets."""
 
 import pytest
 from policy_helpers import CONNECT_FAILED, ERROR, OK, SAFE, TIMEOUT, UNSAFE, PolicyDriver
